--- a/fleet-simulator/src/lib.rs
+++ b/fleet-simulator/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod checkers;
 pub mod deployment;
+pub mod effect_digest;
 pub mod faults;
 pub mod figures;
 pub mod history;
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -11,7 +11,10 @@
 };
 
 use clap::{Arg, ArgAction, Command};
-use coordination::policy::{Mechanism, Policy};
+use coordination::{
+    order::{mix, weight},
+    policy::{Mechanism, Policy},
+};
 use fleet_simulator::{
     checkers::{self, Found},
     deployment::Deployment,
@@ -41,6 +44,12 @@
         .arg(number("scale", "1", "So many times the edges, replicas and callers"))
         .arg(Arg::new("trace").long("trace").action(ArgAction::SetTrue).help("Print the events of a run"))
         .arg(Arg::new("figures").long("figures").action(ArgAction::SetTrue).help("Print figures over all the seeds"))
+        .arg(
+            Arg::new("digests")
+                .long("digests")
+                .action(ArgAction::SetTrue)
+                .help("Print a digest of all effects and one of what was observed, for each deployment and schedule"),
+        )
         .arg(Arg::new("shrink").long("shrink").action(ArgAction::SetTrue).help("Shrink what fails to a smallest schedule"))
         .arg(
             Arg::new("faults")
@@ -111,6 +120,7 @@
         policy: Policy::without(left_out),
         trace: m.get_flag("trace"),
         figures: m.get_flag("figures"),
+        digests: m.get_flag("digests"),
         shrink: m.get_flag("shrink"),
         history: m.get_one::<String>("history").cloned(),
         given,
@@ -134,13 +144,16 @@
     let done = done.into_inner().unwrap_or_else(|e| e.into_inner());
     let mut by: BTreeMap<String, usize> = BTreeMap::new();
     let mut tables: BTreeMap<String, Figures> = BTreeMap::new();
-    for (i, (text, found, f)) in &done {
+    for (i, (text, found, f, _)) in &done {
         print!("{text}");
         tables.entry(format!("{} {}", cases[*i].0.name, cases[*i].1)).or_default().join(f.clone());
         let names: BTreeSet<&str> = found.iter().filter_map(|f| f.split(':').next()).collect();
         names.iter().for_each(|n| *by.entry(n.to_string()).or_default() += 1);
     }
     let failed = done.values().filter(|d| !d.1.is_empty()).count();
+    if looks.digests {
+        digests(&cases, &done).iter().for_each(|line| println!("{line}"));
+    }
     if looks.figures {
         tables.iter().for_each(|(name, f)| println!("{name}\n{}", table(f)));
     }
@@ -151,13 +164,33 @@
 /// Deployment, schedule, seed.
 type Case<'a> = (&'a Deployment, &'a str, u64);
 
-/// What to print of a run, what was found, its figures.
-type Ran = (String, Found, Figures);
+/// What to print of a run, what was found, its figures, its digests.
+type Ran = (String, Found, Figures, Digests);
+
+/// What two builds are compared by: all effects of a run's daemons, and what callers, replicas and operators observed.
+#[derive(Clone, Copy, Debug, Default)]
+struct Digests {
+    effects: u64,
+    observed: u64,
+}
+
+/// A line for each deployment and schedule over all its seeds.
+fn digests(cases: &[Case], done: &BTreeMap<usize, Ran>) -> Vec<String> {
+    let mut by_schedule: BTreeMap<String, Digests> = BTreeMap::new();
+    for (index, (.., run)) in done {
+        let (deployment, schedule, _) = cases[*index];
+        let sum = by_schedule.entry(format!("{} {schedule}", deployment.name)).or_default();
+        sum.effects = mix(sum.effects, run.effects);
+        sum.observed = mix(sum.observed, run.observed);
+    }
+    by_schedule.iter().map(|(name, sum)| format!("{name} effects {:016x} observed {:016x}", sum.effects, sum.observed)).collect()
+}
 
 /// What is to be shown of each run.
 struct Looks {
     trace: bool,
     figures: bool,
+    digests: bool,
     shrink: bool,
     given: Option<Schedule>,
     off: Option<Guard>,
@@ -197,7 +230,13 @@
         out += &format!("  {checker} fails still with {} of {} faults: {replay} --faults '{json}'\n", least.len(), s.len());
     }
     let figures = if l.figures { Figures::from(&w.h) } else { Figures::default() };
-    (out, found, figures)
+    let digests = if l.digests {
+        let observed = serde_json::to_string(&w.h).unwrap_or_default();
+        Digests { effects: w.effects.value(), observed: weight(&observed, "") }
+    } else {
+        Digests::default()
+    };
+    (out, found, figures, digests)
 }
 
 fn table(f: &Figures) -> String {
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -40,6 +40,7 @@
 
 use crate::{
     deployment::Deployment,
+    effect_digest::EffectDigest,
     faults::{Fault, How},
     history::{Bad, Cached, Capacity, Cold, History, Loss, Ms, Run, Told, ZoneWord},
     wrong::{Spoiler, Wrong, piece_line},
@@ -349,6 +350,8 @@
     pub now: Ms,
     pub h: History,
     pub trace: VecDeque<String>,
+    /// Everything that the daemons asked for so far.
+    pub effects: EffectDigest,
     rng: fastrand::Rng,
     seq: u64,
     queue: BTreeMap<(Ms, u64), Ev>,
@@ -484,6 +487,7 @@
             now: 0,
             h: History { end_ms: end, ..History::default() },
             trace: VecDeque::new(),
+            effects: EffectDigest::default(),
             rng,
             seq: 0,
             queue: BTreeMap::new(),
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -110,6 +110,7 @@
 
     pub(super) fn carry_agent(&mut self, i: usize, out: Effects) {
         let (name, addr): (Name, Name) = (self.edges[i].name.as_str().into(), self.edges[i].addr('a'));
+        self.effects.update(&name, &out, self.now);
         for e in out {
             match e {
                 Effect::Send { to, msg } => self.post(To::Agent(i), &name, &addr, &to, msg),
@@ -121,6 +122,7 @@
 
     pub(super) fn carry(&mut self, i: usize, out: Effects) {
         let (name, addr) = (self.ctl[i].p.name.clone(), self.ctl[i].p.addr.clone());
+        self.effects.update(&name, &out, self.now);
         for e in out {
             match e {
                 Effect::Send { to, msg } if to == addr => {
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -177,6 +177,7 @@
     pub(super) fn post_agent(&mut self, i: usize, msg: Msg) {
         let (name, addr, to): (Name, Name, Name) =
             (format!("proxy-{}", self.edges[i].place).into(), self.edges[i].addr('x'), self.edges[i].addr('a'));
+        self.effects.message(&name, &msg);
         self.post(To::Proxy(i), &name, &addr, &to, msg);
     }
 }
