--- a/control-daemon/src/disk.rs
+++ b/control-daemon/src/disk.rs
@@ -15,7 +15,7 @@
 use error_stack::{Report, ResultExt};
 use rusqlite::{Connection, OpenFlags, OptionalExtension, params};
 use tokio::sync::oneshot;
-use wire_messages::{Blob, List, Replaced, Slot};
+use wire_messages::{Blob, List, ReplacedValue, Slot};
 
 /// The file under the data folder.
 const FILE: &str = "control.sqlite";
@@ -267,12 +267,12 @@
     let slots = q.query_map([], |r| {
         Ok(Slot {
             key: r.get::<_, String>(0)?.into(),
-            promised: r.get(1)?,
-            epoch: r.get(2)?,
+            promised_epoch: r.get(1)?,
+            accepted_epoch: r.get(2)?,
             version: r.get(3)?,
-            committed: r.get(4)?,
+            committed_version: r.get(4)?,
             value: Blob(r.get(5)?),
-            past: replaced_of_bytes(&r.get::<_, Vec<u8>>(6)?),
+            replaced: replaced_of_bytes(&r.get::<_, Vec<u8>>(6)?),
         })
     })?;
     for s in slots {
@@ -282,17 +282,17 @@
 }
 
 /// Replaced values as they are stored, one behind the other.
-fn replaced_of_bytes(b: &[u8]) -> List<Replaced> {
+fn replaced_of_bytes(b: &[u8]) -> List<ReplacedValue> {
     let (all, _) = b.as_chunks::<REPLACED_BYTES>();
     let one = |bytes: &[u8; REPLACED_BYTES]| {
         let (mut release, mut digest) = ([0; 8], [0; 16]);
         release.copy_from_slice(&bytes[..8]);
         digest.copy_from_slice(&bytes[8..]);
-        Replaced { release: u64::from_be_bytes(release), digest: u128::from_be_bytes(digest) }
+        ReplacedValue { release: u64::from_be_bytes(release), digest: u128::from_be_bytes(digest) }
     };
     List(all.iter().map(one).collect())
 }
-fn replaced_to_bytes(all: &[Replaced]) -> Vec<u8> {
+fn replaced_to_bytes(all: &[ReplacedValue]) -> Vec<u8> {
     all.iter().flat_map(|r| r.release.to_be_bytes().into_iter().chain(r.digest.to_be_bytes())).collect()
 }
 
@@ -303,8 +303,8 @@
             Row::Slot(s) => {
                 let sql = "INSERT OR REPLACE INTO slots (key, promised, epoch, version, committed, value, past)
                     VALUES (?1, ?2, ?3, ?4, ?5, ?6, ?7)";
-                let past = replaced_to_bytes(&s.past);
-                let row = params![s.key.0, s.promised, s.epoch, s.version, s.committed, s.value.0, past];
+                let past = replaced_to_bytes(&s.replaced);
+                let row = params![s.key.0, s.promised_epoch, s.accepted_epoch, s.version, s.committed_version, s.value.0, past];
                 t.prepare_cached(sql)?.execute(row)?;
             }
             Row::Members { member_epoch, before, voters, voting, left } => {
--- a/control-daemon/tests/disk.rs
+++ b/control-daemon/tests/disk.rs
@@ -10,7 +10,7 @@
 use coordination::Row;
 use googletest::prelude::*;
 use rusqlite::Connection;
-use wire_messages::{Blob, List, Replaced, Slot, Voter};
+use wire_messages::{Blob, List, ReplacedValue, Slot, Voter};
 
 /// Bytes that a disk writes whole.
 const SECTOR: usize = 512;
@@ -191,15 +191,15 @@
     let disk = Disk::start(dir.clone(), 0);
     let (id, blank, rows) = block(disk.open()).unwrap();
     expect_that!((id, blank), eq((9, false)));
-    let voter = Voter { name: "c1".into(), disk: 9, addr: "127.0.0.1:1".into(), ..Voter::default() };
+    let voter = Voter { name: "c1".into(), disk_id: 9, addr: "127.0.0.1:1".into(), ..Voter::default() };
     let row =
         |before, voter: &Voter| Row::Members { member_epoch: 2, before, voters: vec![voter.clone()], voting: true, left: false };
     expect_that!(rows, container_eq([row(0, &voter), slot("a", 1, 1)]));
     // What is written now comes back whole.
-    let now = row(3, &Voter { zone: "z".into(), since: 2, ..voter });
+    let now = row(3, &Voter { zone: "z".into(), since_epoch: 2, ..voter });
     let Row::Slot(s) = slot("a", 2, 1) else { return };
     let next = Row::Slot(Slot {
-        past: List(vec![Replaced { release: 7, digest: 1 }, Replaced { release: u64::MAX, digest: u128::MAX }]),
+        replaced: List(vec![ReplacedValue { release: 7, digest: 1 }, ReplacedValue { release: u64::MAX, digest: u128::MAX }]),
         ..s
     });
     block(disk.sync(vec![now.clone(), next.clone()])).unwrap();
--- a/control-daemon/tests/power.rs
+++ b/control-daemon/tests/power.rs
@@ -10,7 +10,7 @@
 use futures_util::FutureExt;
 use googletest::prelude::*;
 use stand_in::{Folder, Ill, Op, heal, put, storage, with};
-use wire_messages::{Blob, List, Replaced, Slot};
+use wire_messages::{Blob, List, ReplacedValue, Slot};
 
 /// Bytes that a disk writes whole.
 const SECTOR: usize = 512;
@@ -20,8 +20,9 @@
 type Files = BTreeMap<String, Vec<u8>>;
 
 fn slot(key: &str, version: u64, bytes: usize) -> Row {
-    let (value, past) = (Blob(vec![version as u8; bytes]), List(vec![Replaced { release: version, digest: version.into() }; 3]));
-    Row::Slot(Slot { key: key.into(), version, value, past, ..Slot::default() })
+    let (value, past) =
+        (Blob(vec![version as u8; bytes]), List(vec![ReplacedValue { release: version, digest: version.into() }; 3]));
+    Row::Slot(Slot { key: key.into(), version, value, replaced: past, ..Slot::default() })
 }
 /// Versions of the two keys; both of one sync are there, or neither.
 fn version(rows: &[Row]) -> Option<u64> {
--- a/control-daemon/tests/stored_data.rs
+++ b/control-daemon/tests/stored_data.rs
@@ -17,7 +17,7 @@
 use googletest::prelude::*;
 use remote_calls::{RolloutPhase, RolloutRecord};
 use serde::Deserialize;
-use wire_messages::{Blob, List, Replaced, Slot, Voter};
+use wire_messages::{Blob, List, ReplacedValue, Slot, Voter};
 
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/layout-5");
 /// Replicas in the packed record.
@@ -63,10 +63,10 @@
     fn rows(&self) -> Vec<Row> {
         let voters = self.voters.iter().map(|(name, disk, addr, zone, since)| Voter {
             name: name.as_str().into(),
-            disk: *disk,
+            disk_id: *disk,
             addr: addr.as_str().into(),
             zone: zone.as_str().into(),
-            since: *since,
+            since_epoch: *since,
         });
         let members = Row::Members {
             member_epoch: self.member_epoch,
@@ -82,18 +82,18 @@
 
 impl ExpectedSlot {
     fn slot(&self) -> Slot {
-        let past = self
-            .past
-            .iter()
-            .map(|replaced| Replaced { release: replaced.release, digest: u128::from_str_radix(&replaced.digest, 16).unwrap() });
+        let past = self.past.iter().map(|replaced| ReplacedValue {
+            release: replaced.release,
+            digest: u128::from_str_radix(&replaced.digest, 16).unwrap(),
+        });
         Slot {
             key: self.key.as_str().into(),
-            promised: self.promised,
-            epoch: self.epoch,
+            promised_epoch: self.promised,
+            accepted_epoch: self.epoch,
             version: self.version,
-            committed: self.committed,
+            committed_version: self.committed,
             value: Blob(bytes(&self.value)),
-            past: List(past.collect()),
+            replaced: List(past.collect()),
         }
     }
 }
--- a/coordination/examples/embed.rs
+++ b/coordination/examples/embed.rs
@@ -9,7 +9,7 @@
     Effect, Effects, Row, WriteOutcome,
     control::{Control, ControlParams},
 };
-use wire_messages::{Msg, Name};
+use wire_messages::{Message, Name};
 
 /// A disk that keeps what it is given. A real one syncs before it says so.
 #[derive(Default)]
@@ -25,7 +25,7 @@
 }
 
 /// Carries out effects; messages to itself wait in `inbox`. Gives what became of a write.
-fn carry(out: Effects, disk: &mut Disk, inbox: &mut VecDeque<(Name, Msg)>) -> Option<WriteOutcome> {
+fn carry(out: Effects, disk: &mut Disk, inbox: &mut VecDeque<(Name, Message)>) -> Option<WriteOutcome> {
     let mut ended = None;
     for e in out {
         match e {
--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -21,7 +21,7 @@
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use remote_calls::{PlatformList, Spec};
 use serde_json::json;
-use wire_messages::{Envelope, Msg, Name, Node, decode, encode};
+use wire_messages::{Envelope, Message, Name, Node, decode, encode};
 
 use crate::meter::{Meter, ROLES, Role, Way, cpu, held};
 
@@ -182,7 +182,7 @@
             let z = zone_of(i, w.size.edges);
             let (name, zone): (Name, Name) = (format!("edge-zone-{z}-{i}").into(), format!("zone-{z}").into());
             let (addr, at): (Name, Name) = (format!("10.2.{i}.1:7300").into(), format!("10.2.{i}.1:7301").into());
-            let me = Node { name: name.clone(), zone: zone.clone(), addr: addr.clone(), born: 2_000, ..Node::default() };
+            let me = Node { name: name.clone(), zone: zone.clone(), addr: addr.clone(), incarnation: 2_000, ..Node::default() };
             let mut a = Agent::new(me, seeds.clone(), w.rng.u64(..), 0);
             a.set_regions(regions.clone());
             w.addrs.insert(addr.clone(), (Role::Agent, i));
@@ -282,7 +282,7 @@
         }
     }
 
-    fn post(&mut self, me: Id, to: &Name, msg: Msg) {
+    fn post(&mut self, me: Id, to: &Name, msg: Message) {
         let Some(there) = self.addrs.get(to).copied() else { return };
         let kind = msg.name();
         let (from, addr) = self.label(me);
@@ -333,7 +333,7 @@
                     Role::Control => self.controls[me.1].brain.as_mut().map(|c| c.on_msg(&e.from, &e.addr, e.msg, now)),
                     Role::Agent => self.agents[me.1].brain.as_mut().map(|a| a.on_msg(&e.from, &e.addr, e.msg, now)),
                     Role::Proxy => {
-                        if let (Msg::Board(m), Some(p)) = (e.msg, &mut self.proxies[me.1].brain) {
+                        if let (Message::TableUpdate(m), Some(p)) = (e.msg, &mut self.proxies[me.1].brain) {
                             p.on_board(m, now);
                         }
                         None
--- a/coordination/examples/slopes/world/day.rs
+++ b/coordination/examples/slopes/world/day.rs
@@ -15,7 +15,13 @@
         let (name, zone): (Name, Name) = (self.agents[i].name.clone(), format!("zone-{}", self.agents[i].zone).into());
         // Each life of a process is newer than the one before.
         let born = 2_000 + self.now;
-        let me = Node { name: name.clone(), zone: zone.clone(), addr: self.agents[i].addr.clone(), born, ..Node::default() };
+        let me = Node {
+            name: name.clone(),
+            zone: zone.clone(),
+            addr: self.agents[i].addr.clone(),
+            incarnation: born,
+            ..Node::default()
+        };
         let mut a = Agent::new(me, seeds, self.rng.u64(..), self.now);
         a.set_regions(regions.clone());
         let mut p = Proxy::new(format!("{name}/proxy").into(), zone, format!("10.2.{i}.1:8263").into(), born, self.rng.u64(..));
--- a/coordination/src/agent.rs
+++ b/coordination/src/agent.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use wire_messages::{
-    Board as BoardMsg, Change, ClaimAsk, ClaimTold, Demand, Digests, Lease, Lent, List, Mend, Msg, Name, News, Node, Open, Poll,
-    ProxyHello, Readings, Tally,
+    Change, ClaimRequest, ClaimResult, ContextDemand, Lease, List, Message, Name, Node, OpenStreams, OutcomeCounters, Poll,
+    PrefillReport, ProxyLease, ProxyReport, Repair, TableDigests, TableUpdate as BoardMsg, Update,
 };
 
 use crate::{
@@ -71,8 +71,8 @@
     /// Up to which of its changes this agent has its counts, and those, each with its place among the agent's own
     /// changes and when it came.
     heard: u64,
-    tallies: BTreeMap<TallyKey, (Tally, u64, Ms)>,
-    opens: BTreeMap<(Name, Name), (Open, u64, Ms)>,
+    tallies: BTreeMap<TallyKey, (OutcomeCounters, u64, Ms)>,
+    opens: BTreeMap<(Name, Name), (OpenStreams, u64, Ms)>,
     /// Whether it has had a full board.
     full: bool,
 }
@@ -80,34 +80,34 @@
 impl Proxy {
     /// Takes its counts, whole or what changed. A gap is not taken: the proxy tells all again when it hears that
     /// nothing was.
-    fn count(&mut self, m: ProxyHello, change: u64, now: Ms) {
+    fn count(&mut self, m: ProxyReport, change: u64, now: Ms) {
         // One that comes late is told again in what came since.
-        if m.upto < self.heard {
+        if m.through_change < self.heard {
             return;
         }
-        if m.after > self.heard {
+        if m.after_change > self.heard {
             return self.heard = 0;
         }
-        if m.after == 0 {
+        if m.after_change == 0 {
             // What is not told any more has ended.
             self.opens.values_mut().filter(|o| o.0.streams > 0).for_each(|o| (o.0.streams, o.1, o.2) = (0, change, now));
         }
-        self.heard = m.upto;
-        for t in m.tallies.0 {
-            let k = (t.service.clone(), t.version.clone(), t.lane.clone(), t.warm, t.group);
+        self.heard = m.through_change;
+        for t in m.counters.0 {
+            let k = (t.service.clone(), t.version.clone(), t.lane.clone(), t.cached, t.group);
             self.tallies.insert(k, (t, change, now));
         }
-        for o in m.opens.0 {
+        for o in m.open_streams.0 {
             self.opens.insert((o.replica.clone(), o.version.clone()), (o, change, now));
         }
     }
     /// Counts after an own change, of some services; all of them after none, without those that have ended.
-    fn since(&self, change: u64, of: &[Name], now: Ms) -> (List<Tally>, List<Open>) {
+    fn since(&self, change: u64, of: &[Name], now: Ms) -> (List<OutcomeCounters>, List<OpenStreams>) {
         let old = |at: Ms| now.saturating_sub(at) > HEALTH_WINDOWS[HEALTH_WINDOWS.len() - 1];
         let tallies =
             self.tallies.values().filter(|t| t.1 > change && of.contains(&t.0.service)).map(|(t, _, at)| match old(*at) {
                 // What was recent when it came is so no more.
-                true => Tally { new_ended: 0, new_failed: 0, new_slow: 0, ..t.clone() },
+                true => OutcomeCounters { recent_ended: 0, recent_failed: 0, recent_slow: 0, ..t.clone() },
                 false => t.clone(),
             });
         let opens = self.opens.values().filter(|o| o.1 > change && (change > 0 || o.0.streams > 0)).map(|o| o.0.clone());
@@ -177,7 +177,7 @@
     }
     /// Whether the proxy beside this agent still speaks but sends callers elsewhere: the whole machine stops.
     pub fn proxy_goes(&self, now: Ms) -> bool {
-        self.membership.me().http.is_empty() && self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.at) < RULE_LIFE)
+        self.membership.me().http_addr.is_empty() && self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.at) < RULE_LIFE)
     }
     /// Operators who would rather serve by old news than reject, where bounds hold only for daemons in touch.
     pub fn set_serve_on(&mut self, on: bool) {
@@ -198,37 +198,37 @@
         self.voters / 2 + 1
     }
 
-    pub fn on_msg(&mut self, from: &Name, addr: &Name, msg: Msg, now: Ms) -> Effects {
+    pub fn on_msg(&mut self, from: &Name, addr: &Name, msg: Message, now: Ms) -> Effects {
         let mut out = Vec::new();
         match msg {
-            Msg::Shuffle(m) => {
+            Message::Shuffle(m) => {
                 self.membership.on_shuffle(addr, m, now, &mut out);
                 // One that has just started asks each control daemon as soon as it knows of it.
                 if !self.ready && self.membership.known(CONTROL).any(|n| !self.sources.contains_key(&n.name)) {
                     self.next_poll = now;
                 }
             }
-            Msg::News(m) => self.on_news(from, m, now, &mut out),
-            Msg::Digests(m) => {
+            Message::Update(m) => self.on_news(from, m, now, &mut out),
+            Message::TableDigests(m) => {
                 let ranges = self.board.differ(&m.ranges);
                 // Places only: values are long, and most often it is the other that lags.
                 let changes = self.board.within(&ranges).into_iter().map(bare).collect();
-                out.push(send(addr, Mend { sent: m.sent, changes, answer: PLACES, indexes: List(ranges) }));
+                out.push(send(addr, Repair { request_sent_at: m.sent_at, changes, kind: PLACES, ranges: List(ranges) }));
             }
-            Msg::Mend(m) => {
+            Message::Repair(m) => {
                 let at = self.met.entry(from.clone()).or_insert(0);
-                *at = (*at).max(m.sent);
+                *at = (*at).max(m.request_sent_at);
                 self.on_mend(addr, m, &mut out);
             }
-            Msg::Claim(m) => self.holding.on_claim(self.membership.me(), addr, m, now, &mut out),
-            Msg::Claimed(m) => {
+            Message::Claim(m) => self.holding.on_claim(self.membership.me(), addr, m, now, &mut out),
+            Message::ClaimReply(m) => {
                 let ended = self.claimer.on_claimed(from, m);
                 self.tell(ended, &mut out);
             }
-            Msg::ProxyHello(m) => self.on_hello(addr, m, now),
-            Msg::ClaimAsk(m) => self.on_claim_ask(addr, m, now, &mut out),
-            Msg::Readings(m) => self.on_readings(addr, m, &mut out),
-            Msg::Demand(m) => self.on_demand(addr, m, &mut out),
+            Message::ProxyReport(m) => self.on_hello(addr, m, now),
+            Message::ClaimRequest(m) => self.on_claim_ask(addr, m, now, &mut out),
+            Message::PrefillReport(m) => self.on_readings(addr, m, &mut out),
+            Message::ContextDemand(m) => self.on_demand(addr, m, &mut out),
             _ => {}
         }
         // News goes to the proxy as it comes, not at the next tick.
@@ -239,13 +239,13 @@
     }
 
     fn tell(&self, ended: impl IntoIterator<Item = crate::claims::Ended>, out: &mut Effects) {
-        out.extend(ended.into_iter().map(|(to, token, state)| send(&to, ClaimTold { token, state })));
+        out.extend(ended.into_iter().map(|(to, token, state)| send(&to, ClaimResult { token, state })));
     }
 
-    fn on_claim_ask(&mut self, proxy: &Name, m: ClaimAsk, now: Ms, out: &mut Effects) {
+    fn on_claim_ask(&mut self, proxy: &Name, m: ClaimRequest, now: Ms, out: &mut Effects) {
         // A young agent may know few edges, and a majority of few is no majority.
         if m.request.starts_with(claims::KEY) && now.saturating_sub(self.began) < KNOWS_EDGES {
-            out.push(send(proxy, ClaimTold { token: m.token, state: claims::ABSTAINS }));
+            out.push(send(proxy, ClaimResult { token: m.token, state: claims::ABSTAINS }));
             return;
         }
         let edges: Vec<Node> = self.membership.known(EDGE).chain([self.membership.me()]).cloned().collect();
@@ -254,7 +254,7 @@
 
     /// What its proxy lately sent goes to the edges of its region, and of that where it was sent: those share replicas
     /// with it. What others sent goes to its proxy.
-    fn on_readings(&self, from: &Name, m: Readings, out: &mut Effects) {
+    fn on_readings(&self, from: &Name, m: PrefillReport, out: &mut Effects) {
         let Some(p) = &self.proxy else { return };
         if p.addr != *from {
             return out.push(send(&p.addr, m));
@@ -265,22 +265,25 @@
     }
 
     /// What its proxy's callers often ask for goes to the holder of the service's duty and nobody else.
-    fn on_demand(&self, from: &Name, m: Demand, out: &mut Effects) {
+    fn on_demand(&self, from: &Name, m: ContextDemand, out: &mut Effects) {
         let own = self.proxy.as_ref().is_some_and(|p| p.addr == *from);
         let holder = self.holders.get(&m.service).filter(|_| own);
         out.extend(self.membership.known(CONTROL).filter(|n| Some(&n.name) == holder).map(|n| send(&n.addr, m.clone())));
     }
 
-    fn on_hello(&mut self, addr: &Name, m: ProxyHello, now: Ms) {
-        self.membership.set_http(&m.http);
+    fn on_hello(&mut self, addr: &Name, m: ProxyReport, now: Ms) {
+        self.membership.set_http(&m.http_addr);
         // Another life of the proxy has nothing, however soon it came back.
-        let same = |p: &Proxy| p.addr == *addr && p.life == m.born && now.saturating_sub(p.at) < RULE_LIFE;
+        let same = |p: &Proxy| p.addr == *addr && p.life == m.incarnation && now.saturating_sub(p.at) < RULE_LIFE;
         let mut p = match self.proxy.take() {
-            Some(p) if p.addr == *addr && p.life == m.born => Proxy { full: p.full && same(&p), ..p },
+            Some(p) if p.addr == *addr && p.life == m.incarnation => Proxy { full: p.full && same(&p), ..p },
             // Its former life's streams have ended, which whoever knew of them is told.
-            old => {
-                Proxy { addr: addr.clone(), life: m.born, opens: old.map_or_else(BTreeMap::new, |p| p.opens), ..Proxy::default() }
-            }
+            old => Proxy {
+                addr: addr.clone(),
+                life: m.incarnation,
+                opens: old.map_or_else(BTreeMap::new, |p| p.opens),
+                ..Proxy::default()
+            },
         };
         p.at = now;
         self.change += 1;
@@ -299,31 +302,31 @@
         self.proxy = Some(p);
     }
 
-    fn on_news(&mut self, from: &Name, m: News, now: Ms, out: &mut Effects) {
+    fn on_news(&mut self, from: &Name, m: Update, now: Ms, out: &mut Effects) {
         // Daemons disagree on the count only while voters change; the largest asks for most.
-        let voters = m.voters as usize;
+        let voters = m.voter_count as usize;
         if voters > 0 {
             self.voters = self.voters.max(voters);
         }
         let s = self.sources.entry(from.clone()).or_default();
-        if m.run != s.run {
-            if m.full == 0 {
+        if m.source_incarnation != s.run {
+            if m.is_snapshot == 0 {
                 return;
             }
             // What was told to its former run is nothing to this one, whichever of them the question reached.
-            *s = Source { run: m.run, told: (Ms::MAX, 0), sent: s.sent, framed: s.framed, ..Source::default() };
+            *s = Source { run: m.source_incarnation, told: (Ms::MAX, 0), sent: s.sent, framed: s.framed, ..Source::default() };
         }
-        s.upto = s.upto.max(m.upto);
-        if m.sent >= s.told.0 {
+        s.upto = s.upto.max(m.through_position);
+        if m.poll_sent_at >= s.told.0 {
             s.knows = Some(s.told.1);
         }
-        if m.sent >= s.answered {
-            (s.answered, s.has) = (m.sent, m.count);
-            (s.choice, s.counts) = (m.choice, m.counts.0);
+        if m.poll_sent_at >= s.answered {
+            (s.answered, s.has) = (m.poll_sent_at, m.counters_through);
+            (s.choice, s.counts) = (m.selection, m.selected_services.0);
         }
         // Only a settled voter counts as heard: others may lack what a majority has accepted.
-        if m.settled != 0 {
-            (s.sent, s.framed) = (s.sent.max(m.sent), true);
+        if m.is_settled != 0 {
+            (s.sent, s.framed) = (s.sent.max(m.poll_sent_at), true);
         }
         for c in m.changes.0 {
             if self.board.merge(&c) {
@@ -334,7 +337,7 @@
             s.leases = now;
         }
         for p in m.leases.0 {
-            let until = m.sent + Ms::from(p.ttl);
+            let until = m.poll_sent_at + Ms::from(p.ttl_ms);
             let newer = self.leases.get(&p.service).is_none_or(|(o, u)| (o.epoch, *u) <= (p.epoch, until));
             // A lease of a lower epoch is a former holder's: it grants nothing any more.
             if newer {
@@ -349,32 +352,32 @@
         self.judge(now, out);
     }
 
-    fn on_mend(&mut self, addr: &Name, m: Mend, out: &mut Effects) {
-        match m.answer {
+    fn on_mend(&mut self, addr: &Name, m: Repair, out: &mut Effects) {
+        match m.kind {
             PLACES => self.compare(addr, &m, out),
             VALUES => self.take_values(addr, m, out),
             _ => {
                 let changes = m.changes.iter().filter_map(|c| self.board.get(&c.key)).cloned().collect();
-                out.push(send(addr, Mend { sent: 0, changes, answer: VALUES, indexes: List::default() }));
+                out.push(send(addr, Repair { request_sent_at: 0, changes, kind: VALUES, ranges: List::default() }));
             }
         }
     }
     /// Sends what is newer here, asks for what is newer there.
-    fn compare(&self, addr: &Name, m: &Mend, out: &mut Effects) {
+    fn compare(&self, addr: &Name, m: &Repair, out: &mut Effects) {
         let theirs: BTreeMap<&Name, &Change> = m.changes.iter().map(|c| (&c.key, c)).collect();
         let newer = |c: &Change| theirs.get(&c.key).is_none_or(|o| stamp(c) > stamp(o));
-        let give: Vec<Change> = self.board.within(&m.indexes).into_iter().filter(newer).collect();
+        let give: Vec<Change> = self.board.within(&m.ranges).into_iter().filter(newer).collect();
         let lacks = |c: &&Change| self.board.get(&c.key).is_none_or(|o| stamp(o) < stamp(c));
         let want: List<Change> = m.changes.iter().filter(lacks).cloned().collect();
         if !give.is_empty() {
-            out.push(send(addr, Mend { sent: 0, changes: List(give), answer: VALUES, indexes: List::default() }));
+            out.push(send(addr, Repair { request_sent_at: 0, changes: List(give), kind: VALUES, ranges: List::default() }));
         }
         if !want.is_empty() {
-            out.push(send(addr, Mend { sent: 0, changes: want, answer: WANTS, indexes: List::default() }));
+            out.push(send(addr, Repair { request_sent_at: 0, changes: want, kind: WANTS, ranges: List::default() }));
         }
     }
     /// Before this life has read a majority's frames a neighbour's copy is still good news: it merges.
-    fn take_values(&mut self, addr: &Name, m: Mend, out: &mut Effects) {
+    fn take_values(&mut self, addr: &Name, m: Repair, out: &mut Effects) {
         let mut got = 0;
         for c in m.changes.0 {
             if self.board.merge(&c) {
@@ -434,14 +437,31 @@
         let until = self.judge(now, out);
         let fresh = std::mem::take(&mut self.fresh);
         let nodes = self.membership.live(EDGE).chain([self.membership.me()]).cloned().collect();
-        let leases = self.leases.values().filter(|(_, u)| *u > now).map(|(p, u)| Lent { lease: p.clone(), until: *u }).collect();
+        let leases = self
+            .leases
+            .values()
+            .filter(|(_, u)| *u > now)
+            .map(|(p, u)| ProxyLease { lease: p.clone(), expires_at: *u })
+            .collect();
         let Some(p) = self.proxy.as_mut() else { return };
         let full = !p.full;
         p.full = true;
         let changes = if full { self.board.rows().cloned().collect() } else { List(fresh) };
         self.next_board = now + RULE_LIFE / 5;
         let (life, heard) = (p.life, p.heard);
-        out.push(send(&p.addr, BoardMsg { life, heard, rule: self.rule, until, full: full.into(), changes, leases, nodes }));
+        out.push(send(
+            &p.addr,
+            BoardMsg {
+                proxy_incarnation: life,
+                counters_through: heard,
+                serving_rule: self.rule,
+                valid_until: until,
+                is_snapshot: full.into(),
+                changes,
+                leases,
+                nodes,
+            },
+        ));
     }
 
     pub fn tick(&mut self, now: Ms) -> Effects {
@@ -476,7 +496,7 @@
 
     /// Compares boards with one neighbour, or with every edge while no control majority is heard.
     fn repair(&mut self, now: Ms, out: &mut Effects) {
-        let ask = |n: &Node, b: &Board| send(&n.addr, Digests { sent: now, ranges: List(b.digests()) });
+        let ask = |n: &Node, b: &Board| send(&n.addr, TableDigests { sent_at: now, ranges: List(b.digests()) });
         // One that serves on by old news all the same has no use for a majority of edges.
         if !self.serve_on && now.saturating_sub(self.heard) > MISSED && self.heard > 0 {
             self.next_repair = now + MET / 3;
@@ -519,17 +539,17 @@
                 told.map_or_else(none, |p| (p.life, self.change, p.since(since, &s.counts, now)));
             let m = Poll {
                 node: me.clone(),
-                life,
-                sent: now,
-                run: s.run,
-                after: s.upto,
-                since,
-                count,
-                choice: s.choice,
-                tallies,
-                opens,
-                news: news.into(),
-                seen: if news { seen.clone() } else { List::default() },
+                proxy_incarnation: life,
+                sent_at: now,
+                source_incarnation: s.run,
+                after_position: s.upto,
+                counters_since: since,
+                counters_through: count,
+                selection: s.choice,
+                counters: tallies,
+                open_streams: opens,
+                has_versions: news.into(),
+                versions: if news { seen.clone() } else { List::default() },
             };
             out.push(send(&n.addr, m));
         }
--- a/coordination/src/board.rs
+++ b/coordination/src/board.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use remote_calls::Spec;
-use wire_messages::{Change, Name, Range};
+use wire_messages::{Change, Name, RangeDigest};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{limits::RANGES, packed};
@@ -62,21 +62,21 @@
         true
     }
     /// A digest for each range of keys.
-    pub fn digests(&self) -> Vec<Range> {
+    pub fn digests(&self) -> Vec<RangeDigest> {
         let mut d = vec![0u64; RANGES as usize];
         for c in self.rows.values() {
             let x = xxh3_64(format!("{} {} {}", c.key, c.epoch, c.version).as_bytes());
             d[range(&c.key) as usize] ^= x;
         }
-        d.into_iter().enumerate().map(|(i, digest)| Range { index: i as u16, digest }).collect()
+        d.into_iter().enumerate().map(|(i, digest)| RangeDigest { index: i as u16, digest }).collect()
     }
     /// Ranges in which another's digests differ.
-    pub fn differ(&self, other: &[Range]) -> Vec<Range> {
+    pub fn differ(&self, other: &[RangeDigest]) -> Vec<RangeDigest> {
         let mine = self.digests();
         other.iter().filter(|r| mine.get(r.index as usize).is_some_and(|m| m.digest != r.digest)).cloned().collect()
     }
     /// All values in the ranges.
-    pub fn within(&self, ranges: &[Range]) -> Vec<Change> {
+    pub fn within(&self, ranges: &[RangeDigest]) -> Vec<Change> {
         self.rows.values().filter(|c| ranges.iter().any(|r| r.index == range(&c.key))).cloned().collect()
     }
     /// One digest over everything.
--- a/coordination/src/claims.rs
+++ b/coordination/src/claims.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use wire_messages::{Claim, ClaimAsk, ClaimTold, Claimed, Name, Node};
+use wire_messages::{Claim, ClaimReply, ClaimRequest, ClaimResult, Name, Node};
 
 use crate::{
     Effects, Ms,
@@ -30,7 +30,7 @@
 pub fn mint(random: u64, edges: Vec<Node>) -> String {
     let key = format!("{random:016x}");
     let group = agreed(&key, edges, |n| &n.name).into_iter().take(CLAIM_GROUP);
-    group.fold(key, |id, n| format!("{id}~{}.{:x}", n.name, n.born))
+    group.fold(key, |id, n| format!("{id}~{}.{:x}", n.name, n.incarnation))
 }
 
 /// The holders an id names; none if it is no id of ours.
@@ -67,9 +67,9 @@
         // whose life is shorter than that may have forgotten a grant.
         let lived = now.saturating_sub(self.began);
         let named = if m.request.starts_with(KEY) {
-            m.age == 0 || m.age + KEY_MARGIN < lived && m.age < CLAIM_KEPT
+            m.key_age_ms == 0 || m.key_age_ms + KEY_MARGIN < lived && m.key_age_ms < CLAIM_KEPT
         } else {
-            holders(&m.request).is_some_and(|h| h.iter().any(|(n, b)| *n == me.name && *b == me.born))
+            holders(&m.request).is_some_and(|h| h.iter().any(|(n, b)| *n == me.name && *b == me.incarnation))
         };
         let state = if !named {
             out.push(note(events::CLAIM_ABSTAINED, to, m.request.to_string()));
@@ -77,7 +77,7 @@
         } else {
             self.grant(&m, now)
         };
-        out.push(send(to, Claimed { token: m.token, state }));
+        out.push(send(to, ClaimReply { token: m.token, state }));
     }
 
     fn grant(&mut self, m: &Claim, now: Ms) -> u8 {
@@ -88,12 +88,12 @@
         }
         let void = m.void != 0;
         let Some((round, voided, _)) = self.rows.get_mut(&m.request) else {
-            self.rows.insert(m.request.clone(), (m.round, void, now));
+            self.rows.insert(m.request.clone(), (m.attempt, void, now));
             self.ages.push_back((now, m.request.clone()));
             return GRANTED;
         };
         // The same round may turn its own claim into a void, as it knows that it has not run; never back.
-        if *round == m.round && (void || !*voided) {
+        if *round == m.attempt && (void || !*voided) {
             *voided |= void;
             return GRANTED;
         }
@@ -123,19 +123,25 @@
 impl Claimer {
     /// Asks the id's holders, or every known edge for a caller's key. `edges`: all that are known, this one
     /// among them.
-    pub fn ask(&mut self, proxy: &Name, m: &ClaimAsk, edges: &[Node], now: Ms, out: &mut Effects) {
+    pub fn ask(&mut self, proxy: &Name, m: &ClaimRequest, edges: &[Node], now: Ms, out: &mut Effects) {
         let proxy = (proxy.clone(), m.token);
         let by_key = m.request.starts_with(KEY);
-        let all = || edges.iter().map(|n| (n.name.clone(), n.born)).collect();
+        let all = || edges.iter().map(|n| (n.name.clone(), n.incarnation)).collect();
         let h: Option<Vec<Holder>> = if by_key { Some(all()) } else { holders(&m.request) };
         let Some(h) = h.filter(|h| !h.is_empty()) else {
-            out.push(send(&proxy.0, ClaimTold { token: proxy.1, state: ABSTAINS }));
+            out.push(send(&proxy.0, ClaimResult { token: proxy.1, state: ABSTAINS }));
             return;
         };
         self.token += 1;
         for (n, _) in &h {
             if let Some(e) = edges.iter().find(|e| e.name == *n) {
-                let c = Claim { token: self.token, request: m.request.clone(), round: m.round, void: m.void, age: m.age };
+                let c = Claim {
+                    token: self.token,
+                    request: m.request.clone(),
+                    attempt: m.attempt,
+                    void: m.void,
+                    key_age_ms: m.key_age_ms,
+                };
                 out.push(send(&e.addr, c));
             }
         }
@@ -146,7 +152,7 @@
         self.asking.insert(self.token, Asking { names, need, said: BTreeMap::new(), until: now + CLAIM_LIMIT, proxy });
     }
 
-    pub fn on_claimed(&mut self, from: &Name, m: Claimed) -> Option<Ended> {
+    pub fn on_claimed(&mut self, from: &Name, m: ClaimReply) -> Option<Ended> {
         let a = self.asking.get_mut(&m.token)?;
         if a.names.contains(from) {
             a.said.insert(from.clone(), m.state);
--- a/coordination/src/claims/tests.rs
+++ b/coordination/src/claims/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn edges() -> Vec<Node> {
-    (0..6).map(|i| Node { name: format!("e{i}").into(), born: 10 + i, ..Node::default() }).collect()
+    (0..6).map(|i| Node { name: format!("e{i}").into(), incarnation: 10 + i, ..Node::default() }).collect()
 }
 
 /// Every schedule of two rounds, a void and a holder's restart: one round at most runs, and none after
@@ -26,15 +26,21 @@
             if rng.u8(..) < 25 {
                 // The holder restarts: a new life that remembers nothing.
                 let (node, h) = nodes.get_mut(&n).unwrap();
-                node.born += 100;
+                node.incarnation += 100;
                 *h = Holding::default();
             }
             let (node, h) = nodes.get_mut(&n).unwrap();
             let mut out = vec![];
-            h.on_claim(node, &"p".into(), Claim { token: 0, request: id.clone(), round, void, age: 0 }, 5, &mut out);
-            let won = out
-                .iter()
-                .any(|e| matches!(e, crate::Effect::Send { msg: wire_messages::Msg::Claimed(c), .. } if c.state == GRANTED));
+            h.on_claim(
+                node,
+                &"p".into(),
+                Claim { token: 0, request: id.clone(), attempt: round, void, key_age_ms: 0 },
+                5,
+                &mut out,
+            );
+            let won = out.iter().any(
+                |e| matches!(e, crate::Effect::Send { msg: wire_messages::Message::ClaimReply(c), .. } if c.state == GRANTED),
+            );
             *granted.entry(round).or_default() += usize::from(won);
         }
         let winners = granted.values().filter(|n| **n >= 2).count();
@@ -59,12 +65,11 @@
             let mut granted = 0;
             for (n, h) in all.iter().zip(&mut held).filter(|_| rng.u8(..) < 200) {
                 let mut out = vec![];
-                let c = Claim { token: 0, request: "k:mine".into(), round, void: 0, age };
+                let c = Claim { token: 0, request: "k:mine".into(), attempt: round, void: 0, key_age_ms: age };
                 h.on_claim(n, &"p".into(), c, now, &mut out);
-                granted +=
-                    usize::from(out.iter().any(
-                        |e| matches!(e, crate::Effect::Send { msg: wire_messages::Msg::Claimed(c), .. } if c.state == GRANTED),
-                    ));
+                granted += usize::from(out.iter().any(
+                    |e| matches!(e, crate::Effect::Send { msg: wire_messages::Message::ClaimReply(c), .. } if c.state == GRANTED),
+                ));
             }
             won += usize::from(granted > all.len() / 2);
         }
--- a/coordination/src/context/demand.rs
+++ b/coordination/src/context/demand.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use topk::FilteredSpaceSaving;
-use wire_messages::{Name, Popular};
+use wire_messages::{ChainDemand, Name};
 
 use super::{Asked, Chain};
 use crate::{
@@ -60,7 +60,7 @@
         now >= self.told + DEMAND_EVERY.max(DEMAND_EVERY_EDGE * edges as Ms)
     }
     /// The chains most asked for. What is told replaces what was told before: it may be lost or come twice.
-    pub fn tell(&mut self, now: Ms) -> Vec<Popular> {
+    pub fn tell(&mut self, now: Ms) -> Vec<ChainDemand> {
         self.told = now;
         self.decay(now);
         let mut all: Vec<(Chain, u64, u64)> =
@@ -69,14 +69,14 @@
         all.sort_unstable_by_key(|(c, n, e)| (std::cmp::Reverse(n - e), *c));
         all.truncate(DEMAND_TOLD);
         let missed = |c: &Chain| self.missed.get(c).copied().unwrap_or(0.0) as u32;
-        let one = |(c, n, e): (Chain, u64, u64)| Popular {
-            version: c.version,
-            homes: c.homes,
+        let one = |(c, n, e): (Chain, u64, u64)| ChainDemand {
+            weights_version: c.version,
+            homes_digest: c.homes,
             chain: c.chain,
             tokens: c.tokens,
-            asked: n as u32,
-            error: e as u32,
-            missed: missed(&c),
+            requests: n as u32,
+            overcount: e as u32,
+            cache_misses: missed(&c),
         };
         all.into_iter().map(one).collect()
     }
@@ -85,11 +85,11 @@
 /// What all edges last told of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Demands {
-    by: BTreeMap<Name, (Ms, Vec<Popular>)>,
+    by: BTreeMap<Name, (Ms, Vec<ChainDemand>)>,
 }
 
 impl Demands {
-    pub fn tell(&mut self, edge: &Name, all: Vec<Popular>, now: Ms) {
+    pub fn tell(&mut self, edge: &Name, all: Vec<ChainDemand>, now: Ms) {
         self.by.insert(edge.clone(), (now, all));
     }
     /// Sums by region and chain. Only what is sure counts: an estimate's error never makes a copy.
@@ -101,10 +101,10 @@
             // What was told a while ago has decayed since.
             let f = 0.5f64.powf(now.saturating_sub(*at) as f64 / DEMAND_HALF as f64) / ASK_UNIT as f64;
             for p in all {
-                let c = Chain { version: p.version, homes: p.homes, chain: p.chain, tokens: p.tokens };
+                let c = Chain { version: p.weights_version, homes: p.homes_digest, chain: p.chain, tokens: p.tokens };
                 let s = sums.entry((r.clone(), c)).or_default();
-                s.asked += f64::from(p.asked.saturating_sub(p.error)) * f;
-                s.missed += f64::from(p.missed) * f;
+                s.asked += f64::from(p.requests.saturating_sub(p.overcount)) * f;
+                s.missed += f64::from(p.cache_misses) * f;
             }
         }
         sums
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -12,8 +12,8 @@
     ZoneStreams,
 };
 use wire_messages::{
-    Blob, Change, Compare, Demand, Forward, ForwardEnd, Forwarded, Genesis, Heartbeat, Lease, List, Msg, Name, News, Node,
-    PeerState, Poll, Slots, SlotsAsk, Tally, Voter,
+    Blob, Bootstrap, Change, ContextDemand, ForwardOutcome, ForwardReply, ForwardRequest, Heartbeat, Lease, List, Message, Name,
+    Node, OutcomeCounters, PeerState, Poll, Precondition, SlotsReply, SlotsRequest, Update, Voter,
 };
 
 use crate::{
@@ -217,10 +217,10 @@
             role: CONTROL,
             zone: p.zone.clone(),
             addr: p.addr.clone(),
-            http: p.http.clone(),
-            born,
-            beat: 0,
-            age: 0,
+            http_addr: p.http.clone(),
+            incarnation: born,
+            heartbeat: 0,
+            heartbeat_age: 0,
         };
         let mut membership = Membership::new(me, p.seeds.clone(), born);
         membership.set_regions(p.regions.clone());
@@ -307,27 +307,27 @@
         self.settled
     }
 
-    pub fn on_msg(&mut self, from: &Name, addr: &Name, msg: Msg, now: Ms) -> Effects {
+    pub fn on_msg(&mut self, from: &Name, addr: &Name, msg: Message, now: Ms) -> Effects {
         self.stood_still(now);
         let mut out = Vec::new();
         match msg {
-            Msg::Heartbeat(m) => self.on_heartbeat(from, addr, m, now, &mut out),
-            Msg::Prepare(m) => self.regs.on_prepare(addr, m, now, &mut out),
-            Msg::Promise(m) => self.regs.on_promise(from, m, now, &mut out),
-            Msg::Accept(m) => self.regs.on_accept(addr, m, &mut out),
-            Msg::Accepted(m) => self.regs.on_accepted(from, m, now, &mut out),
-            Msg::Commit(m) => self.regs.on_commit(&m.change, &m.past, &mut out),
-            Msg::Renew(m) => self.regs.on_renew(addr, m, now, &mut out),
-            Msg::Renewed(m) => self.regs.on_renewed(from, m, now, &mut out),
-            Msg::Forward(m) => self.on_forward(addr, m, now, &mut out),
-            Msg::Forwarded(m) => self.on_forwarded(m, now, &mut out),
-            Msg::Release(m) => self.regs.on_release(addr, m),
-            Msg::Genesis(m) => self.on_genesis(m, &mut out),
-            Msg::SlotsAsk(m) => self.on_slots_ask(addr, m, now, &mut out),
-            Msg::Slots(m) => self.on_slots(from, m, now, &mut out),
-            Msg::Poll(m) => self.on_poll(addr, m, now, &mut out),
-            Msg::Demand(m) => self.on_demand(from, m, now),
-            Msg::Shuffle(m) => self.membership.on_shuffle(addr, m, now, &mut out),
+            Message::Heartbeat(m) => self.on_heartbeat(from, addr, m, now, &mut out),
+            Message::Prepare(m) => self.regs.on_prepare(addr, m, now, &mut out),
+            Message::Promise(m) => self.regs.on_promise(from, m, now, &mut out),
+            Message::Accept(m) => self.regs.on_accept(addr, m, &mut out),
+            Message::Accepted(m) => self.regs.on_accepted(from, m, now, &mut out),
+            Message::Commit(m) => self.regs.on_commit(&m.change, &m.replaced, &mut out),
+            Message::RenewLeases(m) => self.regs.on_renew(addr, m, now, &mut out),
+            Message::LeasesRenewed(m) => self.regs.on_renewed(from, m, now, &mut out),
+            Message::ForwardRequest(m) => self.on_forward(addr, m, now, &mut out),
+            Message::ForwardReply(m) => self.on_forwarded(m, now, &mut out),
+            Message::ReleaseLeases(m) => self.regs.on_release(addr, m),
+            Message::Bootstrap(m) => self.on_genesis(m, &mut out),
+            Message::SlotsRequest(m) => self.on_slots_ask(addr, m, now, &mut out),
+            Message::SlotsReply(m) => self.on_slots(from, m, now, &mut out),
+            Message::Poll(m) => self.on_poll(addr, m, now, &mut out),
+            Message::ContextDemand(m) => self.on_demand(from, m, now),
+            Message::Shuffle(m) => self.membership.on_shuffle(addr, m, now, &mut out),
             _ => {}
         }
         self.finish(now, out)
@@ -435,16 +435,22 @@
         }
         self.next_beat = now + HEARTBEAT_EVERY;
         let state = match (self.regs.member_epoch, self.regs.voting) {
-            _ if self.going => PeerState::Going,
-            (0, _) if !self.regs.voters.is_empty() => PeerState::Founding,
+            _ if self.going => PeerState::Stopping,
+            (0, _) if !self.regs.voters.is_empty() => PeerState::Bootstrapping,
             (0, _) => PeerState::Blank,
-            (_, true) if self.disk_ok => PeerState::Votes,
-            _ if self.named() => PeerState::Behind,
-            _ if self.came_blank && now.saturating_sub(self.started) < NEWCOMER => PeerState::New,
-            _ => PeerState::StandsBy,
+            (_, true) if self.disk_ok => PeerState::Voter,
+            _ if self.named() => PeerState::CatchingUp,
+            _ if self.came_blank && now.saturating_sub(self.started) < NEWCOMER => PeerState::Joiner,
+            _ => PeerState::Learner,
         };
         let zone = self.p.zone.clone();
-        let b = Heartbeat { member_epoch: self.regs.member_epoch, disk: self.disk, zone, state, digest: self.regs.digest() };
+        let b = Heartbeat {
+            member_epoch: self.regs.member_epoch,
+            disk_id: self.disk,
+            zone,
+            state,
+            committed_digest: self.regs.digest(),
+        };
         let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.at) <= NODE_GONE);
         let votes = |n: &Name| self.regs.voters.iter().any(|v| v.name == *n);
         let mut to: BTreeSet<Name> = self.regs.voters.iter().map(|v| self.regs.addr(v)).collect();
--- a/coordination/src/control/contexts.rs
+++ b/coordination/src/control/contexts.rs
@@ -12,9 +12,9 @@
 }
 
 impl Control {
-    pub(super) fn on_demand(&mut self, from: &Name, m: Demand, now: Ms) {
+    pub(super) fn on_demand(&mut self, from: &Name, m: ContextDemand, now: Ms) {
         if let Some(c) = self.contexts.get_mut(&*m.service) {
-            c.demands.tell(from, m.parts.0, now);
+            c.demands.tell(from, m.chains.0, now);
         }
     }
 
--- a/coordination/src/control/feed.rs
+++ b/coordination/src/control/feed.rs
@@ -84,8 +84,8 @@
         let mut m = self.news(a, full, now);
         let bytes: usize = m.changes.iter().map(|c| c.value.0.len()).sum();
         // Behind what is still on its way.
-        a.told = (m.upto, now.max(a.told.1) + bytes as Ms / NEWS_PACE);
-        m.upto = m.upto.min(upto);
+        a.told = (m.through_position, now.max(a.told.1) + bytes as Ms / NEWS_PACE);
+        m.through_position = m.through_position.min(upto);
         out.push(send(to, m));
     }
 
@@ -99,7 +99,7 @@
         tellers.iter().max_by_key(|n| (near(n), weight(&a.name, n))).is_none_or(|n| *n == self.p.name)
     }
 
-    fn news(&self, a: &Agent, full: bool, now: Ms) -> News {
+    fn news(&self, a: &Agent, full: bool, now: Ms) -> Update {
         let new = self.feed.iter().filter(|(_, f)| f.place > a.after).filter_map(|(k, f)| Some((self.board.get(k)?, *f)));
         // What it has by other ways is not sent again.
         let has = |c: &Change| a.seen.iter().find(|s| s.key == c.key);
@@ -121,16 +121,16 @@
                 changes.push(c.clone());
             }
         }
-        News {
-            sent: a.sent,
-            run: self.run,
-            upto,
-            count: a.count,
-            choice: self.choice,
-            counts: self.counts.keys().cloned().collect(),
-            full: full.into(),
-            settled: self.settled.into(),
-            voters: self.regs.voters.len() as u32,
+        Update {
+            poll_sent_at: a.sent,
+            source_incarnation: self.run,
+            through_position: upto,
+            counters_through: a.count,
+            selection: self.choice,
+            selected_services: self.counts.keys().cloned().collect(),
+            is_snapshot: full.into(),
+            is_settled: self.settled.into(),
+            voter_count: self.regs.voters.len() as u32,
             changes: List(changes),
             leases: self.leases(now),
         }
@@ -152,7 +152,7 @@
             let most = self.spec.as_ref().map_or(0, |s| s.canary_percent);
             let share = group.filter(|_| heard).map_or(0, |g| g.share_percent.min(most));
             let ttl = (until - now).min(self.p.bounds.lease()) as u32;
-            Some(Lease { service: s.into(), epoch, version: c.version, canary_share: share, ttl })
+            Some(Lease { service: s.into(), epoch, record_version: c.version, canary_share_percent: share, ttl_ms: ttl })
         });
         rows.collect()
     }
--- a/coordination/src/control/polls.rs
+++ b/coordination/src/control/polls.rs
@@ -6,20 +6,23 @@
     pub(super) fn on_poll(&mut self, addr: &Name, m: Poll, now: Ms, out: &mut Effects) {
         let name = m.node.name.clone();
         let mut old = self.agents.remove(&name);
-        let same = old.as_ref().filter(|a| a.node.born == m.node.born);
+        let same = old.as_ref().filter(|a| a.node.incarnation == m.node.incarnation);
         let (count, told) = same.map_or((0, (0, 0)), |a| (a.count, a.told));
         let since = same.filter(|a| now.saturating_sub(a.at) <= FOLLOWER_GONE).map_or(now, |a| a.since);
-        let waited = same.is_some_and(|a| m.sent.saturating_sub(a.sent) > 2 * now.saturating_sub(a.at));
+        let waited = same.is_some_and(|a| m.sent_at.saturating_sub(a.sent) > 2 * now.saturating_sub(a.at));
         // What changed since a count that an earlier life of this daemon had is not enough to know anything by; nor is
         // an agent's word before its proxy has spoken.
-        let tells = m.life > 0 && (m.run, m.choice) == (self.run, self.choice) && m.since <= count && count <= m.count;
+        let tells = m.proxy_incarnation > 0
+            && (m.source_incarnation, m.selection) == (self.run, self.choice)
+            && m.counters_since <= count
+            && count <= m.counters_through;
         let mut opens = old.as_mut().map_or_else(Opens::new, |a| std::mem::take(&mut a.opens));
         if tells {
-            self.count(&name, m.life, m.tallies, now);
-            if m.since == 0 {
+            self.count(&name, m.proxy_incarnation, m.counters, now);
+            if m.counters_since == 0 {
                 opens.clear();
             }
-            for o in m.opens.0 {
+            for o in m.open_streams.0 {
                 let at = (o.replica, o.version);
                 if o.streams > 0 {
                     opens.insert(at, o.streams)
@@ -30,19 +33,19 @@
         }
         // Told first hand: rumours of a large fleet take longer.
         self.membership.hear(&m.node, now, out);
-        let full = m.run != self.run;
-        let after = if full { 0 } else { m.after };
+        let full = m.source_incarnation != self.run;
+        let after = if full { 0 } else { m.after_position };
         // What takes long to arrive is not sent again behind itself: an edge that asks more often than its link carries
         // the answers would never be told anything.
         let under_way = now < told.1 && after < told.0;
-        let count = if tells { m.count } else { count };
+        let count = if tells { m.counters_through } else { count };
         let seen = match old {
-            Some(a) if m.news == 0 && a.node.born == m.node.born => a.seen,
-            _ => m.seen.0,
+            Some(a) if m.has_versions == 0 && a.node.incarnation == m.node.incarnation => a.seen,
+            _ => m.versions.0,
         };
         // Its place in the feed stays where it says that it is.
         let (after, upto) = if under_way { (told.0, after) } else { (after, self.seq) };
-        let mut a = Agent { node: m.node, at: now, since, waited, sent: m.sent, after, count, opens, seen, told };
+        let mut a = Agent { node: m.node, at: now, since, waited, sent: m.sent_at, after, count, opens, seen, told };
         if !(under_way && full) {
             self.tell(addr, &mut a, upto, full, now, out);
         }
@@ -81,8 +84,8 @@
         }
     }
 
-    fn count(&mut self, source: &Name, life: u64, tallies: List<Tally>, now: Ms) {
-        let mut by: BTreeMap<Name, Vec<Tally>> = BTreeMap::new();
+    fn count(&mut self, source: &Name, life: u64, tallies: List<OutcomeCounters>, now: Ms) {
+        let mut by: BTreeMap<Name, Vec<OutcomeCounters>> = BTreeMap::new();
         // Services without a count yet are told too: a source is known from its first word on.
         for s in self.counts.keys() {
             by.insert(s.clone(), vec![]);
--- a/coordination/src/control/resolution.rs
+++ b/coordination/src/control/resolution.rs
@@ -196,7 +196,7 @@
     fn serving_edges(&self, now: Ms) -> Vec<Serving<'_>> {
         let in_touch = self.in_touch(now);
         let most = if in_touch { NODE_GONE } else { self.p.bounds.contact };
-        let all = self.membership.known(EDGE).filter(|n| !n.http.is_empty());
+        let all = self.membership.known(EDGE).filter(|n| !n.http_addr.is_empty());
         let all = all.filter(|n| in_touch || self.membership.is_live(&n.name));
         all.map(|node| Serving { node, silence: self.silence(node, now) }).filter(|e| e.silence <= most).collect()
     }
@@ -215,7 +215,7 @@
             return Err(Unresolved::NoEdge);
         }
         let silent = Silent::among(&edges);
-        let addresses = edges.iter().map(|e| e.node.http.to_string()).collect();
+        let addresses = edges.iter().map(|e| e.node.http_addr.to_string()).collect();
         Ok(Resolution { addresses, reach, silent })
     }
 
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -10,7 +10,7 @@
             KeyStatus {
                 key: s.key.to_string(),
                 owner: self.regs.first(&s.key, &live).map_or(String::new(), |v| v.name.to_string()),
-                epoch: s.epoch,
+                epoch: s.accepted_epoch,
                 version: s.version,
                 permit_ms: held.filter(|h| h.1 != Ms::MAX).map(|h| h.1 - now),
             }
@@ -59,7 +59,7 @@
 
     fn member_status(&self, v: &Voter, live: bool, now: Ms) -> MemberStatus {
         let own = v.name == self.p.name;
-        let peer = self.peers.get(&v.name).filter(|p| p.beat.disk == v.disk);
+        let peer = self.peers.get(&v.name).filter(|p| p.beat.disk_id == v.disk_id);
         MemberStatus {
             name: v.name.to_string(),
             addr: self.regs.addr(v).to_string(),
@@ -67,7 +67,7 @@
             voter: true,
             heard_ms_ago: if own { Some(0) } else { peer.map(|p| now.saturating_sub(p.at)) },
             member_epoch: if own { Some(self.regs.member_epoch.into()) } else { peer.map(|p| p.beat.member_epoch.into()) },
-            same: if own { Some(true) } else { peer.map(|p| p.beat.digest == self.regs.digest()) },
+            same: if own { Some(true) } else { peer.map(|p| p.beat.committed_digest == self.regs.digest()) },
         }
     }
 
@@ -102,7 +102,7 @@
             ("feed_place", self.seq),
             ("keys", self.regs.keys().count() as u64),
             ("edges", self.agents.len() as u64),
-            ("keys_uncommitted", self.regs.keys().filter(|s| s.committed != s.version).count() as u64),
+            ("keys_uncommitted", self.regs.keys().filter(|s| s.committed_version != s.version).count() as u64),
             ("member_epoch", self.regs.member_epoch.into()),
             ("quorum", self.hears_majority(now).into()),
             ("voters", voters().count() as u64),
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -5,7 +5,7 @@
 impl Control {
     /// Whether this very disk is a voter's.
     pub(super) fn named(&self) -> bool {
-        self.regs.voters.iter().any(|v| v.disk == self.disk)
+        self.regs.voters.iter().any(|v| v.disk_id == self.disk)
     }
 
     pub(super) fn live(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
@@ -14,7 +14,7 @@
             .iter()
             .filter(|(_, p)| {
                 now.saturating_sub(p.at) <= PEER_GONE
-                    && p.beat.state == PeerState::Votes
+                    && p.beat.state == PeerState::Voter
                     && p.beat.member_epoch == self.regs.member_epoch
             })
             .map(|(n, _)| n.clone())
@@ -27,27 +27,27 @@
 
     pub(super) fn on_heartbeat(&mut self, from: &Name, addr: &Name, m: Heartbeat, now: Ms, out: &mut Effects) {
         self.regs.set_addr(from, addr);
-        self.heard.insert(m.disk, now);
-        let blank = matches!(m.state, PeerState::Blank | PeerState::Founding);
-        let same = m.digest == self.regs.digest();
-        if m.state == PeerState::Votes && m.member_epoch == self.regs.member_epoch && same {
+        self.heard.insert(m.disk_id, now);
+        let blank = matches!(m.state, PeerState::Blank | PeerState::Bootstrapping);
+        let same = m.committed_digest == self.regs.digest();
+        if m.state == PeerState::Voter && m.member_epoch == self.regs.member_epoch && same {
             self.met.insert(from.clone());
         }
-        let missed = !same && (!self.met.contains(from) || self.still_differs(from, m.digest, now));
+        let missed = !same && (!self.met.contains(from) || self.still_differs(from, m.committed_digest, now));
         if same {
             self.differed.remove(from);
         }
-        let behind = m.member_epoch > self.regs.member_epoch || (m.state == PeerState::Votes && missed);
+        let behind = m.member_epoch > self.regs.member_epoch || (m.state == PeerState::Voter && missed);
         if behind && !blank && now >= self.next_ask {
             self.next_ask = now + HEARTBEAT_EVERY / 4;
-            out.push(send(addr, SlotsAsk { member_epoch: self.regs.member_epoch, have: self.regs.have() }));
+            out.push(send(addr, SlotsRequest { member_epoch: self.regs.member_epoch, known: self.regs.have() }));
         }
         // The first voters are offered again to a member that was named among them but has not stored it.
-        if blank && self.regs.member_epoch == 1 && self.regs.voters.iter().any(|v| v.disk == m.disk) {
-            out.push(send(addr, Genesis { voters: List(self.regs.voters.clone()) }));
+        if blank && self.regs.member_epoch == 1 && self.regs.voters.iter().any(|v| v.disk_id == m.disk_id) {
+            out.push(send(addr, Bootstrap { voters: List(self.regs.voters.clone()) }));
         }
         // Who is new, or was gone, learns of this daemon at once.
-        if self.peers.get(from).is_none_or(|p| now.saturating_sub(p.at) > PEER_GONE || p.beat.disk != m.disk) {
+        if self.peers.get(from).is_none_or(|p| now.saturating_sub(p.at) > PEER_GONE || p.beat.disk_id != m.disk_id) {
             self.next_beat = now;
         }
         self.peers.insert(from.clone(), Peer { at: now, beat: m, addr: addr.clone() });
@@ -68,23 +68,23 @@
 
     /// Tells its slots, once all that it has voted is on its disk: an earlier member epoch must not come back here
     /// after a newcomer has counted on it to be over.
-    pub(super) fn on_slots_ask(&mut self, addr: &Name, m: SlotsAsk, now: Ms, out: &mut Effects) {
-        self.regs.write_again(&m.have, now, out);
+    pub(super) fn on_slots_ask(&mut self, addr: &Name, m: SlotsRequest, now: Ms, out: &mut Effects) {
+        self.regs.write_again(&m.known, now, out);
         let r = &self.regs;
-        let slots = r.slots_beyond(&m.have);
-        let m = Slots {
+        let slots = r.slots_beyond(&m.known);
+        let m = SlotsReply {
             member_epoch: r.member_epoch,
             voting: if r.voting { 1 } else { u8::from(r.left) * 2 },
-            before: r.before,
+            previous_voter_count: r.before,
             voters: List(r.voters.clone()),
             slots,
         };
         out.push(Effect::Persist { rows: vec![], then: vec![send(addr, m)] });
     }
 
-    pub(super) fn on_genesis(&mut self, m: Genesis, out: &mut Effects) {
+    pub(super) fn on_genesis(&mut self, m: Bootstrap, out: &mut Effects) {
         // Only a disk that is blank and named takes it; a later blank disk has another number.
-        if self.regs.member_epoch == 0 && m.voters.iter().any(|v| v.disk == self.disk) {
+        if self.regs.member_epoch == 0 && m.voters.iter().any(|v| v.disk_id == self.disk) {
             self.begin(m.voters.0, out);
         }
     }
@@ -100,14 +100,14 @@
         out.push(Effect::Persist { rows: vec![self.regs.members_row()], then: vec![] });
     }
 
-    pub(super) fn on_slots(&mut self, from: &Name, m: Slots, now: Ms, out: &mut Effects) {
+    pub(super) fn on_slots(&mut self, from: &Name, m: SlotsReply, now: Ms, out: &mut Effects) {
         self.regs.mend(&m.slots, out);
         self.follow_members(out);
         // The first voters stand under no key.
-        if self.regs.member_epoch == 0 && m.member_epoch == 1 && m.voters.iter().any(|v| v.disk == self.disk) {
+        if self.regs.member_epoch == 0 && m.member_epoch == 1 && m.voters.iter().any(|v| v.disk_id == self.disk) {
             self.begin(m.voters.0, out);
         } else if m.member_epoch > self.regs.member_epoch {
-            self.follow(m.member_epoch, m.before, m.voters.0, out);
+            self.follow(m.member_epoch, m.previous_voter_count, m.voters.0, out);
         }
         if m.member_epoch != self.regs.member_epoch {
             return;
@@ -151,7 +151,7 @@
             return;
         }
         // Whoever lost its place and was given one again may lack what was taken in between.
-        let kept = voters.iter().any(|v| v.disk == self.disk && v.since <= self.regs.member_epoch);
+        let kept = voters.iter().any(|v| v.disk_id == self.disk && v.since_epoch <= self.regs.member_epoch);
         let left = !kept && self.regs.voting && member_epoch == self.regs.member_epoch + 1;
         self.regs.follow(member_epoch, before, voters, out);
         self.regs.voting &= kept;
@@ -179,28 +179,29 @@
         let member_epoch = self.regs.member_epoch;
         // A newcomer is still reading: another change would have it begin anew.
         let reads = |p: &Peer| {
-            p.beat.state == PeerState::Behind && self.regs.voters.iter().any(|v| v.disk == p.beat.disk && v.since == member_epoch)
+            p.beat.state == PeerState::CatchingUp
+                && self.regs.voters.iter().any(|v| v.disk_id == p.beat.disk_id && v.since_epoch == member_epoch)
         };
         if now.saturating_sub(self.changed) < READING && fresh().any(|(_, p)| reads(p)) {
             return;
         }
         let free = |p: &Peer| {
-            matches!(p.beat.state, PeerState::Blank | PeerState::Founding | PeerState::New | PeerState::StandsBy)
-                && !self.regs.voters.iter().any(|v| v.disk == p.beat.disk)
+            matches!(p.beat.state, PeerState::Blank | PeerState::Bootstrapping | PeerState::Joiner | PeerState::Learner)
+                && !self.regs.voters.iter().any(|v| v.disk_id == p.beat.disk_id)
         };
         let candidates = fresh().filter(|(_, p)| free(p)).map(|(n, p)| {
             let v = Voter {
                 name: n.clone(),
-                disk: p.beat.disk,
+                disk_id: p.beat.disk_id,
                 addr: p.addr.clone(),
                 zone: p.beat.zone.clone(),
-                since: member_epoch + 1,
+                since_epoch: member_epoch + 1,
             };
-            (v, p.beat.state != PeerState::StandsBy)
+            (v, p.beat.state != PeerState::Learner)
         });
-        let silent = |v: &Voter| match v.disk == self.disk {
+        let silent = |v: &Voter| match v.disk_id == self.disk {
             true => 0,
-            false => now.saturating_sub(self.heard.get(&v.disk).copied().unwrap_or(self.started)),
+            false => now.saturating_sub(self.heard.get(&v.disk_id).copied().unwrap_or(self.started)),
         };
         let s = members::VoterChange {
             voters: &self.regs.voters,
@@ -224,7 +225,7 @@
         }
         self.next_join = now + HEARTBEAT_EVERY;
         if self.named() {
-            let ask = SlotsAsk { member_epoch: self.regs.member_epoch, have: self.regs.have() };
+            let ask = SlotsRequest { member_epoch: self.regs.member_epoch, known: self.regs.have() };
             // Also those that have just lost their places: what they voted may stand with them alone.
             let mut to: BTreeMap<Name, Name> = self.regs.voters.iter().map(|v| (v.name.clone(), self.regs.addr(v))).collect();
             let fresh = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.at) <= PEER_GONE);
@@ -248,17 +249,17 @@
             return None;
         }
         let (name, addr, zone) = (self.p.name.clone(), self.p.addr.clone(), self.p.zone.clone());
-        let me = Voter { name, disk: self.disk, addr, zone, since: 1 };
+        let me = Voter { name, disk_id: self.disk, addr, zone, since_epoch: 1 };
         let voter = |(n, p): &(&Name, &Peer)| Voter {
             name: (*n).clone(),
-            disk: p.beat.disk,
+            disk_id: p.beat.disk_id,
             addr: p.addr.clone(),
             zone: p.beat.zone.clone(),
-            since: 1,
+            since_epoch: 1,
         };
         let (own, places, state): (&Name, Vec<&Name>, PeerState) = match self.p.members.is_empty() {
             false => (&self.p.name, self.p.members.iter().collect(), PeerState::Blank),
-            true => (&self.p.addr, self.regs.voters.iter().map(|v| &v.addr).collect(), PeerState::Founding),
+            true => (&self.p.addr, self.regs.voters.iter().map(|v| &v.addr).collect(), PeerState::Bootstrapping),
         };
         if places.iter().min() != Some(&own) {
             return None;
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -159,14 +159,14 @@
             };
         }
         let (compare, expect, value) = match &p.request {
-            Request::Write(Condition::Version(v), value) => (Compare::Version, *v, value.clone()),
-            Request::Write(Condition::Since(v), value) => (Compare::Since, *v, value.clone()),
-            Request::Write(Condition::Release(r), value) => (Compare::Release, *r, value.clone()),
-            Request::Read => (Compare::Read, 0, Blob::default()),
+            Request::Write(Condition::Version(v), value) => (Precondition::Version, *v, value.clone()),
+            Request::Write(Condition::Since(v), value) => (Precondition::UnchangedSince, *v, value.clone()),
+            Request::Write(Condition::Release(r), value) => (Precondition::Release, *r, value.clone()),
+            Request::Read => (Precondition::Read, 0, Blob::default()),
         };
         // Each going has its own token, as an owner takes none twice.
         self.token += 1;
-        let m = Forward { token: self.token, key: p.key.clone(), expect, compare, value };
+        let m = ForwardRequest { token: self.token, key: p.key.clone(), expected: expect, precondition: compare, value };
         out.push(send(&self.regs.addr(v), m));
         p.to = v.name.clone();
         self.passed.insert(self.token, p);
@@ -176,8 +176,8 @@
     pub(super) fn take_moved(&mut self, now: Ms, out: &mut Effects) {
         for m in std::mem::take(&mut self.regs.moved) {
             if let Some((to, token)) = self.foreign.remove(&m.token) {
-                let (end, version) = m.offered.map_or((ForwardEnd::NotOwner, 0), |v| (ForwardEnd::Deposed, v));
-                out.push(send(&to, Forwarded { token, end, version, why: Name::default() }));
+                let (end, version) = m.offered.map_or((ForwardOutcome::NotOwner, 0), |v| (ForwardOutcome::Deposed, v));
+                out.push(send(&to, ForwardReply { token, outcome: end, version, reason: Name::default() }));
                 continue;
             }
             // A record is worked out anew by whoever holds its duty.
@@ -236,9 +236,10 @@
         }
     }
 
-    pub(super) fn on_forward(&mut self, from: &Name, m: Forward, now: Ms, out: &mut Effects) {
-        let not_owner =
-            |why: &str| send(from, Forwarded { token: m.token, end: ForwardEnd::NotOwner, version: 0, why: why.into() });
+    pub(super) fn on_forward(&mut self, from: &Name, m: ForwardRequest, now: Ms, out: &mut Effects) {
+        let not_owner = |why: &str| {
+            send(from, ForwardReply { token: m.token, outcome: ForwardOutcome::NotOwner, version: 0, reason: why.into() })
+        };
         // The second copy would lose against the first, and its asker be told of a conflict with itself.
         if self.taken.insert((from.clone(), m.token), now).is_some() {
             return;
@@ -251,11 +252,11 @@
         }
         self.token += 1;
         self.foreign.insert(self.token, (from.clone(), m.token));
-        let e = match m.compare {
-            Compare::Read => return self.regs.read(self.token, &m.key, now, out),
-            Compare::Version => Expect::Version(m.expect),
-            Compare::Since => Expect::Since(m.expect),
-            Compare::Release => Expect::Release(m.expect),
+        let e = match m.precondition {
+            Precondition::Read => return self.regs.read(self.token, &m.key, now, out),
+            Precondition::Version => Expect::Version(m.expected),
+            Precondition::UnchangedSince => Expect::Since(m.expected),
+            Precondition::Release => Expect::Release(m.expected),
         };
         self.regs.propose(self.token, &m.key, e, m.value, now, out);
     }
@@ -278,32 +279,32 @@
             return;
         };
         let (end, version, why) = match outcome {
-            WriteOutcome::Accepted(v) => (ForwardEnd::Accepted, v, ""),
-            WriteOutcome::Conflict(v) => (ForwardEnd::Conflict, v, ""),
-            WriteOutcome::NotAccepted(w) => (ForwardEnd::NotAccepted, 0, w),
-            WriteOutcome::Unknown => (ForwardEnd::Unknown, 0, ""),
+            WriteOutcome::Accepted(v) => (ForwardOutcome::Accepted, v, ""),
+            WriteOutcome::Conflict(v) => (ForwardOutcome::Conflict, v, ""),
+            WriteOutcome::NotAccepted(w) => (ForwardOutcome::NotAccepted, 0, w),
+            WriteOutcome::Unknown => (ForwardOutcome::Unknown, 0, ""),
         };
-        out.push(send(&to, Forwarded { token: theirs, end, version, why: why.into() }));
+        out.push(send(&to, ForwardReply { token: theirs, outcome: end, version, reason: why.into() }));
     }
 
-    pub(super) fn on_forwarded(&mut self, m: Forwarded, now: Ms, out: &mut Effects) {
+    pub(super) fn on_forwarded(&mut self, m: ForwardReply, now: Ms, out: &mut Effects) {
         let Some(mut p) = self.passed.remove(&m.token) else { return };
-        if m.end == ForwardEnd::Deposed {
+        if m.outcome == ForwardOutcome::Deposed {
             self.doubt(p.token, Some(m.version));
         }
         // The two daemons do not see the same ones live yet.
-        if matches!(m.end, ForwardEnd::NotOwner | ForwardEnd::Deposed) && now + HEARTBEAT_EVERY < p.until {
+        if matches!(m.outcome, ForwardOutcome::NotOwner | ForwardOutcome::Deposed) && now + HEARTBEAT_EVERY < p.until {
             p.again = Some(now + HEARTBEAT_EVERY);
             self.passed.insert(m.token, p);
             return;
         }
-        let outcome = match m.end {
-            ForwardEnd::Accepted => WriteOutcome::Accepted(m.version),
-            ForwardEnd::Conflict => WriteOutcome::Conflict(m.version),
-            ForwardEnd::NotAccepted | ForwardEnd::NotOwner | ForwardEnd::Deposed => {
+        let outcome = match m.outcome {
+            ForwardOutcome::Accepted => WriteOutcome::Accepted(m.version),
+            ForwardOutcome::Conflict => WriteOutcome::Conflict(m.version),
+            ForwardOutcome::NotAccepted | ForwardOutcome::NotOwner | ForwardOutcome::Deposed => {
                 WriteOutcome::NotAccepted("the key's owner did not take it; ask again")
             }
-            ForwardEnd::Unknown => WriteOutcome::Unknown,
+            ForwardOutcome::Unknown => WriteOutcome::Unknown,
         };
         out.push(Effect::Answer { token: p.token, outcome });
     }
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -1,6 +1,6 @@
 //! What a state machine wants done. Shells carry effects out; nothing else touches the world.
 
-use wire_messages::{Msg, Name, Slot, Voter};
+use wire_messages::{Message, Name, Slot, Voter};
 
 use crate::{events::Event, rollout::Order};
 
@@ -40,7 +40,7 @@
 pub enum Effect {
     Send {
         to: Name,
-        msg: Msg,
+        msg: Message,
     },
     /// Sync the rows, then do `then`. If syncing fails `then` is dropped and the machine restarts from disk.
     Persist {
@@ -66,7 +66,7 @@
     },
 }
 
-pub fn send(to: &Name, msg: impl Into<Msg>) -> Effect {
+pub fn send(to: &Name, msg: impl Into<Message>) -> Effect {
     Effect::Send { to: to.clone(), msg: msg.into() }
 }
 pub fn note(event: Event, peer: &str, text: impl Into<String>) -> Effect {
--- a/coordination/src/health.rs
+++ b/coordination/src/health.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use wire_messages::{Name, Tally};
+use wire_messages::{Name, OutcomeCounters};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
@@ -113,26 +113,26 @@
     }
 
     /// Adds a source's cumulative tallies of one service: of all its cells, or of those that have changed.
-    pub fn feed(&mut self, source: &Name, life: u64, tallies: &[Tally]) {
+    pub fn feed(&mut self, source: &Name, life: u64, tallies: &[OutcomeCounters]) {
         // Of what a source counted before it was first heard only its last half minute is evidence; a later
         // life of it counts from nought.
         let first = !self.sources.contains_key(source);
         let mut old = self.sources.remove(source).filter(|o| o.life == life).unwrap_or_default();
         old.life = life;
         for t in tallies {
-            let n = self.number((t.version.clone(), t.lane.clone(), t.warm != 0));
-            let ended = t.ok + t.failed;
-            let (failed, slow, firsts, first_log) = (t.failed, t.slow, t.firsts, t.first_log);
-            let c = Counts { sent: t.sent, ended, failed, slow, firsts, first_log, failed_on: t.failed_on };
+            let n = self.number((t.version.clone(), t.lane.clone(), t.cached != 0));
+            let ended = t.succeeded + t.failed;
+            let (failed, slow, firsts, first_log) = (t.failed, t.slow, t.first_chunks, t.first_chunk_log_sum);
+            let c = Counts { sent: t.sent, ended, failed, slow, firsts, first_log, failed_on: t.failed_replicas };
             let before = old.last.get(&(n, t.group)).copied().unwrap_or_default();
             // Counts only rise in a life: lower ones are late.
             if c.sent + c.ended < before.sent + before.ended {
                 continue;
             }
             old.last.insert((n, t.group), c);
-            let (ended, failed, slow) = (t.new_ended, t.new_failed, t.new_slow);
+            let (ended, failed, slow) = (t.recent_ended, t.recent_failed, t.recent_slow);
             // Which replicas failed is told since the edge's start only; without them what comes in one word is one crash.
-            let failed_on = if failed > 0 { t.failed_on } else { 0 };
+            let failed_on = if failed > 0 { t.failed_replicas } else { 0 };
             let recent = Counts { sent: ended, ended, failed, slow, failed_on, ..Counts::default() };
             let d = if first { recent } else { c.minus(before) };
             if d != Counts::default() {
--- a/coordination/src/health/tests.rs
+++ b/coordination/src/health/tests.rs
@@ -2,22 +2,22 @@
 
 use super::*;
 
-fn tally(v: &str, lane: &str, warm: bool, ok: u64, failed: u64, slow: u64) -> Tally {
-    Tally {
+fn tally(v: &str, lane: &str, warm: bool, ok: u64, failed: u64, slow: u64) -> OutcomeCounters {
+    OutcomeCounters {
         service: "s".into(),
         version: v.into(),
         lane: lane.into(),
-        warm: warm.into(),
+        cached: warm.into(),
         sent: ok + failed,
-        ok,
+        succeeded: ok,
         failed,
         slow,
         group: 0,
-        ..Tally::default()
+        ..OutcomeCounters::default()
     }
 }
 
-fn verdict(rows: &[Tally]) -> Verdict {
+fn verdict(rows: &[OutcomeCounters]) -> Verdict {
     let mut h = Health::default();
     h.restart(0);
     h.feed(&"e1".into(), 1, &[]);
@@ -58,11 +58,11 @@
 }
 
 /// First pieces on a lane, each after so many ms.
-fn firsts(v: &str, lane: &str, warm: bool, n: u64, ms: Ms) -> Tally {
-    Tally { firsts: n, first_log: n * log_ms(ms), ..tally(v, lane, warm, n, 0, 0) }
+fn firsts(v: &str, lane: &str, warm: bool, n: u64, ms: Ms) -> OutcomeCounters {
+    OutcomeCounters { first_chunks: n, first_chunk_log_sum: n * log_ms(ms), ..tally(v, lane, warm, n, 0, 0) }
 }
 
-fn beside(rows: &[Tally]) -> Verdict {
+fn beside(rows: &[OutcomeCounters]) -> Verdict {
     let mut h = Health::default();
     h.restart(0);
     h.feed(&"e1".into(), 1, &[]);
--- a/coordination/src/members.rs
+++ b/coordination/src/members.rs
@@ -141,7 +141,7 @@
 type Stored = (u32, Vec<(Name, u64, Name, Name, u32)>);
 
 pub fn to_bytes(before: u32, v: &[Voter]) -> Blob {
-    let rows = v.iter().map(|v| (v.name.clone(), v.disk, v.addr.clone(), v.zone.clone(), v.since)).collect();
+    let rows = v.iter().map(|v| (v.name.clone(), v.disk_id, v.addr.clone(), v.zone.clone(), v.since_epoch)).collect();
     let stored: Stored = (before, rows);
     Blob(serde_json::to_vec(&stored).unwrap_or_default())
 }
@@ -149,10 +149,10 @@
 /// Reads what stands under the members' key; also as it was written before voters had zones.
 pub fn of_bytes(b: &[u8]) -> Option<(u32, Vec<Voter>)> {
     if let Ok((before, rows)) = serde_json::from_slice::<Stored>(b) {
-        let voter = |(name, disk, addr, zone, since)| Voter { name, disk, addr, zone, since };
+        let voter = |(name, disk, addr, zone, since)| Voter { name, disk_id: disk, addr, zone, since_epoch: since };
         return Some((before, rows.into_iter().map(voter).collect()));
     }
     let rows: Vec<(Name, u64, Name)> = serde_json::from_slice(b).ok()?;
-    let voter = |(name, disk, addr)| Voter { name, disk, addr, ..Voter::default() };
+    let voter = |(name, disk, addr)| Voter { name, disk_id: disk, addr, ..Voter::default() };
     Some((0, rows.into_iter().map(voter).collect()))
 }
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use wire_messages::{Heard, List, Name, Node, Shuffle};
+use wire_messages::{List, Name, Node, NodeHeartbeat, Shuffle};
 use xxhash_rust::xxh3::Xxh3Default;
 
 use crate::{
@@ -40,19 +40,19 @@
         u16::try_from(now.saturating_sub(self.at).div_ceil(AGE_UNIT)).unwrap_or(u16::MAX)
     }
     fn told(&self, now: Ms) -> Node {
-        Node { age: self.age(now), ..self.node.clone() }
+        Node { heartbeat_age: self.age(now), ..self.node.clone() }
     }
 }
 
 /// Digest of what a node says of itself, but for its beat: who has heard it once needs only beats.
 fn digest(n: &Node) -> u32 {
     let mut h = Xxh3Default::new();
-    [&n.name, &n.zone, &n.addr, &n.http].iter().for_each(|f| {
+    [&n.name, &n.zone, &n.addr, &n.http_addr].iter().for_each(|f| {
         h.update(f.as_bytes());
         h.update(&[0]);
     });
     h.update(&[n.role]);
-    h.update(&n.born.to_be_bytes());
+    h.update(&n.incarnation.to_be_bytes());
     h.digest() as u32
 }
 
@@ -99,7 +99,7 @@
     }
     /// Changes what this node says of itself.
     pub fn set_http(&mut self, http: &str) {
-        self.me.http = http.into();
+        self.me.http_addr = http.into();
     }
     pub fn view(&self) -> Vec<Node> {
         self.view.iter().filter_map(|n| self.known.get(n)).map(|k| k.node.clone()).collect()
@@ -124,7 +124,7 @@
 
     /// Tells another of this node, who need not answer.
     pub fn introduction(&self) -> Shuffle {
-        Shuffle { nodes: List(vec![self.me.clone()]), answer: LAST_ANSWER, ..Shuffle::default() }
+        Shuffle { nodes: List(vec![self.me.clone()]), step: LAST_ANSWER, ..Shuffle::default() }
     }
 
     /// What a node says of itself.
@@ -144,12 +144,12 @@
         if n.name == self.me.name {
             return;
         }
-        let at = made(n.age, now);
+        let at = made(n.heartbeat_age, now);
         if let Some(k) = self.known.get(&n.name) {
             // A later life beats an earlier one's beats; within a life only a risen beat is news.
             // A life that seems earlier counts only once the later one is silent: a machine's clock was put back.
-            let earlier = n.born < k.node.born && !k.live && at > k.at;
-            if (n.born, n.beat) <= (k.node.born, k.node.beat) && !earlier {
+            let earlier = n.incarnation < k.node.incarnation && !k.live && at > k.at;
+            if (n.incarnation, n.heartbeat) <= (k.node.incarnation, k.node.heartbeat) && !earlier {
                 return;
             }
         }
@@ -174,16 +174,16 @@
     }
 
     /// Takes a beat; false if it is of a description that this node lacks.
-    fn beat(&mut self, h: &Heard, now: Ms, out: &mut Effects) -> bool {
-        let Some(name) = self.ids.get(&h.node).cloned() else { return false };
+    fn beat(&mut self, h: &NodeHeartbeat, now: Ms, out: &mut Effects) -> bool {
+        let Some(name) = self.ids.get(&h.node_digest).cloned() else { return false };
         let Some(k) = self.known.get_mut(&name) else { return name == self.me.name };
-        if h.beat <= k.node.beat {
+        if h.heartbeat <= k.node.heartbeat {
             return true;
         }
-        if k.id != h.node {
+        if k.id != h.node_digest {
             return false;
         }
-        (k.node.beat, k.at) = (h.beat, made(h.age, now));
+        (k.node.heartbeat, k.at) = (h.heartbeat, made(h.heartbeat_age, now));
         self.revive(&name, false, now, out);
         true
     }
@@ -197,8 +197,9 @@
         // Only beats of the live are passed on: what is said of the gone comes to an end everywhere at once.
         let live = self.known.values().filter(|k| k.live && answer < 2);
         let beats = self.rng.choose_multiple(live, most).into_iter();
-        let beats = beats.map(|k| Heard { node: k.id, beat: k.node.beat, age: k.age(now) }).collect();
-        Shuffle { nodes: List(nodes), beats, wants: List(wants), answer }
+        let beats =
+            beats.map(|k| NodeHeartbeat { node_digest: k.id, heartbeat: k.node.heartbeat, heartbeat_age: k.age(now) }).collect();
+        Shuffle { nodes: List(nodes), heartbeats: beats, wanted: List(wants), step: answer }
     }
 
     /// Fills the view from live nodes; the dead leave it.
@@ -218,13 +219,13 @@
         for n in m.nodes.iter() {
             self.take(n, now, out);
         }
-        let mut lacks: Vec<u32> = m.beats.iter().filter(|h| !self.beat(h, now, out)).map(|h| h.node).collect();
+        let mut lacks: Vec<u32> = m.heartbeats.iter().filter(|h| !self.beat(h, now, out)).map(|h| h.node_digest).collect();
         lacks.truncate(SHUFFLE_NODES);
-        if m.answer == 0 || m.answer < LAST_ANSWER && !(lacks.is_empty() && m.wants.is_empty()) {
+        if m.step == 0 || m.step < LAST_ANSWER && !(lacks.is_empty() && m.wanted.is_empty()) {
             // One that has just started is told of everybody: it serves nobody until it knows them.
-            let young = m.answer == 0 && m.nodes.last().is_some_and(|n| n.beat <= YOUNG);
+            let young = m.step == 0 && m.nodes.last().is_some_and(|n| n.heartbeat <= YOUNG);
             let most = if young { self.known.len() } else { SHUFFLE_BEATS };
-            let answer = self.shuffle(&m.wants, lacks, m.answer + 1, most, now);
+            let answer = self.shuffle(&m.wanted, lacks, m.step + 1, most, now);
             out.push(send(from, answer));
         }
     }
@@ -241,7 +242,7 @@
         // Bytes to other regions are dear. Where this region alone has more than a view holds, beats go round inside it,
         // and every third shuffle is enough to have them cross.
         let crowd = self.known.values().filter(|k| k.live && self.near(&k.node)).count() > VIEW;
-        if crowd && !self.me.beat.is_multiple_of(FAR_SHUFFLE) && view.iter().any(|n| self.near(n)) {
+        if crowd && !self.me.heartbeat.is_multiple_of(FAR_SHUFFLE) && view.iter().any(|n| self.near(n)) {
             view.retain(|n| self.near(n));
         }
         self.rng.choice(view).map(|n| n.addr)
@@ -252,7 +253,7 @@
             return;
         }
         self.next = now + self.every();
-        self.me.beat += 1;
+        self.me.heartbeat += 1;
         let gone = self.gone(now);
         for k in self.known.values_mut().filter(|k| k.live && now.saturating_sub(k.at) > gone) {
             k.live = false;
@@ -267,16 +268,16 @@
         to.extend(self.partner());
         // Seeds only bring a lonely node in, or join two halves that lost sight of each other. A node that has just
         // started asks them all: it serves nobody until it has heard most control daemons.
-        if self.me.beat == 1 {
+        if self.me.heartbeat == 1 {
             to.extend(self.seeds.iter().filter(|s| **s != self.me.addr).cloned());
-        } else if (self.view.len() < 2 || self.me.beat <= YOUNG || self.me.beat.is_multiple_of(16))
+        } else if (self.view.len() < 2 || self.me.heartbeat <= YOUNG || self.me.heartbeat.is_multiple_of(16))
             && let Some(s) = self.rng.choice(&self.seeds)
             && *s != self.me.addr
         {
             to.push(s.clone());
         }
         // A node given up for dead is knocked at now and then: after a cut nobody else may know of it.
-        if self.me.beat.is_multiple_of(4) {
+        if self.me.heartbeat.is_multiple_of(4) {
             let dead: Vec<Name> = self.known.values().filter(|k| !k.live).map(|k| k.node.addr.clone()).collect();
             to.extend(self.rng.choice(&dead).cloned());
         }
--- a/coordination/src/placement/nominate.rs
+++ b/coordination/src/placement/nominate.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use remote_calls::{ContextRecord, EngineSpec, PathKind, PathSpec, PlacedReplica};
-use wire_messages::{List, Name, Reading};
+use wire_messages::{List, Name, Prefill};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Averages, Kept, Needed, Reach, Reuse, Site, Travel, again_ms, carry_ms, chain, read_ms, shared, tokens};
@@ -146,7 +146,7 @@
     me: String,
     most: (usize, Ms),
     /// Long prompts that went out and that others have not been told of, and when they were last told.
-    untold: Vec<Reading>,
+    untold: Vec<Prefill>,
     told_at: Ms,
     /// Replicas that failed here and that others have not been told of, and when they were last told.
     failing: BTreeSet<u64>,
@@ -434,12 +434,12 @@
         self.keep(number, &parts, now);
         // What is read in no time delays nobody, and its parts are sent again soon or do not matter.
         if n.read_ms >= READING_TOLD && self.untold.len() < READINGS_MOST {
-            self.untold.push(Reading { replica: number, ms: n.read_ms as u32, parts: List(parts) });
+            self.untold.push(Prefill { replica_number: number, duration_ms: n.read_ms as u32, blocks: List(parts) });
         }
     }
     /// What others are to be told, by the region of the replicas, not more often than the fleet can bear.
-    pub fn readings(&mut self, now: Ms) -> BTreeMap<Name, Vec<Reading>> {
-        let mut all: BTreeMap<Name, Vec<Reading>> = BTreeMap::new();
+    pub fn readings(&mut self, now: Ms) -> BTreeMap<Name, Vec<Prefill>> {
+        let mut all: BTreeMap<Name, Vec<Prefill>> = BTreeMap::new();
         if now < self.told_at + READINGS_EVERY * self.edges() as Ms {
             return all;
         }
@@ -448,7 +448,7 @@
             self.untold.clear();
         }
         for r in std::mem::take(&mut self.untold) {
-            let zone = self.ids.get(&r.replica).and_then(|id| self.zone(id)).unwrap_or_default();
+            let zone = self.ids.get(&r.replica_number).and_then(|id| self.zone(id)).unwrap_or_default();
             all.entry(self.travel.region(zone).into()).or_default().push(r);
         }
         all
@@ -475,10 +475,10 @@
         }
     }
     /// A long prompt that another proxy sent.
-    pub fn on_reading(&mut self, m: &Reading, now: Ms) {
-        let Some(r) = self.ids.get(&m.replica).and_then(|id| self.rows.get_mut(id)) else { return };
-        r.site.others_read(f64::from(m.ms), now);
-        self.keep(m.replica, &m.parts, now);
+    pub fn on_reading(&mut self, m: &Prefill, now: Ms) {
+        let Some(r) = self.ids.get(&m.replica_number).and_then(|id| self.rows.get_mut(id)) else { return };
+        r.site.others_read(f64::from(m.duration_ms), now);
+        self.keep(m.replica_number, &m.blocks, now);
     }
     fn keep(&mut self, site: u64, parts: &[u64], now: Ms) {
         for p in parts {
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -14,7 +14,7 @@
 };
 
 use remote_calls::{Fault, GroupRole, ReplicaReport, RolloutRecord, Spec};
-use wire_messages::{Lent, Name, Node};
+use wire_messages::{Name, Node, ProxyLease};
 
 use crate::{
     Ms,
@@ -140,7 +140,7 @@
     until: Ms,
     /// It has had its agent's whole board in this life; what changed since is not enough to serve by.
     whole: bool,
-    leases: BTreeMap<String, Lent>,
+    leases: BTreeMap<String, ProxyLease>,
     nodes: Vec<Node>,
     seen: BTreeMap<String, Seen>,
     open: BTreeMap<(String, String), u32>,
--- a/coordination/src/proxy/counts.rs
+++ b/coordination/src/proxy/counts.rs
@@ -20,7 +20,7 @@
     pub(super) fn share_out(&mut self, service: &str, role: GroupRole) {
         let canary = |r: &RolloutRecord| r.groups.iter().any(|g| g.role == GroupRole::Canary);
         let share = match self.records.get(service) {
-            Some((.., r)) if canary(r) => self.leases.get(service).map_or(0, |p| p.lease.canary_share),
+            Some((.., r)) if canary(r) => self.leases.get(service).map_or(0, |p| p.lease.canary_share_percent),
             _ => 0,
         };
         // Each request lets the canary have its percent of one; nothing is saved up beyond one, nor from before
--- a/coordination/src/proxy/news.rs
+++ b/coordination/src/proxy/news.rs
@@ -3,7 +3,9 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use remote_calls::{ContextRecord, PathSpec, RolloutRecord};
-use wire_messages::{Board as BoardMsg, Demand as DemandMsg, List, Name, Open, ProxyHello, Readings, Tally};
+use wire_messages::{
+    ContextDemand as DemandMsg, List, Name, OpenStreams, OutcomeCounters, PrefillReport, ProxyReport, TableUpdate as BoardMsg,
+};
 
 use super::{Placed, Proxy, Ready, TallyKey};
 use crate::{
@@ -19,23 +21,23 @@
 
 impl Proxy {
     pub fn on_board(&mut self, m: BoardMsg, now: Ms) {
-        (self.rule, self.until, self.nodes) = (m.rule, m.until, m.nodes.0);
-        self.heard = if m.life == self.born { m.heard.min(self.change) } else { 0 };
+        (self.rule, self.until, self.nodes) = (m.serving_rule, m.valid_until, m.nodes.0);
+        self.heard = if m.proxy_incarnation == self.born { m.counters_through.min(self.change) } else { 0 };
         let heard = self.heard;
         self.changed.retain(|_, n| *n > heard);
         self.moved.retain(|_, n| *n > heard);
-        let edges = self.nodes.iter().filter(|n| !n.http.is_empty());
+        let edges = self.nodes.iter().filter(|n| !n.http_addr.is_empty());
         // An edge goes by its agent's name: a proxy knows its own by where it answers callers.
-        let me = edges.clone().find(|n| n.http == self.http).map_or(&self.name, |n| &n.name);
+        let me = edges.clone().find(|n| n.http_addr == self.http).map_or(&self.name, |n| &n.name);
         self.placement.set_edges(edges.map(|n| n.name.to_string()).collect(), me, now);
-        self.whole |= m.full != 0;
+        self.whole |= m.is_snapshot != 0;
         let mut new = false;
         for c in &m.changes.0 {
             new |= self.board.merge(c);
         }
         for p in m.leases.0 {
             let k = p.lease.service.to_string();
-            if self.leases.get(&k).is_none_or(|o| (o.lease.epoch, o.until) <= (p.lease.epoch, p.until)) {
+            if self.leases.get(&k).is_none_or(|o| (o.lease.epoch, o.expires_at) <= (p.lease.epoch, p.expires_at)) {
                 self.leases.insert(k, p);
             }
         }
@@ -91,74 +93,74 @@
         }
     }
 
-    pub(super) fn told<'a>(&self, keys: impl Iterator<Item = &'a TallyKey>, now: Ms) -> List<Tally> {
+    pub(super) fn told<'a>(&self, keys: impl Iterator<Item = &'a TallyKey>, now: Ms) -> List<OutcomeCounters> {
         let mut told = BTreeSet::new();
         let tallies = keys.filter_map(|k| Some((k, self.tallies.get(k)?))).map(|((s, v, l, warm, g), n)| {
             // Recent counts are kept over all groups, so they go with the first of a cell's groups only.
             let first = told.insert((s, v, l, *warm));
             let h = self.health.get(s).filter(|_| first);
             let new = h.map_or((0, 0, 0), |h| h.recent(v, l, *warm, now));
-            Tally {
+            OutcomeCounters {
                 service: s.as_str().into(),
                 version: v.as_str().into(),
                 lane: l.as_str().into(),
-                warm: (*warm).into(),
+                cached: (*warm).into(),
                 group: *g,
                 sent: n[0],
-                ok: n[1],
+                succeeded: n[1],
                 failed: n[2],
                 slow: n[3],
-                new_ended: new.0,
-                new_failed: new.1,
-                new_slow: new.2,
-                firsts: n[4],
-                first_log: n[5],
-                failed_on: n[6],
+                recent_ended: new.0,
+                recent_failed: new.1,
+                recent_slow: new.2,
+                first_chunks: n[4],
+                first_chunk_log_sum: n[5],
+                failed_replicas: n[6],
             }
         });
         tallies.collect()
     }
 
     /// Everything counted and open.
-    pub fn hello(&self, now: Ms) -> ProxyHello {
-        let opens = self.open.iter().filter(|(_, n)| **n > 0).map(|((r, v), n)| Open {
+    pub fn hello(&self, now: Ms) -> ProxyReport {
+        let opens = self.open.iter().filter(|(_, n)| **n > 0).map(|((r, v), n)| OpenStreams {
             replica: r.as_str().into(),
             version: v.as_str().into(),
             streams: *n,
         });
-        ProxyHello {
-            born: self.born,
-            http: self.http.clone(),
-            after: 0,
-            upto: self.change,
-            tallies: self.told(self.tallies.keys(), now),
-            opens: opens.collect::<List<Open>>(),
+        ProxyReport {
+            incarnation: self.born,
+            http_addr: self.http.clone(),
+            after_change: 0,
+            through_change: self.change,
+            counters: self.told(self.tallies.keys(), now),
+            open_streams: opens.collect::<List<OpenStreams>>(),
         }
     }
 
     /// What the agent does not have yet: lanes are many, and most rest.
-    pub fn news(&self, now: Ms) -> ProxyHello {
+    pub fn news(&self, now: Ms) -> ProxyReport {
         if self.heard == 0 {
             return self.hello(now);
         }
-        let opens = self.moved.keys().map(|k| Open {
+        let opens = self.moved.keys().map(|k| OpenStreams {
             replica: k.0.as_str().into(),
             version: k.1.as_str().into(),
             streams: self.open.get(k).copied().unwrap_or(0),
         });
-        ProxyHello {
-            born: self.born,
-            http: self.http.clone(),
-            after: self.heard,
-            upto: self.change,
-            tallies: self.told(self.changed.keys(), now),
-            opens: opens.collect(),
+        ProxyReport {
+            incarnation: self.born,
+            http_addr: self.http.clone(),
+            after_change: self.heard,
+            through_change: self.change,
+            counters: self.told(self.changed.keys(), now),
+            open_streams: opens.collect(),
         }
     }
 
     /// Long prompts that went out since this was last asked, by the region where they are read, and replicas that failed
     /// here, for other proxies. Who shares this region's ways is told of the failures.
-    pub fn readings(&mut self, now: Ms) -> impl Iterator<Item = Readings> {
+    pub fn readings(&mut self, now: Ms) -> impl Iterator<Item = PrefillReport> {
         let (mut all, failing) = (self.placement.readings(now), self.placement.failing(now));
         let home: Name = self.placement.travel.home().into();
         if !failing.is_empty() {
@@ -167,7 +169,7 @@
         let (by, zone) = (self.name.clone(), self.zone.clone());
         all.into_iter().map(move |(region, all)| {
             let failing = List(if region == home { failing.clone() } else { vec![] });
-            Readings { by: by.clone(), zone: zone.clone(), region, all: List(all), failing }
+            PrefillReport { proxy: by.clone(), zone: zone.clone(), region, prefills: List(all), failing_replicas: failing }
         })
     }
 
@@ -175,7 +177,7 @@
     pub fn demands(&mut self, now: Ms) -> Vec<DemandMsg> {
         let edges = self.placement.edges();
         let due = self.demand.iter_mut().filter(|(_, d)| d.due(edges, now));
-        due.map(|(s, d)| DemandMsg { service: s.as_str().into(), parts: List(d.tell(now)) }).collect()
+        due.map(|(s, d)| DemandMsg { service: s.as_str().into(), chains: List(d.tell(now)) }).collect()
     }
 
     /// Counts an ask for shared context, where copies of it may be kept.
@@ -197,8 +199,8 @@
     }
 
     /// What another proxy sent, and what failed it.
-    pub fn on_readings(&mut self, m: Readings, now: Ms) {
-        m.all.iter().for_each(|r| self.placement.on_reading(r, now));
-        m.failing.iter().for_each(|n| self.placement.on_failing(*n, &m.by, &m.zone, now));
+    pub fn on_readings(&mut self, m: PrefillReport, now: Ms) {
+        m.prefills.iter().for_each(|r| self.placement.on_reading(r, now));
+        m.failing_replicas.iter().for_each(|n| self.placement.on_failing(*n, &m.proxy, &m.zone, now));
     }
 }
--- a/coordination/src/proxy/place.rs
+++ b/coordination/src/proxy/place.rs
@@ -91,7 +91,7 @@
         'found: for zs in [&own, &zones] {
             for (_, v, ids) in self.groups(&q.service, now) {
                 let fit = self.fit((&q.service, &q.prefixes), (&v, &ids), zs, (rank, keep), now);
-                let edges = |z: &str| self.nodes.iter().any(|n| &*n.zone == z && !n.http.is_empty());
+                let edges = |z: &str| self.nodes.iter().any(|n| &*n.zone == z && !n.http_addr.is_empty());
                 // Carried inside its homes: a zone without an edge cannot be gone to.
                 let fit: Vec<(&Seen, u32)> = fit.into_iter().filter(|(r, _)| edges(&r.report.zone)).collect();
                 if let Some(r) = self.pick(&fit, &q.prefixes, &v, now) {
@@ -108,12 +108,12 @@
             return Err(self.reject("full", "nominate", "no warm replica in these homes has a place for this tier"));
         };
         let random = self.rng.u64(..);
-        let near: Vec<&Node> = self.nodes.iter().filter(|n| *n.zone == *zone && !n.http.is_empty()).collect();
+        let near: Vec<&Node> = self.nodes.iter().filter(|n| *n.zone == *zone && !n.http_addr.is_empty()).collect();
         let edge = match near.iter().find(|n| n.name == self.name) {
             Some(n) => *n,
             None => *near.iter().max_by_key(|n| weight(&format!("{random}"), &n.name)).unwrap_or(&near[0]),
         };
-        let (proxy, zone) = (edge.http.to_string(), edge.zone.to_string());
+        let (proxy, zone) = (edge.http_addr.to_string(), edge.zone.to_string());
         let request = claims::mint(random, self.nodes.clone());
         self.count("nominated");
         Ok(Nomination { proxy, zone, request })
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -56,8 +56,8 @@
             return true;
         }
         let id = &s.report.replica;
-        let near = || self.nodes.iter().filter(|n| *n.zone == s.report.zone && !n.http.is_empty());
-        let Some(me) = near().find(|n| n.http == self.http) else { return near().next().is_none() };
+        let near = || self.nodes.iter().filter(|n| *n.zone == s.report.zone && !n.http_addr.is_empty());
+        let Some(me) = near().find(|n| n.http_addr == self.http) else { return near().next().is_none() };
         let before = near().filter(|n| weight(id, &n.name) > weight(id, &me.name)).count() as u32;
         // What the others have sent since the last report is not known here: each keeps to its part of what
         // that report left, and those in front have the odd ones.
@@ -140,7 +140,7 @@
         for (_, v, ids) in self.groups(&q.service, now) {
             let open = self.usable((&q.service, &q.prefixes), (&v, &ids), zones, now);
             let open = open.into_iter().map(|(s, _)| s.report.zone.clone());
-            all.extend(open.filter(|z| self.nodes.iter().any(|n| *n.zone == **z && !n.http.is_empty())));
+            all.extend(open.filter(|z| self.nodes.iter().any(|n| *n.zone == **z && !n.http_addr.is_empty())));
         }
         // A zone comes up as often as it has replicas.
         self.rng.choice(&all).cloned()
@@ -174,9 +174,11 @@
     /// Groups in the order they are tried: by share, within leases.
     pub(super) fn groups(&mut self, service: &str, now: Ms) -> Vec<Group> {
         let Some((epoch, version, r)) = self.records.get(service) else { return vec![] };
-        let lease = self.leases.get(service).filter(|p| p.until > now && self.rule == RULE_ALL);
+        let lease = self.leases.get(service).filter(|p| p.expires_at > now && self.rule == RULE_ALL);
         // The canary's lease must be for this very record or a later one of the same holder.
-        let share = lease.filter(|p| p.lease.epoch >= *epoch && p.lease.version >= *version).map_or(0, |p| p.lease.canary_share);
+        let share = lease
+            .filter(|p| p.lease.epoch >= *epoch && p.lease.record_version >= *version)
+            .map_or(0, |p| p.lease.canary_share_percent);
         let under = share > 0 && self.shares.get(service).is_some_and(|s| *s >= 100);
         let new = |v: &str| v != r.stable;
         // A version that is not the stable one needs a lease at all times, and shares only what it may.
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -7,7 +7,7 @@
     collections::{BTreeMap, BTreeSet, VecDeque},
 };
 
-use wire_messages::{Blob, Change, List, Name, Replaced, Slot, Voter};
+use wire_messages::{Blob, Change, List, Name, ReplacedValue, Slot, Voter};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
@@ -79,7 +79,7 @@
 struct Write {
     version: u64,
     value: Blob,
-    past: List<Replaced>,
+    past: List<ReplacedValue>,
     acks: BTreeSet<Name>,
     token: Option<u64>,
     expect: Expect,
@@ -193,10 +193,10 @@
                 Row::Members { member_epoch, before, voters, voting, left } => {
                     (r.member_epoch, r.before, r.voters, r.voting, r.left) = (member_epoch, before, voters, voting, left);
                 }
-                Row::Slot(s) if &*s.key == EPOCHS => r.highest = r.highest.max(s.promised),
+                Row::Slot(s) if &*s.key == EPOCHS => r.highest = r.highest.max(s.promised_epoch),
                 Row::Slot(s) => {
-                    r.highest = r.highest.max(s.promised);
-                    if s.committed == s.version && s.version > 0 {
+                    r.highest = r.highest.max(s.promised_epoch);
+                    if s.committed_version == s.version && s.version > 0 {
                         r.fresh.push(change(&s));
                     }
                     r.slots.insert(s.key.clone(), s);
@@ -243,23 +243,23 @@
     }
     /// What is had of each key, without the values.
     pub fn have(&self) -> List<Slot> {
-        let bare = |s: &Slot| Slot { key: s.key.clone(), value: Blob::default(), past: List::default(), ..*s };
+        let bare = |s: &Slot| Slot { key: s.key.clone(), value: Blob::default(), replaced: List::default(), ..*s };
         self.slots.values().map(bare).collect()
     }
     /// Slots in which this daemon differs from one that has `have`.
     pub fn slots_beyond(&self, have: &[Slot]) -> List<Slot> {
-        let stamp = |s: &Slot| (s.promised, s.epoch, s.version, s.committed);
+        let stamp = |s: &Slot| (s.promised_epoch, s.accepted_epoch, s.version, s.committed_version);
         let had: BTreeMap<&str, _> = have.iter().map(|s| (&*s.key, stamp(s))).collect();
         self.slots.values().filter(|s| had.get(&*s.key) != Some(&stamp(s))).cloned().collect()
     }
     /// Whether nothing here waits to be known as committed.
     pub fn all_committed(&self) -> bool {
-        self.slots.values().all(|s| s.committed == s.version)
+        self.slots.values().all(|s| s.committed_version == s.version)
     }
     /// Digest over what is committed, for mending between daemons.
     pub fn digest(&self) -> u64 {
-        let done = self.slots.values().filter(|s| s.committed == s.version && s.version > 0);
-        done.fold(0, |a, s| a ^ xxh3_64(format!("{} {} {}", s.key, s.epoch, s.version).as_bytes()))
+        let done = self.slots.values().filter(|s| s.committed_version == s.version && s.version > 0);
+        done.fold(0, |a, s| a ^ xxh3_64(format!("{} {} {}", s.key, s.accepted_epoch, s.version).as_bytes()))
     }
     /// The epoch under which this daemon owns a key, if it does; for a duty also until when.
     pub fn holds(&self, key: &str, now: Ms) -> Option<(u64, Ms)> {
@@ -297,7 +297,7 @@
 }
 
 fn change(s: &Slot) -> Change {
-    Change { key: s.key.clone(), epoch: s.epoch, version: s.version, value: s.value.clone() }
+    Change { key: s.key.clone(), epoch: s.accepted_epoch, version: s.version, value: s.value.clone() }
 }
 
 #[cfg(test)]
--- a/coordination/src/register/members.rs
+++ b/coordination/src/register/members.rs
@@ -37,13 +37,14 @@
     /// Takes over another voter's slots: the newest accepted value and the highest promise of each key.
     pub fn catch_up(&mut self, slots: &[Slot]) -> Vec<Row> {
         for s in slots {
-            self.highest = self.highest.max(s.promised);
+            self.highest = self.highest.max(s.promised_epoch);
             let m = self.slot(&s.key);
-            m.promised = m.promised.max(s.promised);
-            if (s.epoch, s.version) > (m.epoch, m.version) {
-                (m.epoch, m.version, m.value, m.committed) = (s.epoch, s.version, s.value.clone(), s.committed);
-                m.past = s.past.clone();
-                if s.committed == s.version {
+            m.promised_epoch = m.promised_epoch.max(s.promised_epoch);
+            if (s.accepted_epoch, s.version) > (m.accepted_epoch, m.version) {
+                (m.accepted_epoch, m.version, m.value, m.committed_version) =
+                    (s.accepted_epoch, s.version, s.value.clone(), s.committed_version);
+                m.replaced = s.replaced.clone();
+                if s.committed_version == s.version {
                     let c = change(s);
                     self.fresh.push(c);
                 }
@@ -53,8 +54,8 @@
     }
     /// Learns what another daemon knows to be committed.
     pub fn mend(&mut self, slots: &[Slot], out: &mut Effects) {
-        for s in slots.iter().filter(|s| s.committed == s.version && s.version > 0) {
-            self.on_commit(&change(s), &s.past, out);
+        for s in slots.iter().filter(|s| s.committed_version == s.version && s.version > 0) {
+            self.on_commit(&change(s), &s.replaced, out);
         }
     }
 }
--- a/coordination/src/register/owner.rs
+++ b/coordination/src/register/owner.rs
@@ -2,7 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use wire_messages::{Accept, Accepted, Blob, Change, Commit, Held, List, Name, Prepare, Promise, Release, Renew, Renewed, Slot};
+use wire_messages::{
+    Accept, Accepted, Blob, Change, Commit, LeasesRenewed, List, Name, OwnedKey, Prepare, Promise, ReleaseLeases, RenewLeases,
+    Slot,
+};
 
 use super::{Ask, EPOCHS, Expect, Moved, Ownership, Phase, Registers, Write, change, leased, repeats::Earlier};
 use crate::{
@@ -16,12 +19,12 @@
     /// A value that may stand already, and that nobody waits for.
     fn again(s: &Slot, now: Ms) -> Self {
         let (acks, token, expect) = (BTreeSet::new(), None, Expect::Any);
-        Write { version: s.version, value: s.value.clone(), past: s.past.clone(), acks, token, expect, at: now, sent: now }
+        Write { version: s.version, value: s.value.clone(), past: s.replaced.clone(), acks, token, expect, at: now, sent: now }
     }
 }
 
 impl Registers {
-    pub(super) fn spread(&self, m: impl Into<wire_messages::Msg>, out: &mut Effects) {
+    pub(super) fn spread(&self, m: impl Into<wire_messages::Message>, out: &mut Effects) {
         let m = m.into();
         out.extend(self.voters.iter().map(|v| send(&self.addr(v), m.clone())));
     }
@@ -42,7 +45,7 @@
     /// Asks for promises once the epoch is on this daemon's own disk: after a crash it would take the same one
     /// again, and two writes under one epoch and version could not be told apart.
     pub(super) fn prepare(&self, key: &Name, epoch: u64, out: &mut Effects) {
-        let row = Slot { key: EPOCHS.into(), promised: self.highest, ..Slot::default() };
+        let row = Slot { key: EPOCHS.into(), promised_epoch: self.highest, ..Slot::default() };
         let mut then = vec![];
         self.spread(Prepare { key: key.clone(), epoch, member_epoch: self.member_epoch }, &mut then);
         out.push(Effect::Persist { rows: vec![Row::Slot(row)], then });
@@ -59,7 +62,7 @@
             self.moved.push(Moved { token, key: key.clone(), expect: w.expect, value, at: w.at, offered });
         }
         if let (Phase::Holding { .. }, true) = (&o.phase, leased(key)) {
-            self.spread(Release { keys: List(vec![Held { key: key.clone(), epoch: o.epoch }]) }, out);
+            self.spread(ReleaseLeases { keys: List(vec![OwnedKey { key: key.clone(), epoch: o.epoch }]) }, out);
         }
         let moved =
             |a: Ask| Moved { token: a.token, key: key.clone(), expect: a.expect, value: a.value, at: a.at, offered: None };
@@ -96,19 +99,21 @@
     /// Writes again what stands where another daemon has something newer that no majority took: an owner that died
     /// left it there, and the daemon takes nothing older in its stead.
     pub fn write_again(&mut self, have: &[Slot], now: Ms, out: &mut Effects) {
-        for h in have.iter().filter(|h| h.committed != h.version) {
-            let Some(s) = self.slots.get(&h.key).filter(|s| (h.epoch, h.version) > (s.epoch, s.version)).cloned() else {
+        for h in have.iter().filter(|h| h.committed_version != h.version) {
+            let Some(s) =
+                self.slots.get(&h.key).filter(|s| (h.accepted_epoch, h.version) > (s.accepted_epoch, s.version)).cloned()
+            else {
                 continue;
             };
             let member_epoch = self.member_epoch;
-            let Some(o) = self.own.get_mut(&h.key).filter(|o| o.write.is_none() && o.epoch > h.epoch) else { continue };
+            let Some(o) = self.own.get_mut(&h.key).filter(|o| o.write.is_none() && o.epoch > h.accepted_epoch) else { continue };
             let Phase::Holding { version } = o.phase else { continue };
             if s.version != version || version == 0 {
                 continue;
             }
             let epoch = o.epoch;
             o.write = Some(Write::again(&s, now));
-            self.spread(Accept { key: s.key, epoch, version, value: s.value, past: s.past, member_epoch }, out);
+            self.spread(Accept { key: s.key, epoch, version, value: s.value, replaced: s.replaced, member_epoch }, out);
         }
     }
 
@@ -167,7 +172,7 @@
         let (acks, token) = (BTreeSet::new(), Some(token));
         let w = Write { version: version + 1, value, past, acks, token, expect, at, sent: now };
         let (value, past) = (w.value.clone(), w.past.clone());
-        let m = Accept { key: key.clone(), epoch: o.epoch, version: w.version, value, past, member_epoch };
+        let m = Accept { key: key.clone(), epoch: o.epoch, version: w.version, value, replaced: past, member_epoch };
         o.write = Some(w);
         self.spread(m, out);
     }
@@ -179,12 +184,12 @@
             return;
         }
         o.asked = now;
-        let keys = List(vec![Held { key: key.clone(), epoch: o.epoch }]);
-        self.spread(Renew { keys, sent: now, member_epoch: self.member_epoch }, out);
+        let keys = List(vec![OwnedKey { key: key.clone(), epoch: o.epoch }]);
+        self.spread(RenewLeases { keys, sent_at: now, member_epoch: self.member_epoch }, out);
     }
 
     pub fn on_promise(&mut self, from: &Name, m: Promise, now: Ms, out: &mut Effects) {
-        self.highest = self.highest.max(m.slot.promised);
+        self.highest = self.highest.max(m.slot.promised_epoch);
         let (key, need, member_epoch) = (m.slot.key.clone(), self.majority(), self.member_epoch);
         let known = self.voters.iter().any(|v| v.name == *from);
         let own = self.slots.get(&key);
@@ -193,14 +198,14 @@
             return;
         }
         let Phase::Asking { promises, best, .. } = &mut o.phase else { return };
-        if m.ok == 0 {
-            o.outbid |= m.slot.promised > o.epoch;
-            o.not_before = o.not_before.max(now + u64::from(m.wait).max(RESEND / 2));
+        if m.granted == 0 {
+            o.outbid |= m.slot.promised_epoch > o.epoch;
+            o.not_before = o.not_before.max(now + u64::from(m.retry_after_ms).max(RESEND / 2));
             return;
         }
         promises.insert(from.clone());
         // What this daemon has itself counts though its own promise may be the last to come: it compares with that.
-        let rank = |s: &Slot| (s.epoch, s.version, s.committed);
+        let rank = |s: &Slot| (s.accepted_epoch, s.version, s.committed_version);
         if let Some(s) = own.into_iter().chain([&m.slot]).max_by_key(|s| rank(s)).filter(|s| rank(s) > rank(best)) {
             *best = s.clone();
         }
@@ -211,9 +216,9 @@
         o.phase = Phase::Holding { version: best.version };
         out.push(note(events::OWNER, &self.name, format!("{key} epoch {} version {}", o.epoch, best.version)));
         // What is known to be committed stands on a majority already; each later owner meets it there.
-        if best.committed == best.version {
+        if best.committed_version == best.version {
             if best.version > 0 {
-                self.on_commit(&change(&best), &best.past, out);
+                self.on_commit(&change(&best), &best.replaced, out);
             }
             self.advance(&key, now, out);
             return;
@@ -222,19 +227,19 @@
         // a write whose owner died between two disks ends here, one way for everybody.
         let epoch = o.epoch;
         o.write = Some(Write::again(&best, now));
-        self.spread(Accept { key, epoch, version: best.version, value: best.value, past: best.past, member_epoch }, out);
+        self.spread(Accept { key, epoch, version: best.version, value: best.value, replaced: best.replaced, member_epoch }, out);
     }
 
     pub fn on_accepted(&mut self, from: &Name, m: Accepted, now: Ms, out: &mut Effects) {
-        self.highest = self.highest.max(m.promised);
+        self.highest = self.highest.max(m.promised_epoch);
         let need = self.majority();
         let known = self.voters.iter().any(|v| v.name == *from);
         let Some(o) = self.own.get_mut(&m.key) else { return };
         if m.epoch != o.epoch || m.member_epoch != self.member_epoch || !known {
             return;
         }
-        if m.ok == 0 {
-            if m.promised > o.epoch {
+        if m.accepted == 0 {
+            if m.promised_epoch > o.epoch {
                 out.push(note(events::DEPOSED, from, format!("{} epoch {}", m.key, o.epoch)));
                 self.give_up(&m.key, out);
             }
@@ -253,7 +258,7 @@
             out.push(Effect::Answer { token, outcome: WriteOutcome::Accepted(w.version) });
         }
         self.on_commit(&c, &w.past, out);
-        let news = Commit { change: c, past: w.past };
+        let news = Commit { change: c, replaced: w.past };
         for v in self.voters.iter().filter(|v| v.name != self.name) {
             out.push(send(&self.addr(v), news.clone()));
         }
@@ -261,14 +266,14 @@
         self.advance(&m.key, now, out);
     }
 
-    pub fn on_renewed(&mut self, from: &Name, m: Renewed, now: Ms, out: &mut Effects) {
+    pub fn on_renewed(&mut self, from: &Name, m: LeasesRenewed, now: Ms, out: &mut Effects) {
         if m.member_epoch != self.member_epoch || !self.voters.iter().any(|v| v.name == *from) {
             return;
         }
         for h in m.keys {
             let Some(o) = self.own.get_mut(&h.key).filter(|o| o.epoch == h.epoch) else { continue };
             let t = o.renewed.entry(from.clone()).or_insert(0);
-            *t = (*t).max(m.sent);
+            *t = (*t).max(m.request_sent_at);
             self.advance(&h.key, now, out);
         }
     }
--- a/coordination/src/register/repeats.rs
+++ b/coordination/src/register/repeats.rs
@@ -4,7 +4,7 @@
 //! majority as the value itself. An order that is older than that memory is neither accepted nor refused.
 
 use sha2::{Digest, Sha256};
-use wire_messages::{Blob, List, Name, Replaced};
+use wire_messages::{Blob, List, Name, ReplacedValue};
 
 use super::{Expect, Registers, remembered};
 use crate::limits::PAST_VALUES;
@@ -36,23 +36,23 @@
         }
         // The slot is a later owner's already: nothing is told from it.
         let Some(slot) = self.slots.get(key).filter(|s| s.version == version) else { return Earlier::Forgotten };
-        let oldest = version - slot.past.len() as u64;
+        let oldest = version - slot.replaced.len() as u64;
         match expect {
             Expect::Any | Expect::Since(_) => Earlier::Never,
             Expect::Version(on) => match on + 1 {
                 was if was >= version => Earlier::Never,
                 was if was < oldest => Earlier::Forgotten,
-                was if slot.past[(was - oldest) as usize].digest == digest(&value.0) => Earlier::Accepted(was),
+                was if slot.replaced[(was - oldest) as usize].digest == digest(&value.0) => Earlier::Accepted(was),
                 _ => Earlier::Never,
             },
             Expect::Release(_) => {
                 let wanted = digest(&value.0);
-                if let Some(i) = slot.past.iter().rposition(|p| p.digest == wanted) {
+                if let Some(i) = slot.replaced.iter().rposition(|p| p.digest == wanted) {
                     return Earlier::Accepted(oldest + i as u64);
                 }
                 // Releases rise with each accepted document: what was forgotten is below all that is remembered.
                 let release = |value: &Blob| (self.reader)(&value.0).map_or(0, |s| s.release);
-                let lowest = slot.past.first().map_or_else(|| release(&slot.value), |p| p.release);
+                let lowest = slot.replaced.first().map_or_else(|| release(&slot.value), |p| p.release);
                 match oldest > 1 && release(value) < lowest {
                     true => Earlier::Forgotten,
                     false => Earlier::Never,
@@ -63,12 +63,12 @@
 
     /// What stood before the version after the one that stands. It goes with the value itself, under the same majority:
     /// a record of its own could be there without the value, or lack it.
-    pub(super) fn past_of_next(&mut self, key: &Name, version: u64) -> List<Replaced> {
+    pub(super) fn past_of_next(&mut self, key: &Name, version: u64) -> List<ReplacedValue> {
         let release = self.release(key, version).unwrap_or(0);
         let kept = self.slots.get(key).filter(|s| remembered(key) && s.version == version && version > 0);
         let Some(slot) = kept else { return List::default() };
-        let mut past = slot.past.0.clone();
-        past.push(Replaced { release, digest: digest(&slot.value.0) });
+        let mut past = slot.replaced.0.clone();
+        past.push(ReplacedValue { release, digest: digest(&slot.value.0) });
         past.drain(..past.len().saturating_sub(PAST_VALUES));
         List(past)
     }
@@ -80,7 +80,7 @@
         }
         let slot = self.slots.get(key).filter(|s| s.version == version)?;
         // Documents grow long: each is read once.
-        let stamp = (slot.epoch, slot.version);
+        let stamp = (slot.accepted_epoch, slot.version);
         if let Some(read) = self.releases.get(key).filter(|r| r.0 == stamp) {
             return Some(read.1);
         }
--- a/coordination/src/register/tests.rs
+++ b/coordination/src/register/tests.rs
@@ -1,5 +1,5 @@
 use googletest::prelude::*;
-use wire_messages::{Held, Msg};
+use wire_messages::{Message, OwnedKey};
 
 use super::*;
 use crate::{Effect, Effects, WriteOutcome, limits::LEASE};
@@ -8,7 +8,7 @@
 
 /// What is under way.
 enum Ev {
-    Msg { to: usize, from: usize, msg: Msg },
+    Msg { to: usize, from: usize, msg: Message },
     Synced { at: usize, life: u64, rows: Vec<Row>, then: Effects },
     Start { at: usize },
 }
@@ -37,7 +37,7 @@
 impl Bench {
     fn new(seed: u64) -> Self {
         let voters: Vec<Voter> =
-            (0..NODES).map(|i| Voter { name: name(i), disk: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
+            (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
         let row = Row::Members { member_epoch: 1, before: 0, voters, voting: true, left: false };
         let mut b = Bench {
             now: 0,
@@ -114,11 +114,11 @@
                 let (mut out, now, addr) = (vec![], self.now, name(from));
                 let Some(n) = self.nodes[to].as_mut() else { return };
                 match msg {
-                    Msg::Prepare(m) => n.on_prepare(&addr, m, now, &mut out),
-                    Msg::Promise(m) => n.on_promise(&addr, m, now, &mut out),
-                    Msg::Accept(m) => n.on_accept(&addr, m, &mut out),
-                    Msg::Accepted(m) => n.on_accepted(&addr, m, now, &mut out),
-                    Msg::Commit(m) => n.on_commit(&m.change, &m.past, &mut out),
+                    Message::Prepare(m) => n.on_prepare(&addr, m, now, &mut out),
+                    Message::Promise(m) => n.on_promise(&addr, m, now, &mut out),
+                    Message::Accept(m) => n.on_accept(&addr, m, &mut out),
+                    Message::Accepted(m) => n.on_accepted(&addr, m, now, &mut out),
+                    Message::Commit(m) => n.on_commit(&m.change, &m.replaced, &mut out),
                     _ => {}
                 }
                 self.carry(to, out);
@@ -159,7 +159,7 @@
     }
 }
 
-type Sends = Vec<(Name, Msg)>;
+type Sends = Vec<(Name, Message)>;
 
 /// Syncs what is to be synced on a disk, and gives all that is then sent.
 fn synced(disk: &mut Vec<Row>, out: Effects) -> Sends {
@@ -182,19 +182,19 @@
 #[gtest]
 fn an_owner_that_crashed_never_takes_the_same_epoch_again() {
     let voters: Vec<Voter> =
-        (0..NODES).map(|i| Voter { name: name(i), disk: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
+        (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
     let first = vec![Row::Members { member_epoch: 1, before: 0, voters, voting: true, left: false }];
     let mut disks = vec![first; NODES];
     let mut n: Vec<Registers> = (0..NODES).map(|i| Registers::new(name(i), disks[i].clone(), LEASE, 0)).collect();
     let key: Name = "k".into();
     // One message to one node, and what it sends once that is synced.
-    let give = |n: &mut Vec<Registers>, disks: &mut Vec<Vec<Row>>, to: usize, from: usize, msg: &Msg| {
+    let give = |n: &mut Vec<Registers>, disks: &mut Vec<Vec<Row>>, to: usize, from: usize, msg: &Message| {
         let mut out = vec![];
         match msg.clone() {
-            Msg::Prepare(m) => n[to].on_prepare(&name(from), m, 1, &mut out),
-            Msg::Promise(m) => n[to].on_promise(&name(from), m, 1, &mut out),
-            Msg::Accept(m) => n[to].on_accept(&name(from), m, &mut out),
-            Msg::Accepted(m) => n[to].on_accepted(&name(from), m, 1, &mut out),
+            Message::Prepare(m) => n[to].on_prepare(&name(from), m, 1, &mut out),
+            Message::Promise(m) => n[to].on_promise(&name(from), m, 1, &mut out),
+            Message::Accept(m) => n[to].on_accept(&name(from), m, &mut out),
+            Message::Accepted(m) => n[to].on_accepted(&name(from), m, 1, &mut out),
             _ => {}
         }
         synced(&mut disks[to], out)
@@ -218,7 +218,7 @@
     write(&mut n, &mut disks, 0, "never", [1, 2], &[1]);
     n[0] = Registers::new(name(0), disks[0].clone(), LEASE, 1);
     write(&mut n, &mut disks, 0, "accepted", [0, 2], &[0, 2]);
-    expect_that!(n[0].slots[&key].committed, eq(1));
+    expect_that!(n[0].slots[&key].committed_version, eq(1));
     // The third takes over with the second's vote, which comes first, and its own.
     write(&mut n, &mut disks, 2, "next", [1, 2], &[1, 2]);
     expect_that!(String::from_utf8_lossy(&n[2].slots[&key].value.0), eq("accepted"));
@@ -244,18 +244,25 @@
 }
 
 fn voters() -> Vec<Voter> {
-    (0..NODES).map(|i| Voter { name: name(i), disk: i as u64 + 1, addr: name(i), ..Voter::default() }).collect()
+    (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect()
 }
 fn voter(i: usize) -> Registers {
     let row = Row::Members { member_epoch: 1, before: 0, voters: voters(), voting: true, left: false };
     Registers::new(name(i), vec![row], LEASE, 0)
 }
 fn accept(key: &str, epoch: u64, version: u64, value: &str) -> wire_messages::Accept {
-    wire_messages::Accept { key: key.into(), epoch, version, value: Blob(value.into()), past: List::default(), member_epoch: 1 }
+    wire_messages::Accept {
+        key: key.into(),
+        epoch,
+        version,
+        value: Blob(value.into()),
+        replaced: List::default(),
+        member_epoch: 1,
+    }
 }
 fn accepted(out: &Effects) -> Option<wire_messages::Accepted> {
     let sends = synced(&mut vec![], out.clone());
-    sends.into_iter().find_map(|(_, m)| if let Msg::Accepted(a) = m { Some(a) } else { None })
+    sends.into_iter().find_map(|(_, m)| if let Message::Accepted(a) = m { Some(a) } else { None })
 }
 
 /// A voter that heard of a commit without having promised its epoch holds a value of an epoch above its promise: what an
@@ -268,13 +275,13 @@
     let mut out = vec![];
     n.on_accept(&name(1), accept("k", 5, 4, "older"), &mut out);
     let told = accepted(&out);
-    expect_that!(told.as_ref().map(|a| (a.ok, a.promised)), some(eq((0, 9))));
+    expect_that!(told.as_ref().map(|a| (a.accepted, a.promised_epoch)), some(eq((0, 9))));
     expect_that!(n.slots[&Name::from("k")].value.0, eq(b"newer"));
     // Its own epoch and later ones are stored.
     for (epoch, version) in [(9, 4), (11, 5)] {
         let mut out = vec![];
         n.on_accept(&name(1), accept("k", epoch, version, "next"), &mut out);
-        expect_that!(accepted(&out).map(|a| a.ok), some(eq(1)));
+        expect_that!(accepted(&out).map(|a| a.accepted), some(eq(1)));
         expect_that!(n.slots[&Name::from("k")].version, eq(version));
     }
 }
@@ -286,7 +293,7 @@
     for (version, value) in [(1, "a"), (2, "b"), (1, "a")] {
         let mut out = vec![];
         n.on_accept(&name(1), accept("k", 5, version, value), &mut out);
-        expect_that!(accepted(&out).map(|a| (a.ok, a.version)), some(eq((1, version))));
+        expect_that!(accepted(&out).map(|a| (a.accepted, a.version)), some(eq((1, version))));
     }
     expect_that!(n.slots[&Name::from("k")].value.0, eq(b"b"));
 }
@@ -295,15 +302,15 @@
 /// accepted value whether or not it is known to be committed, and what it replaced.
 #[gtest]
 fn a_newcomer_takes_over_promises_values_and_what_they_replaced() {
-    let past = List(vec![Replaced { release: 1, digest: 2 }]);
+    let past = List(vec![ReplacedValue { release: 1, digest: 2 }]);
     let slot = |promised, epoch, version, committed, value: &str| Slot {
         key: "k".into(),
-        promised,
-        epoch,
+        promised_epoch: promised,
+        accepted_epoch: epoch,
         version,
-        committed,
+        committed_version: committed,
         value: Blob(value.into()),
-        past: past.clone(),
+        replaced: past.clone(),
     };
     let of = |n: &Registers| n.slots[&Name::from("k")].clone();
     let mut n = voter(0);
@@ -326,7 +333,10 @@
     let told = synced(&mut vec![], out);
     expect_that!(
         told,
-        elements_are![(eq(&name(1)), matches_pattern!(Msg::Promise(matches_pattern!(wire_messages::Promise { ok: &0, .. }))))]
+        elements_are![(
+            eq(&name(1)),
+            matches_pattern!(Message::Promise(matches_pattern!(wire_messages::Promise { granted: &0, .. })))
+        )]
     );
 }
 
@@ -366,10 +376,10 @@
         let sends = synced(&mut vec![], out);
         let own = sends.iter().find(|s| s.0 == name(0)).unwrap().1.clone();
         let mut out = vec![];
-        if let Msg::Prepare(m) = own {
+        if let Message::Prepare(m) = own {
             n.on_prepare(&name(0), m, 1, &mut out);
         }
-        let Msg::Promise(promise) = synced(&mut vec![], out)[0].1.clone() else { unreachable!() };
+        let Message::Promise(promise) = synced(&mut vec![], out)[0].1.clone() else { unreachable!() };
         n.on_promise(&name(0), promise.clone(), 1, &mut vec![]);
         (n, promise)
     };
@@ -390,9 +400,9 @@
         key: key.clone(),
         epoch,
         version,
-        promised: 0,
+        promised_epoch: 0,
         member_epoch,
-        ok: 1,
+        accepted: 1,
     };
     n.on_accepted(&name(0), ack(1, promise.epoch, 1), 1, &mut vec![]);
     let all = [(1, promise.epoch, 1, 1, true), (0, promise.epoch, 1, 1, false), (2, promise.epoch, 1, 1, false)];
@@ -409,15 +419,15 @@
         n.on_accept(&name(0), wire_messages::Accept { member_epoch, ..accept("k", 5, 1, "value") }, &mut out);
         n.on_renew(
             &name(0),
-            wire_messages::Renew { keys: List(vec![Held { key: key.clone(), epoch: 5 }]), sent: 1, member_epoch },
+            wire_messages::RenewLeases { keys: List(vec![OwnedKey { key: key.clone(), epoch: 5 }]), sent_at: 1, member_epoch },
             1,
             &mut out,
         );
         n.on_prepare(&name(0), wire_messages::Prepare { key: key.clone(), epoch: 5, member_epoch }, 1, &mut out);
         let sends = synced(&mut vec![], out);
-        let taken = sends.iter().any(|(_, m)| !matches!(m, Msg::Promise(wire_messages::Promise { ok: 0, .. })));
+        let taken = sends.iter().any(|(_, m)| !matches!(m, Message::Promise(wire_messages::Promise { granted: 0, .. })));
         expect_that!(taken, eq(false), "member epoch {member_epoch}");
-        expect_that!(n.slots.get(&key).map_or(0, |s| s.epoch), eq(0));
+        expect_that!(n.slots.get(&key).map_or(0, |s| s.accepted_epoch), eq(0));
     }
 }
 
@@ -443,7 +453,11 @@
     let mut out = vec![];
     n.read(9, &key, 100, &mut out);
     let renewed = |n: &mut Registers, from: usize, epoch, sent, member_epoch| {
-        let m = wire_messages::Renewed { keys: List(vec![Held { key: key.clone(), epoch }]), sent, member_epoch };
+        let m = wire_messages::LeasesRenewed {
+            keys: List(vec![OwnedKey { key: key.clone(), epoch }]),
+            request_sent_at: sent,
+            member_epoch,
+        };
         let mut out = vec![];
         n.on_renewed(&name(from), m, 101, &mut out);
         out.iter().any(|e| matches!(e, Effect::Answer { token: 9, outcome: WriteOutcome::Accepted(3) }))
@@ -457,17 +471,17 @@
     expect_that!(told(2, 7, 100, 1), eq(true));
     // A voter that has promised another owner says so and keeps no later one out.
     let mut v = voter(1);
-    v.slot(&key).promised = 8;
+    v.slot(&key).promised_epoch = 8;
     let mut out = vec![];
     v.on_renew(
         &name(0),
-        wire_messages::Renew { keys: List(vec![Held { key: key.clone(), epoch: 7 }]), sent: 100, member_epoch: 1 },
+        wire_messages::RenewLeases { keys: List(vec![OwnedKey { key: key.clone(), epoch: 7 }]), sent_at: 100, member_epoch: 1 },
         1,
         &mut out,
     );
     let sends = synced(&mut vec![], out);
-    let denied = sends.iter().any(|(_, m)| matches!(m, Msg::Accepted(a) if a.ok == 0 && a.promised == 8));
-    let confirmed = sends.iter().any(|(_, m)| matches!(m, Msg::Renewed(r) if !r.keys.is_empty()));
+    let denied = sends.iter().any(|(_, m)| matches!(m, Message::Accepted(a) if a.accepted == 0 && a.promised_epoch == 8));
+    let confirmed = sends.iter().any(|(_, m)| matches!(m, Message::LeasesRenewed(r) if !r.keys.is_empty()));
     expect_that!((denied, confirmed), eq((true, false)));
 }
 
--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -8,7 +8,7 @@
 use std::{collections::HashSet, sync::Arc};
 
 use googletest::prelude::*;
-use wire_messages::Msg;
+use wire_messages::Message;
 use xxhash_rust::xxh3::xxh3_128;
 
 use super::*;
@@ -80,7 +80,7 @@
     digest: u128,
     from: usize,
     to: usize,
-    msg: Arc<Msg>,
+    msg: Arc<Message>,
 }
 
 #[derive(Clone)]
@@ -153,7 +153,7 @@
         Arc::make_mut(&mut self.nodes[at])
     }
 
-    fn send(&mut self, from: usize, to: usize, msg: Msg) {
+    fn send(&mut self, from: usize, to: usize, msg: Message) {
         let digest = xxh3_128(format!("{from} {to} {msg:?}").as_bytes());
         let at = self.wire.partition_point(|s| s.digest < digest);
         self.wire.insert(at, Sent { digest, from, to, msg: Arc::new(msg) });
@@ -172,29 +172,30 @@
         self.carry(at, out);
     }
 
-    fn deliver(&mut self, from: usize, to: usize, m: &Msg) {
+    fn deliver(&mut self, from: usize, to: usize, m: &Message) {
         let (without, step, from) = (self.without, self.step, name(from));
         let regs = &mut self.node(to).regs;
         let mut out = vec![];
         match m.clone() {
-            Msg::Prepare(m) => regs.on_prepare(&from, m, step, &mut out),
-            Msg::Promise(mut m) => {
+            Message::Prepare(m) => regs.on_prepare(&from, m, step, &mut out),
+            Message::Promise(mut m) => {
                 if without == Without::AcceptedInPromise && from != name(to) {
-                    m.slot = Slot { key: m.slot.key, promised: m.slot.promised, ..Slot::default() };
+                    m.slot = Slot { key: m.slot.key, promised_epoch: m.slot.promised_epoch, ..Slot::default() };
                 }
                 regs.on_promise(&from, m, step, &mut out);
             }
-            Msg::Accept(m) => {
+            Message::Accept(m) => {
                 if without == Without::PromiseKept {
                     let slot = regs.slot(&m.key);
-                    (slot.promised, slot.epoch) = (slot.promised.min(m.epoch), slot.epoch.min(m.epoch));
+                    (slot.promised_epoch, slot.accepted_epoch) =
+                        (slot.promised_epoch.min(m.epoch), slot.accepted_epoch.min(m.epoch));
                 }
                 regs.on_accept(&from, m, &mut out);
             }
-            Msg::Accepted(m) => regs.on_accepted(&from, m, step, &mut out),
-            Msg::Commit(m) => regs.on_commit(&m.change, &m.past, &mut out),
-            Msg::Renew(m) => regs.on_renew(&from, m, step, &mut out),
-            Msg::Renewed(m) => regs.on_renewed(&from, m, step, &mut out),
+            Message::Accepted(m) => regs.on_accepted(&from, m, step, &mut out),
+            Message::Commit(m) => regs.on_commit(&m.change, &m.replaced, &mut out),
+            Message::RenewLeases(m) => regs.on_renew(&from, m, step, &mut out),
+            Message::LeasesRenewed(m) => regs.on_renewed(&from, m, step, &mut out),
             _ => {}
         }
         self.carry(to, out);
@@ -229,7 +230,7 @@
         let regs = &mut self.node(at).regs;
         match (without, regs.own.get_mut(KEY), regs.slots.get_mut(KEY)) {
             (Without::ConfirmedRead, Some(own), _) => own.renewed = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect(),
-            (Without::Memory, _, Some(slot)) => slot.past.0.iter_mut().for_each(|p| p.digest = 0),
+            (Without::Memory, _, Some(slot)) => slot.replaced.0.iter_mut().for_each(|p| p.digest = 0),
             _ => {}
         }
     }
@@ -320,7 +321,7 @@
     /// A version that is known to be committed has one value, wherever it is known, and never that of a write which was
     /// refused.
     fn two_values(&self) -> Option<String> {
-        let known = |n: &Arc<Node>| n.regs.slots.get(KEY).filter(|s| s.version > 0 && s.committed == s.version).cloned();
+        let known = |n: &Arc<Node>| n.regs.slots.get(KEY).filter(|s| s.version > 0 && s.committed_version == s.version).cloned();
         let all: Vec<Slot> = self.nodes.iter().filter_map(known).collect();
         if let Some(two) = all.iter().find(|a| all.iter().any(|b| a.version == b.version && a.value != b.value)) {
             return Some(format!("version {} has two values", two.version));
--- a/coordination/src/register/tests/rules.rs
+++ b/coordination/src/register/tests/rules.rs
@@ -1,7 +1,7 @@
 //! One rule of voters and owners each: what single-line mutants of the register left alive.
 
 use googletest::prelude::*;
-use wire_messages::{Held, Msg, Prepare, Promise, Release, Renew};
+use wire_messages::{Message, OwnedKey, Prepare, Promise, ReleaseLeases, RenewLeases};
 
 use super::*;
 
@@ -10,15 +10,15 @@
 fn prepare(epoch: u64) -> Prepare {
     Prepare { key: KEY.into(), epoch, member_epoch: 1 }
 }
-fn held(key: &str, epoch: u64) -> List<Held> {
-    List(vec![Held { key: key.into(), epoch }])
+fn held(key: &str, epoch: u64) -> List<OwnedKey> {
+    List(vec![OwnedKey { key: key.into(), epoch }])
 }
 /// What a voter says to the promise that another asks for: whether it promises, and for how long it keeps it out.
 fn promise(n: &mut Registers, from: usize, key: &str, epoch: u64, now: Ms) -> Option<(u8, u32)> {
     let mut out = vec![];
     n.on_prepare(&name(from), Prepare { key: key.into(), ..prepare(epoch) }, now, &mut out);
     let sends = synced(&mut vec![], out);
-    sends.into_iter().find_map(|(_, m)| if let Msg::Promise(p) = m { Some((p.ok, p.wait)) } else { None })
+    sends.into_iter().find_map(|(_, m)| if let Message::Promise(p) = m { Some((p.granted, p.retry_after_ms)) } else { None })
 }
 
 #[gtest]
@@ -27,12 +27,12 @@
     let (mut out, mut disk) = (vec![], vec![]);
     n.on_prepare(&name(1), prepare(7), 1, &mut out);
     synced(&mut disk, out);
-    expect_that!(disk, contains(matches_pattern!(Row::Slot(matches_pattern!(Slot { promised: &7, .. })))));
+    expect_that!(disk, contains(matches_pattern!(Row::Slot(matches_pattern!(Slot { promised_epoch: &7, .. })))));
     expect_that!(promise(&mut n, 2, KEY, 6, 1), some(eq((0, 0))));
     expect_that!(promise(&mut n, 1, KEY, 7, 1), some(eq((1, 0))), "the same epoch is its own");
     let mut out = vec![];
     n.on_accept(&name(2), accept(KEY, 6, 1, "late"), &mut out);
-    expect_that!(accepted(&out).map(|a| (a.ok, a.promised)), some(eq((0, 7))));
+    expect_that!(accepted(&out).map(|a| (a.accepted, a.promised_epoch)), some(eq((0, 7))));
     expect_that!(n.slots[&Name::from(KEY)].version, eq(0));
 }
 
@@ -41,10 +41,10 @@
 fn a_confirmation_is_a_promise() {
     let mut n = voter(0);
     let (mut out, mut disk) = (vec![], vec![]);
-    n.on_renew(&name(1), Renew { keys: held(KEY, 7), sent: 5, member_epoch: 1 }, 1, &mut out);
+    n.on_renew(&name(1), RenewLeases { keys: held(KEY, 7), sent_at: 5, member_epoch: 1 }, 1, &mut out);
     let sends = synced(&mut disk, out);
     expect_that!(sends.len(), eq(1));
-    expect_that!(disk, contains(matches_pattern!(Row::Slot(matches_pattern!(Slot { promised: &7, .. })))));
+    expect_that!(disk, contains(matches_pattern!(Row::Slot(matches_pattern!(Slot { promised_epoch: &7, .. })))));
     expect_that!(promise(&mut n, 2, KEY, 6, 1), some(eq((0, 0))));
 }
 
@@ -55,12 +55,12 @@
     let fresh = || {
         let mut n = voter(0);
         n.no_leases_before();
-        n.on_renew(&name(1), Renew { keys: held(&key, 7), sent: 5, member_epoch: 1 }, 1, &mut vec![]);
+        n.on_renew(&name(1), RenewLeases { keys: held(&key, 7), sent_at: 5, member_epoch: 1 }, 1, &mut vec![]);
         n
     };
     for (from, epoch, ends) in [(2, 7, false), (1, 6, false), (1, 7, true), (1, 8, true)] {
         let mut n = fresh();
-        n.on_release(&name(from), Release { keys: held(&key, epoch) });
+        n.on_release(&name(from), ReleaseLeases { keys: held(&key, epoch) });
         let free = promise(&mut n, 2, &key, 9, 2).map(|p| p.0);
         expect_that!(free, some(eq(u8::from(ends))), "of {from} for {epoch}");
     }
@@ -111,8 +111,8 @@
 fn a_new_owner_takes_over_the_value_of_the_highest_epoch() {
     let slot = |epoch, version, value: &str| Slot {
         key: KEY.into(),
-        promised: epoch,
-        epoch,
+        promised_epoch: epoch,
+        accepted_epoch: epoch,
         version,
         value: Blob(value.into()),
         ..Slot::default()
@@ -125,19 +125,19 @@
     {
         let mut n = voter(0);
         if let Some(s) = own {
-            n.on_accept(&name(1), accept(KEY, s.epoch, s.version, &String::from_utf8_lossy(&s.value.0)), &mut vec![]);
+            n.on_accept(&name(1), accept(KEY, s.accepted_epoch, s.version, &String::from_utf8_lossy(&s.value.0)), &mut vec![]);
         }
         n.highest = 1 << 30;
         n.take(&KEY.into(), 1, &mut vec![]);
         let epoch = n.own[KEY].epoch;
         let mut out = vec![];
         for (from, s) in [(1, first), (2, second)] {
-            let m = Promise { epoch, member_epoch: 1, ok: 1, wait: 0, slot: s.clone() };
+            let m = Promise { epoch, member_epoch: 1, granted: 1, retry_after_ms: 0, slot: s.clone() };
             n.on_promise(&name(from), m, 1, &mut out);
         }
         let sends = synced(&mut vec![], out);
         let written =
-            sends.iter().find_map(|(_, m)| if let Msg::Accept(a) = m { Some((a.version, a.value.clone())) } else { None });
+            sends.iter().find_map(|(_, m)| if let Message::Accept(a) = m { Some((a.version, a.value.clone())) } else { None });
         expect_that!(written, some(eq(&(2, newer.value.clone()))), "own {own:?}");
     }
 }
--- a/coordination/src/register/turn.rs
+++ b/coordination/src/register/turn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use wire_messages::{Accept, Held, List, Name, Renew};
+use wire_messages::{Accept, List, Name, OwnedKey, RenewLeases};
 
 use super::{Ownership, Phase, Registers, leased};
 use crate::{
@@ -46,12 +46,12 @@
                 && let Phase::Holding { .. } = o.phase
                 && leased(&key)
             {
-                renew.0.push(Held { key, epoch: o.epoch });
+                renew.0.push(OwnedKey { key, epoch: o.epoch });
             }
         }
         if now >= self.next_renew && !renew.is_empty() {
             self.next_renew = now + RENEW_EVERY;
-            self.spread(Renew { keys: renew, sent: now, member_epoch: self.member_epoch }, out);
+            self.spread(RenewLeases { keys: renew, sent_at: now, member_epoch: self.member_epoch }, out);
         }
     }
 
@@ -95,7 +95,7 @@
         let Some(w) = o.write.as_mut().filter(|w| now.saturating_sub(w.sent) >= RESEND) else { return };
         w.sent = now;
         let (value, past) = (w.value.clone(), w.past.clone());
-        let m = Accept { key: key.clone(), epoch: o.epoch, version: w.version, value, past, member_epoch };
+        let m = Accept { key: key.clone(), epoch: o.epoch, version: w.version, value, replaced: past, member_epoch };
         self.spread(m, out);
     }
 }
--- a/coordination/src/register/voter.rs
+++ b/coordination/src/register/voter.rs
@@ -1,6 +1,8 @@
 //! What a voter does with a key: promises, accepts, learns what is committed, and lets a holder keep a duty.
 
-use wire_messages::{Accept, Accepted, Change, List, Name, Prepare, Promise, Release, Renew, Renewed, Replaced, Slot};
+use wire_messages::{
+    Accept, Accepted, Change, LeasesRenewed, List, Name, Prepare, Promise, ReleaseLeases, RenewLeases, ReplacedValue, Slot,
+};
 
 use super::{Registers, change, leased};
 use crate::{Effect, Effects, Ms, Row, effect::send};
@@ -14,25 +16,31 @@
             if m.member_epoch < member_epoch {
                 out.push(send(
                     to,
-                    Promise { epoch: m.epoch, member_epoch, ok: 0, wait: 0, slot: Slot { key: m.key, ..Slot::default() } },
+                    Promise {
+                        epoch: m.epoch,
+                        member_epoch,
+                        granted: 0,
+                        retry_after_ms: 0,
+                        slot: Slot { key: m.key, ..Slot::default() },
+                    },
                 ));
             }
             return;
         }
         let wait = self.keeps_out(&m.key, to, now);
         let s = self.slot(&m.key);
-        if wait > 0 || m.epoch < s.promised {
+        if wait > 0 || m.epoch < s.promised_epoch {
             let slot = s.clone();
-            out.push(send(to, Promise { epoch: m.epoch, member_epoch, ok: 0, wait: wait as u32, slot }));
+            out.push(send(to, Promise { epoch: m.epoch, member_epoch, granted: 0, retry_after_ms: wait as u32, slot }));
             return;
         }
-        s.promised = m.epoch;
+        s.promised_epoch = m.epoch;
         let slot = s.clone();
         // Its own promise tells this daemon that the key is no longer its own.
         if self.own.get(&m.key).is_some_and(|o| o.epoch < m.epoch) {
             self.give_up(&m.key, out);
         }
-        let then = vec![send(to, Promise { epoch: m.epoch, member_epoch, ok: 1, wait: 0, slot: slot.clone() })];
+        let then = vec![send(to, Promise { epoch: m.epoch, member_epoch, granted: 1, retry_after_ms: 0, slot: slot.clone() })];
         out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then });
     }
 
@@ -52,53 +60,69 @@
             return;
         }
         let s = self.slot(&m.key);
-        let mut a =
-            Accepted { key: m.key.clone(), epoch: m.epoch, version: m.version, promised: s.promised, member_epoch, ok: 0 };
+        let mut a = Accepted {
+            key: m.key.clone(),
+            epoch: m.epoch,
+            version: m.version,
+            promised_epoch: s.promised_epoch,
+            member_epoch,
+            accepted: 0,
+        };
         // A value of a later epoch may be known here without a promise: what is not stored is not acknowledged.
-        if m.epoch < s.promised.max(s.epoch) {
-            a.promised = s.promised.max(s.epoch);
+        if m.epoch < s.promised_epoch.max(s.accepted_epoch) {
+            a.promised_epoch = s.promised_epoch.max(s.accepted_epoch);
             out.push(send(to, a));
             return;
         }
-        a.ok = 1;
+        a.accepted = 1;
         // A delayed copy of an older write of the same owner must not put the newer one back.
-        if (m.epoch, m.version) >= (s.epoch, s.version) {
-            (s.promised, s.epoch, s.version, s.value, s.past) = (m.epoch, m.epoch, m.version, m.value, m.past);
+        if (m.epoch, m.version) >= (s.accepted_epoch, s.version) {
+            (s.promised_epoch, s.accepted_epoch, s.version, s.value, s.replaced) =
+                (m.epoch, m.epoch, m.version, m.value, m.replaced);
         }
         let slot = s.clone();
         // This version was known to be committed before something newer, which no majority took, stood in its place.
-        if slot.committed == slot.version && slot.epoch == m.epoch {
+        if slot.committed_version == slot.version && slot.accepted_epoch == m.epoch {
             self.fresh.push(change(&slot));
         }
         out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then: vec![send(to, a)] });
     }
 
     /// Learns a committed value.
-    pub fn on_commit(&mut self, c: &Change, past: &[Replaced], out: &mut Effects) {
+    pub fn on_commit(&mut self, c: &Change, past: &[ReplacedValue], out: &mut Effects) {
         self.highest = self.highest.max(c.epoch);
         let s = self.slot(&c.key);
-        if (c.epoch, c.version) < (s.epoch, s.version) || (s.epoch, s.version, s.committed) == (c.epoch, c.version, c.version) {
+        if (c.epoch, c.version) < (s.accepted_epoch, s.version)
+            || (s.accepted_epoch, s.version, s.committed_version) == (c.epoch, c.version, c.version)
+        {
             return;
         }
-        (s.epoch, s.version, s.committed, s.value) = (c.epoch, c.version, c.version, c.value.clone());
-        s.past = List(past.to_vec());
+        (s.accepted_epoch, s.version, s.committed_version, s.value) = (c.epoch, c.version, c.version, c.value.clone());
+        s.replaced = List(past.to_vec());
         let slot = s.clone();
         out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then: vec![] });
         self.fresh.push(c.clone());
     }
 
-    pub fn on_renew(&mut self, to: &Name, m: Renew, now: Ms, out: &mut Effects) {
+    pub fn on_renew(&mut self, to: &Name, m: RenewLeases, now: Ms, out: &mut Effects) {
         if !self.voting || m.member_epoch != self.member_epoch {
             return;
         }
         let (mut keys, mut rows) = (List::default(), vec![]);
         for h in m.keys {
-            let promised = self.slots.get(&h.key).map_or(0, |s| s.promised);
+            let promised = self.slots.get(&h.key).map_or(0, |s| s.promised_epoch);
             // Told at once: a holder whom nobody renews any more must not rest on a key that nobody else takes.
             if promised > h.epoch {
                 out.push(send(
                     to,
-                    Accepted { key: h.key, epoch: h.epoch, version: 0, promised, member_epoch: self.member_epoch, ok: 0 },
+                    Accepted {
+                        key: h.key,
+                        epoch: h.epoch,
+                        version: 0,
+                        promised_epoch: promised,
+                        member_epoch: self.member_epoch,
+                        accepted: 0,
+                    },
                 ));
                 continue;
             }
@@ -112,13 +136,13 @@
                     self.give_up(&h.key, out);
                 }
                 let s = self.slot(&h.key);
-                s.promised = h.epoch;
+                s.promised_epoch = h.epoch;
                 rows.push(Row::Slot(s.clone()));
             }
             self.grants.insert(h.key.clone(), (to.clone(), h.epoch, now + self.lease));
             keys.0.push(h);
         }
-        let told = send(to, Renewed { keys, sent: m.sent, member_epoch: self.member_epoch });
+        let told = send(to, LeasesRenewed { keys, request_sent_at: m.sent_at, member_epoch: self.member_epoch });
         if rows.is_empty() {
             return out.push(told);
         }
@@ -126,7 +150,7 @@
     }
 
     /// A holder has given its duties up: nobody need wait its leases out.
-    pub fn on_release(&mut self, from: &Name, m: Release) {
+    pub fn on_release(&mut self, from: &Name, m: ReleaseLeases) {
         for h in m.keys {
             // A renewal of a later ownership stands.
             if self.grants.get(&h.key).is_some_and(|g| g.0 == *from && g.1 <= h.epoch) {
--- a/coordination/tests/catching_up.rs
+++ b/coordination/tests/catching_up.rs
@@ -6,7 +6,7 @@
 use coordination::{Ms, control::SPEC};
 use fleet::Fleet;
 use googletest::prelude::*;
-use wire_messages::Msg;
+use wire_messages::Message;
 
 const ZONE: &str = "zone/z1";
 /// ms. Between two changes of the quickest storm that was met.
@@ -45,8 +45,8 @@
         let addr = fleet::addr(behind);
         f.sieve = Box::new(move |_, to, m| {
             let key = match m {
-                Msg::Accept(a) => &a.key,
-                Msg::Commit(c) => &c.change.key,
+                Message::Accept(a) => &a.key,
+                Message::Commit(c) => &c.change.key,
                 _ => return true,
             };
             *to != addr || **key != *ZONE
@@ -116,7 +116,7 @@
             expect_that!(has, ge(synced), "seed {seed}: it goes back");
             let on_disk = f.all[behind].disk.get(SPEC).cloned();
             if let Some(coordination::Row::Slot(s)) = on_disk {
-                synced = s.committed;
+                synced = s.committed_version;
             }
             f.kill(behind);
         }
@@ -154,7 +154,9 @@
     }
     // It is heard again and what it holds is older, until it has caught up.
     f.cut.clear();
-    f.sieve = Box::new(|_, to, m| *to != fleet::addr(2) || !matches!(m, Msg::Slots(_) | Msg::Commit(_) | Msg::Accept(_)));
+    f.sieve = Box::new(|_, to, m| {
+        *to != fleet::addr(2) || !matches!(m, Message::SlotsReply(_) | Message::Commit(_) | Message::Accept(_))
+    });
     f.run(2_000);
     let behind =
         |f: &Fleet| told(f, 0).members.iter().filter(|m| m.same == Some(false)).map(|m| m.name.clone()).collect::<Vec<_>>();
--- a/coordination/tests/context_demand.rs
+++ b/coordination/tests/context_demand.rs
@@ -6,7 +6,7 @@
     Ms,
     context::{Asked, Chain, Demand, Demands, Inputs, decide, homes, number},
     limits::{DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD, STANDING_MOST},
-    wire::{Demand as DemandMsg, List, Name, encode},
+    wire::{ContextDemand as DemandMsg, List, Name, encode},
 };
 use googletest::prelude::*;
 use remote_calls::{ContextRecord, ContextSpec, PlacedReplica};
@@ -78,8 +78,8 @@
     }
 }
 
-fn envelope(parts: &[coordination::wire::Popular]) -> coordination::wire::Envelope {
-    let msg = DemandMsg { service: "s".into(), parts: List(parts.to_vec()) }.into();
+fn envelope(parts: &[coordination::wire::ChainDemand]) -> coordination::wire::Envelope {
+    let msg = DemandMsg { service: "s".into(), chains: List(parts.to_vec()) }.into();
     coordination::wire::Envelope { from: "edge-1".into(), addr: "10.0.0.1:4000".into(), msg }
 }
 
@@ -87,7 +87,7 @@
 fn what_is_not_asked_for_any_more_decays_and_an_edge_that_is_gone_counts_no_more() {
     let mut d = Demand::default();
     (0..100).for_each(|i| d.ask(chain(1), i * 10));
-    let count = |p: &[coordination::wire::Popular]| p.first().map_or(0, |p| p.asked / 256);
+    let count = |p: &[coordination::wire::ChainDemand]| p.first().map_or(0, |p| p.requests / 256);
     expect_that!(count(&d.tell(1_000)), ge(90));
     expect_that!(count(&d.tell(1_000 + 2 * DEMAND_HALF)), all![ge(20), le(26)]);
     expect_that!(d.tell(1_000 + 20 * DEMAND_HALF), is_empty());
@@ -114,7 +114,7 @@
     }
     let all = d.tell(20_000);
     expect_that!(all.first().map(|p| p.chain), some(eq(1)));
-    let sure = |p: &coordination::wire::Popular| p.asked - p.error;
+    let sure = |p: &coordination::wire::ChainDemand| p.requests - p.overcount;
     expect_that!(all.iter().skip(1).map(sure).max().unwrap_or(0), lt(sure(&all[0]) / 20));
 }
 
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -8,7 +8,7 @@
     context::number,
     order::weight,
     register::{CONTEXT, DUTY},
-    wire::{Demand, List, Msg, Node, Poll, Popular},
+    wire::{ChainDemand, ContextDemand, List, Message, Node, Poll},
 };
 use fleet::{Fleet, addr};
 use googletest::prelude::*;
@@ -41,8 +41,16 @@
     };
     serde_json::from_value(json!({"replicas": (0..9).map(one).collect::<Vec<_>>()})).unwrap()
 }
-fn popular(chain: u64, asks: u32) -> Popular {
-    Popular { version: number("v1"), homes: 0, chain, tokens: 13_300, asked: asks * 256, error: 0, missed: 0 }
+fn popular(chain: u64, asks: u32) -> ChainDemand {
+    ChainDemand {
+        weights_version: number("v1"),
+        homes_digest: 0,
+        chain,
+        tokens: 13_300,
+        requests: asks * 256,
+        overcount: 0,
+        cache_misses: 0,
+    }
 }
 
 struct Duty {
@@ -83,35 +91,35 @@
                 role: 2,
                 zone: format!("z{e}").as_str().into(),
                 addr: name.as_str().into(),
-                http: "h".into(),
-                born: 1,
-                beat: now as u32,
-                age: 0,
+                http_addr: "h".into(),
+                incarnation: 1,
+                heartbeat: now as u32,
+                heartbeat_age: 0,
             };
             for i in 0..3 {
                 let poll = Poll {
                     node: node.clone(),
-                    life: 1,
-                    sent: now,
-                    run: 0,
-                    after: 0,
-                    since: 0,
-                    count: 1,
-                    tallies: List::default(),
-                    opens: List::default(),
-                    news: 1,
-                    seen: List::default(),
-                    choice: 0,
+                    proxy_incarnation: 1,
+                    sent_at: now,
+                    source_incarnation: 0,
+                    after_position: 0,
+                    counters_since: 0,
+                    counters_through: 1,
+                    counters: List::default(),
+                    open_streams: List::default(),
+                    has_versions: 1,
+                    versions: List::default(),
+                    selection: 0,
                 };
                 self.tell(i, &name, poll.into());
             }
-            let parts: List<Popular> = self.asked.iter().map(|c| popular(*c, 20)).collect();
+            let parts: List<ChainDemand> = self.asked.iter().map(|c| popular(*c, 20)).collect();
             if let Some(i) = holder.filter(|_| !parts.is_empty()) {
-                self.tell(i, &name, Demand { service: service().as_str().into(), parts }.into());
+                self.tell(i, &name, ContextDemand { service: service().as_str().into(), chains: parts }.into());
             }
         }
     }
-    fn tell(&mut self, i: usize, from: &str, m: Msg) {
+    fn tell(&mut self, i: usize, from: &str, m: Message) {
         let now = self.f.now;
         let Some(b) = self.f.all[i].brain.as_mut() else { return };
         let out = b.on_msg(&from.into(), &from.into(), m, now);
@@ -209,7 +217,7 @@
         d.run(4_000);
         // It still has the edges beside it, which ask for something else.
         for _ in 0..20 {
-            d.tell(old, "e0", Demand { service: service().as_str().into(), parts: List(vec![popular(77, 90)]) }.into());
+            d.tell(old, "e0", ContextDemand { service: service().as_str().into(), chains: List(vec![popular(77, 90)]) }.into());
             d.run(500);
         }
         expect_that!(d.f.held(old, &key()).map(|h| h.0), eq(before), "seed {seed}");
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 use remote_calls::PlatformList;
 use serde_json::json;
-use wire_messages::{Envelope, Msg, Name, Node, encode};
+use wire_messages::{Envelope, Message, Name, Node, encode};
 
 /// Lanes and replicas.
 const LANES: usize = 40;
@@ -32,7 +32,7 @@
     /// Percent of messages lost, and that come again late.
     lost: u32,
     twice: u32,
-    queue: Vec<(Ms, Name, Name, Msg)>,
+    queue: Vec<(Ms, Name, Name, Message)>,
     running: Vec<(Ms, Placed)>,
     passed: u64,
     /// Tallies and opens told in polls; the longest poll's.
@@ -121,9 +121,9 @@
             }
         }
     }
-    fn post(&mut self, from: &str, to: &Name, msg: Msg) {
-        if let Msg::Poll(m) = &msg {
-            let n = m.tallies.len() + m.opens.len();
+    fn post(&mut self, from: &str, to: &Name, msg: Message) {
+        if let Message::Poll(m) = &msg {
+            let n = m.counters.len() + m.open_streams.len();
             (self.told, self.longest) = (self.told + n, self.longest.max(n));
             let (from, addr) = (Name::from(from), Name::from(from));
             self.polled += encode(&Envelope { from, addr, msg: msg.clone() }).map_or(0, |b| b.len());
@@ -139,7 +139,7 @@
         let at = self.now + if own { 0 } else { self.rng.u64(1..20) };
         self.queue.push((at, to.clone(), from.into(), msg));
     }
-    fn deliver(&mut self, to: &str, from: &Name, msg: Msg) {
+    fn deliver(&mut self, to: &str, from: &Name, msg: Message) {
         let now = self.now;
         match to {
             "c" => {
@@ -151,7 +151,7 @@
                 self.carry("a", out);
             }
             _ => {
-                if let Msg::Board(m) = msg {
+                if let Message::TableUpdate(m) = msg {
                     self.proxy.on_board(m, now);
                 }
             }
@@ -226,7 +226,7 @@
 }
 
 fn agent(born: u64, now: Ms, seed: u64) -> Agent {
-    let me = Node { name: "a".into(), zone: "z".into(), addr: "a".into(), born, ..Node::default() };
+    let me = Node { name: "a".into(), zone: "z".into(), addr: "a".into(), incarnation: born, ..Node::default() };
     Agent::new(me, vec!["c".into()], seed, now)
 }
 fn proxy(born: u64, seed: u64) -> Proxy {
--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -8,7 +8,7 @@
     agent::Agent,
     control::{Caller, Control, ControlParams},
     limits::{KNOWS_FLEET, TICK},
-    wire::{Msg, Name, Node, ProxyHello},
+    wire::{Message, Name, Node, ProxyReport},
 };
 use googletest::prelude::*;
 
@@ -70,7 +70,7 @@
     edges: BTreeMap<Name, EdgeHost>,
     gone: BTreeSet<Name>,
     cut: Option<Name>,
-    queue: BTreeMap<(Ms, u64), (Name, Name, Msg)>,
+    queue: BTreeMap<(Ms, u64), (Name, Name, Message)>,
     sequence: u64,
     rng: fastrand::Rng,
 }
@@ -97,7 +97,8 @@
         (0..CONTROLS).for_each(|i| plane.add_control(i, true));
         for i in 0..edges {
             let (name, zone) = (Name::from(format!("e{i}").as_str()), i % ZONES.len());
-            let node = Node { name: name.clone(), addr: name.clone(), zone: ZONES[zone].0.into(), born: 1, ..Node::default() };
+            let node =
+                Node { name: name.clone(), addr: name.clone(), zone: ZONES[zone].0.into(), incarnation: 1, ..Node::default() };
             let mut agent = Agent::new(node, seeds(), plane.rng.u64(..), plane.now);
             agent.set_regions(regions());
             agent.set_serve_on(true);
@@ -163,7 +164,7 @@
         }
     }
 
-    fn deliver(&mut self, to: &Name, from: &Name, msg: Msg) {
+    fn deliver(&mut self, to: &Name, from: &Name, msg: Message) {
         let now = self.now;
         let out = match (self.edges.get_mut(to), self.controls.get_mut(to).and_then(|c| c.brain.as_mut())) {
             (Some(e), _) if !self.gone.contains(to) => e.agent.on_msg(from, from, msg, now),
@@ -179,9 +180,9 @@
         e.next_tick = now + TICK;
         let mut out = vec![];
         if now % HELLO < TICK {
-            let hello = ProxyHello { born: 1, http: format!("h-{name}").as_str().into(), ..ProxyHello::default() };
+            let hello = ProxyReport { incarnation: 1, http_addr: format!("h-{name}").as_str().into(), ..ProxyReport::default() };
             let proxy: Name = format!("p-{name}").into();
-            out = e.agent.on_msg(&proxy, &proxy, Msg::from(hello), now);
+            out = e.agent.on_msg(&proxy, &proxy, Message::from(hello), now);
         }
         out.extend(e.agent.tick(now));
         self.carry(name, out);
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -12,7 +12,7 @@
     order::weight_of,
     pass::{Ask, PassEnd, Told},
     proxy::{Admit, Placed, Proxy},
-    wire::{Blob, Board, Change, List, Node},
+    wire::{Blob, Change, List, Node, TableUpdate},
 };
 use remote_calls::{ContextRecord, ContextSpec, PathSpec, PlacedReplica, StandingPart};
 use serde_json::json;
@@ -80,8 +80,8 @@
     Arrive { proxy: usize, placed: Placed, parts: Vec<(u64, u32)>, at: Ms, chain: u64, tried: Vec<String> },
     First { proxy: usize, placed: Placed, at: Ms, chain: u64, read: bool },
     Board { proxy: usize, m: Box<Change> },
-    Readings { proxy: usize, m: coordination::wire::Readings },
-    Demand { from: usize, m: coordination::wire::Demand },
+    Readings { proxy: usize, m: coordination::wire::PrefillReport },
+    Demand { from: usize, m: coordination::wire::ContextDemand },
 }
 
 pub struct World {
@@ -129,10 +129,10 @@
         role: 2,
         zone: ZONES[i % 3].into(),
         addr: format!("e{i}").into(),
-        http: format!("h{i}").into(),
-        born: 1,
-        beat: 1,
-        age: 0,
+        http_addr: format!("h{i}").into(),
+        incarnation: 1,
+        heartbeat: 1,
+        heartbeat_age: 0,
     };
     (0..n).map(edge).collect()
 }
@@ -185,12 +185,12 @@
         let spec = change("spec", 1, 1, spec.to_string().into_bytes());
         let nodes = edges(proxies);
         for p in &mut w.proxies {
-            let m = Board {
-                life: 1,
-                heard: 0,
-                rule: RULE_ALL,
-                until: Ms::MAX,
-                full: 1,
+            let m = TableUpdate {
+                proxy_incarnation: 1,
+                counters_through: 0,
+                serving_rule: RULE_ALL,
+                valid_until: Ms::MAX,
+                is_snapshot: 1,
                 changes: List(vec![spec.clone()]),
                 leases: List::default(),
                 nodes: nodes.clone(),
@@ -377,12 +377,12 @@
                 if self.cut.contains(&proxy) {
                     return;
                 }
-                let m = Board {
-                    life: 1,
-                    heard: 0,
-                    rule: RULE_ALL,
-                    until: Ms::MAX,
-                    full: 0,
+                let m = TableUpdate {
+                    proxy_incarnation: 1,
+                    counters_through: 0,
+                    serving_rule: RULE_ALL,
+                    valid_until: Ms::MAX,
+                    is_snapshot: 0,
                     changes: List(vec![*m]),
                     leases: List::default(),
                     nodes: edges(self.proxies.len()),
@@ -391,13 +391,13 @@
             }
             Ev::Readings { proxy, m } => self.proxies[proxy].on_readings(m, self.now),
             Ev::Demand { from, m } => {
-                self.told_bytes += 36 * m.parts.len() as u64;
+                self.told_bytes += 36 * m.chains.len() as u64;
                 let now = self.now;
                 // Until another holds the duty edges tell the one that hangs.
                 if now < self.holder.since {
                     return;
                 }
-                self.holder.demands.tell(&format!("e{from}").as_str().into(), m.parts.0, now);
+                self.holder.demands.tell(&format!("e{from}").as_str().into(), m.chains.0, now);
             }
         }
     }
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -5,7 +5,7 @@
 use coordination::{Ms, WriteOutcome, control::SPEC, register::Expect};
 use fleet::{Fleet, addr};
 use googletest::prelude::*;
-use wire_messages::Msg;
+use wire_messages::Message;
 
 /// A document of a release, in the product's own spelling; `mark` tells two of one release apart.
 fn document(release: u64, mark: u64) -> Vec<u8> {
@@ -151,11 +151,11 @@
         let owner = (0..3).find(|i| f.brain(*i).unwrap().regs.holds(SPEC, f.now).is_some()).expect("an owner");
         let (own, other) = (addr(owner), (owner + 1) % 3);
         // Offered to its own disk only; then another owns the key.
-        f.sieve = Box::new(move |from, to, m| *from != own || from == to || !matches!(m, Msg::Accept(_)));
+        f.sieve = Box::new(move |from, to, m| *from != own || from == to || !matches!(m, Message::Accept(_)));
         send(f, owner, Expect::Release(1), &document(9, 0));
         f.run(50);
         f.kill(owner);
-        f.sieve = Box::new(|_, _, m| !matches!(m, Msg::SlotsAsk(_)));
+        f.sieve = Box::new(|_, _, m| !matches!(m, Message::SlotsRequest(_)));
         f.run(2_500);
         f.all[owner].sync = 100;
         f.start(owner);
--- a/coordination/tests/feed.rs
+++ b/coordination/tests/feed.rs
@@ -12,7 +12,7 @@
     agent::Agent,
     control::SPEC,
     limits::{POLL_EVERY, PUSH_TAKES, PUSHED_TO, TICK},
-    wire::{Envelope, Msg, Name, Node, encode},
+    wire::{Envelope, Message, Name, Node, encode},
 };
 use fleet::Fleet;
 use googletest::prelude::*;
@@ -48,13 +48,13 @@
 }
 
 /// What is on its way: where to, from whom, at which address.
-type Sent = (Name, Name, Name, Msg);
+type Sent = (Name, Name, Name, Message);
 
 struct Land {
     fleet: Fleet,
     edges: BTreeMap<Name, Edge>,
     /// What daemons sent to edges, taken off the fleet's own network.
-    told: Rc<RefCell<Vec<(Name, Name, Msg)>>>,
+    told: Rc<RefCell<Vec<(Name, Name, Message)>>>,
     way: BTreeMap<(Ms, u64), Sent>,
     seq: u64,
     /// Bytes from daemons to edges of other regions.
@@ -70,7 +70,7 @@
     fn new(seed: u64) -> Self {
         let mut fleet = Fleet::founded(seed, DAEMONS, region);
         fleet.run(6_000);
-        let told: Rc<RefCell<Vec<(Name, Name, Msg)>>> = Rc::default();
+        let told: Rc<RefCell<Vec<(Name, Name, Message)>>> = Rc::default();
         let cut: Rc<Cell<Option<usize>>> = Rc::default();
         let (log, sides) = (told.clone(), cut.clone());
         fleet.sieve = Box::new(move |from, to, m| {
@@ -96,8 +96,14 @@
         for i in 0..DAEMONS * EDGES {
             let (zone, name): (usize, Name) = (i % DAEMONS, format!("e{i}").into());
             let at = format!("z{zone}");
-            let me =
-                Node { name: name.clone(), addr: name.clone(), role: 2, zone: at.as_str().into(), born: 1, ..Node::default() };
+            let me = Node {
+                name: name.clone(),
+                addr: name.clone(),
+                role: 2,
+                zone: at.as_str().into(),
+                incarnation: 1,
+                ..Node::default()
+            };
             let mut agent = Agent::new(me, (0..3).map(fleet::addr).collect(), seed + i as u64, l.fleet.now);
             agent.set_regions(regions.clone());
             agent.set_serve_on(true);
@@ -107,7 +113,7 @@
         l
     }
 
-    fn post(&mut self, from: &Name, addr: &Name, to: Name, msg: Msg) {
+    fn post(&mut self, from: &Name, addr: &Name, to: Name, msg: Message) {
         let zone = |n: &Name| self.edges.get(n).map_or_else(|| zone_of(n), |e| e.zone);
         let far = region(zone(addr)) != region(zone(&to));
         let inside = |n: &Name| self.cut.get().is_some_and(|r| zone(n) % REGIONS == r);
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
     control::{Control, ControlParams},
     limits::{SYNC_LATE, TICK},
 };
-use wire_messages::{Msg, Name};
+use wire_messages::{Message, Name};
 
 pub struct Daemon {
     pub p: ControlParams,
@@ -34,14 +34,14 @@
 }
 
 enum Ev {
-    Deliver { to: Name, from: Name, addr: Name, msg: Box<Msg> },
+    Deliver { to: Name, from: Name, addr: Name, msg: Box<Message> },
     Synced { at: usize, life: u64, rows: Vec<Row>, then: Effects },
 }
 
 /// Decides a message's fate: `false` loses it.
-type Sieve = Box<dyn Fn(&Name, &Name, &Msg) -> bool>;
+type Sieve = Box<dyn Fn(&Name, &Name, &Message) -> bool>;
 /// Changes a message before a daemon of this member epoch reads it.
-type Change = Box<dyn Fn(u32, &mut Msg)>;
+type Change = Box<dyn Fn(u32, &mut Message)>;
 
 pub struct Fleet {
     pub now: Ms,
@@ -327,7 +327,7 @@
     /// Every voter list ever stored under member epoch 1, on any disk.
     pub fn first_voters(&self) -> BTreeSet<Vec<u64>> {
         let lists = self.all.iter().filter_map(|d| match d.disk.get("\0members") {
-            Some(Row::Members { member_epoch: 1, voters, .. }) => Some(voters.iter().map(|v| v.disk).collect()),
+            Some(Row::Members { member_epoch: 1, voters, .. }) => Some(voters.iter().map(|v| v.disk_id).collect()),
             _ => None,
         });
         lists.collect()
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -5,7 +5,7 @@
 use coordination::WriteOutcome;
 use fleet::{Fleet, addr};
 use googletest::prelude::*;
-use wire_messages::Msg;
+use wire_messages::Message;
 
 fn one_region(_: usize) -> String {
     "r".into()
@@ -81,7 +81,7 @@
         for i in (0..3).filter(|i| *i != slow) {
             f.add(i, &[0, 1, 2], true, &Default::default());
         }
-        f.sieve = Box::new(|_, _, m| !matches!(m, Msg::Genesis(_) | Msg::Slots(_)));
+        f.sieve = Box::new(|_, _, m| !matches!(m, Message::Bootstrap(_) | Message::SlotsReply(_)));
         f.run(3_000);
         expect_that!(f.voting(), is_empty());
         f.add(slow, &[0, 1, 2], true, &Default::default());
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -8,7 +8,7 @@
     membership::{EDGE, Membership},
 };
 use googletest::prelude::*;
-use wire_messages::{Envelope, Msg, Name, Node, encode};
+use wire_messages::{Envelope, Message, Name, Node, encode};
 
 /// Nodes that shuffle over a network that loses every tenth message.
 struct Bench {
@@ -27,7 +27,7 @@
     }
     fn add(&mut self, i: usize, seeds: &[&str]) {
         let name: Name = format!("n{i}").into();
-        let me = Node { name: name.clone(), addr: name.clone(), role: EDGE, born: self.now + 1, ..Node::default() };
+        let me = Node { name: name.clone(), addr: name.clone(), role: EDGE, incarnation: self.now + 1, ..Node::default() };
         let seeds = seeds.iter().map(|s| (*s).into()).collect();
         self.nodes.insert(name, Membership::new(me, seeds, self.rng.u64(..)));
     }
@@ -43,7 +43,7 @@
             }
             while let Some((from, o)) = out.pop() {
                 for e in o {
-                    let Effect::Send { to, msg: Msg::Shuffle(m) } = e else { continue };
+                    let Effect::Send { to, msg: Message::Shuffle(m) } = e else { continue };
                     if let Some(b) = &mut self.bytes {
                         let e = Envelope { from: from.clone(), addr: from.clone(), msg: m.clone().into() };
                         *b += encode(&e).map_or(0, |b| b.len());
@@ -154,20 +154,20 @@
 fn turn(from: &mut Membership, to: &mut Membership, name: &str, now: Ms) {
     let mut out = vec![];
     from.tick(now, &mut out);
-    let me = Node { name: name.into(), addr: name.into(), role: EDGE, born: 1, beat: now as u32, ..Node::default() };
+    let me = Node { name: name.into(), addr: name.into(), role: EDGE, incarnation: 1, heartbeat: now as u32, ..Node::default() };
     to.hear(&me, now, &mut vec![]);
     for e in out {
-        let Effect::Send { msg: Msg::Shuffle(m), .. } = e else { continue };
+        let Effect::Send { msg: Message::Shuffle(m), .. } = e else { continue };
         to.on_shuffle(&name.into(), m, now, &mut vec![]);
     }
 }
 
 #[gtest]
 fn a_beat_that_is_passed_to_and_fro_gets_no_younger() {
-    let node = |n: &str| Node { name: n.into(), addr: n.into(), role: EDGE, born: 1, ..Node::default() };
+    let node = |n: &str| Node { name: n.into(), addr: n.into(), role: EDGE, incarnation: 1, ..Node::default() };
     let new = |n: &str| Membership::new(node(n), vec![], 1);
     let (mut a, mut b, mut out) = (new("a"), new("b"), vec![]);
-    a.hear(&Node { beat: 9, ..node("c") }, 10_000, &mut out);
+    a.hear(&Node { heartbeat: 9, ..node("c") }, 10_000, &mut out);
     for now in (10_000..14_000).step_by(TICK as usize) {
         turn(&mut a, &mut b, "a", now);
         turn(&mut b, &mut a, "b", now);
@@ -185,7 +185,7 @@
     let who = Name::from("n7");
     b.nodes.entry(who.clone()).and_modify(|m| m.set_http("10.0.0.7:80"));
     b.run(6_000);
-    let lacks = |m: &&Membership| m.me().name != who && m.get(&who).is_none_or(|n| n.http.is_empty());
+    let lacks = |m: &&Membership| m.me().name != who && m.get(&who).is_none_or(|n| n.http_addr.is_empty());
     expect_that!(b.nodes.values().filter(lacks).count(), eq(0));
 }
 
--- a/coordination/tests/newcomers.rs
+++ b/coordination/tests/newcomers.rs
@@ -3,7 +3,7 @@
 
 use coordination::{Effect, Effects, Row, control::Control, control::ControlParams};
 use googletest::prelude::*;
-use wire_messages::{Genesis, List, Msg, Name, Slots, SlotsAsk, Voter};
+use wire_messages::{Bootstrap, List, Message, Name, SlotsReply, SlotsRequest, Voter};
 
 const DISK: u64 = 9;
 /// How a daemon stands to its member epoch, as `Slots` tells.
@@ -12,7 +12,7 @@
 const LEFT: u8 = 2;
 
 fn voter(name: &str, disk: u64, since: u32) -> Voter {
-    Voter { name: name.into(), disk, addr: format!("{name}:1").into(), zone: "z".into(), since }
+    Voter { name: name.into(), disk_id: disk, addr: format!("{name}:1").into(), zone: "z".into(), since_epoch: since }
 }
 fn params() -> ControlParams {
     ControlParams {
@@ -40,18 +40,18 @@
     vec![voter("a", 1, 1), voter("b", 2, 1), voter("c", 3, 1)]
 }
 fn tells(c: &mut Control, from: &str, member_epoch: u32, voting: u8, voters: Vec<Voter>) -> bool {
-    let m = Slots { member_epoch, voting, before: 3, voters: List(voters), slots: List::default() };
-    c.on_msg(&from.into(), &format!("{from}:1").into(), Msg::Slots(m), 5_000);
+    let m = SlotsReply { member_epoch, voting, previous_voter_count: 3, voters: List(voters), slots: List::default() };
+    c.on_msg(&from.into(), &format!("{from}:1").into(), Message::SlotsReply(m), 5_000);
     c.regs.voting
 }
 /// What a daemon says of itself to one that asks.
 fn says(c: &mut Control) -> Option<(u32, u8)> {
-    let ask = SlotsAsk { member_epoch: c.regs.member_epoch, have: List::default() };
-    let out: Effects = c.on_msg(&Name::from("x"), &Name::from("x:1"), Msg::SlotsAsk(ask), 6_000);
+    let ask = SlotsRequest { member_epoch: c.regs.member_epoch, known: List::default() };
+    let out: Effects = c.on_msg(&Name::from("x"), &Name::from("x:1"), Message::SlotsRequest(ask), 6_000);
     out.iter().find_map(|e| match e {
         // Only once all that it has voted is on its disk.
         Effect::Persist { then, .. } => then.iter().find_map(|e| match e {
-            Effect::Send { msg: Msg::Slots(s), .. } => Some((s.member_epoch, s.voting)),
+            Effect::Send { msg: Message::SlotsReply(s), .. } => Some((s.member_epoch, s.voting)),
             _ => None,
         }),
         _ => None,
@@ -120,7 +120,7 @@
 fn only_a_disk_among_the_first_voters_takes_their_list() {
     let told = |voters: Vec<Voter>| {
         let mut c = Control::new(params(), DISK, vec![], 1, 0);
-        c.on_msg(&"a".into(), &"a:1".into(), Msg::Genesis(Genesis { voters: List(voters) }), 5_000);
+        c.on_msg(&"a".into(), &"a:1".into(), Message::Bootstrap(Bootstrap { voters: List(voters) }), 5_000);
         (c.regs.voting, c.regs.member_epoch)
     };
     expect_that!(told(with_place(1)), eq((true, 1)));
@@ -128,6 +128,6 @@
     expect_that!(told(vec![voter("a", 1, 1), voter("b", 2, 1), voter("n", DISK + 1, 1)]), eq((false, 0)));
     // Nor does one that knows voters already.
     let mut c = daemon(2, without_place(), false);
-    c.on_msg(&"a".into(), &"a:1".into(), Msg::Genesis(Genesis { voters: List(with_place(1)) }), 5_000);
+    c.on_msg(&"a".into(), &"a:1".into(), Message::Bootstrap(Bootstrap { voters: List(with_place(1)) }), 5_000);
     expect_that!((c.regs.voting, c.regs.member_epoch), eq((false, 2)));
 }
--- a/coordination/tests/news.rs
+++ b/coordination/tests/news.rs
@@ -7,7 +7,8 @@
     limits::{MISSED, POLL_EVERY, PUSH_TAKES, TICK},
     register::Expect,
     wire::{
-        Blob, Change, Digests, Heartbeat, Lease, List, Msg, Name, News, Node, Poll, ProxyHello, Reading, Readings, Shuffle, Tally,
+        Blob, Change, Heartbeat, Lease, List, Message, Name, Node, OutcomeCounters, Poll, Prefill, PrefillReport, ProxyReport,
+        Shuffle, TableDigests, Update,
     },
 };
 use googletest::prelude::*;
@@ -16,14 +17,33 @@
 const LONG: usize = 30_000;
 
 fn node(name: &str, role: u8) -> Node {
-    Node { name: name.into(), addr: name.into(), role, zone: "z".into(), http: "h".into(), born: 1, beat: 1, age: 0 }
+    Node {
+        name: name.into(),
+        addr: name.into(),
+        role,
+        zone: "z".into(),
+        http_addr: "h".into(),
+        incarnation: 1,
+        heartbeat: 1,
+        heartbeat_age: 0,
+    }
 }
 fn change(key: &str, version: u64, bytes: usize) -> Change {
     Change { key: key.into(), epoch: 1, version, value: Blob(vec![7; bytes]) }
 }
-fn news(changes: Vec<Change>, sent: u64) -> Msg {
+fn news(changes: Vec<Change>, sent: u64) -> Message {
     let (run, upto, voters) = (1, 9, 3);
-    News { sent, run, upto, full: 1, settled: 1, voters, changes: List(changes), ..News::default() }.into()
+    Update {
+        poll_sent_at: sent,
+        source_incarnation: run,
+        through_position: upto,
+        is_snapshot: 1,
+        is_settled: 1,
+        voter_count: voters,
+        changes: List(changes),
+        ..Update::default()
+    }
+    .into()
 }
 fn agent(name: &str, changes: Vec<Change>) -> Agent {
     let mut a = Agent::new(node(name, 2), vec!["c1".into()], 7, 0);
@@ -33,24 +53,24 @@
     }
     a
 }
-fn sends(out: Vec<Effect>) -> Vec<(Name, Msg)> {
+fn sends(out: Vec<Effect>) -> Vec<(Name, Message)> {
     out.into_iter().filter_map(|e| if let Effect::Send { to, msg } = e { Some((to, msg)) } else { None }).collect()
 }
-fn bytes(m: &Msg) -> usize {
-    let Msg::Mend(m) = m else { return 0 };
+fn bytes(m: &Message) -> usize {
+    let Message::Repair(m) = m else { return 0 };
     m.changes.iter().map(|c| c.value.0.len()).sum()
 }
 
 /// Passes mending messages to and fro until nothing is left; gives the bytes of values that travelled.
 fn mend(a: &mut Agent, b: &mut Agent) -> usize {
     let ranges = List(b.board().digests());
-    let mut box_of: Vec<(Name, Msg)> = vec![("a".into(), Digests { sent: 20, ranges }.into())];
+    let mut box_of: Vec<(Name, Message)> = vec![("a".into(), TableDigests { sent_at: 20, ranges }.into())];
     let mut sum = 0;
     while let Some((to, m)) = box_of.pop() {
         sum += bytes(&m);
         let (at, from) = if &*to == "a" { (&mut *a, "b") } else { (&mut *b, "a") };
         let out = sends(at.on_msg(&from.into(), &from.into(), m, 30));
-        box_of.extend(out.into_iter().filter(|(t, m)| t.len() == 1 && matches!(m, Msg::Mend(_))));
+        box_of.extend(out.into_iter().filter(|(t, m)| t.len() == 1 && matches!(m, Message::Repair(_))));
     }
     sum
 }
@@ -74,10 +94,10 @@
 fn one_that_serves_on_does_not_ask_every_edge_while_it_is_cut_off() {
     let mut a = agent("a", vec![change("spec", 1, 10)]);
     let nodes: List<Node> = (0..87).map(|i| node(&format!("e{i}"), 2)).collect();
-    a.on_msg(&"e0".into(), &"e0".into(), Shuffle { nodes, answer: 1, ..Shuffle::default() }.into(), 10);
+    a.on_msg(&"e0".into(), &"e0".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     let mut asked = 0;
     for now in (20..2 * MISSED + 3_000).step_by(TICK as usize) {
-        asked += sends(a.tick(now)).iter().filter(|(_, m)| matches!(m, Msg::Digests(_))).count();
+        asked += sends(a.tick(now)).iter().filter(|(_, m)| matches!(m, Message::TableDigests(_))).count();
     }
     expect_that!(asked, le(12));
 }
@@ -85,24 +105,19 @@
 #[gtest]
 fn places_are_told_to_a_daemon_until_it_has_answered_to_them() {
     let mut a = agent("a", vec![change("spec", 1, 10)]);
-    a.on_msg(
-        &"c1".into(),
-        &"c1".into(),
-        Shuffle { nodes: List(vec![node("c1", 1)]), answer: 1, ..Shuffle::default() }.into(),
-        10,
-    );
+    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes: List(vec![node("c1", 1)]), step: 1, ..Shuffle::default() }.into(), 10);
     let polls = |a: &mut Agent, from: u64, to: u64| -> Vec<Poll> {
         let out = (from..to).step_by(TICK as usize).flat_map(|t| sends(a.tick(t))).collect::<Vec<_>>();
-        out.into_iter().filter_map(|(_, m)| if let Msg::Poll(p) = m { Some(p) } else { None }).collect()
+        out.into_iter().filter_map(|(_, m)| if let Message::Poll(p) = m { Some(p) } else { None }).collect()
     };
     let first = polls(&mut a, 20, 1_500);
     expect_that!(first.len(), ge(2));
-    expect_true!(first.iter().all(|p| p.news == 1 && p.seen.len() == 1), "nothing was answered yet");
-    let last = first.last().map_or(0, |p| p.sent);
+    expect_true!(first.iter().all(|p| p.has_versions == 1 && p.versions.len() == 1), "nothing was answered yet");
+    let last = first.last().map_or(0, |p| p.sent_at);
     a.on_msg(&"c1".into(), &"c1".into(), news(vec![], last), 1_510);
-    expect_true!(polls(&mut a, 1_520, 2_600).iter().all(|p| p.news == 0 && p.seen.is_empty()));
+    expect_true!(polls(&mut a, 1_520, 2_600).iter().all(|p| p.has_versions == 0 && p.versions.is_empty()));
     a.on_msg(&"c1".into(), &"c1".into(), news(vec![change("spec", 2, 10)], last), 2_610);
-    expect_true!(polls(&mut a, 2_620, 3_600).iter().any(|p| p.news == 1 && p.seen.len() == 1));
+    expect_true!(polls(&mut a, 2_620, 3_600).iter().any(|p| p.has_versions == 1 && p.versions.len() == 1));
 }
 
 #[gtest]
@@ -111,19 +126,19 @@
     a.set_regions([("z", "r1"), ("y", "r2")].map(|(z, r)| (z.to_string(), r.to_string())).into());
     let at = |n: &str, zone: &str| Node { zone: zone.into(), ..node(n, 1) };
     let nodes = List(vec![at("c1", "z"), at("c2", "y"), at("c3", "y")]);
-    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes, answer: 1, ..Shuffle::default() }.into(), 10);
+    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     // Answers every question at once; c2 holds a duty.
     let mut version = 1;
     let asked = |a: &mut Agent, from: u64, to: u64| -> [usize; 3] {
         let mut n = [0; 3];
         for now in (from..to).step_by(TICK as usize) {
             for (to, m) in sends(a.tick(now)) {
-                let Msg::Poll(p) = m else { continue };
+                let Message::Poll(p) = m else { continue };
                 n[usize::from(to.as_bytes()[1] - b'1')] += 1;
-                let lease = Lease { service: "s".into(), epoch: 1, version: 1, canary_share: 0, ttl: 2_000 };
+                let lease = Lease { service: "s".into(), epoch: 1, record_version: 1, canary_share_percent: 0, ttl_ms: 2_000 };
                 let leases = if &*to == "c2" { vec![lease] } else { vec![] };
-                let Msg::News(news) = news(vec![], p.sent) else { continue };
-                a.on_msg(&to, &to, News { leases: List(leases), ..news }.into(), now);
+                let Message::Update(news) = news(vec![], p.sent_at) else { continue };
+                a.on_msg(&to, &to, Update { leases: List(leases), ..news }.into(), now);
             }
         }
         n
@@ -146,20 +161,21 @@
 fn what_a_proxy_sent_comes_once_to_those_that_share_the_replica_with_it() {
     let mut a = agent("a", vec![change("spec", 1, 10)]);
     a.set_regions([("z", "r1"), ("z2", "r1"), ("y", "r2"), ("x", "r3")].map(|(z, r)| (z.to_string(), r.to_string())).into());
-    let in_region = |r: &str| -> Msg {
-        let all = List(vec![Reading { replica: 7, ms: 400, parts: List(vec![1, 2]) }]);
-        Readings { by: "p".into(), zone: "z".into(), region: r.into(), all, failing: List(vec![9]) }.into()
+    let in_region = |r: &str| -> Message {
+        let all = List(vec![Prefill { replica_number: 7, duration_ms: 400, blocks: List(vec![1, 2]) }]);
+        PrefillReport { proxy: "p".into(), zone: "z".into(), region: r.into(), prefills: all, failing_replicas: List(vec![9]) }
+            .into()
     };
     let m = || in_region("r1");
     let at = |n: &str, role, zone: &str| Node { zone: zone.into(), ..node(n, role) };
     let nodes: List<Node> =
         [at("e1", 2, "z"), at("e2", 2, "z2"), at("e3", 2, "y"), at("e4", 2, "x"), at("c1", 1, "z")].into_iter().collect();
-    a.on_msg(&"e1".into(), &"e1".into(), Shuffle { nodes, answer: 1, ..Shuffle::default() }.into(), 10);
+    a.on_msg(&"e1".into(), &"e1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     expect_that!(sends(a.on_msg(&"e1".into(), &"e1".into(), m(), 20)), is_empty(), "there is no proxy yet");
-    let hello = ProxyHello { born: 1, http: "h".into(), ..ProxyHello::default() };
+    let hello = ProxyReport { incarnation: 1, http_addr: "h".into(), ..ProxyReport::default() };
     a.on_msg(&"p".into(), &"p".into(), hello.into(), 30);
     let to = |out: Vec<Effect>| {
-        let readings = sends(out).into_iter().filter(|(_, o)| matches!(o, Msg::Readings(_)));
+        let readings = sends(out).into_iter().filter(|(_, o)| matches!(o, Message::PrefillReport(_)));
         readings.map(|(n, _)| n.to_string()).collect::<Vec<_>>()
     };
     expect_that!(to(a.on_msg(&"p".into(), &"p".into(), m(), 40)), unordered_elements_are![eq("e1"), eq("e2")]);
@@ -173,15 +189,15 @@
 
 #[gtest]
 fn an_agent_that_starts_asks_a_control_daemon_as_soon_as_it_knows_of_it() {
-    let shuffle = |names: &[&str]| -> Msg {
+    let shuffle = |names: &[&str]| -> Message {
         Shuffle {
             nodes: names.iter().map(|n| node(n, if n.starts_with('c') { 1 } else { 2 })).collect(),
-            answer: 1,
+            step: 1,
             ..Shuffle::default()
         }
         .into()
     };
-    let polls = |out: Vec<Effect>| sends(out).into_iter().filter(|(_, m)| matches!(m, Msg::Poll(_))).count();
+    let polls = |out: Vec<Effect>| sends(out).into_iter().filter(|(_, m)| matches!(m, Message::Poll(_))).count();
     let mut a = Agent::new(node("a", 2), vec!["c1".into()], 7, 0);
     a.tick(TICK);
     a.on_msg(&"c1".into(), &"c1".into(), shuffle(&["c1"]), 60);
@@ -199,9 +215,11 @@
 #[gtest]
 fn a_proxy_that_starts_beside_its_agent_gets_the_board_at_once() {
     let mut a = agent("a", vec![change("spec", 1, 10)]);
-    let boards = |out: Vec<Effect>| sends(out).into_iter().filter(|(_, m)| matches!(m, Msg::Board(b) if b.full == 1)).count();
+    let boards = |out: Vec<Effect>| {
+        sends(out).into_iter().filter(|(_, m)| matches!(m, Message::TableUpdate(b) if b.is_snapshot == 1)).count()
+    };
     for (life, now) in [(1, 30), (2, 100)] {
-        let hello = ProxyHello { born: life, http: "h".into(), ..ProxyHello::default() };
+        let hello = ProxyReport { incarnation: life, http_addr: "h".into(), ..ProxyReport::default() };
         a.on_msg(&"p".into(), &"p".into(), hello.into(), now);
         expect_that!(boards(a.tick(now + 1)), eq(1), "life {life}");
     }
@@ -211,18 +229,44 @@
 fn tallies_go_to_the_daemons_that_keep_them_and_all_again_when_they_choose_anew() {
     let mut a = agent("e1", vec![]);
     let nodes = ["c1", "c2", "c3"].iter().map(|n| node(n, 1)).collect();
-    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes, answer: 1, ..Shuffle::default() }.into(), 10);
-    let tally = |s: &str| Tally { service: s.into(), version: "v".into(), lane: "l".into(), sent: 1, ..Tally::default() };
-    let hello = ProxyHello { born: 1, upto: 1, tallies: List(vec![tally("s1"), tally("s2")]), ..ProxyHello::default() };
+    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
+    let tally = |s: &str| OutcomeCounters {
+        service: s.into(),
+        version: "v".into(),
+        lane: "l".into(),
+        sent: 1,
+        ..OutcomeCounters::default()
+    };
+    let hello = ProxyReport {
+        incarnation: 1,
+        through_change: 1,
+        counters: List(vec![tally("s1"), tally("s2")]),
+        ..ProxyReport::default()
+    };
     let told = |a: &mut Agent, now| -> Vec<(Name, u32, Vec<Name>)> {
-        a.on_msg(&"p".into(), &"p".into(), ProxyHello { after: 1, tallies: List::default(), ..hello.clone() }.into(), now);
-        let polls = sends(a.tick(now)).into_iter().filter_map(|(to, m)| if let Msg::Poll(p) = m { Some((to, p)) } else { None });
-        polls.map(|(to, p)| (to, p.choice, p.tallies.iter().map(|t| t.service.clone()).collect())).collect()
+        a.on_msg(
+            &"p".into(),
+            &"p".into(),
+            ProxyReport { after_change: 1, counters: List::default(), ..hello.clone() }.into(),
+            now,
+        );
+        let polls =
+            sends(a.tick(now)).into_iter().filter_map(|(to, m)| if let Message::Poll(p) = m { Some((to, p)) } else { None });
+        polls.map(|(to, p)| (to, p.selection, p.counters.iter().map(|t| t.service.clone()).collect())).collect()
     };
     a.on_msg(&"p".into(), &"p".into(), hello.clone().into(), 20);
     let says = |a: &mut Agent, c: &str, choice, counts: &[&str], sent| {
         let counts = counts.iter().map(|s| (*s).into()).collect();
-        let m = News { sent, run: 1, upto: 9, settled: 1, voters: 3, choice, counts, ..News::default() };
+        let m = Update {
+            poll_sent_at: sent,
+            source_incarnation: 1,
+            through_position: 9,
+            is_settled: 1,
+            voter_count: 3,
+            selection: choice,
+            selected_services: counts,
+            ..Update::default()
+        };
         a.on_msg(&c.into(), &c.into(), m.into(), sent + 5);
     };
     says(&mut a, "c1", 1, &["s1"], 30);
@@ -261,36 +305,36 @@
         (0..200).for_each(|_| drop(a.tick()));
         a
     }
-    fn carry(&mut self, mut out: Vec<Effect>) -> Vec<News> {
+    fn carry(&mut self, mut out: Vec<Effect>) -> Vec<Update> {
         let mut news = vec![];
         while let Some(e) = out.pop() {
             match e {
                 Effect::Send { to, msg } if &*to == "c" => out.extend(self.c.on_msg(&to, &to, msg, self.now)),
-                Effect::Send { msg: Msg::News(m), .. } => news.push(m),
+                Effect::Send { msg: Message::Update(m), .. } => news.push(m),
                 Effect::Persist { then, .. } => out.extend(then),
                 _ => {}
             }
         }
         news
     }
-    fn tick(&mut self) -> Vec<News> {
+    fn tick(&mut self) -> Vec<Update> {
         self.now += TICK;
         let out = self.c.tick(self.now);
         self.carry(out)
     }
-    fn write(&mut self, key: &str, bytes: usize) -> Vec<News> {
+    fn write(&mut self, key: &str, bytes: usize) -> Vec<Update> {
         let (_, out) = self.c.write(key, Expect::Any, vec![7; bytes], self.now);
         self.carry(out)
     }
     /// The answers to an agent's question, which has the feed of `run` up to a place.
-    fn poll(&mut self, run: u64, after: u64) -> Vec<News> {
+    fn poll(&mut self, run: u64, after: u64) -> Vec<Update> {
         let node = Node { zone: self.zone.into(), ..node("e", 2) };
-        let m = Poll { node, sent: self.now, run, after, ..Poll::default() };
+        let m = Poll { node, sent_at: self.now, source_incarnation: run, after_position: after, ..Poll::default() };
         let out = self.c.on_msg(&"e".into(), &"e".into(), m.into(), self.now);
         self.carry(out)
     }
 }
-fn values(all: &[News]) -> usize {
+fn values(all: &[Update]) -> usize {
     all.iter().flat_map(|m| m.changes.iter()).map(|c| c.value.0.len()).sum()
 }
 
@@ -315,7 +359,7 @@
 fn short_news_do_not_wait_behind_long_ones_and_its_place_in_the_feed_is_never_ahead_of_what_came() {
     let mut a = Alone::new();
     let first = a.poll(0, 0);
-    let (run, place) = (first[0].run, first[0].upto);
+    let (run, place) = (first[0].source_incarnation, first[0].through_position);
     expect_that!(values(&a.write("plan/s", 600_000)), eq(600_000));
     let mut sent = 0;
     for i in 0..10 {
@@ -324,7 +368,7 @@
         sent += values(&all);
         // It hears its leases all the same, and is not told that it has what may still be lost.
         expect_that!(all.len(), eq(1));
-        expect_that!(all[0].upto, eq(place), "at {i}");
+        expect_that!(all[0].through_position, eq(place), "at {i}");
     }
     expect_that!(sent, eq(0));
     expect_that!(values(&a.write("zone/z", 5)), eq(5));
@@ -332,12 +376,12 @@
     a.now += 3_000;
     let again = a.poll(run, place);
     expect_that!(values(&again), eq(600_005));
-    expect_that!(values(&a.poll(run, again[0].upto)), eq(0));
+    expect_that!(values(&a.poll(run, again[0].through_position)), eq(0));
 }
 
 /// Another control daemon lives in the zone `y`.
 fn beside(a: &mut Alone) {
-    let m = Heartbeat { member_epoch: 1, disk: 8, zone: "y".into(), ..Heartbeat::default() };
+    let m = Heartbeat { member_epoch: 1, disk_id: 8, zone: "y".into(), ..Heartbeat::default() };
     let out = a.c.on_msg(&"d".into(), &"d".into(), m.into(), a.now);
     a.carry(out);
 }
@@ -348,7 +392,7 @@
         let mut a = Alone::new();
         a.zone = zone;
         let first = a.poll(0, 0);
-        let (run, place) = (first[0].run, first[0].upto);
+        let (run, place) = (first[0].source_incarnation, first[0].through_position);
         beside(&mut a);
         let pushed = values(&a.write("plan/s", LONG));
         expect_that!(pushed, eq(if near { LONG } else { 0 }), "zone {zone}");
@@ -359,7 +403,7 @@
             a.tick();
             let all = a.poll(run, at);
             expect_that!(all.len(), eq(1));
-            at = all[0].upto;
+            at = all[0].through_position;
             sent += values(&all);
         }
         expect_that!(sent, eq(LONG));
@@ -373,15 +417,15 @@
     let mut a = Alone::new();
     a.zone = "y";
     let first = a.poll(0, 0);
-    let (run, mut at) = (first[0].run, first[0].upto);
+    let (run, mut at) = (first[0].source_incarnation, first[0].through_position);
     let (mut last, mut longest) = (a.now, 0);
     for turn in 0..200 {
         beside(&mut a);
         let mut all = if turn % 4 == 0 { a.write("plan/s", LONG + turn) } else { vec![] };
         a.tick();
-        at = all.last().map_or(at, |m| m.upto);
+        at = all.last().map_or(at, |m| m.through_position);
         all.extend(a.poll(run, at));
-        at = at.max(all[all.len() - 1].upto);
+        at = at.max(all[all.len() - 1].through_position);
         if values(&all) > 0 {
             longest = longest.max(a.now - last);
             last = a.now;
