--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -6,7 +6,7 @@
     bounds::Bounds,
     pass::{Ask, Told},
     placement::{Budget, Needed, Placement, Want},
-    wire::Reading,
+    wire::Prefill,
 };
 use googletest::prelude::*;
 use remote_calls::{EngineSpec, PathKind, PathSpec, PlacedReplica};
@@ -54,7 +54,7 @@
 }
 
 /// What a proxy tells others of, wherever it is read.
-fn told(p: &mut Placement, now: u64) -> Vec<Reading> {
+fn told(p: &mut Placement, now: u64) -> Vec<Prefill> {
     p.readings(now).into_values().flatten().collect()
 }
 
@@ -182,7 +182,7 @@
     let busy = |p: &mut Placement, now| {
         for id in ids.iter().filter(|id| p.zone(id) == Some("a")).cloned().collect::<Vec<_>>() {
             let n = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
-            p.on_reading(&Reading { replica: n, ms: 400, parts: Default::default() }, now);
+            p.on_reading(&Prefill { replica_number: n, duration_ms: 400, blocks: Default::default() }, now);
         }
     };
     // Chats, ten a second; what goes to another region is answered until it is cut off.
@@ -244,7 +244,7 @@
     let p = &mut fleet[3];
     told.iter().for_each(|r| p.on_reading(r, 1_060));
     // A news of a replica that is not known here is no news.
-    p.on_reading(&Reading { replica: 1, ms: 9, ..told[0].clone() }, 1_060);
+    p.on_reading(&Prefill { replica_number: 1, duration_ms: 9, ..told[0].clone() }, 1_060);
     // Prompts of every kind that are at home there by themselves too.
     for k in 0..40u64 {
         expect_that!(go(p, &ids, &l, &ask(&[(k, 55), (9, 200)]), true, 1_100 + k), some(not(eq(&reads))));
@@ -308,7 +308,7 @@
     let mut fleet = fleet(6, &all);
     let first = go(&mut fleet[0], &ids, &l, &long, true, 10).unwrap();
     let told = told(&mut fleet[0], 1_000);
-    let busy = |ms| Reading { ms, parts: Default::default(), ..told[0].clone() };
+    let busy = |ms| Prefill { duration_ms: ms, blocks: Default::default(), ..told[0].clone() };
     for p in &mut fleet[1..] {
         told.iter().for_each(|r| p.on_reading(r, 1_010));
         p.on_reading(&busy(1_000), 2_000);
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -7,7 +7,7 @@
     limits::{NODE_GONE, TICK},
     membership::{EDGE, Membership},
     regions::Regions,
-    wire::{Msg, Name, Node},
+    wire::{Message, Name, Node},
 };
 use googletest::prelude::*;
 
@@ -31,7 +31,7 @@
         let one = |i: usize| {
             let name: Name = format!("n{i}").into();
             let zone = format!("z{}", zone(&name)).into();
-            let me = Node { name: name.clone(), addr: name.clone(), role: EDGE, born: 1, zone, ..Node::default() };
+            let me = Node { name: name.clone(), addr: name.clone(), role: EDGE, incarnation: 1, zone, ..Node::default() };
             let mut m = Membership::new(me, ["n0", "n1", "n2"].map(Into::into).into(), seed + i as u64);
             m.set_regions(regions.clone());
             (name, m)
@@ -50,7 +50,7 @@
             }
             while let Some((from, o)) = out.pop() {
                 for e in o {
-                    let Effect::Send { to, msg: Msg::Shuffle(m) } = e else { continue };
+                    let Effect::Send { to, msg: Message::Shuffle(m) } = e else { continue };
                     self.sent[usize::from(zone(&from) / 2 != zone(&to) / 2)] += 1;
                     let Some(n) = self.nodes.get_mut(&to).filter(|_| self.rng.u8(..10) > 0) else { continue };
                     let mut o = vec![];
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -116,7 +116,7 @@
     }
     // Edges have no use for it: what goes to them is the value alone.
     let slot = f.brain(0).unwrap().regs.keys().find(|s| &*s.key == SPEC).unwrap();
-    expect_that!(slot.past.len(), eq(PAST_VALUES));
+    expect_that!(slot.replaced.len(), eq(PAST_VALUES));
 }
 
 /// The same for a write that names the version it replaces.
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -7,7 +7,7 @@
 use coordination::{Ms, WriteOutcome, limits::COUNTS_LEFT};
 use fleet::Fleet;
 use googletest::prelude::*;
-use wire_messages::Msg;
+use wire_messages::Message;
 
 /// ms. A daemon that came back with a lost disk counts as whole after so long (`Bounds::sync`).
 const SYNC: Ms = 4_000;
@@ -234,7 +234,8 @@
         let kept = fleet::addr((gone + 1) % 3);
         let lag = fleet::addr((gone + 2) % 3);
         let l = lag.clone();
-        f.sieve = Box::new(move |_, to, m| *to != l || !matches!(m, Msg::Accept(_) | Msg::Commit(_) | Msg::Slots(_)));
+        f.sieve =
+            Box::new(move |_, to, m| *to != l || !matches!(m, Message::Accept(_) | Message::Commit(_) | Message::SlotsReply(_)));
         let w = f.write((gone + 1) % 3, "spec", Some(1), b"two").unwrap();
         f.until(3_000, |f| f.ends.contains_key(&w));
         let accepted = f.ends.get(&w).is_some_and(|e| e.1 == WriteOutcome::Accepted(2));
@@ -268,11 +269,11 @@
         let (lost, lacks) = ((has + 1) % 3, (has + 2) % 3);
         let (h, l, n) = (fleet::addr(has), fleet::addr(lacks), fleet::addr(lost));
         f.sieve = Box::new(move |from, to, m| match m {
-            Msg::Accept(a) if *to == l => &*a.key != "spec",
-            Msg::Commit(c) if *to == l => &*c.change.key != "spec",
-            Msg::Slots(_) => *to != l && !(*from == h && *to == n),
+            Message::Accept(a) if *to == l => &*a.key != "spec",
+            Message::Commit(c) if *to == l => &*c.change.key != "spec",
+            Message::SlotsReply(_) => *to != l && !(*from == h && *to == n),
             // It must not learn of it by taking the key over.
-            Msg::Promise(p) if *to == l => &*p.slot.key != "spec",
+            Message::Promise(p) if *to == l => &*p.slot.key != "spec",
             _ => true,
         });
         let w = f.write(has, "spec", Some(1), b"two").unwrap();
@@ -322,10 +323,10 @@
         // What is accepted now stands with the new machine and one other.
         let l = fleet::addr(lacks);
         f.sieve = Box::new(move |_, to, m| match m {
-            Msg::Accept(a) if *to == l => &*a.key != "spec",
-            Msg::Commit(c) if *to == l => &*c.change.key != "spec",
-            Msg::Promise(p) if *to == l => &*p.slot.key != "spec",
-            Msg::Slots(_) => *to != l,
+            Message::Accept(a) if *to == l => &*a.key != "spec",
+            Message::Commit(c) if *to == l => &*c.change.key != "spec",
+            Message::Promise(p) if *to == l => &*p.slot.key != "spec",
+            Message::SlotsReply(_) => *to != l,
             _ => true,
         });
         let w = f.write(has, "spec", Some(1), b"two").unwrap();
@@ -374,7 +375,7 @@
         f.cut.insert(cut.clone());
         let slow = fleet::addr(b);
         let to_b = slow.clone();
-        f.sieve = Box::new(move |_, to, m| *to != to_b || !matches!(m, Msg::Commit(_) | Msg::Slots(_)));
+        f.sieve = Box::new(move |_, to, m| *to != to_b || !matches!(m, Message::Commit(_) | Message::SlotsReply(_)));
         f.add(3, &[a, b], false, &regions(8, 1));
         if f.until(6_000, |f| f.brain(a).is_some_and(|x| x.regs.member_epoch == 2)).is_none()
             || f.brain(b).unwrap().regs.member_epoch != 1
@@ -421,7 +422,7 @@
         let deaf = [fleet::addr(others[seed as usize % 4]), fleet::addr(others[(seed as usize + 1) % 4])];
         let lost = others[(seed as usize + 2) % 4];
         let from_h = fleet::addr(h);
-        f.sieve = Box::new(move |from, to, m| !(matches!(m, Msg::Renew(_)) && *from == from_h && deaf.contains(to)));
+        f.sieve = Box::new(move |from, to, m| !(matches!(m, Message::RenewLeases(_)) && *from == from_h && deaf.contains(to)));
         f.run(4_000);
         if !holder(&f, h) {
             continue;
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -8,7 +8,7 @@
     control::{Caller, Control, ControlParams, SPEC},
     limits::{KNOWS_FLEET, NODE_GONE, POLL_EVERY, RESOLUTION_LOGGED, RULE_LIFE, SHUFFLE_EVERY, TICK},
     register::Expect,
-    wire::{Msg, Name, Node, ProxyHello},
+    wire::{Message, Name, Node, ProxyReport},
 };
 use googletest::prelude::*;
 use serde_json::{Value, json};
@@ -29,7 +29,15 @@
 }
 
 fn node(name: &str, zone: &str, role: u8) -> Node {
-    Node { name: name.into(), addr: name.into(), role, zone: zone.into(), http: "".into(), born: 1, ..Node::default() }
+    Node {
+        name: name.into(),
+        addr: name.into(),
+        role,
+        zone: zone.into(),
+        http_addr: "".into(),
+        incarnation: 1,
+        ..Node::default()
+    }
 }
 
 impl Land {
@@ -94,9 +102,9 @@
             for n in names {
                 let a = self.agents.get_mut(&n).unwrap();
                 if self.now.is_multiple_of(HELLO) && !self.silent.contains(&n) {
-                    let m = ProxyHello { born: 1, http: format!("h-{n}").as_str().into(), ..ProxyHello::default() };
+                    let m = ProxyReport { incarnation: 1, http_addr: format!("h-{n}").as_str().into(), ..ProxyReport::default() };
                     let p: Name = format!("p-{n}").into();
-                    let _ = a.on_msg(&p, &p, Msg::from(m), self.now);
+                    let _ = a.on_msg(&p, &p, Message::from(m), self.now);
                 }
                 let out = a.tick(self.now);
                 self.deliver(n, out);
--- a/coordination/tests/rollout_placed.rs
+++ b/coordination/tests/rollout_placed.rs
@@ -8,7 +8,7 @@
     health::{failing, log_ms},
     rollout::{Inputs, Loop, first_record},
     standing::{Standing, repeats, standing},
-    wire::Tally,
+    wire::OutcomeCounters,
 };
 use googletest::prelude::*;
 use remote_calls::{GroupRole, PlatformReplica, PlatformReplicaState, ReleasePlan, RolloutPhase, RolloutRecord, Spec};
@@ -190,8 +190,8 @@
     start: Ms,
     load: Ms,
     streams: Vec<Stream>,
-    tallies: BTreeMap<(String, &'static str), Tally>,
-    told: VecDeque<(Ms, Vec<Tally>, BTreeMap<String, u64>)>,
+    tallies: BTreeMap<(String, &'static str), OutcomeCounters>,
+    told: VecDeque<(Ms, Vec<OutcomeCounters>, BTreeMap<String, u64>)>,
     opens: BTreeMap<String, u64>,
     withdrawn: BTreeMap<String, Ms>,
     /// What the loop did wrong, and what it did.
@@ -227,7 +227,7 @@
     /// Times at which whoever holds the duty dies, and a process that has just started takes it.
     restarts: Vec<Ms>,
     /// What was counted up to earlier times, from which edges tell what is recent.
-    counted: VecDeque<(Ms, Vec<Tally>)>,
+    counted: VecDeque<(Ms, Vec<OutcomeCounters>)>,
 }
 
 fn fleet(n: usize, per_s: f64, seconds: u64, bad: Option<Bad>, seed: u64) -> Fleet {
@@ -336,16 +336,16 @@
         let took = self.rng.u64(40..160) * hit.map_or(1, |b| b.slow);
         let fails = hit.is_some_and(|b| b.slow == 1) || self.rng.u32(..100) < self.noise;
         let k = (p.version.clone(), lane);
-        let t = self.tallies.entry(k.clone()).or_insert_with(|| Tally {
+        let t = self.tallies.entry(k.clone()).or_insert_with(|| OutcomeCounters {
             service: "s".into(),
             version: k.0.as_str().into(),
             lane: lane.into(),
-            ..Tally::default()
+            ..OutcomeCounters::default()
         });
         t.sent += 1;
         if !fails {
-            t.firsts += 1;
-            t.first_log += log_ms(took);
+            t.first_chunks += 1;
+            t.first_chunk_log_sum += log_ms(took);
         }
         let lasts = if self.rng.u32(..100) < self.long.0 { STREAM * self.long.1 } else { STREAM };
         self.streams.push(Stream { ends: now + took + lasts, replica: id, fails, bad: hit.is_some(), tally: k });
@@ -428,9 +428,9 @@
     }
 
     /// What edges tell now: cumulative counts, and what of them is of the last half minute.
-    fn tell(&mut self) -> Vec<Tally> {
+    fn tell(&mut self) -> Vec<OutcomeCounters> {
         let now = self.now();
-        let all: Vec<Tally> = self.tallies.values().cloned().collect();
+        let all: Vec<OutcomeCounters> = self.tallies.values().cloned().collect();
         if now.is_multiple_of(1_000) {
             self.counted.push_back((now, all.clone()));
         }
@@ -439,10 +439,10 @@
         }
         // What was counted before the first noted time is recent.
         let old = self.counted.front().filter(|c| now - c.0 >= 30_000);
-        let recent = |t: &Tally| {
+        let recent = |t: &OutcomeCounters| {
             let before = old.and_then(|o| o.1.iter().find(|x| x.version == t.version && x.lane == t.lane));
-            let (ended, failed) = before.map_or((0, 0), |x| (x.ok + x.failed, x.failed));
-            Tally { new_ended: t.ok + t.failed - ended, new_failed: t.failed - failed, ..t.clone() }
+            let (ended, failed) = before.map_or((0, 0), |x| (x.succeeded + x.failed, x.failed));
+            OutcomeCounters { recent_ended: t.succeeded + t.failed - ended, recent_failed: t.failed - failed, ..t.clone() }
         };
         all.iter().map(recent).collect()
     }
@@ -466,9 +466,9 @@
             let t = self.tallies.get_mut(&s.tally).unwrap();
             if s.fails {
                 t.failed += 1;
-                t.failed_on |= failing(&s.replica);
+                t.failed_replicas |= failing(&s.replica);
             } else {
-                t.ok += 1;
+                t.succeeded += 1;
             }
             self.bad_answers += u64::from(s.bad);
             if self.bad_answers >= 50 {
@@ -709,17 +709,17 @@
         let mut f = fleet(18, 200.0, 12, None, 1);
         f.run(at);
         (f.b.l, f.mute) = (Loop::new(at), true);
-        let tally = |version: &str, failed: u64, failed_on: u64| Tally {
+        let tally = |version: &str, failed: u64, failed_on: u64| OutcomeCounters {
             service: "s".into(),
             version: version.into(),
             lane: "often".into(),
             sent: 600,
-            ok: 600 - failed,
+            succeeded: 600 - failed,
             failed,
-            failed_on,
-            new_ended: 200,
-            new_failed: failed,
-            ..Tally::default()
+            failed_replicas: failed_on,
+            recent_ended: 200,
+            recent_failed: failed,
+            ..OutcomeCounters::default()
         };
         // On several replicas: what comes in one word is no crash for that.
         f.b.l.health.feed(&"e".into(), 1, &[tally("v1", 0, 0), tally("v2", 40, 0b1011)]);
--- a/coordination/tests/suspect.rs
+++ b/coordination/tests/suspect.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use remote_calls::PathSpec;
 use serde_json::{Value, json};
-use wire_messages::{Blob, Board, Change, Lease, Lent, List};
+use wire_messages::{Blob, Change, Lease, List, ProxyLease, TableUpdate};
 
 const LEASE: Ms = 60_000;
 
@@ -37,15 +37,16 @@
     }
     fn told(&mut self, c: Change) {
         let version = c.version;
-        let lent = Lease { service: "s".into(), epoch: 1, version, canary_share: 8, ttl: LEASE as u32 };
-        let m = Board {
-            life: 1,
-            heard: 0,
-            rule: RULE_ALL,
-            until: Ms::MAX,
-            full: 1,
+        let lent =
+            Lease { service: "s".into(), epoch: 1, record_version: version, canary_share_percent: 8, ttl_ms: LEASE as u32 };
+        let m = TableUpdate {
+            proxy_incarnation: 1,
+            counters_through: 0,
+            serving_rule: RULE_ALL,
+            valid_until: Ms::MAX,
+            is_snapshot: 1,
             changes: List(vec![c]),
-            leases: List(vec![Lent { lease: lent, until: self.now + LEASE }]),
+            leases: List(vec![ProxyLease { lease: lent, expires_at: self.now + LEASE }]),
             nodes: List::default(),
         };
         self.proxy.on_board(m, self.now);
--- a/coordination/tests/tenants.rs
+++ b/coordination/tests/tenants.rs
@@ -13,7 +13,7 @@
 use googletest::prelude::*;
 use remote_calls::{NominateRequest, Spec};
 use serde_json::json;
-use wire_messages::{Blob, Board, Change};
+use wire_messages::{Blob, Change, TableUpdate};
 
 /// Counts bytes that are held and that were ever asked for.
 struct Counting;
@@ -66,16 +66,16 @@
     .ok()
 }
 
-fn board(version: u64) -> Board {
+fn board(version: u64) -> TableUpdate {
     let c = Change { key: SPEC.into(), epoch: 1, version, value: Blob(b"spec".to_vec()) };
-    Board {
-        life: 1,
-        heard: 0,
-        rule: 2,
-        until: u64::MAX,
-        full: true.into(),
+    TableUpdate {
+        proxy_incarnation: 1,
+        counters_through: 0,
+        serving_rule: 2,
+        valid_until: u64::MAX,
+        is_snapshot: true.into(),
         changes: [c].into_iter().collect(),
-        ..Board::default()
+        ..TableUpdate::default()
     }
 }
 
--- a/coordination/tests/worst_days.rs
+++ b/coordination/tests/worst_days.rs
@@ -10,7 +10,7 @@
 use fleet::Fleet;
 use fleet_simulator::register_history::{Call, History, Order, Told};
 use googletest::prelude::*;
-use wire_messages::{Msg, Name};
+use wire_messages::{Message, Name};
 
 const ZONE: &str = "zone/z1";
 /// ms. After so long without an answer an operator goes to another daemon.
@@ -80,7 +80,7 @@
         f.change = match without {
             Without::Nothing => None,
             Without::Reading => Some(Box::new(|_, m| {
-                if let Msg::Slots(s) = m {
+                if let Message::SlotsReply(s) = m {
                     s.slots.0.clear();
                 }
             })),
--- a/daemon-parts/src/channels.rs
+++ b/daemon-parts/src/channels.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::HashMap, io, time::Duration};
 
-use actix::{Message, Recipient};
+use actix::Recipient;
 use coordination::events;
 use error_stack::{Report, ResultExt};
 use socket2::{SockRef, TcpKeepalive};
@@ -13,7 +13,7 @@
     sync::mpsc,
     time::timeout,
 };
-use wire_messages::{Envelope, Msg, Name, decode, encode, read_length};
+use wire_messages::{Envelope, Message, Name, decode, encode, read_length};
 
 use crate::{
     limits::{
@@ -24,7 +24,7 @@
 };
 
 /// A message that came in.
-#[derive(Message)]
+#[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct Incoming(pub Envelope);
 
@@ -41,7 +41,7 @@
         Channels { name: name.into(), addr: addr.into(), inbox, out: HashMap::new() }
     }
 
-    pub fn send(&mut self, to: &Name, msg: Msg) {
+    pub fn send(&mut self, to: &Name, msg: Message) {
         let e = Envelope { from: self.name.clone(), addr: self.addr.clone(), msg };
         // Ownership messages take the same way into the mailbox as all others.
         if *to == self.addr {
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -76,7 +76,7 @@
         name: p.name.as_str().into(),
         zone: p.zone.as_str().into(),
         addr: p.listen.as_str().into(),
-        born,
+        incarnation: born,
         ..Node::default()
     };
     let seeds = p.seeds.iter().map(|s| s.as_str().into()).collect();
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -19,7 +19,7 @@
 };
 use remote_calls::{Fault, ReplicaReport, RunRequest, calls};
 use tokio::sync::oneshot;
-use wire_messages::{ClaimAsk, Msg, Name};
+use wire_messages::{ClaimRequest, Message, Name};
 
 use crate::shared::{Shared, hold};
 
@@ -128,7 +128,7 @@
         let mut m = hold(&self.brain).news(now);
         // A proxy that stops is no longer nominated.
         if self.stopping {
-            m.http = Name::default();
+            m.http_addr = Name::default();
         }
         if let Some(ch) = &mut self.ch {
             ch.send(&self.agent, m.into());
@@ -176,9 +176,9 @@
             return event(coordination::events::CHANNEL_BAD_FRAME, &m.0.addr, "is not this proxy's agent");
         }
         match m.0.msg {
-            Msg::Readings(r) => hold(&self.brain).on_readings(r, clock::now()),
-            Msg::Board(b) => hold(&self.brain).on_board(b, clock::now()),
-            Msg::ClaimTold(t) => {
+            Message::PrefillReport(r) => hold(&self.brain).on_readings(r, clock::now()),
+            Message::TableUpdate(b) => hold(&self.brain).on_board(b, clock::now()),
+            Message::ClaimResult(t) => {
                 if let Some(s) = self.claims.remove(&t.token) {
                     let _ = s.send(t.state);
                 }
@@ -211,7 +211,13 @@
         self.token += 1;
         let (s, r) = oneshot::channel();
         self.claims.insert(self.token, s);
-        let ask = ClaimAsk { token: self.token, request: m.request.into(), round: m.round, void: m.void.into(), age: m.age };
+        let ask = ClaimRequest {
+            token: self.token,
+            request: m.request.into(),
+            attempt: m.round,
+            void: m.void.into(),
+            key_age_ms: m.age,
+        };
         if let Some(ch) = &mut self.ch {
             ch.send(&self.agent, ask.into());
         }
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -211,11 +211,12 @@
         let b = hold(&a.brain);
         let mut v: Vec<(String, u64)> = b.counters.iter().map(|(n, v)| (n.to_string(), *v)).collect();
         v.push(("spec_version".into(), b.spec_version()));
-        for t in b.hello(now).tallies.0 {
-            let at = format!("{}/{}/{}/{}/{}", t.service, t.version, t.lane, if t.warm == 1 { "warm" } else { "cold" }, t.group);
+        for t in b.hello(now).counters.0 {
+            let at =
+                format!("{}/{}/{}/{}/{}", t.service, t.version, t.lane, if t.cached == 1 { "warm" } else { "cold" }, t.group);
             v.extend([
                 (format!("sent/{at}"), t.sent),
-                (format!("ok/{at}"), t.ok),
+                (format!("ok/{at}"), t.succeeded),
                 (format!("failed/{at}"), t.failed),
                 (format!("slow/{at}"), t.slow),
             ]);
--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -8,7 +8,7 @@
     agent::{RULE_ALL, RULE_NONE},
     bounds::Bounds,
     limits::SHUTDOWN_SERVES,
-    wire::Board,
+    wire::TableUpdate,
 };
 use daemon_parts::{
     clock,
@@ -179,7 +179,10 @@
         let r = Replica::plain("x").await;
         // Time enough that it is served as soon as it may be, however busy the machine is.
         let e = Edge::of(Bounds::default(), 3_600_000, Lane::of("once", 1), &[r.addr]).await;
-        let rule = |e: &Edge, rule, until| hold(&e.brain).on_board(Board { rule, until, ..Board::default() }, clock::now());
+        let rule = |e: &Edge, rule, until| {
+            hold(&e.brain)
+                .on_board(TableUpdate { serving_rule: rule, valid_until: until, ..TableUpdate::default() }, clock::now())
+        };
         rule(&e, RULE_NONE, 0);
         let mut d = Downstream::to(e.addr).await;
         d.send(request("a", "q")).await;
@@ -568,7 +571,8 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let ready = async |rule, until| {
-            hold(&e.brain).on_board(Board { rule, until, ..Board::default() }, clock::now());
+            hold(&e.brain)
+                .on_board(TableUpdate { serving_rule: rule, valid_until: until, ..TableUpdate::default() }, clock::now());
             let mut d = Downstream::to(e.ready).await;
             d.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
             d.answer().await.status
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -16,7 +16,7 @@
     bounds::Bounds,
     pass::{Ask, Told},
     proxy::{Placed, Proxy},
-    wire::{Blob, Board, Change},
+    wire::{Blob, Change, TableUpdate},
 };
 use daemon_parts::{clock, limits::NOT_YET};
 use edge_proxy::{
@@ -340,12 +340,12 @@
         let record = json!({"service": "s", "phase": "steady", "stable": "v1", "plan_version": 0, "failed_plan": 0,
             "since_ms": 0, "retiring": [], "alerts": [], "replicas": placed,
             "groups": [{"role": "stable", "version": "v1", "share_percent": 100, "replicas": ids, "allow_unload": false}]});
-        let m = Board {
-            rule: RULE_ALL,
-            until: u64::MAX,
-            full: 1,
+        let m = TableUpdate {
+            serving_rule: RULE_ALL,
+            valid_until: u64::MAX,
+            is_snapshot: 1,
             changes: [change("spec", 1, &spec(&lane)), change("rollout/s", 1, &record)].into_iter().collect(),
-            ..Board::default()
+            ..TableUpdate::default()
         };
         b.on_board(m, clock::now());
         assert!(b.ready(clock::now()), "the test's spec is none");
@@ -370,16 +370,19 @@
     /// The spec changes while the edge runs.
     pub fn set_spec(&self, version: u64, lane: &Lane) {
         let changes = [change("spec", version, &spec(lane))].into_iter().collect();
-        hold(&self.brain).on_board(Board { rule: RULE_ALL, until: u64::MAX, changes, ..Board::default() }, clock::now());
+        hold(&self.brain).on_board(
+            TableUpdate { serving_rule: RULE_ALL, valid_until: u64::MAX, changes, ..TableUpdate::default() },
+            clock::now(),
+        );
     }
     /// Rounds that the brain holds to be open.
     pub fn open(&self) -> u32 {
-        hold(&self.brain).hello(clock::now()).opens.0.iter().map(|o| o.streams).sum()
+        hold(&self.brain).hello(clock::now()).open_streams.0.iter().map(|o| o.streams).sum()
     }
     /// Sums over the brain's tallies: sent, answered, failed.
     pub fn tallies(&self) -> (u64, u64, u64) {
-        let all = hold(&self.brain).hello(clock::now()).tallies.0;
-        all.iter().fold((0, 0, 0), |a, t| (a.0 + t.sent, a.1 + t.ok, a.2 + t.failed))
+        let all = hold(&self.brain).hello(clock::now()).counters.0;
+        all.iter().fold((0, 0, 0), |a, t| (a.0 + t.sent, a.1 + t.succeeded, a.2 + t.failed))
     }
     /// Waits until nothing is open: channels to replicas rest, and the next request may take them.
     pub async fn rests(&self) {
--- a/fleet-simulator/src/effect_digest.rs
+++ b/fleet-simulator/src/effect_digest.rs
@@ -6,7 +6,7 @@
 
 use coordination::{Effect, Effects, Row, WriteOutcome, rollout::Order};
 use remote_calls::OrderAction;
-use wire_messages::{Envelope, List, Msg, Name, Slot, Slots, Voter, encode};
+use wire_messages::{Envelope, List, Message, Name, Slot, SlotsReply, Voter, encode};
 use xxhash_rust::xxh3::Xxh3Default;
 
 use crate::history::Ms;
@@ -68,7 +68,7 @@
     }
 
     /// Takes a message to the process that listens at `to`.
-    pub fn message(&mut self, to: &Name, msg: &Msg) {
+    pub fn message(&mut self, to: &Name, msg: &Message) {
         self.byte(tag::SEND);
         self.text(to);
         let frame = encode(&Envelope { from: Name::default(), addr: Name::default(), msg: msg.clone() });
@@ -87,7 +87,8 @@
 
     /// Rows go in as the message that carries the same.
     fn slots(&mut self, member_epoch: u32, before: u32, voters: &[Voter], slots: Vec<Slot>, voting: u8) {
-        let slots = Slots { member_epoch, voting, before, voters: List(voters.to_vec()), slots: List(slots) };
+        let slots =
+            SlotsReply { member_epoch, voting, previous_voter_count: before, voters: List(voters.to_vec()), slots: List(slots) };
         self.message(&Name::default(), &slots.into());
     }
 
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -24,7 +24,7 @@
     StreamStart, ZoneState,
 };
 use serde::Deserialize;
-use wire_messages::{ClaimAsk, Msg, Name, Node};
+use wire_messages::{ClaimRequest, Message, Name, Node};
 
 mod callers;
 mod daemons;
@@ -112,7 +112,7 @@
         to: Name,
         from: Name,
         addr: Name,
-        msg: Msg,
+        msg: Message,
     },
     DiskDone {
         at: usize,
--- a/fleet-simulator/src/world/callers.rs
+++ b/fleet-simulator/src/world/callers.rs
@@ -220,7 +220,13 @@
                 }
                 Step::Claim { void } => {
                     let (name, age) = r.claimed_name();
-                    let m = ClaimAsk { token: self.seq, request: name.into(), round: r.round, void: void.into(), age };
+                    let m = ClaimRequest {
+                        token: self.seq,
+                        request: name.into(),
+                        attempt: r.round,
+                        void: void.into(),
+                        key_age_ms: age,
+                    };
                     f.token = m.token;
                     self.claims.insert(m.token, id);
                     let token = m.token;
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -28,7 +28,7 @@
                     name: e.name.as_str().into(),
                     zone: e.zone.as_str().into(),
                     addr: e.addr('a'),
-                    born,
+                    incarnation: born,
                     ..Node::default()
                 };
                 let seeds = vec!["c1".into(), "c2".into(), "c3".into()];
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(super) fn post(&mut self, from: To, name: &Name, addr: &Name, to: &Name, msg: Msg) {
+    pub(super) fn post(&mut self, from: To, name: &Name, addr: &Name, to: &Name, msg: Message) {
         let (to, from_name, addr) = (to.clone(), name.clone(), addr.clone());
         let Some(t) = self.addrs.get(&to).copied() else { return };
         let (a, b) = (self.machine(from), self.machine(t));
@@ -133,7 +133,7 @@
         }
     }
 
-    pub(super) fn deliver(&mut self, to: Name, from: Name, addr: Name, msg: Msg) {
+    pub(super) fn deliver(&mut self, to: Name, from: Name, addr: Name, msg: Message) {
         let Some(t) = self.addrs.get(&to).copied() else { return };
         let now = self.clock(t);
         match t {
@@ -148,23 +148,23 @@
                 self.carry_agent(i, out);
             }
             To::Proxy(i) => match msg {
-                Msg::Board(mut b) => {
+                Message::TableUpdate(mut b) => {
                     // The guard is off: the news never arrives.
                     b.changes.0.retain(|c| self.off != Some(Guard::Evacuation) || !c.key.starts_with(ZONE));
                     b.changes.0.retain(|c| self.off != Some(Guard::LongNews) || c.value.0.len() < LONG);
                     if self.off == Some(Guard::Rule) {
-                        (b.rule, b.until) = (2, Ms::MAX);
+                        (b.serving_rule, b.valid_until) = (2, Ms::MAX);
                     }
                     if let Some(p) = &mut self.edges[i].proxy {
                         p.on_board(b, now);
                     }
                 }
-                Msg::Readings(r) => {
+                Message::PrefillReport(r) => {
                     if let Some(p) = &mut self.edges[i].proxy {
                         p.on_readings(r, now);
                     }
                 }
-                Msg::ClaimTold(c) => {
+                Message::ClaimResult(c) => {
                     if let Some(f) = self.claims.remove(&c.token) {
                         self.drive(f, Got::Claimed(c.state));
                     }
@@ -174,7 +174,7 @@
         }
     }
 
-    pub(super) fn post_agent(&mut self, i: usize, msg: Msg) {
+    pub(super) fn post_agent(&mut self, i: usize, msg: Message) {
         let (name, addr, to): (Name, Name, Name) =
             (format!("proxy-{}", self.edges[i].place).into(), self.edges[i].addr('x'), self.edges[i].addr('a'));
         self.effects.message(&name, &msg);
--- a/fleet-simulator/src/world/sick.rs
+++ b/fleet-simulator/src/world/sick.rs
@@ -71,7 +71,7 @@
     }
 
     /// ms that a message waits for its machine's link and takes on it.
-    pub(super) fn on_link(&mut self, from: To, machine: &str, msg: &Msg) -> Ms {
+    pub(super) fn on_link(&mut self, from: To, machine: &str, msg: &Message) -> Ms {
         let Some((edge, control)) = self.links else { return 0 };
         let each = if matches!(from, To::Control(_)) { control } else { edge };
         let e = Envelope { from: machine.into(), addr: machine.into(), msg: msg.clone() };
--- a/wire-messages/src/fields/tests.rs
+++ b/wire-messages/src/fields/tests.rs
@@ -36,10 +36,25 @@
 #[test]
 fn a_tally_returns_whole_whatever_its_counts() {
     for n in [0, 1, 127, 128, 1 << 40, u64::MAX] {
-        let counts =
-            Tally { sent: n, ok: n / 2, failed: n / 3, slow: n / 5, firsts: n / 7, first_log: n / 11, ..Tally::default() };
-        let t = Tally { failed_on: !n, new_ended: n / 13, new_failed: n / 17, new_slow: n / 19, ..counts };
-        let poll = Poll { sent: n, after: n / 2, since: n / 3, count: !n, tallies: List(vec![t]), ..Poll::default() };
+        let counts = OutcomeCounters {
+            sent: n,
+            succeeded: n / 2,
+            failed: n / 3,
+            slow: n / 5,
+            first_chunks: n / 7,
+            first_chunk_log_sum: n / 11,
+            ..OutcomeCounters::default()
+        };
+        let t =
+            OutcomeCounters { failed_replicas: !n, recent_ended: n / 13, recent_failed: n / 17, recent_slow: n / 19, ..counts };
+        let poll = Poll {
+            sent_at: n,
+            after_position: n / 2,
+            counters_since: n / 3,
+            counters_through: !n,
+            counters: List(vec![t]),
+            ..Poll::default()
+        };
         let e = Envelope { from: "e".into(), addr: "e".into(), msg: poll.into() };
         let v = encode(&e).unwrap();
         assert_eq!(decode(&v[4..]), Ok(e.clone()));
--- a/wire-messages/src/frame/tests.rs
+++ b/wire-messages/src/frame/tests.rs
@@ -6,7 +6,7 @@
     let e = Envelope {
         from: "c1".into(),
         addr: "127.0.0.1:1".into(),
-        msg: Msg::Prepare(Prepare { key: "spec".into(), epoch: 7, member_epoch: 1 }),
+        msg: Message::Prepare(Prepare { key: "spec".into(), epoch: 7, member_epoch: 1 }),
     };
     let v = encode(&e).unwrap();
     assert_eq!(read_length(v[..4].try_into().unwrap()), Ok(v.len() - 4));
