--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -11,8 +11,8 @@
 use awc::Client;
 use coordination::{
     Effect, Effects, Ms, WriteOutcome,
-    control::{Control, ControlParams},
-    effect::note,
+    control::{Control, ControlConfig},
+    effect::log_event,
     events,
     limits::{REPORT_EVERY, SYNC_LATE, TICK},
     register::Expect,
@@ -36,7 +36,7 @@
 };
 
 pub struct ControlActor {
-    p: ControlParams,
+    p: ControlConfig,
     platform: String,
     replicas: Replicas,
     disk: Disk,
@@ -74,7 +74,7 @@
 pub struct Newest(pub String);
 
 impl ControlActor {
-    pub fn new(p: ControlParams, platform: String, replicas: Replicas, disk: Disk) -> Self {
+    pub fn new(p: ControlConfig, platform: String, replicas: Replicas, disk: Disk) -> Self {
         let client = Client::builder().disable_timeout().finish();
         let (waiting, c, ch) = (HashMap::new(), None, None);
         let (next_report, listing, next_open, opening, stopping) = (0, false, 0, false, false);
@@ -117,13 +117,13 @@
                     }
                 }
                 Effect::Persist { rows, then } => self.persist(rows, then, ctx),
-                Effect::Answer { token, outcome } => {
+                Effect::WriteFinished { token, outcome } => {
                     if let Some(s) = self.waiting.remove(&token) {
                         let _ = s.send(outcome);
                     }
                 }
                 Effect::Order { service, epoch, until, order } => self.order(service, epoch, until, order, ctx),
-                Effect::Note { event: e, peer, text } => event(e, &peer, &text),
+                Effect::Log { event: e, peer, text } => event(e, &peer, &text),
             }
         }
     }
@@ -218,13 +218,13 @@
     /// Asks the platform and the replicas while a duty is held here.
     fn ask_back_ends(&mut self, now: Ms, ctx: &mut Context<Self>) {
         let Some(brain) = &self.c else { return };
-        if now < self.next_report || !brain.on_duty(now) {
+        if now < self.next_report || !brain.holds_any_role(now) {
             return;
         }
         if let Replicas::Listed { call, every, calm, rate } = self.replicas {
             // Calls are priced, and most of the time the list stays as it is.
-            let every = if brain.list_calm(now) { calm } else { every };
-            self.pace.set_rate(brain.calls_share(rate));
+            let every = if brain.is_list_stable(now) { calm } else { every };
+            self.pace.set_rate(brain.call_rate_share(rate));
             return self.ask_list(call, now, every, ctx);
         }
         self.next_report = now + REPORT_EVERY;
@@ -232,10 +232,10 @@
         let f = async move { http::call::<(), PlatformList>(&c, &a, calls::PLATFORM_LIST, None, CALL_LIMIT).await };
         ctx.spawn(f.into_actor(self).map(move |r, me, _| {
             if let (Ok(l), Some(c)) = (r, &mut me.c) {
-                c.on_platform(l, now);
+                c.on_replica_list(l, now);
             }
         }));
-        for (_, addr) in brain.replicas() {
+        for (_, addr) in brain.replicas_to_poll() {
             let c = self.client.clone();
             let f = async move { http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await };
             ctx.spawn(f.into_actor(self).map(move |r, me, _| {
@@ -256,7 +256,7 @@
         let f = call(self.client.clone(), self.platform.clone(), self.pace.clone()).into_actor(self).map(move |r, me, _| {
             me.listing = false;
             match (r, &mut me.c) {
-                (Ok(l), Some(c)) => c.on_platform(l, now),
+                (Ok(l), Some(c)) => c.on_replica_list(l, now),
                 (Err(e), _) => event(events::LIST_FAILED, &me.platform, &e.to_string()),
                 _ => {}
             }
@@ -267,16 +267,16 @@
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let now = clock::now();
         let Some(c) = &mut self.c else { return self.reopen(ctx) };
-        c.going = self.stopping;
+        c.stopping = self.stopping;
         // A disk that hangs says nothing; others must not wait for it, and take over what is owned here.
         let ok = self.syncing.values().next().is_none_or(|t| now.saturating_sub(*t) <= SYNC_LATE);
-        if c.disk_ok != ok {
-            c.disk_ok = ok;
+        if c.disk_healthy != ok {
+            c.disk_healthy = ok;
             let e = if ok { events::DISK_BACK } else { events::DISK_FAILED };
             event(e, &self.p.name, if ok { "it syncs again" } else { "a sync takes too long" });
         }
         let mut out = c.tick(now);
-        out.extend(c.loops(now, clock::wall_s()));
+        out.extend(c.run_rollouts(now, clock::wall_s()));
         self.carry(out, ctx);
         self.ask_back_ends(now, ctx);
     }
@@ -296,7 +296,7 @@
     type Result = ();
     fn handle(&mut self, m: Incoming, ctx: &mut Self::Context) {
         let Some(c) = &mut self.c else { return };
-        let out = c.on_msg(&m.0.from, &m.0.addr, m.0.msg, clock::now());
+        let out = c.on_message(&m.0.from, &m.0.addr, m.0.msg, clock::now());
         self.carry(out, ctx);
     }
 }
@@ -318,7 +318,7 @@
         let Some(c) = &mut self.c else {
             return Box::pin(async { WriteOutcome::NotAccepted("this daemon's disk does not work") });
         };
-        let asked = c.newest(&m.0, clock::now());
+        let asked = c.read_newest(&m.0, clock::now());
         self.answer(asked, ctx)
     }
 }
@@ -339,7 +339,7 @@
     type Result = ();
     fn handle(&mut self, _: Stopping, ctx: &mut Self::Context) {
         self.stopping = true;
-        let n = note(events::STOPPING, &self.p.name, "duties are handed over");
+        let n = log_event(events::STOPPING, &self.p.name, "duties are handed over");
         self.carry(vec![n], ctx);
         self.tick(ctx);
     }
--- a/control-daemon/src/disk.rs
+++ b/control-daemon/src/disk.rs
@@ -11,7 +11,7 @@
     thread,
 };
 
-use coordination::{Row, members};
+use coordination::{Row, voter_placement};
 use error_stack::{Report, ResultExt};
 use rusqlite::{Connection, OpenFlags, OptionalExtension, params};
 use tokio::sync::oneshot;
@@ -260,7 +260,7 @@
         Ok((r.get::<_, u32>(0)?, r.get::<_, String>(1)?, r.get::<_, u8>(2)?, r.get::<_, u32>(3)?))
     });
     if let Some((member_epoch, voters, voting, before)) = members.optional()? {
-        let (_, voters) = members::of_bytes(voters.as_bytes()).unwrap_or_default();
+        let (_, voters) = voter_placement::decode(voters.as_bytes()).unwrap_or_default();
         rows.push(Row::Members { member_epoch, before, voters, voting: voting == VOTES, left: voting == LEFT });
     }
     let mut q = c.prepare("SELECT key, promised, epoch, version, committed, value, past FROM slots")?;
@@ -309,7 +309,7 @@
             }
             Row::Members { member_epoch, before, voters, voting, left } => {
                 let voting = if *voting { VOTES } else { u8::from(*left) * LEFT };
-                let v = String::from_utf8(members::to_bytes(*before, voters).0).unwrap_or_default();
+                let v = String::from_utf8(voter_placement::encode(*before, voters).0).unwrap_or_default();
                 let sql = "INSERT OR REPLACE INTO members (one, me, voters, voting, before) VALUES (1, ?1, ?2, ?3, ?4)";
                 t.execute(sql, params![member_epoch, v, voting, before])?;
             }
--- a/control-daemon/src/face.rs
+++ b/control-daemon/src/face.rs
@@ -6,8 +6,8 @@
 use actix_web::web;
 use awc::Client;
 use coordination::{
-    board::{SpecReader, own_spec},
     placement::Bucket,
+    state_table::{SpecParser, parse_own_spec},
 };
 use futures_util::future::LocalBoxFuture;
 use remote_calls::{Fault, PlatformList};
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Copy)]
 pub struct Face {
-    pub reader: SpecReader,
+    pub reader: SpecParser,
     /// Routes beside the product's own.
     pub routes: fn(&mut web::ServiceConfig),
     pub replicas: Replicas,
@@ -65,6 +65,6 @@
 
 impl Default for Face {
     fn default() -> Self {
-        Face { reader: own_spec, routes: |_| (), replicas: Replicas::Ownership, body_max: BODY_MAX }
+        Face { reader: parse_own_spec, routes: |_| (), replicas: Replicas::Ownership, body_max: BODY_MAX }
     }
 }
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -4,7 +4,7 @@
 use actix_web::{HttpResponse, web};
 use coordination::{
     Ms, WriteOutcome,
-    control::{Control, KILL, LEAVING, PLAN, SPEC, ZONE},
+    control::{Control, DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY, ZONE_PREFIX},
     register::Expect,
     wire::Change,
 };
@@ -56,7 +56,7 @@
     // The owner has told it to all others by now; one who missed that is mended.
     for _ in 0..NEWS_TURNS {
         let k = key.to_string();
-        let held = look(b, move |c, _| c.board().get(&k).filter(|c| c.version >= version).cloned()).await?;
+        let held = look(b, move |c, _| c.state_table().get(&k).filter(|c| c.version >= version).cloned()).await?;
         if held.is_some() {
             return Ok(held);
         }
@@ -82,12 +82,12 @@
 
 async fn spec_put(b: Brain, q: web::Json<SpecPut>) -> Reply {
     spec_check::check(&q.spec)?;
-    write(&b, SPEC.into(), Some(q.expect_version), &q.spec).await
+    write(&b, SPEC_KEY.into(), Some(q.expect_version), &q.spec).await
 }
 
 async fn spec_get(b: Brain) -> Reply {
-    newest(&b, SPEC).await?;
-    let (version, spec) = look(&b, |c, _| (c.board().get(SPEC).map_or(0, |c| c.version), c.spec())).await?;
+    newest(&b, SPEC_KEY).await?;
+    let (version, spec) = look(&b, |c, _| (c.state_table().get(SPEC_KEY).map_or(0, |c| c.version), c.spec())).await?;
     Ok(HttpResponse::Ok().json(SpecState { version, spec: spec.map(|s| Spec::clone(&s)) }))
 }
 
@@ -98,7 +98,7 @@
     if held().await?.is_some_and(|s| has(&s, name)) {
         return Ok(Some(true));
     }
-    newest(b, SPEC).await?;
+    newest(b, SPEC_KEY).await?;
     Ok(held().await?.map(|s| has(&s, name)))
 }
 
@@ -142,15 +142,16 @@
     if p.complete_by <= clock::wall_s() {
         return Err(bad("complete_by", "has passed"));
     }
-    write(&b, format!("{PLAN}{at}"), Some(q.expect_version), p).await
+    write(&b, format!("{PLAN_PREFIX}{at}"), Some(q.expect_version), p).await
 }
 
 async fn plan_get(b: Brain, at: web::Path<String>) -> Reply {
     require(&b, "service", &at, has_service).await?;
-    let key = format!("{PLAN}{at}");
+    let key = format!("{PLAN_PREFIX}{at}");
     newest(&b, &key).await?;
     let (version, plan) =
-        look(&b, move |c, _| (c.board().get(&key).map_or(0, |c| c.version), c.board().read::<ReleasePlan>(&key))).await?;
+        look(&b, move |c, _| (c.state_table().get(&key).map_or(0, |c| c.version), c.state_table().read::<ReleasePlan>(&key)))
+            .await?;
     Ok(HttpResponse::Ok().json(PlanState { version, plan }))
 }
 
@@ -159,11 +160,11 @@
     if q.zone != *at {
         return Err(Fault::new("bad_request", "check_request", "is not the zone in the path").field("zone").into());
     }
-    write(&b, format!("{ZONE}{at}"), None, &*q).await
+    write(&b, format!("{ZONE_PREFIX}{at}"), None, &*q).await
 }
 
 async fn kill_switch_put(b: Brain, q: web::Json<KillSwitch>) -> Reply {
-    write(&b, KILL.into(), None, &q.on).await
+    write(&b, KILL_SWITCH_KEY.into(), None, &q.on).await
 }
 
 async fn warn(b: Brain, q: web::Json<PlatformWarning>) -> Reply {
@@ -173,10 +174,10 @@
             let known = look(&b, move |c, _| c.knows_replica(&id)).await?;
             if !known {
                 // One that is cut off may only not have heard of it.
-                newest(&b, SPEC).await?;
+                newest(&b, SPEC_KEY).await?;
                 return Err(unknown("replica", &q.id));
             }
-            write(&b, format!("{LEAVING}{}", q.id), None, &true).await
+            write(&b, format!("{DRAINING_PREFIX}{}", q.id), None, &true).await
         }
         WarnKind::Daemon => {
             let name = look(&b, |c, _| c.membership.me().name.to_string()).await?;
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -7,7 +7,7 @@
 
 use actix::Actor;
 use actix_web::{App, HttpServer, web};
-use coordination::control::ControlParams;
+use coordination::control::ControlConfig;
 use daemon_parts::limits::WORKERS;
 use daemon_parts::{
     channels,
@@ -27,16 +27,16 @@
 pub async fn run(p: Params, face: Face) -> Result<(), Report<StartFault>> {
     let _log = logging::start(&p.log)?;
     let names = |v: &[String]| v.iter().map(|s| s.as_str().into()).collect();
-    let cp = ControlParams {
+    let cp = ControlConfig {
         name: p.name.as_str().into(),
         zone: p.zone.as_str().into(),
         addr: p.listen.as_str().into(),
-        http: p.http.as_str().into(),
+        http_addr: p.http.as_str().into(),
         members: names(&p.members),
         seeds: names(&p.seeds),
         regions: p.regions.clone(),
-        reader: face.reader,
-        founding: p.founding,
+        spec_parser: face.reader,
+        bootstrap: p.founding,
         bounds: p.bounds.clone(),
     };
     let signals = StopSignals::listen()?;
--- a/control-daemon/tests/stored_data.rs
+++ b/control-daemon/tests/stored_data.rs
@@ -10,9 +10,9 @@
 use control_daemon::disk::Disk;
 use coordination::{
     Row,
-    board::own_spec,
     bounds::Bounds,
-    control::{Control, ControlParams},
+    control::{Control, ControlConfig},
+    state_table::parse_own_spec,
 };
 use googletest::prelude::*;
 use remote_calls::{RolloutPhase, RolloutRecord};
@@ -111,16 +111,16 @@
 }
 
 fn control(rows: Vec<Row>, disk: u64) -> Control {
-    let params = ControlParams {
+    let params = ControlConfig {
         name: "control-2".into(),
         zone: "bern".into(),
         addr: "127.101.86.4:46881".into(),
-        http: "127.101.86.5:39383".into(),
+        http_addr: "127.101.86.5:39383".into(),
         members: vec!["control-1".into(), "control-2".into(), "control-3".into()],
         seeds: vec!["127.101.86.2:37391".into(), "127.101.86.4:46881".into(), "127.101.86.6:40027".into()],
         regions: Default::default(),
-        reader: own_spec,
-        founding: false,
+        spec_parser: parse_own_spec,
+        bootstrap: false,
         bounds: Bounds::default(),
     };
     Control::new(params, disk, rows, 1, 1_000)
@@ -140,14 +140,14 @@
     let (disk, _, rows) = opened("served");
     let control = control(rows, disk);
     for slot in expected.slots.iter().filter(|slot| slot.version > 0 && slot.committed == slot.version) {
-        let served = control.board().get(&slot.key).unwrap();
+        let served = control.state_table().get(&slot.key).unwrap();
         expect_that!((served.epoch, served.version), eq((slot.epoch, slot.version)), "{}", slot.key);
         expect_that!(served.value.0, eq(&bytes(&slot.value)), "{}", slot.key);
     }
     let uncommitted: Vec<&str> =
         expected.slots.iter().filter(|slot| slot.committed != slot.version).map(|slot| slot.key.as_str()).collect();
     expect_that!(uncommitted, container_eq(["zone/bern"]));
-    expect_that!(control.board().get("zone/bern"), none());
+    expect_that!(control.state_table().get("zone/bern"), none());
 }
 
 #[gtest]
@@ -158,9 +158,9 @@
     let status = control.status(1_000);
     let voters: Vec<&str> = status.members.iter().map(|member| member.name.as_str()).collect();
     expect_that!(voters, container_eq(["control-1", "control-2", "control-3"]));
-    let record: RolloutRecord = control.board().read("rollout/assistant").unwrap();
+    let record: RolloutRecord = control.state_table().read("rollout/assistant").unwrap();
     expect_that!((record.phase, record.target.as_deref()), eq((RolloutPhase::Canary, Some("v2"))));
-    let large: RolloutRecord = control.board().read("rollout/large").unwrap();
+    let large: RolloutRecord = control.state_table().read("rollout/large").unwrap();
     expect_that!(large.replicas.len(), eq(LARGE_RECORD_REPLICAS));
     expect_that!(status.kill_switch, eq(false));
 }
--- a/coordination/examples/embed.rs
+++ b/coordination/examples/embed.rs
@@ -7,7 +7,7 @@
 
 use coordination::{
     Effect, Effects, Row, WriteOutcome,
-    control::{Control, ControlParams},
+    control::{Control, ControlConfig},
 };
 use wire_messages::{Message, Name};
 
@@ -34,8 +34,8 @@
                 disk.keep(rows);
                 ended = carry(then, disk, inbox).or(ended);
             }
-            Effect::Answer { outcome, .. } => ended = Some(outcome),
-            Effect::Note { event, text, .. } => println!("{} {} {text}", event.number, event.name),
+            Effect::WriteFinished { outcome, .. } => ended = Some(outcome),
+            Effect::Log { event, text, .. } => println!("{} {} {text}", event.number, event.name),
             Effect::Order { .. } => {}
         }
     }
@@ -43,16 +43,16 @@
 }
 
 fn main() {
-    let p = ControlParams {
+    let p = ControlConfig {
         name: "one".into(),
         zone: "z".into(),
         addr: "one".into(),
-        http: "".into(),
+        http_addr: "".into(),
         members: vec!["one".into()],
         seeds: vec![],
         regions: Default::default(),
-        reader: coordination::board::own_spec,
-        founding: false,
+        spec_parser: coordination::state_table::parse_own_spec,
+        bootstrap: false,
         bounds: Default::default(),
     };
     let (mut disk, mut inbox) = (Disk::default(), VecDeque::new());
@@ -60,12 +60,12 @@
     let mut written = None;
     for now in (50..10_000).step_by(50) {
         carry(brain.tick(now), &mut disk, &mut inbox);
-        if brain.settled() && written.is_none() {
+        if brain.is_settled() && written.is_none() {
             let (_, out) = brain.write("greeting", None, b"hello".to_vec(), now);
             written = carry(out, &mut disk, &mut inbox);
         }
         while let Some((to, msg)) = inbox.pop_front() {
-            written = carry(brain.on_msg(&to, &to, msg, now), &mut disk, &mut inbox).or(written);
+            written = carry(brain.on_message(&to, &to, msg, now), &mut disk, &mut inbox).or(written);
         }
         if written.is_some() {
             break;
@@ -74,7 +74,7 @@
     println!("{written:?}");
     // Another life with the same disk has it still.
     let again = Control::new(p, 7, disk.0.into_values().collect(), 2, 20_000);
-    let held = again.board().get("greeting").map(|c| String::from_utf8_lossy(&c.value.0).into_owned());
+    let held = again.state_table().get("greeting").map(|c| String::from_utf8_lossy(&c.value.0).into_owned());
     println!("after a restart: {held:?}");
     assert_eq!((written, held.as_deref()), (Some(WriteOutcome::Accepted(1)), Some("hello")));
 }
--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -9,11 +9,11 @@
 
 use coordination::{
     Effect, Effects, Ms, Row,
-    agent::Agent,
     bounds::Bounds,
-    control::{Control, ControlParams, SPEC},
+    control::{Control, ControlConfig, SPEC_KEY},
+    edge_agent::EdgeAgent,
     limits::TICK,
-    membership::EDGE,
+    membership::EDGE_ROLE,
     pass::{Ask, PassEnd, Told},
     proxy::{Admit, Placed, Proxy},
     register::Expect,
@@ -94,7 +94,7 @@
     pub size: Size,
     controls: Vec<Daemon<Control>>,
     disks: Vec<Disk>,
-    agents: Vec<Daemon<Agent>>,
+    agents: Vec<Daemon<EdgeAgent>>,
     proxies: Vec<Daemon<Proxy>>,
     next_hello: Vec<Ms>,
     addrs: BTreeMap<Name, Id>,
@@ -158,16 +158,16 @@
         let seeds: Vec<Name> = (0..3).map(|i| format!("10.1.{i}.9:7300").into()).collect();
         for (i, z) in SEATS.into_iter().enumerate() {
             let (name, addr): (Name, Name) = (format!("core-zone-{z}-{i}").into(), format!("10.1.{i}.9:7300").into());
-            let p = ControlParams {
+            let p = ControlConfig {
                 name: name.clone(),
                 zone: format!("zone-{z}").into(),
                 addr: addr.clone(),
-                http: format!("10.1.{i}.9:8262").into(),
+                http_addr: format!("10.1.{i}.9:8262").into(),
                 members: vec![],
                 seeds: seeds.clone(),
                 regions: regions.clone(),
-                reader: unpack,
-                founding: true,
+                spec_parser: unpack,
+                bootstrap: true,
                 bounds: Bounds::default(),
             };
             let c = Control::new(p, w.rng.u64(1..1 << 60), vec![], 1_000 + i as u64, 0);
@@ -183,7 +183,7 @@
             let (name, zone): (Name, Name) = (format!("edge-zone-{z}-{i}").into(), format!("zone-{z}").into());
             let (addr, at): (Name, Name) = (format!("10.2.{i}.1:7300").into(), format!("10.2.{i}.1:7301").into());
             let me = Node { name: name.clone(), zone: zone.clone(), addr: addr.clone(), incarnation: 2_000, ..Node::default() };
-            let mut a = Agent::new(me, seeds.clone(), w.rng.u64(..), 0);
+            let mut a = EdgeAgent::new(me, seeds.clone(), w.rng.u64(..), 0);
             a.set_regions(regions.clone());
             w.addrs.insert(addr.clone(), (Role::Agent, i));
             w.addrs.insert(at.clone(), (Role::Proxy, i));
@@ -249,7 +249,7 @@
         let v = self.spec();
         let n = v.len();
         let (now, i) = (self.now, (0..CONTROLS).find(|i| self.controls[*i].brain.is_some()).unwrap_or(0));
-        let out = self.controls[i].brain.as_mut().map(|b| b.write(SPEC, Expect::Any, v, now).1);
+        let out = self.controls[i].brain.as_mut().map(|b| b.write(SPEC_KEY, Expect::Any, v, now).1);
         self.carry((Role::Control, i), out.unwrap_or_default());
         n
     }
@@ -277,7 +277,7 @@
                     self.disks[me.1].buffer.push((rows, then));
                     self.disk(me.1);
                 }
-                Effect::Answer { .. } | Effect::Order { .. } | Effect::Note { .. } => {}
+                Effect::WriteFinished { .. } | Effect::Order { .. } | Effect::Log { .. } => {}
             }
         }
     }
@@ -330,8 +330,8 @@
             (_, Ev::Deliver(b)) => {
                 let Ok(e) = decode(&b[4..]) else { return self.faults += 1 };
                 let out = match me.0 {
-                    Role::Control => self.controls[me.1].brain.as_mut().map(|c| c.on_msg(&e.from, &e.addr, e.msg, now)),
-                    Role::Agent => self.agents[me.1].brain.as_mut().map(|a| a.on_msg(&e.from, &e.addr, e.msg, now)),
+                    Role::Control => self.controls[me.1].brain.as_mut().map(|c| c.on_message(&e.from, &e.addr, e.msg, now)),
+                    Role::Agent => self.agents[me.1].brain.as_mut().map(|a| a.on_message(&e.from, &e.addr, e.msg, now)),
                     Role::Proxy => {
                         if let (Message::TableUpdate(m), Some(p)) = (e.msg, &mut self.proxies[me.1].brain) {
                             p.on_board(m, now);
@@ -350,11 +350,11 @@
             }
             (Role::Control, Ev::List) => {
                 let Some(c) = &mut self.controls[me.1].brain else { return };
-                if c.on_duty(now) {
+                if c.holds_any_role(now) {
                     let n = self.list.len();
                     *self.meter.came.entry(Role::Control).or_default() += n as u64;
                     if let Ok(l) = serde_json::from_slice::<PlatformList>(&self.list) {
-                        c.on_platform(l, now);
+                        c.on_replica_list(l, now);
                     }
                 }
                 self.at(LIST_EVERY, me, Ev::List);
@@ -362,7 +362,7 @@
             (Role::Control, Ev::Tick) => {
                 let Some(c) = &mut self.controls[me.1].brain else { return };
                 let mut out = c.tick(now);
-                out.extend(c.loops(now, now / 1_000));
+                out.extend(c.run_rollouts(now, now / 1_000));
                 self.carry(me, out);
                 self.at(TICK, me, Ev::Tick);
             }
@@ -455,7 +455,7 @@
     }
     /// Percent of the other edges that an agent takes for live, on the average.
     pub fn seen_live(&self) -> f64 {
-        let all = self.agents.iter().flatten_brains().map(|a| a.membership.live(EDGE).count()).sum::<usize>();
+        let all = self.agents.iter().flatten_brains().map(|a| a.membership.live(EDGE_ROLE).count()).sum::<usize>();
         let n = self.size.edges;
         all as f64 * 100.0 / (n * (n - 1)).max(1) as f64
     }
@@ -463,16 +463,16 @@
         self.proxies.iter().flatten_brains().filter(|p| p.spec_version() >= version).count()
     }
     pub fn version(&self) -> u64 {
-        self.controls.iter().flatten_brains().filter_map(|c| c.board().get(SPEC)).map(|c| c.version).max().unwrap_or(0)
+        self.controls.iter().flatten_brains().filter_map(|c| c.state_table().get(SPEC_KEY)).map(|c| c.version).max().unwrap_or(0)
     }
     pub fn voters(&self) -> usize {
-        self.controls.iter().flatten_brains().filter(|c| c.regs.voting).count()
+        self.controls.iter().flatten_brains().filter(|c| c.registers.voting).count()
     }
 
     /// Bytes of the longest value besides the spec's.
     pub fn longest_value(&self) -> usize {
-        let rows = self.controls.iter().flatten_brains().flat_map(|c| c.board().rows());
-        rows.filter(|c| &*c.key != SPEC).map(|c| c.value.0.len()).max().unwrap_or(0)
+        let rows = self.controls.iter().flatten_brains().flat_map(|c| c.state_table().entries());
+        rows.filter(|c| &*c.key != SPEC_KEY).map(|c| c.value.0.len()).max().unwrap_or(0)
     }
 
     /// Mean bytes on the heap of one daemon of each role: what is free once it is gone.
--- a/coordination/examples/slopes/world/day.rs
+++ b/coordination/examples/slopes/world/day.rs
@@ -22,7 +22,7 @@
             incarnation: born,
             ..Node::default()
         };
-        let mut a = Agent::new(me, seeds, self.rng.u64(..), self.now);
+        let mut a = EdgeAgent::new(me, seeds, self.rng.u64(..), self.now);
         a.set_regions(regions.clone());
         let mut p = Proxy::new(format!("{name}/proxy").into(), zone, format!("10.2.{i}.1:8263").into(), born, self.rng.u64(..));
         p.set_reader(unpack);
--- a/coordination/src/claims/tests.rs
+++ b/coordination/src/claims/tests.rs
@@ -12,10 +12,10 @@
 fn at_most_one_round_runs_and_none_after_a_void() {
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let id: Name = mint(rng.u64(..), edges()).into();
+        let id: Name = mint_request_id(rng.u64(..), edges()).into();
         let names = holders(&id).unwrap();
-        let mut nodes: BTreeMap<Name, (Node, Holding)> =
-            edges().into_iter().map(|n| (n.name.clone(), (n, Holding::default()))).collect();
+        let mut nodes: BTreeMap<Name, (Node, ClaimGrants)> =
+            edges().into_iter().map(|n| (n.name.clone(), (n, ClaimGrants::default()))).collect();
         let mut asks: Vec<(u64, u8, Name)> = Vec::new();
         for (round, void) in [(1, 0), (2, 0), (3, 1)] {
             asks.extend(names.iter().map(|(n, _)| (round, void, n.clone())));
@@ -27,7 +27,7 @@
                 // The holder restarts: a new life that remembers nothing.
                 let (node, h) = nodes.get_mut(&n).unwrap();
                 node.incarnation += 100;
-                *h = Holding::default();
+                *h = ClaimGrants::default();
             }
             let (node, h) = nodes.get_mut(&n).unwrap();
             let mut out = vec![];
@@ -54,13 +54,13 @@
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = edges();
-        let mut held: Vec<Holding> = all.iter().map(|_| Holding::new(0)).collect();
+        let mut held: Vec<ClaimGrants> = all.iter().map(|_| ClaimGrants::new(0)).collect();
         let mut won = 0;
         let first = 100_000;
         for round in 1..=3u64 {
             let now = first + round * 20_000;
             // Some holders restart between the tries.
-            held.iter_mut().filter(|_| rng.u8(..) < 40).for_each(|h| *h = Holding::new(now - 1_000));
+            held.iter_mut().filter(|_| rng.u8(..) < 40).for_each(|h| *h = ClaimGrants::new(now - 1_000));
             let age = if round == 1 { 0 } else { now - first };
             let mut granted = 0;
             for (n, h) in all.iter().zip(&mut held).filter(|_| rng.u8(..) < 200) {
--- a/coordination/src/packed.rs
+++ b/coordination/src/compressed.rs
@@ -9,22 +9,22 @@
 use crate::limits::{PACKED_FROM, UNPACKED_MAX};
 
 /// Begins a packed value; no JSON begins so.
-const PACKED: u8 = 0;
+const COMPRESSED_MARK: u8 = 0;
 
 /// The value as it is kept and sent; none if it cannot be written.
-pub fn to_bytes<T: Serialize>(v: &T) -> Option<Vec<u8>> {
+pub fn encode<T: Serialize>(v: &T) -> Option<Vec<u8>> {
     let json = serde_json::to_vec(v).ok()?;
     if json.len() < PACKED_FROM {
         return Some(json);
     }
-    let mut e = DeflateEncoder::new(vec![PACKED], Compression::fast());
+    let mut e = DeflateEncoder::new(vec![COMPRESSED_MARK], Compression::fast());
     e.write_all(&json).ok()?;
     e.finish().ok()
 }
 
 /// The value that stands in the bytes, packed or not.
-pub fn of_bytes<T: DeserializeOwned>(b: &[u8]) -> Option<T> {
-    if b.first() != Some(&PACKED) {
+pub fn decode<T: DeserializeOwned>(b: &[u8]) -> Option<T> {
+    if b.first() != Some(&COMPRESSED_MARK) {
         return serde_json::from_slice(b).ok();
     }
     let mut json = Vec::new();
--- a/coordination/src/packed/tests.rs
+++ b/coordination/src/compressed/tests.rs
@@ -28,13 +28,13 @@
 fn what_is_packed_is_read_as_it_was_and_short_values_stay_json() {
     for n in [0, 1, 30, 3_000] {
         let r = record(n);
-        let b = to_bytes(&r).unwrap();
-        expect_that!(of_bytes::<RolloutRecord>(&b), some(eq(&r)));
-        expect_that!(b[0] == PACKED, eq(serde_json::to_vec(&r).unwrap().len() >= PACKED_FROM));
+        let b = encode(&r).unwrap();
+        expect_that!(decode::<RolloutRecord>(&b), some(eq(&r)));
+        expect_that!(b[0] == COMPRESSED_MARK, eq(serde_json::to_vec(&r).unwrap().len() >= PACKED_FROM));
     }
     // What an earlier build wrote is read too.
     let long = serde_json::to_vec(&record(3_000)).unwrap();
-    expect_true!(of_bytes::<RolloutRecord>(&long).is_some());
+    expect_true!(decode::<RolloutRecord>(&long).is_some());
 }
 
 // At 299 machines and 3,000 replicas a record of 600 KB could not be sent to an edge in the time that a frame has: no
@@ -44,14 +44,14 @@
     // Bytes that a link of 10 Mbit/s carries in 100 ms.
     const TENTH: usize = 125_000;
     expect_that!(serde_json::to_vec(&record(3_000)).unwrap().len(), gt(3 * TENTH));
-    expect_that!(to_bytes(&record(3_000)).unwrap().len(), lt(TENTH));
+    expect_that!(encode(&record(3_000)).unwrap().len(), lt(TENTH));
 }
 
 #[gtest]
 fn bytes_that_are_no_value_or_unpack_to_too_much_are_none() {
-    expect_that!(of_bytes::<RolloutRecord>(&[PACKED, 7, 7, 7]), none());
-    expect_that!(of_bytes::<RolloutRecord>(b""), none());
-    let text = to_bytes(&"a".repeat(UNPACKED_MAX)).unwrap();
+    expect_that!(decode::<RolloutRecord>(&[COMPRESSED_MARK, 7, 7, 7]), none());
+    expect_that!(decode::<RolloutRecord>(b""), none());
+    let text = encode(&"a".repeat(UNPACKED_MAX)).unwrap();
     expect_that!(text.len(), lt(UNPACKED_MAX / 100));
-    expect_that!(of_bytes::<String>(&text), none());
+    expect_that!(decode::<String>(&text), none());
 }
--- a/coordination/src/context/decide.rs
+++ b/coordination/src/context/decide.rs
@@ -10,8 +10,8 @@
         COPY_ASKS, CROSS_REGION_BYTE_MS, DEMAND_HALF, FAR_MS, GIVE_BACK_PART, OWN_TOKENS, STANDING_FOR, STANDING_MOST,
         TOKEN_BYTES,
     },
-    order::weight_of,
     placement::again_ms,
+    rendezvous::rendezvous_weight_of,
 };
 
 /// How often a region asks for a chain, decaying, and how often it was taken for ready there and was not.
@@ -129,7 +129,7 @@
         .replicas
         .iter()
         .filter(|r| r.version == i.version)
-        .map(|r| (weight_of(c.chain, number(&r.id)), (i.region)(&r.zone)))
+        .map(|r| (rendezvous_weight_of(c.chain, number(&r.id)), (i.region)(&r.zone)))
         .filter(|r| home(&r.1));
     home(region) && all.max().is_some_and(|(_, first)| first != region)
 }
@@ -140,7 +140,7 @@
     let stands = |r: &PlacedReplica| w.old.is_some_and(|o| o.replicas.contains(&r.id));
     let may = |r: &&PlacedReplica| r.version == i.version && (i.region)(&r.zone) == w.region && (!r.cold || stands(r));
     let mut all: Vec<&PlacedReplica> = i.replicas.iter().filter(may).collect();
-    all.sort_by_key(|r| std::cmp::Reverse((stands(r), weight_of(w.chain.chain, number(&r.id)))));
+    all.sort_by_key(|r| std::cmp::Reverse((stands(r), rendezvous_weight_of(w.chain.chain, number(&r.id)))));
     let tokens = u64::from(w.chain.tokens);
     let mut got = vec![];
     for r in all {
--- a/coordination/src/control/contexts.rs
+++ b/coordination/src/control/context_placement.rs
@@ -4,53 +4,54 @@
 
 /// What is known for deciding a service's copies of shared context.
 #[derive(Clone, Debug)]
-pub(super) struct ContextDuty {
+pub(super) struct ContextRole {
     /// Since when the duty is held here, and when the record was last written.
-    since: Ms,
-    wrote: Ms,
-    demands: Demands,
+    held_since: Ms,
+    written_at: Ms,
+    demand: Demands,
 }
 
 impl Control {
     pub(super) fn on_demand(&mut self, from: &Name, m: ContextDemand, now: Ms) {
-        if let Some(c) = self.contexts.get_mut(&*m.service) {
-            c.demands.tell(from, m.chains.0, now);
+        if let Some(c) = self.context_roles.get_mut(&*m.service) {
+            c.demand.tell(from, m.chains.0, now);
         }
     }
 
     /// Decides where copies of popular shared context stand, for the services whose duty is held here.
     pub(super) fn decide_contexts(&mut self, spec: &Spec, now: Ms, out: &mut Effects) {
         for s in &spec.services {
-            let key: Name = format!("{CONTEXT}{}", s.name).into();
-            let stands = self.board.get(&key).filter(|c| !c.value.0.is_empty());
+            let key: Name = format!("{CONTEXT_PREFIX}{}", s.name).into();
+            let stands = self.state_table.get(&key).filter(|c| !c.value.0.is_empty());
             let on = s.context.as_ref().filter(|c| c.on);
-            let held = self.regs.holds(&key, now).is_some() && self.regs.holds(&format!("{DUTY}{}", s.name), now).is_some();
+            let held = self.registers.held_until(&key, now).is_some()
+                && self.registers.held_until(&format!("{ROLLOUT_PREFIX}{}", s.name), now).is_some();
             let (Some(on), true) = (on, held) else {
-                self.contexts.remove(&s.name);
+                self.context_roles.remove(&s.name);
                 // Switched off: nothing stands any more.
-                if let Some(c) = stands.filter(|_| held && !self.regs.busy(&key)) {
+                if let Some(c) = stands.filter(|_| held && !self.registers.has_pending_writes(&key)) {
                     let e = Expect::Version(c.version);
-                    self.regs.propose(NOBODY, &key, e, Blob::default(), now, out);
-                    out.push(note(events::CONTEXT_OFF, &s.name, ""));
+                    self.registers.propose(NO_CALLER, &key, e, Blob::default(), now, out);
+                    out.push(log_event(events::CONTEXT_OFF, &s.name, ""));
                 }
                 continue;
             };
-            let d = self.contexts.entry(s.name.clone()).or_insert_with(|| {
-                out.push(note(events::CONTEXT_DUTY, &s.name, ""));
-                ContextDuty { since: now, wrote: 0, demands: Demands::default() }
+            let d = self.context_roles.entry(s.name.clone()).or_insert_with(|| {
+                out.push(log_event(events::CONTEXT_DUTY, &s.name, ""));
+                ContextRole { held_since: now, written_at: 0, demand: Demands::default() }
             });
-            if now < d.wrote + STANDING_EVERY || self.regs.busy(&key) {
+            if now < d.written_at + STANDING_EVERY || self.registers.has_pending_writes(&key) {
                 continue;
             }
             let Some(r) = self.records.get(&s.name) else { continue };
-            let region_of = |z: &str| regions::region(&self.p.regions, z).to_string();
-            let edge = |n: &Name| self.agents.get(n).map(|a| region_of(&a.node.zone));
-            let asked = d.demands.sums(&edge, now);
+            let region_of = |z: &str| regions::region_of(&self.config.regions, z).to_string();
+            let edge = |n: &Name| self.followers.get(n).map(|a| region_of(&a.node.zone));
+            let asked = d.demand.sums(&edge, now);
             let used: BTreeSet<&String> = r.groups.iter().flat_map(|g| &g.replicas).collect();
             let may = |p: &&remote_calls::PlacedReplica| {
                 used.contains(&p.id)
-                    && self.board.get(&format!("{LEAVING}{}", p.id)).is_none_or(|c| c.value.0.is_empty())
-                    && !evacuated(&self.board, &p.zone)
+                    && self.state_table.get(&format!("{DRAINING_PREFIX}{}", p.id)).is_none_or(|c| c.value.0.is_empty())
+                    && !evacuated(&self.state_table, &p.zone)
             };
             let replicas: Vec<_> = r.replicas.iter().filter(may).cloned().collect();
             let lanes = spec.paths.iter().filter(|p| p.split.iter().any(|x| x.service == s.name));
@@ -63,17 +64,17 @@
                 region: &region_of,
                 homes: &homes,
                 asked: &asked,
-                young: now.saturating_sub(d.since) < DEMAND_OLD,
+                young: now.saturating_sub(d.held_since) < DEMAND_OLD,
             };
-            let old: Option<ContextRecord> = stands.and_then(|c| packed::of_bytes(&c.value.0));
+            let old: Option<ContextRecord> = stands.and_then(|c| compressed::decode(&c.value.0));
             let none = || ContextRecord { service: s.name.clone(), version: r.stable.clone(), parts: vec![] };
             let next = context::decide(old.as_ref().unwrap_or(&none()), &i);
-            let Some(v) = packed::to_bytes(&next).filter(|_| old.as_ref() != Some(&next)) else { continue };
-            d.wrote = now;
+            let Some(v) = compressed::encode(&next).filter(|_| old.as_ref() != Some(&next)) else { continue };
+            d.written_at = now;
             let (was, n) = (old.map_or(0, |o| o.parts.len()), next.parts.len());
-            out.push(note(events::CONTEXT_MOVED, &s.name, format!("{was} to {n} copies")));
-            let e = Expect::Version(self.board.get(&key).map_or(0, |c| c.version));
-            self.regs.propose(NOBODY, &key, e, Blob(v), now, out);
+            out.push(log_event(events::CONTEXT_MOVED, &s.name, format!("{was} to {n} copies")));
+            let e = Expect::Version(self.state_table.get(&key).map_or(0, |c| c.version));
+            self.registers.propose(NO_CALLER, &key, e, Blob(v), now, out);
         }
     }
 }
--- a/coordination/src/control/resolution.rs
+++ b/coordination/src/control/directory.rs
@@ -55,28 +55,28 @@
 pub struct Resolution {
     pub addresses: Vec<String>,
     pub reach: Reach,
-    silent: Silent,
+    unreachable: Unreachable,
 }
 
 /// Edges of an answer that were not heard of for `SILENT_EDGE`, and the longest silence of any edge in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Silent {
+struct Unreachable {
     edges: usize,
-    longest: Ms,
+    longest_ms: Ms,
 }
 
-impl Silent {
-    fn among(edges: &[Serving]) -> Self {
-        let silent = edges.iter().filter(|e| e.silence > SILENT_EDGE).count();
-        Silent { edges: silent, longest: edges.iter().map(|e| e.silence).max().unwrap_or(0) }
+impl Unreachable {
+    fn among(edges: &[ServingEdge]) -> Self {
+        let silent = edges.iter().filter(|e| e.unheard_for > SILENT_EDGE).count();
+        Unreachable { edges: silent, longest_ms: edges.iter().map(|e| e.unheard_for).max().unwrap_or(0) }
     }
 }
 
 /// An edge that serves, and how long ago it was last heard of.
 #[derive(Clone, Copy)]
-struct Serving<'a> {
+struct ServingEdge<'a> {
     node: &'a Node,
-    silence: Ms,
+    unheard_for: Ms,
 }
 
 /// Why the directory names no edge.
@@ -94,14 +94,14 @@
     by_reach: BTreeMap<Reach, u64>,
     unresolved: u64,
     /// Answers that name silent edges, and when that was last logged.
-    silent: u64,
-    silent_logged: Option<Ms>,
+    unreachable: u64,
+    unreachable_logged_at: Option<Ms>,
     /// By region of the callers and how far they are sent, `None` for nowhere: when that was last logged.
-    logged: BTreeMap<(Name, Option<Reach>), Option<Ms>>,
+    distant_logged_at: BTreeMap<(Name, Option<Reach>), Option<Ms>>,
 }
 
 /// Whether something is to be logged that was last logged then, and is at most this often.
-fn due(logged: &mut Option<Ms>, every: Ms, now: Ms) -> bool {
+fn is_due(logged: &mut Option<Ms>, every: Ms, now: Ms) -> bool {
     let due = logged.is_none_or(|at| now.saturating_sub(at) >= every);
     if due {
         *logged = Some(now);
@@ -118,7 +118,7 @@
             ("resolutions_homes", of(Reach::Homes)),
             ("resolutions_fleet", of(Reach::Fleet)),
             ("resolutions_none", self.unresolved),
-            ("resolutions_silent", self.silent),
+            ("resolutions_silent", self.unreachable),
         ]
     }
 
@@ -126,20 +126,20 @@
         match answer {
             Ok(r) => {
                 *self.by_reach.entry(r.reach).or_default() += 1;
-                self.silent += u64::from(r.silent.edges > 0);
+                self.unreachable += u64::from(r.unreachable.edges > 0);
             }
             Err(_) => self.unresolved += 1,
         }
     }
 
     /// Whether it is to be logged that an answer names silent edges.
-    fn silent_due(&mut self, silent: Silent, now: Ms) -> bool {
-        silent.edges > 0 && due(&mut self.silent_logged, SILENT_LOGGED, now)
+    fn unreachable_log_due(&mut self, silent: Unreachable, now: Ms) -> bool {
+        silent.edges > 0 && is_due(&mut self.unreachable_logged_at, SILENT_LOGGED, now)
     }
 
     /// Whether it is to be logged how far a region's callers are sent: a region with one edge is so for ever.
-    fn far_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
-        due(self.logged.entry((region.into(), reach)).or_default(), RESOLUTION_LOGGED, now)
+    fn distant_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
+        is_due(self.distant_logged_at.entry((region.into(), reach)).or_default(), RESOLUTION_LOGGED, now)
     }
 }
 
@@ -148,36 +148,36 @@
     /// Beyond its region only where the host's routes may be carried, however few edges serve.
     pub fn resolve(&mut self, caller: Caller, now: Ms) -> (Result<Resolution, Unresolved>, Effects) {
         let answer = self.edges_for(caller, now);
-        self.resolutions.count(&answer);
+        self.resolution_counts.count(&answer);
         let reach = answer.as_ref().ok().map(|r| r.reach);
         let is_far = reach.is_none_or(|r| r > Reach::Region) && answer != Err(Unresolved::Starting);
         // A region that no zone is in is a caller's mistake, of which there may be any number.
-        let is_known = self.p.regions.values().any(|r| r == caller.region);
-        let log = is_far && is_known && self.resolutions.far_due(caller.region, reach, now);
-        let mut effects = if log { vec![self.log_far(caller, &answer, now)] } else { vec![] };
-        let silent = answer.as_ref().map_or(Silent::default(), |r| r.silent);
-        if self.resolutions.silent_due(silent, now) {
-            effects.push(self.log_silent(caller, silent, now));
+        let is_known = self.config.regions.values().any(|r| r == caller.region);
+        let log = is_far && is_known && self.resolution_counts.distant_log_due(caller.region, reach, now);
+        let mut effects = if log { vec![self.log_distant(caller, &answer, now)] } else { vec![] };
+        let silent = answer.as_ref().map_or(Unreachable::default(), |r| r.unreachable);
+        if self.resolution_counts.unreachable_log_due(silent, now) {
+            effects.push(self.log_unreachable(caller, silent, now));
         }
         (answer, effects)
     }
 
-    fn log_silent(&self, caller: Caller, silent: Silent, now: Ms) -> Effect {
-        let polled = self.agents.values().filter(|a| now.saturating_sub(a.at) <= NODE_GONE).count();
-        let live = self.membership.live(EDGE).count();
-        let Silent { edges, longest } = silent;
+    fn log_unreachable(&self, caller: Caller, silent: Unreachable, now: Ms) -> Effect {
+        let polled = self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= NODE_GONE).count();
+        let live = self.membership.live(EDGE_ROLE).count();
+        let Unreachable { edges, longest_ms: longest } = silent;
         let text = format!("edges={edges} longest_ms={longest} polled={polled} live={live}");
-        note(events::SILENT_EDGES_NAMED, caller.region, text)
+        log_event(events::SILENT_EDGES_NAMED, caller.region, text)
     }
 
     /// How long ago an edge was last heard of, by its own polls or by gossip.
-    fn silence(&self, edge: &Node, now: Ms) -> Ms {
-        let by_poll = self.agents.get(&edge.name).map(|a| now.saturating_sub(a.at));
-        let by_gossip = self.membership.silence(&edge.name, now);
+    fn unheard_for(&self, edge: &Node, now: Ms) -> Ms {
+        let by_poll = self.followers.get(&edge.name).map(|a| now.saturating_sub(a.polled_at));
+        let by_gossip = self.membership.unheard_for(&edge.name, now);
         by_poll.into_iter().chain(by_gossip).min().unwrap_or(Ms::MAX)
     }
 
-    fn log_far(&self, caller: Caller, answer: &Result<Resolution, Unresolved>, now: Ms) -> Effect {
+    fn log_distant(&self, caller: Caller, answer: &Result<Resolution, Unresolved>, now: Ms) -> Effect {
         let text = match answer {
             Ok(r) => format!("host={} reach={} edges={}", caller.host, r.reach.name(), r.addresses.len()),
             Err(_) => format!("host={} reach=none", caller.host),
@@ -187,44 +187,46 @@
             *near.entry(self.region_of(edge)).or_default() += 1;
         }
         let serving: Vec<String> = near.iter().map(|(region, n)| format!("{region}:{n}")).collect();
-        note(events::CALLERS_SENT_FAR, caller.region, format!("{text} serving={}", serving.join(",")))
+        log_event(events::CALLERS_SENT_FAR, caller.region, format!("{text} serving={}", serving.join(",")))
     }
 
     /// Edges that serve, as far as this daemon knows. All live edges poll a daemon that is in touch, so that it takes those
     /// which it does not hear of for gone, whatever part of the fleet they are. Otherwise their silence may be its own cut,
     /// and it goes by gossip, for no longer than it may be out of touch without a rule's leave.
-    fn serving_edges(&self, now: Ms) -> Vec<Serving<'_>> {
+    fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
         let in_touch = self.in_touch(now);
-        let most = if in_touch { NODE_GONE } else { self.p.bounds.contact };
-        let all = self.membership.known(EDGE).filter(|n| !n.http_addr.is_empty());
+        let most = if in_touch { NODE_GONE } else { self.config.bounds.contact };
+        let all = self.membership.known(EDGE_ROLE).filter(|n| !n.http_addr.is_empty());
         let all = all.filter(|n| in_touch || self.membership.is_live(&n.name));
-        all.map(|node| Serving { node, silence: self.silence(node, now) }).filter(|e| e.silence <= most).collect()
+        all.map(|node| ServingEdge { node, unheard_for: self.unheard_for(node, now) }).filter(|e| e.unheard_for <= most).collect()
     }
 
-    fn region_of<'a>(&'a self, edge: Serving<'a>) -> &'a str {
-        regions::region(&self.p.regions, &edge.node.zone)
+    fn region_of<'a>(&'a self, edge: ServingEdge<'a>) -> &'a str {
+        regions::region_of(&self.config.regions, &edge.node.zone)
     }
 
     fn edges_for(&self, caller: Caller, now: Ms) -> Result<Resolution, Unresolved> {
-        if now.saturating_sub(self.started) < KNOWS_FLEET {
+        if now.saturating_sub(self.started_at) < KNOWS_FLEET {
             return Err(Unresolved::Starting);
         }
-        let (edges, reach) = self.choose_edges(caller, self.serving_edges(now));
-        let edges: Vec<Serving> = agreed(caller.host, edges, |e| &e.node.name).into_iter().take(ADDRESSES).collect();
+        let (edges, reach) = self.select_edges(caller, self.serving_edges(now));
+        let edges: Vec<ServingEdge> =
+            rendezvous_order(caller.host, edges, |e| &e.node.name).into_iter().take(ADDRESSES).collect();
         if edges.is_empty() {
             return Err(Unresolved::NoEdge);
         }
-        let silent = Silent::among(&edges);
+        let silent = Unreachable::among(&edges);
         let addresses = edges.iter().map(|e| e.node.http_addr.to_string()).collect();
-        Ok(Resolution { addresses, reach, silent })
+        Ok(Resolution { addresses, reach, unreachable: silent })
     }
 
-    fn choose_edges<'a>(&'a self, caller: Caller, all: Vec<Serving<'a>>) -> (Vec<Serving<'a>>, Reach) {
-        let zone: Vec<Serving> = all.iter().filter(|e| &*e.node.zone == caller.zone).copied().collect();
+    fn select_edges<'a>(&'a self, caller: Caller, all: Vec<ServingEdge<'a>>) -> (Vec<ServingEdge<'a>>, Reach) {
+        let zone: Vec<ServingEdge> = all.iter().filter(|e| &*e.node.zone == caller.zone).copied().collect();
         if zone.len() > 1 {
             return (zone, Reach::Zone);
         }
-        let (own, beyond): (Vec<Serving>, Vec<Serving>) = all.into_iter().partition(|e| self.region_of(*e) == caller.region);
+        let (own, beyond): (Vec<ServingEdge>, Vec<ServingEdge>) =
+            all.into_iter().partition(|e| self.region_of(*e) == caller.region);
         if own.len() > 1 {
             return (own, Reach::Region);
         }
--- a/coordination/src/control/back_ends.rs
+++ b/coordination/src/control/replica_list.rs
@@ -4,7 +4,7 @@
 
 /// What one of `voters` may call for a second so that all who may hold one of `duties`, or held it last, stay within
 /// `rate` in any second: each may have one call in hand besides.
-pub fn calls_share(rate: f64, voters: usize, duties: usize) -> f64 {
+pub fn call_rate_share(rate: f64, voters: usize, duties: usize) -> f64 {
     let part = rate / voters.min(2 * duties).max(1) as f64;
     // Below two calls a second the one in hand is half of it.
     (part - 1.0).max(part / 2.0)
@@ -12,21 +12,21 @@
 
 impl Control {
     /// `asked`: when the platform was asked for it; an answer that was overtaken is dropped.
-    pub fn on_platform(&mut self, l: PlatformList, asked: Ms) {
-        if self.listed > asked {
+    pub fn on_replica_list(&mut self, l: PlatformList, asked: Ms) {
+        if self.list_requested_at > asked {
             return;
         }
-        self.listed = asked;
+        self.list_requested_at = asked;
         self.reports.retain(|id, _| l.replicas.iter().any(|r| r.id == *id));
-        if self.platform.as_ref() != Some(&l) {
-            self.list_moved = asked;
+        if self.replica_list.as_ref() != Some(&l) {
+            self.list_changed_at = asked;
         }
-        self.platform = Some(l);
+        self.replica_list = Some(l);
     }
 
     /// Whether the list has not changed for a while, so that it may be asked for less often.
-    pub fn list_calm(&self, now: Ms) -> bool {
-        self.platform.is_some() && now.saturating_sub(self.list_moved) > LIST_CALM
+    pub fn is_list_stable(&self, now: Ms) -> bool {
+        self.replica_list.is_some() && now.saturating_sub(self.list_changed_at) > LIST_CALM
     }
 
     pub fn on_report(&mut self, r: ReplicaReport, now: Ms) {
@@ -34,8 +34,8 @@
     }
 
     /// Replicas to ask for their reports: id and address.
-    pub fn replicas(&self) -> Vec<(String, String)> {
-        let Some(l) = &self.platform else { return vec![] };
+    pub fn replicas_to_poll(&self) -> Vec<(String, String)> {
+        let Some(l) = &self.replica_list else { return vec![] };
         let placed = |r: &PlatformReplica| {
             let services = self.spec.iter().flat_map(|s| &s.services);
             services.into_iter().any(|s| s.name == r.service && s.mode == ServiceMode::Placed)
@@ -45,25 +45,25 @@
     }
 
     /// Whether any duty is held here, so that back ends need asking.
-    pub fn on_duty(&self, now: Ms) -> bool {
-        self.board.rows().any(|c| c.key.starts_with(DUTY) && self.regs.holds(&c.key, now).is_some())
-            || self
-                .spec
-                .as_ref()
-                .is_some_and(|s| s.services.iter().any(|v| self.regs.holds(&format!("{DUTY}{}", v.name), now).is_some()))
+    pub fn holds_any_role(&self, now: Ms) -> bool {
+        self.state_table.entries().any(|c| c.key.starts_with(ROLLOUT_PREFIX) && self.registers.held_until(&c.key, now).is_some())
+            || self.spec.as_ref().is_some_and(|s| {
+                s.services.iter().any(|v| self.registers.held_until(&format!("{ROLLOUT_PREFIX}{}", v.name), now).is_some())
+            })
     }
 
     /// This daemon's part of what may be called for a second by all: the holder of each duty calls, a former one may
     /// not have noticed yet that another holds it, and no more daemons hold duties than there are voters.
-    pub fn calls_share(&self, rate: f64) -> f64 {
+    pub fn call_rate_share(&self, rate: f64) -> f64 {
         let duties = self.spec.as_ref().map_or(1, |s| s.services.len().max(1));
-        calls_share(rate, self.regs.voters.len(), duties)
+        call_rate_share(rate, self.registers.voters.len(), duties)
     }
 
     /// Whether the platform has this replica, as far as this daemon or the records tell.
     pub fn knows_replica(&self, id: &str) -> bool {
-        let listed = self.platform.as_ref().is_some_and(|l| l.replicas.iter().any(|r| r.id == id));
-        let mut rows = self.board.under(DUTY).filter_map(|(_, c)| packed::of_bytes::<RolloutRecord>(&c.value.0));
+        let listed = self.replica_list.as_ref().is_some_and(|l| l.replicas.iter().any(|r| r.id == id));
+        let mut rows =
+            self.state_table.with_prefix(ROLLOUT_PREFIX).filter_map(|(_, c)| compressed::decode::<RolloutRecord>(&c.value.0));
         listed || rows.any(|r| r.replicas.iter().any(|p| p.id == id))
     }
 }
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -4,33 +4,34 @@
 
 impl Control {
     pub fn status(&self, now: Ms) -> Status {
-        let live = self.live(now);
-        let keys = self.regs.keys().map(|s| {
-            let held = self.regs.holds(&s.key, now);
+        let live = self.live_voters(now);
+        let keys = self.registers.slots().map(|s| {
+            let held = self.registers.held_until(&s.key, now);
             KeyStatus {
                 key: s.key.to_string(),
-                owner: self.regs.first(&s.key, &live).map_or(String::new(), |v| v.name.to_string()),
+                owner: self.registers.preferred_owner(&s.key, &live).map_or(String::new(), |v| v.name.to_string()),
                 epoch: s.accepted_epoch,
                 version: s.version,
                 permit_ms: held.filter(|h| h.1 != Ms::MAX).map(|h| h.1 - now),
             }
         });
-        let members = self.regs.voters.iter().map(|v| self.member_status(v, live(&v.name), now));
-        let edges = self.agents.values().map(|a| EdgeStatus {
+        let members = self.registers.voters.iter().map(|v| self.member_status(v, live(&v.name), now));
+        let edges = self.followers.values().map(|a| EdgeStatus {
             edge: a.node.name.to_string(),
             zone: a.node.zone.to_string(),
-            heard_ms_ago: now.saturating_sub(a.at),
-            spec_version: a.seen.iter().find(|c| &*c.key == SPEC).map_or(0, |c| c.version),
-            versions: a.seen.iter().map(|c| KeyVersion { key: c.key.to_string(), version: c.version }).collect(),
+            heard_ms_ago: now.saturating_sub(a.polled_at),
+            spec_version: a.versions.iter().find(|c| &*c.key == SPEC_KEY).map_or(0, |c| c.version),
+            versions: a.versions.iter().map(|c| KeyVersion { key: c.key.to_string(), version: c.version }).collect(),
         });
-        let contexts = self.board.under(CONTEXT).filter_map(|(_, c)| packed::of_bytes(&c.value.0));
-        let rollouts = self.board.under(DUTY).filter_map(|(_, c)| packed::of_bytes(&c.value.0));
+        let contexts = self.state_table.with_prefix(CONTEXT_PREFIX).filter_map(|(_, c)| compressed::decode(&c.value.0));
+        let rollouts = self.state_table.with_prefix(ROLLOUT_PREFIX).filter_map(|(_, c)| compressed::decode(&c.value.0));
         let zones = self.spec.as_ref().map_or(vec![], |s| s.zones.clone());
-        let heard = || self.agents.values().filter(|a| now.saturating_sub(a.at) <= FOLLOWER_GONE).flat_map(|a| &a.opens);
+        let heard =
+            || self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_GONE).flat_map(|a| &a.open_streams);
         let homes: BTreeMap<String, String> = self
-            .board
-            .under(DUTY)
-            .filter_map(|(_, c)| packed::of_bytes::<RolloutRecord>(&c.value.0))
+            .state_table
+            .with_prefix(ROLLOUT_PREFIX)
+            .filter_map(|(_, c)| compressed::decode::<RolloutRecord>(&c.value.0))
             .flat_map(|r| r.replicas)
             .map(|p| (p.id, p.zone))
             .collect();
@@ -39,13 +40,13 @@
             streams: heard().filter(|((r, _), _)| homes.get(&**r) == Some(&z.name)).map(|(_, n)| u64::from(*n)).sum(),
         });
         let streams = streams.collect();
-        let zones = zones.into_iter().map(|z| ZoneState { evacuated: evacuated(&self.board, &z.name), zone: z.name });
+        let zones = zones.into_iter().map(|z| ZoneState { evacuated: evacuated(&self.state_table, &z.name), zone: z.name });
         Status {
-            daemon: self.p.name.to_string(),
-            member_epoch: self.regs.member_epoch.into(),
-            settled: self.settled,
+            daemon: self.config.name.to_string(),
+            member_epoch: self.registers.member_epoch.into(),
+            settled: self.is_settled,
             quorum: Some(self.hears_majority(now)),
-            disk_ok: self.disk_ok,
+            disk_ok: self.disk_healthy,
             members: members.collect(),
             keys: keys.collect(),
             edges: edges.collect(),
@@ -53,65 +54,74 @@
             contexts: contexts.collect(),
             zones: zones.collect(),
             streams,
-            kill_switch: self.killed(),
+            kill_switch: self.kill_switch_on(),
         }
     }
 
     fn member_status(&self, v: &Voter, live: bool, now: Ms) -> MemberStatus {
-        let own = v.name == self.p.name;
-        let peer = self.peers.get(&v.name).filter(|p| p.beat.disk_id == v.disk_id);
+        let own = v.name == self.config.name;
+        let peer = self.peers.get(&v.name).filter(|p| p.heartbeat.disk_id == v.disk_id);
         MemberStatus {
             name: v.name.to_string(),
-            addr: self.regs.addr(v).to_string(),
+            addr: self.registers.addr(v).to_string(),
             live,
             voter: true,
-            heard_ms_ago: if own { Some(0) } else { peer.map(|p| now.saturating_sub(p.at)) },
-            member_epoch: if own { Some(self.regs.member_epoch.into()) } else { peer.map(|p| p.beat.member_epoch.into()) },
-            same: if own { Some(true) } else { peer.map(|p| p.beat.committed_digest == self.regs.digest()) },
+            heard_ms_ago: if own { Some(0) } else { peer.map(|p| now.saturating_sub(p.heard_at)) },
+            member_epoch: if own {
+                Some(self.registers.member_epoch.into())
+            } else {
+                peer.map(|p| p.heartbeat.member_epoch.into())
+            },
+            same: if own { Some(true) } else { peer.map(|p| p.heartbeat.committed_digest == self.registers.committed_digest()) },
         }
     }
 
     /// Whether this daemon votes and hears a majority of the voters, itself among them.
     fn hears_majority(&self, now: Ms) -> bool {
-        self.regs.voting && self.regs.is_majority(self.live_voters(now))
+        self.registers.voting && self.registers.is_majority(self.live_voter_count(now))
     }
 
-    fn live_voters(&self, now: Ms) -> usize {
-        let live = self.live(now);
-        self.regs.voters.iter().filter(|v| live(&v.name)).count()
+    fn live_voter_count(&self, now: Ms) -> usize {
+        let live = self.live_voters(now);
+        self.registers.voters.iter().filter(|v| live(&v.name)).count()
     }
 
     pub fn health(&self) -> HealthAnswer {
-        let stands_by = self.regs.member_epoch > 0 && !self.named();
-        let detail = match (self.disk_ok, self.regs.voting, self.settled) {
+        let stands_by = self.registers.member_epoch > 0 && !self.is_listed_voter();
+        let detail = match (self.disk_healthy, self.registers.voting, self.is_settled) {
             (false, ..) => "the disk does not take writes",
             _ if stands_by => "stands by without a vote",
             (_, false, _) => "does not vote yet",
             (.., false) => "has not settled yet",
             _ => "serves",
         };
-        HealthAnswer { ok: (self.settled || stands_by) && self.disk_ok, process: self.p.name.to_string(), detail: detail.into() }
+        HealthAnswer {
+            ok: (self.is_settled || stands_by) && self.disk_healthy,
+            process: self.config.name.to_string(),
+            detail: detail.into(),
+        }
     }
 
     pub fn counters(&self, now: Ms) -> Vec<(&'static str, u64)> {
-        let voters = || self.regs.voters.iter();
-        let differ = |v: &&Voter| self.differed.get(&v.name).is_some_and(|d| now.saturating_sub(d.since) >= BEHIND_AFTER);
-        let copies = self.board.under(CONTEXT).filter_map(|(_, c)| packed::of_bytes::<ContextRecord>(&c.value.0));
+        let voters = || self.registers.voters.iter();
+        let differ = |v: &&Voter| self.differences.get(&v.name).is_some_and(|d| now.saturating_sub(d.since) >= BEHIND_AFTER);
+        let copies =
+            self.state_table.with_prefix(CONTEXT_PREFIX).filter_map(|(_, c)| compressed::decode::<ContextRecord>(&c.value.0));
         let mut rows = vec![
             ("context_copies", copies.map(|r| r.parts.len() as u64).sum()),
-            ("feed_place", self.seq),
-            ("keys", self.regs.keys().count() as u64),
-            ("edges", self.agents.len() as u64),
-            ("keys_uncommitted", self.regs.keys().filter(|s| s.committed_version != s.version).count() as u64),
-            ("member_epoch", self.regs.member_epoch.into()),
+            ("feed_place", self.feed_position),
+            ("keys", self.registers.slots().count() as u64),
+            ("edges", self.followers.len() as u64),
+            ("keys_uncommitted", self.registers.slots().filter(|s| s.committed_version != s.version).count() as u64),
+            ("member_epoch", self.registers.member_epoch.into()),
             ("quorum", self.hears_majority(now).into()),
             ("voters", voters().count() as u64),
-            ("voters_live", self.live_voters(now) as u64),
+            ("voters_live", self.live_voter_count(now) as u64),
             ("voters_behind", voters().filter(differ).count() as u64),
             ("in_touch", self.in_touch(now).into()),
-            ("loops_resting", self.resting.len() as u64),
+            ("loops_resting", self.stalled_loops.len() as u64),
         ];
-        rows.extend(self.resolutions.rows());
+        rows.extend(self.resolution_counts.rows());
         rows
     }
 }
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -4,269 +4,277 @@
 
 impl Control {
     /// Whether this very disk is a voter's.
-    pub(super) fn named(&self) -> bool {
-        self.regs.voters.iter().any(|v| v.disk_id == self.disk)
+    pub(super) fn is_listed_voter(&self) -> bool {
+        self.registers.voters.iter().any(|v| v.disk_id == self.disk_id)
     }
 
-    pub(super) fn live(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
+    pub(super) fn live_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
         let mut names: BTreeSet<Name> = self
             .peers
             .iter()
             .filter(|(_, p)| {
-                now.saturating_sub(p.at) <= PEER_GONE
-                    && p.beat.state == PeerState::Voter
-                    && p.beat.member_epoch == self.regs.member_epoch
+                now.saturating_sub(p.heard_at) <= PEER_GONE
+                    && p.heartbeat.state == PeerState::Voter
+                    && p.heartbeat.member_epoch == self.registers.member_epoch
             })
             .map(|(n, _)| n.clone())
             .collect();
-        if !self.going && self.disk_ok {
-            names.insert(self.p.name.clone());
+        if !self.stopping && self.disk_healthy {
+            names.insert(self.config.name.clone());
         }
         move |n| names.contains(n)
     }
 
     pub(super) fn on_heartbeat(&mut self, from: &Name, addr: &Name, m: Heartbeat, now: Ms, out: &mut Effects) {
-        self.regs.set_addr(from, addr);
-        self.heard.insert(m.disk_id, now);
+        self.registers.set_addr(from, addr);
+        self.disk_heard_at.insert(m.disk_id, now);
         let blank = matches!(m.state, PeerState::Blank | PeerState::Bootstrapping);
-        let same = m.committed_digest == self.regs.digest();
-        if m.state == PeerState::Voter && m.member_epoch == self.regs.member_epoch && same {
-            self.met.insert(from.clone());
+        let same = m.committed_digest == self.registers.committed_digest();
+        if m.state == PeerState::Voter && m.member_epoch == self.registers.member_epoch && same {
+            self.compared_with.insert(from.clone());
         }
-        let missed = !same && (!self.met.contains(from) || self.still_differs(from, m.committed_digest, now));
+        let missed = !same && (!self.compared_with.contains(from) || self.still_differs(from, m.committed_digest, now));
         if same {
-            self.differed.remove(from);
+            self.differences.remove(from);
         }
-        let behind = m.member_epoch > self.regs.member_epoch || (m.state == PeerState::Voter && missed);
-        if behind && !blank && now >= self.next_ask {
-            self.next_ask = now + HEARTBEAT_EVERY / 4;
-            out.push(send(addr, SlotsRequest { member_epoch: self.regs.member_epoch, known: self.regs.have() }));
+        let behind = m.member_epoch > self.registers.member_epoch || (m.state == PeerState::Voter && missed);
+        if behind && !blank && now >= self.next_slots_request {
+            self.next_slots_request = now + HEARTBEAT_EVERY / 4;
+            out.push(send(
+                addr,
+                SlotsRequest { member_epoch: self.registers.member_epoch, known: self.registers.slot_metadata() },
+            ));
         }
         // The first voters are offered again to a member that was named among them but has not stored it.
-        if blank && self.regs.member_epoch == 1 && self.regs.voters.iter().any(|v| v.disk_id == m.disk_id) {
-            out.push(send(addr, Bootstrap { voters: List(self.regs.voters.clone()) }));
+        if blank && self.registers.member_epoch == 1 && self.registers.voters.iter().any(|v| v.disk_id == m.disk_id) {
+            out.push(send(addr, Bootstrap { voters: List(self.registers.voters.clone()) }));
         }
         // Who is new, or was gone, learns of this daemon at once.
-        if self.peers.get(from).is_none_or(|p| now.saturating_sub(p.at) > PEER_GONE || p.beat.disk_id != m.disk_id) {
-            self.next_beat = now;
+        if self.peers.get(from).is_none_or(|p| now.saturating_sub(p.heard_at) > PEER_GONE || p.heartbeat.disk_id != m.disk_id) {
+            self.next_heartbeat = now;
         }
-        self.peers.insert(from.clone(), Peer { at: now, beat: m, addr: addr.clone() });
+        self.peers.insert(from.clone(), Peer { heard_at: now, heartbeat: m, addr: addr.clone() });
     }
 
     /// Whether a peer that holds something else than this daemon will not be mended by what is on its way to either: that
     /// differs in one beat, while what was missed differs in the next one too, or for long.
     fn still_differs(&mut self, from: &Name, theirs: u64, now: Ms) -> bool {
-        let digests = (theirs, self.regs.digest());
-        let Some(d) = self.differed.get_mut(from) else {
-            self.differed.insert(from.clone(), Difference { digests, since: now, compared: now });
+        let digests = (theirs, self.registers.committed_digest());
+        let Some(d) = self.differences.get_mut(from) else {
+            self.differences.insert(from.clone(), Difference { digests, since: now, compared_at: now });
             return false;
         };
-        let missed = d.digests == digests || now.saturating_sub(d.compared) >= DIFFERS_LONG;
-        *d = Difference { digests, since: d.since, compared: if missed { now } else { d.compared } };
+        let missed = d.digests == digests || now.saturating_sub(d.compared_at) >= DIFFERS_LONG;
+        *d = Difference { digests, since: d.since, compared_at: if missed { now } else { d.compared_at } };
         missed
     }
 
     /// Tells its slots, once all that it has voted is on its disk: an earlier member epoch must not come back here
     /// after a newcomer has counted on it to be over.
-    pub(super) fn on_slots_ask(&mut self, addr: &Name, m: SlotsRequest, now: Ms, out: &mut Effects) {
-        self.regs.write_again(&m.known, now, out);
-        let r = &self.regs;
-        let slots = r.slots_beyond(&m.known);
+    pub(super) fn on_slots_request(&mut self, addr: &Name, m: SlotsRequest, now: Ms, out: &mut Effects) {
+        self.registers.rewrite_uncommitted(&m.known, now, out);
+        let r = &self.registers;
+        let slots = r.slots_differing_from(&m.known);
         let m = SlotsReply {
             member_epoch: r.member_epoch,
-            voting: if r.voting { 1 } else { u8::from(r.left) * 2 },
-            previous_voter_count: r.before,
+            voting: if r.voting { 1 } else { u8::from(r.retired) * 2 },
+            previous_voter_count: r.previous_voter_count,
             voters: List(r.voters.clone()),
             slots,
         };
         out.push(Effect::Persist { rows: vec![], then: vec![send(addr, m)] });
     }
 
-    pub(super) fn on_genesis(&mut self, m: Bootstrap, out: &mut Effects) {
+    pub(super) fn on_bootstrap(&mut self, m: Bootstrap, out: &mut Effects) {
         // Only a disk that is blank and named takes it; a later blank disk has another number.
-        if self.regs.member_epoch == 0 && m.voters.iter().any(|v| v.disk_id == self.disk) {
-            self.begin(m.voters.0, out);
+        if self.registers.member_epoch == 0 && m.voters.iter().any(|v| v.disk_id == self.disk_id) {
+            self.begin_as_voter(m.voters.0, out);
         }
     }
 
-    fn begin(&mut self, voters: Vec<Voter>, out: &mut Effects) {
-        self.regs.follow(1, 0, voters, out);
+    fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
+        self.registers.adopt_members(1, 0, voters, out);
         // Nobody ever voted before: there is no lease to wait out.
-        self.regs.no_leases_before();
-        self.regs.voting = true;
+        self.registers.skip_lease_wait();
+        self.registers.voting = true;
         // Until others know that it votes they take its keys.
-        self.next_beat = 0;
-        out.push(note(events::GENESIS, &self.p.name, ""));
-        out.push(Effect::Persist { rows: vec![self.regs.members_row()], then: vec![] });
+        self.next_heartbeat = 0;
+        out.push(log_event(events::GENESIS, &self.config.name, ""));
+        out.push(Effect::Persist { rows: vec![self.registers.members_row()], then: vec![] });
     }
 
-    pub(super) fn on_slots(&mut self, from: &Name, m: SlotsReply, now: Ms, out: &mut Effects) {
-        self.regs.mend(&m.slots, out);
-        self.follow_members(out);
+    pub(super) fn on_slots_reply(&mut self, from: &Name, m: SlotsReply, now: Ms, out: &mut Effects) {
+        self.registers.repair(&m.slots, out);
+        self.adopt_committed_voters(out);
         // The first voters stand under no key.
-        if self.regs.member_epoch == 0 && m.member_epoch == 1 && m.voters.iter().any(|v| v.disk_id == self.disk) {
-            self.begin(m.voters.0, out);
-        } else if m.member_epoch > self.regs.member_epoch {
-            self.follow(m.member_epoch, m.previous_voter_count, m.voters.0, out);
+        if self.registers.member_epoch == 0 && m.member_epoch == 1 && m.voters.iter().any(|v| v.disk_id == self.disk_id) {
+            self.begin_as_voter(m.voters.0, out);
+        } else if m.member_epoch > self.registers.member_epoch {
+            self.adopt_voters(m.member_epoch, m.previous_voter_count, m.voters.0, out);
         }
-        if m.member_epoch != self.regs.member_epoch {
+        if m.member_epoch != self.registers.member_epoch {
             return;
         }
         if m.voting == 1 {
-            self.met.insert(from.clone());
+            self.compared_with.insert(from.clone());
         }
-        if self.regs.voting || !self.named() || m.voting == 0 {
+        if self.registers.voting || !self.is_listed_voter() || m.voting == 0 {
             return;
         }
-        let mut rows = self.regs.catch_up(&m.slots);
-        self.caught.insert(from.clone());
-        if self.caught.len() >= self.to_read() {
-            self.regs.vote(now);
-            self.next_beat = 0;
-            out.push(note(events::VOTING, &self.p.name, format!("member epoch {}", self.regs.member_epoch)));
+        let mut rows = self.registers.catch_up(&m.slots);
+        self.caught_up_from.insert(from.clone());
+        if self.caught_up_from.len() >= self.voters_to_read() {
+            self.registers.start_voting(now);
+            self.next_heartbeat = 0;
+            out.push(log_event(events::VOTING, &self.config.name, format!("member epoch {}", self.registers.member_epoch)));
         }
-        rows.push(self.regs.members_row());
+        rows.push(self.registers.members_row());
         out.push(Effect::Persist { rows, then: vec![] });
     }
 
     /// How many voters that have closed the member epoch before must be read: a majority of its voters, so that nothing
     /// more can be taken under it, and whatever was taken stands with one of those. Who voted in it or has itself read
     /// so many counts. Where their number is not known, all others.
-    fn to_read(&self) -> usize {
-        match self.regs.before {
-            0 => self.regs.voters.len() - 1,
+    fn voters_to_read(&self) -> usize {
+        match self.registers.previous_voter_count {
+            0 => self.registers.voters.len() - 1,
             n => n as usize / 2 + 1,
         }
     }
 
     /// Adopts voters that were committed under the members' key.
-    pub(super) fn follow_members(&mut self, out: &mut Effects) {
-        let Some(c) = self.regs.fresh.iter().filter(|c| &*c.key == MEMBERS).max_by_key(|c| c.version).cloned() else { return };
-        let (Some((before, voters)), member_epoch) = (members::of_bytes(&c.value.0), c.version as u32 + 1) else { return };
-        self.follow(member_epoch, before, voters, out);
+    pub(super) fn adopt_committed_voters(&mut self, out: &mut Effects) {
+        let Some(c) = self.registers.newly_committed.iter().filter(|c| &*c.key == MEMBERS_KEY).max_by_key(|c| c.version).cloned()
+        else {
+            return;
+        };
+        let (Some((before, voters)), member_epoch) = (voter_placement::decode(&c.value.0), c.version as u32 + 1) else { return };
+        self.adopt_voters(member_epoch, before, voters, out);
     }
 
-    fn follow(&mut self, member_epoch: u32, before: u32, voters: Vec<Voter>, out: &mut Effects) {
-        if member_epoch <= self.regs.member_epoch {
+    fn adopt_voters(&mut self, member_epoch: u32, before: u32, voters: Vec<Voter>, out: &mut Effects) {
+        if member_epoch <= self.registers.member_epoch {
             return;
         }
         // Whoever lost its place and was given one again may lack what was taken in between.
-        let kept = voters.iter().any(|v| v.disk_id == self.disk && v.since_epoch <= self.regs.member_epoch);
-        let left = !kept && self.regs.voting && member_epoch == self.regs.member_epoch + 1;
-        self.regs.follow(member_epoch, before, voters, out);
-        self.regs.voting &= kept;
-        self.regs.left = left;
-        self.caught.clear();
+        let kept = voters.iter().any(|v| v.disk_id == self.disk_id && v.since_epoch <= self.registers.member_epoch);
+        let left = !kept && self.registers.voting && member_epoch == self.registers.member_epoch + 1;
+        self.registers.adopt_members(member_epoch, before, voters, out);
+        self.registers.voting &= kept;
+        self.registers.retired = left;
+        self.caught_up_from.clear();
         // Until others know that it counts the same votes it is not live to them.
-        (self.next_join, self.next_beat, self.changed) = (0, 0, self.clock);
-        out.push(Effect::Persist { rows: vec![self.regs.members_row()], then: vec![] });
+        (self.next_join, self.next_heartbeat, self.voters_changed_at) = (0, 0, self.tick_time);
+        out.push(Effect::Persist { rows: vec![self.registers.members_row()], then: vec![] });
     }
 
     /// Gives lost voters' places to others, and adds voters where there are too few, if this daemon is the one to.
     pub(super) fn change_voters(&mut self, now: Ms, live: &dyn Fn(&str) -> bool, out: &mut Effects) {
-        if now < self.next_voter_change || !self.regs.voting {
+        if now < self.next_voter_change || !self.registers.voting {
             return;
         }
         self.next_voter_change = now + 2 * HEARTBEAT_EVERY;
-        self.heard.retain(|_, t| now.saturating_sub(*t) < NODE_FORGOTTEN);
-        let mine = self.regs.first(MEMBERS, live).is_some_and(|v| v.name == self.p.name);
+        self.disk_heard_at.retain(|_, t| now.saturating_sub(*t) < NODE_FORGOTTEN);
+        let mine = self.registers.preferred_owner(MEMBERS_KEY, live).is_some_and(|v| v.name == self.config.name);
         // One that has just started has not heard the others yet.
-        if !mine || now.saturating_sub(self.started) < 2 * PEER_GONE || self.regs.busy(MEMBERS) {
+        if !mine || now.saturating_sub(self.started_at) < 2 * PEER_GONE || self.registers.has_pending_writes(MEMBERS_KEY) {
             return;
         }
-        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.at) <= PEER_GONE);
-        let votes = |v: &Voter| v.name == self.p.name || live(&v.name);
-        let member_epoch = self.regs.member_epoch;
+        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_GONE);
+        let votes = |v: &Voter| v.name == self.config.name || live(&v.name);
+        let member_epoch = self.registers.member_epoch;
         // A newcomer is still reading: another change would have it begin anew.
         let reads = |p: &Peer| {
-            p.beat.state == PeerState::CatchingUp
-                && self.regs.voters.iter().any(|v| v.disk_id == p.beat.disk_id && v.since_epoch == member_epoch)
+            p.heartbeat.state == PeerState::CatchingUp
+                && self.registers.voters.iter().any(|v| v.disk_id == p.heartbeat.disk_id && v.since_epoch == member_epoch)
         };
-        if now.saturating_sub(self.changed) < READING && fresh().any(|(_, p)| reads(p)) {
+        if now.saturating_sub(self.voters_changed_at) < READING && fresh().any(|(_, p)| reads(p)) {
             return;
         }
         let free = |p: &Peer| {
-            matches!(p.beat.state, PeerState::Blank | PeerState::Bootstrapping | PeerState::Joiner | PeerState::Learner)
-                && !self.regs.voters.iter().any(|v| v.disk_id == p.beat.disk_id)
+            matches!(p.heartbeat.state, PeerState::Blank | PeerState::Bootstrapping | PeerState::Joiner | PeerState::Learner)
+                && !self.registers.voters.iter().any(|v| v.disk_id == p.heartbeat.disk_id)
         };
         let candidates = fresh().filter(|(_, p)| free(p)).map(|(n, p)| {
             let v = Voter {
                 name: n.clone(),
-                disk_id: p.beat.disk_id,
+                disk_id: p.heartbeat.disk_id,
                 addr: p.addr.clone(),
-                zone: p.beat.zone.clone(),
+                zone: p.heartbeat.zone.clone(),
                 since_epoch: member_epoch + 1,
             };
-            (v, p.beat.state != PeerState::Learner)
+            (v, p.heartbeat.state != PeerState::Learner)
         });
-        let silent = |v: &Voter| match v.disk_id == self.disk {
+        let silent = |v: &Voter| match v.disk_id == self.disk_id {
             true => 0,
-            false => now.saturating_sub(self.heard.get(&v.disk_id).copied().unwrap_or(self.started)),
+            false => now.saturating_sub(self.disk_heard_at.get(&v.disk_id).copied().unwrap_or(self.started_at)),
         };
-        let s = members::VoterChange {
-            voters: &self.regs.voters,
-            silent: &silent,
+        let s = voter_placement::VoterChange {
+            voters: &self.registers.voters,
+            unheard_for: &silent,
             candidates: candidates.collect(),
-            regions: &self.p.regions,
-            bounds: &self.p.bounds,
-            live: &votes,
+            regions: &self.config.regions,
+            bounds: &self.config.bounds,
+            is_live: &votes,
         };
-        let Some(next) = members::next(&s) else { return };
+        let Some(next) = voter_placement::next_voters(&s) else { return };
         let names: Vec<&str> = next.iter().map(|v| &*v.name).collect();
-        out.push(note(events::PLACE_GIVEN, &self.p.name, names.join(" ")));
-        let value = members::to_bytes(self.regs.voters.len() as u32, &next);
-        self.regs.propose(NOBODY, &MEMBERS.into(), Expect::Version(u64::from(member_epoch) - 1), value, now, out);
+        out.push(log_event(events::PLACE_GIVEN, &self.config.name, names.join(" ")));
+        let value = voter_placement::encode(self.registers.voters.len() as u32, &next);
+        self.registers.propose(NO_CALLER, &MEMBERS_KEY.into(), Expect::Version(u64::from(member_epoch) - 1), value, now, out);
     }
 
     /// What a daemon that does not vote yet does about it.
-    pub(super) fn join(&mut self, now: Ms, out: &mut Effects) {
-        if self.regs.voting || now < self.next_join {
+    pub(super) fn request_missing_slots(&mut self, now: Ms, out: &mut Effects) {
+        if self.registers.voting || now < self.next_join {
             return;
         }
         self.next_join = now + HEARTBEAT_EVERY;
-        if self.named() {
-            let ask = SlotsRequest { member_epoch: self.regs.member_epoch, known: self.regs.have() };
+        if self.is_listed_voter() {
+            let ask = SlotsRequest { member_epoch: self.registers.member_epoch, known: self.registers.slot_metadata() };
             // Also those that have just lost their places: what they voted may stand with them alone.
-            let mut to: BTreeMap<Name, Name> = self.regs.voters.iter().map(|v| (v.name.clone(), self.regs.addr(v))).collect();
-            let fresh = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.at) <= PEER_GONE);
+            let mut to: BTreeMap<Name, Name> =
+                self.registers.voters.iter().map(|v| (v.name.clone(), self.registers.addr(v))).collect();
+            let fresh = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_GONE);
             to.extend(fresh.map(|(n, p)| (n.clone(), p.addr.clone())));
-            to.retain(|n, _| *n != self.p.name && !self.caught.contains(n));
+            to.retain(|n, _| *n != self.config.name && !self.caught_up_from.contains(n));
             out.extend(to.values().map(|a| send(a, ask.clone())));
             return;
         }
-        let fresh: Vec<(&Name, &Peer)> = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.at) <= PEER_GONE).collect();
-        if let Some(voters) = self.founders(&fresh) {
+        let fresh: Vec<(&Name, &Peer)> = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_GONE).collect();
+        if let Some(voters) = self.bootstrap_voters(&fresh) {
             // Others store it when this daemon's next beats tell them. Should it crash before it is synced here, it
             // learns it from them, or writes the same again: it takes nothing but the same disks.
-            self.begin(voters, out);
+            self.begin_as_voter(voters, out);
         }
     }
 
     /// The first voters, once all of them are here with blank disks and this daemon is the one to write them down:
     /// the first by name where names are given, else the one at the first of the seeds.
-    fn founders(&self, fresh: &[(&Name, &Peer)]) -> Option<Vec<Voter>> {
-        if self.regs.member_epoch > 0 {
+    fn bootstrap_voters(&self, fresh: &[(&Name, &Peer)]) -> Option<Vec<Voter>> {
+        if self.registers.member_epoch > 0 {
             return None;
         }
-        let (name, addr, zone) = (self.p.name.clone(), self.p.addr.clone(), self.p.zone.clone());
-        let me = Voter { name, disk_id: self.disk, addr, zone, since_epoch: 1 };
+        let (name, addr, zone) = (self.config.name.clone(), self.config.addr.clone(), self.config.zone.clone());
+        let me = Voter { name, disk_id: self.disk_id, addr, zone, since_epoch: 1 };
         let voter = |(n, p): &(&Name, &Peer)| Voter {
             name: (*n).clone(),
-            disk_id: p.beat.disk_id,
+            disk_id: p.heartbeat.disk_id,
             addr: p.addr.clone(),
-            zone: p.beat.zone.clone(),
+            zone: p.heartbeat.zone.clone(),
             since_epoch: 1,
         };
-        let (own, places, state): (&Name, Vec<&Name>, PeerState) = match self.p.members.is_empty() {
-            false => (&self.p.name, self.p.members.iter().collect(), PeerState::Blank),
-            true => (&self.p.addr, self.regs.voters.iter().map(|v| &v.addr).collect(), PeerState::Bootstrapping),
+        let (own, places, state): (&Name, Vec<&Name>, PeerState) = match self.config.members.is_empty() {
+            false => (&self.config.name, self.config.members.iter().collect(), PeerState::Blank),
+            true => (&self.config.addr, self.registers.voters.iter().map(|v| &v.addr).collect(), PeerState::Bootstrapping),
         };
         if places.iter().min() != Some(&own) {
             return None;
         }
-        let named = !self.p.members.is_empty();
+        let named = !self.config.members.is_empty();
         let others = places.iter().filter(|p| **p != own).map(|place| {
-            let here = fresh.iter().find(|(n, p)| p.beat.state == state && if named { n == place } else { p.addr == **place });
+            let here =
+                fresh.iter().find(|(n, p)| p.heartbeat.state == state && if named { n == place } else { p.addr == **place });
             here.map(voter)
         });
         let mut voters = others.collect::<Option<Vec<_>>>()?;
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -48,7 +48,7 @@
         then: Effects,
     },
     /// A local caller's write ended.
-    Answer {
+    WriteFinished {
         token: u64,
         outcome: Outcome,
     },
@@ -59,7 +59,7 @@
         until: Ms,
         order: Order,
     },
-    Note {
+    Log {
         event: Event,
         peer: Name,
         text: String,
@@ -69,6 +69,6 @@
 pub fn send(to: &Name, msg: impl Into<Message>) -> Effect {
     Effect::Send { to: to.clone(), msg: msg.into() }
 }
-pub fn note(event: Event, peer: &str, text: impl Into<String>) -> Effect {
-    Effect::Note { event, peer: peer.into(), text: text.into() }
+pub fn log_event(event: Event, peer: &str, text: impl Into<String>) -> Effect {
+    Effect::Log { event, peer: peer.into(), text: text.into() }
 }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -2,20 +2,16 @@
 //! Nothing here reads a clock, opens a socket or file, or starts a thread: daemons and the
 //! simulator drive the same code.
 
-pub mod agent;
-pub mod board;
 pub mod bounds;
 pub mod claims;
+pub mod compressed;
 pub mod context;
 pub mod control;
+pub mod edge_agent;
 pub mod effect;
 pub mod events;
-pub mod health;
 pub mod limits;
-pub mod members;
 pub mod membership;
-pub mod order;
-pub mod packed;
 pub mod pass;
 pub mod pass_stream;
 pub mod placement;
@@ -23,11 +19,15 @@
 pub mod proxy;
 pub mod regions;
 pub mod register;
+pub mod rendezvous;
 pub mod request;
 pub mod rollout;
+pub mod rollout_status;
 pub mod shutdown;
-pub mod standing;
+pub mod state_table;
 pub mod stream;
+pub mod version_health;
+pub mod voter_placement;
 
 pub use effect::{Effect, Effects, Ms, Outcome as WriteOutcome, Row, send};
 pub use wire_messages as wire;
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -9,43 +9,43 @@
 
 use crate::{
     Effects, Ms,
-    effect::{note, send},
+    effect::{log_event, send},
     events,
     limits::{
         AGE_UNIT, FAR_SHUFFLE, GONE_A_NODE, NODE_FORGOTTEN, NODE_GONE, SHUFFLE_BEATS, SHUFFLE_EVERY, SHUFFLE_FLEET,
         SHUFFLE_NODES, SHUFFLE_SLOWEST, VIEW, YOUNG,
     },
-    regions::{Regions, region},
+    regions::{Regions, region_of},
 };
 
 /// Roles of nodes, as on the wire.
-pub const CONTROL: u8 = 1;
-pub const EDGE: u8 = 2;
+pub const CONTROL_ROLE: u8 = 1;
+pub const EDGE_ROLE: u8 = 2;
 
 /// The message of an exchange that nobody answers: question, answer, and what each lacked of the other's.
-const LAST_ANSWER: u8 = 3;
+const LAST_SHUFFLE_STEP: u8 = 3;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownNode {
     node: Node,
     /// Digest of its description.
-    id: u32,
+    digest: u32,
     /// When its beat was made, by this node's clock.
-    at: Ms,
+    heartbeat_at: Ms,
     live: bool,
 }
 
-impl Known {
+impl KnownNode {
     fn age(&self, now: Ms) -> u16 {
-        u16::try_from(now.saturating_sub(self.at).div_ceil(AGE_UNIT)).unwrap_or(u16::MAX)
+        u16::try_from(now.saturating_sub(self.heartbeat_at).div_ceil(AGE_UNIT)).unwrap_or(u16::MAX)
     }
-    fn told(&self, now: Ms) -> Node {
+    fn description(&self, now: Ms) -> Node {
         Node { heartbeat_age: self.age(now), ..self.node.clone() }
     }
 }
 
 /// Digest of what a node says of itself, but for its beat: who has heard it once needs only beats.
-fn digest(n: &Node) -> u32 {
+fn description_digest(n: &Node) -> u32 {
     let mut h = Xxh3Default::new();
     [&n.name, &n.zone, &n.addr, &n.http_addr].iter().for_each(|f| {
         h.update(f.as_bytes());
@@ -57,7 +57,7 @@
 }
 
 /// When a beat of that age was made.
-fn made(age: u16, now: Ms) -> Ms {
+fn heartbeat_time(age: u16, now: Ms) -> Ms {
     now.saturating_sub(Ms::from(age) * AGE_UNIT)
 }
 
@@ -65,11 +65,11 @@
 pub struct Membership {
     me: Node,
     seeds: Vec<Name>,
-    known: BTreeMap<Name, Known>,
+    known: BTreeMap<Name, KnownNode>,
     /// Descriptions heard, also former ones of a node that is known.
-    ids: BTreeMap<u32, Name>,
+    names_by_digest: BTreeMap<u32, Name>,
     view: Vec<Name>,
-    next: Ms,
+    next_shuffle: Ms,
     rng: fastrand::Rng,
     regions: Regions,
 }
@@ -80,9 +80,9 @@
             me,
             seeds,
             known: BTreeMap::new(),
-            ids: BTreeMap::new(),
+            names_by_digest: BTreeMap::new(),
             view: Vec::new(),
-            next: 0,
+            next_shuffle: 0,
             rng: fastrand::Rng::with_seed(seed),
             regions: Regions::new(),
         }
@@ -94,11 +94,11 @@
         self.regions = regions;
     }
     /// Whether a node stands in this one's region.
-    pub fn near(&self, n: &Node) -> bool {
-        region(&self.regions, &n.zone) == region(&self.regions, &self.me.zone)
+    pub fn is_same_region(&self, n: &Node) -> bool {
+        region_of(&self.regions, &n.zone) == region_of(&self.regions, &self.me.zone)
     }
     /// Changes what this node says of itself.
-    pub fn set_http(&mut self, http: &str) {
+    pub fn set_http_addr(&mut self, http: &str) {
         self.me.http_addr = http.into();
     }
     pub fn view(&self) -> Vec<Node> {
@@ -115,8 +115,8 @@
         self.known.get(name).is_some_and(|k| k.live)
     }
     /// How long ago a node made the newest beat that was heard of; none for a node that is not known.
-    pub fn silence(&self, name: &str, now: Ms) -> Option<Ms> {
-        self.known.get(name).map(|k| now.saturating_sub(k.at))
+    pub fn unheard_for(&self, name: &str, now: Ms) -> Option<Ms> {
+        self.known.get(name).map(|k| now.saturating_sub(k.heartbeat_at))
     }
     pub fn get(&self, name: &str) -> Option<&Node> {
         self.known.get(name).map(|k| &k.node)
@@ -124,39 +124,40 @@
 
     /// Tells another of this node, who need not answer.
     pub fn introduction(&self) -> Shuffle {
-        Shuffle { nodes: List(vec![self.me.clone()]), step: LAST_ANSWER, ..Shuffle::default() }
+        Shuffle { nodes: List(vec![self.me.clone()]), step: LAST_SHUFFLE_STEP, ..Shuffle::default() }
     }
 
     /// What a node says of itself.
-    pub fn hear(&mut self, n: &Node, now: Ms, out: &mut Effects) {
-        self.take(n, now, out);
+    pub fn on_description(&mut self, n: &Node, now: Ms, out: &mut Effects) {
+        self.merge_description(n, now, out);
     }
 
     /// Silence after which a node counts as gone. Beats come round by samples of a fixed size, so that a large fleet
     /// gives them more time; nodes that are long gone are no part of it.
-    fn gone(&self, now: Ms) -> Ms {
+    fn failure_timeout(&self, now: Ms) -> Ms {
         let most = NODE_GONE.max(GONE_A_NODE * self.known.len() as Ms);
-        let lately = self.known.values().filter(|k| now.saturating_sub(k.at) <= most).count();
+        let lately = self.known.values().filter(|k| now.saturating_sub(k.heartbeat_at) <= most).count();
         NODE_GONE.max(GONE_A_NODE * lately as Ms)
     }
 
-    fn take(&mut self, n: &Node, now: Ms, out: &mut Effects) {
+    fn merge_description(&mut self, n: &Node, now: Ms, out: &mut Effects) {
         if n.name == self.me.name {
             return;
         }
-        let at = made(n.heartbeat_age, now);
+        let at = heartbeat_time(n.heartbeat_age, now);
         if let Some(k) = self.known.get(&n.name) {
             // A later life beats an earlier one's beats; within a life only a risen beat is news.
             // A life that seems earlier counts only once the later one is silent: a machine's clock was put back.
-            let earlier = n.incarnation < k.node.incarnation && !k.live && at > k.at;
+            let earlier = n.incarnation < k.node.incarnation && !k.live && at > k.heartbeat_at;
             if (n.incarnation, n.heartbeat) <= (k.node.incarnation, k.node.heartbeat) && !earlier {
                 return;
             }
         }
-        let id = digest(n);
-        self.ids.insert(id, n.name.clone());
+        let id = description_digest(n);
+        self.names_by_digest.insert(id, n.name.clone());
         let live = self.known.get(&n.name).map(|k| k.live);
-        self.known.insert(n.name.clone(), Known { node: n.clone(), id, at, live: live.unwrap_or(false) });
+        self.known
+            .insert(n.name.clone(), KnownNode { node: n.clone(), digest: id, heartbeat_at: at, live: live.unwrap_or(false) });
         self.revive(&n.name, live.is_none(), now, out);
     }
 
@@ -165,45 +166,46 @@
         if self.known.get(name).is_none_or(|k| k.live) {
             return;
         }
-        let gone = self.gone(now);
+        let gone = self.failure_timeout(now);
         let Some(k) = self.known.get_mut(name) else { return };
-        if now.saturating_sub(k.at) <= gone {
+        if now.saturating_sub(k.heartbeat_at) <= gone {
             k.live = true;
-            out.push(note(events::NODE_FOUND, name, if new { k.node.addr.to_string() } else { "came back".into() }));
+            out.push(log_event(events::NODE_FOUND, name, if new { k.node.addr.to_string() } else { "came back".into() }));
         }
     }
 
     /// Takes a beat; false if it is of a description that this node lacks.
-    fn beat(&mut self, h: &NodeHeartbeat, now: Ms, out: &mut Effects) -> bool {
-        let Some(name) = self.ids.get(&h.node_digest).cloned() else { return false };
+    fn merge_heartbeat(&mut self, h: &NodeHeartbeat, now: Ms, out: &mut Effects) -> bool {
+        let Some(name) = self.names_by_digest.get(&h.node_digest).cloned() else { return false };
         let Some(k) = self.known.get_mut(&name) else { return name == self.me.name };
         if h.heartbeat <= k.node.heartbeat {
             return true;
         }
-        if k.id != h.node_digest {
+        if k.digest != h.node_digest {
             return false;
         }
-        (k.node.heartbeat, k.at) = (h.heartbeat, made(h.heartbeat_age, now));
+        (k.node.heartbeat, k.heartbeat_at) = (h.heartbeat, heartbeat_time(h.heartbeat_age, now));
         self.revive(&name, false, now, out);
         true
     }
 
     /// A message of an exchange: what is wanted, some beats, and what this node says of itself.
-    fn shuffle(&mut self, wanted: &[u32], wants: Vec<u32>, answer: u8, most: usize, now: Ms) -> Shuffle {
-        let all = wanted.iter().filter_map(|id| Some((id, self.known.get(self.ids.get(id)?)?)));
-        let mut nodes: Vec<Node> = all.filter(|(id, k)| k.id == **id).map(|(_, k)| k.told(now)).collect();
+    fn build_shuffle(&mut self, wanted: &[u32], wants: Vec<u32>, answer: u8, most: usize, now: Ms) -> Shuffle {
+        let all = wanted.iter().filter_map(|id| Some((id, self.known.get(self.names_by_digest.get(id)?)?)));
+        let mut nodes: Vec<Node> = all.filter(|(id, k)| k.digest == **id).map(|(_, k)| k.description(now)).collect();
         nodes.truncate(SHUFFLE_NODES);
         nodes.push(self.me.clone());
         // Only beats of the live are passed on: what is said of the gone comes to an end everywhere at once.
         let live = self.known.values().filter(|k| k.live && answer < 2);
         let beats = self.rng.choose_multiple(live, most).into_iter();
-        let beats =
-            beats.map(|k| NodeHeartbeat { node_digest: k.id, heartbeat: k.node.heartbeat, heartbeat_age: k.age(now) }).collect();
+        let beats = beats
+            .map(|k| NodeHeartbeat { node_digest: k.digest, heartbeat: k.node.heartbeat, heartbeat_age: k.age(now) })
+            .collect();
         Shuffle { nodes: List(nodes), heartbeats: beats, wanted: List(wants), step: answer }
     }
 
     /// Fills the view from live nodes; the dead leave it.
-    fn refill(&mut self) {
+    fn refill_view(&mut self) {
         let known = &self.known;
         self.view.retain(|n| known.get(n).is_some_and(|k| k.live));
         let more = known.values().filter(|k| k.live && !self.view.contains(&k.node.name)).map(|k| &k.node.name);
@@ -217,55 +219,56 @@
 
     pub fn on_shuffle(&mut self, from: &Name, m: Shuffle, now: Ms, out: &mut Effects) {
         for n in m.nodes.iter() {
-            self.take(n, now, out);
+            self.merge_description(n, now, out);
         }
-        let mut lacks: Vec<u32> = m.heartbeats.iter().filter(|h| !self.beat(h, now, out)).map(|h| h.node_digest).collect();
+        let mut lacks: Vec<u32> =
+            m.heartbeats.iter().filter(|h| !self.merge_heartbeat(h, now, out)).map(|h| h.node_digest).collect();
         lacks.truncate(SHUFFLE_NODES);
-        if m.step == 0 || m.step < LAST_ANSWER && !(lacks.is_empty() && m.wanted.is_empty()) {
+        if m.step == 0 || m.step < LAST_SHUFFLE_STEP && !(lacks.is_empty() && m.wanted.is_empty()) {
             // One that has just started is told of everybody: it serves nobody until it knows them.
             let young = m.step == 0 && m.nodes.last().is_some_and(|n| n.heartbeat <= YOUNG);
             let most = if young { self.known.len() } else { SHUFFLE_BEATS };
-            let answer = self.shuffle(&m.wanted, lacks, m.step + 1, most, now);
+            let answer = self.build_shuffle(&m.wanted, lacks, m.step + 1, most, now);
             out.push(send(from, answer));
         }
     }
 
     /// A large fleet shuffles less often: each message already says what costs most to say.
-    fn every(&self) -> Ms {
+    fn shuffle_interval(&self) -> Ms {
         let live = self.known.values().filter(|k| k.live).count() as Ms;
         (SHUFFLE_EVERY * live / SHUFFLE_FLEET).clamp(SHUFFLE_EVERY, SHUFFLE_SLOWEST)
     }
 
     /// The neighbour to shuffle with.
-    fn partner(&mut self) -> Option<Name> {
+    fn shuffle_partner(&mut self) -> Option<Name> {
         let mut view = self.view();
         // Bytes to other regions are dear. Where this region alone has more than a view holds, beats go round inside it,
         // and every third shuffle is enough to have them cross.
-        let crowd = self.known.values().filter(|k| k.live && self.near(&k.node)).count() > VIEW;
-        if crowd && !self.me.heartbeat.is_multiple_of(FAR_SHUFFLE) && view.iter().any(|n| self.near(n)) {
-            view.retain(|n| self.near(n));
+        let crowd = self.known.values().filter(|k| k.live && self.is_same_region(&k.node)).count() > VIEW;
+        if crowd && !self.me.heartbeat.is_multiple_of(FAR_SHUFFLE) && view.iter().any(|n| self.is_same_region(n)) {
+            view.retain(|n| self.is_same_region(n));
         }
         self.rng.choice(view).map(|n| n.addr)
     }
 
     pub fn tick(&mut self, now: Ms, out: &mut Effects) {
-        if now < self.next {
+        if now < self.next_shuffle {
             return;
         }
-        self.next = now + self.every();
+        self.next_shuffle = now + self.shuffle_interval();
         self.me.heartbeat += 1;
-        let gone = self.gone(now);
-        for k in self.known.values_mut().filter(|k| k.live && now.saturating_sub(k.at) > gone) {
+        let gone = self.failure_timeout(now);
+        for k in self.known.values_mut().filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone) {
             k.live = false;
-            out.push(note(events::NODE_GONE, &k.node.name, ""));
+            out.push(log_event(events::NODE_GONE, &k.node.name, ""));
         }
-        self.known.retain(|_, k| now.saturating_sub(k.at) < NODE_FORGOTTEN);
+        self.known.retain(|_, k| now.saturating_sub(k.heartbeat_at) < NODE_FORGOTTEN);
         let (known, me) = (&self.known, &self.me.name);
-        self.ids.retain(|_, n| known.contains_key(n) || n == me);
-        self.ids.insert(digest(&self.me), self.me.name.clone());
-        self.refill();
+        self.names_by_digest.retain(|_, n| known.contains_key(n) || n == me);
+        self.names_by_digest.insert(description_digest(&self.me), self.me.name.clone());
+        self.refill_view();
         let mut to: Vec<Name> = Vec::new();
-        to.extend(self.partner());
+        to.extend(self.shuffle_partner());
         // Seeds only bring a lonely node in, or join two halves that lost sight of each other. A node that has just
         // started asks them all: it serves nobody until it has heard most control daemons.
         if self.me.heartbeat == 1 {
@@ -282,10 +285,10 @@
             to.extend(self.rng.choice(&dead).cloned());
         }
         // Who was not heard of for half of the time that it is given is asked itself: rumours pass some by at times.
-        let silent = self.known.values().filter(|k| k.live && now.saturating_sub(k.at) > gone / 2);
+        let silent = self.known.values().filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone / 2);
         to.extend(self.rng.choose_multiple(silent, 1).into_iter().map(|k| k.node.addr.clone()));
         for t in to {
-            let m = self.shuffle(&[], Vec::new(), 0, SHUFFLE_BEATS, now);
+            let m = self.build_shuffle(&[], Vec::new(), 0, SHUFFLE_BEATS, now);
             out.push(send(&t, m));
         }
     }
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -26,8 +26,8 @@
 
 use crate::{
     limits::{CROSS_REGION_BYTE_MS, READ_AGAIN_WEIGHT, READ_TOKENS_A_MS, SHARED_PART_MS, TOKEN_BYTES},
-    order::mix,
     pass::{Ask, Part},
+    rendezvous::combine_hashes,
 };
 
 /// The parts of a prompt that others may share: all but the last, which is the request's or its session's own.
@@ -51,5 +51,5 @@
 }
 /// The key whose agreed order of replicas a prompt follows: its longest shared chain.
 pub fn chain(parts: &[Part]) -> Option<u64> {
-    shared(parts).iter().map(|p| p.0).reduce(mix)
+    shared(parts).iter().map(|p| p.0).reduce(combine_hashes)
 }
--- a/coordination/src/placement/nominate.rs
+++ b/coordination/src/placement/nominate.rs
@@ -16,9 +16,9 @@
         KEPT_TOKENS, LOAD_MS, NOT_NEEDED_WEIGHT, OPENING_MS, ORDER_MS, RATE_MS, READ_AHEAD_LOAD, READING_TOLD, READINGS_EVERY,
         READINGS_MOST,
     },
-    order::{weight, weight_of},
     pass::{Ask, Told},
     policy::{Mechanism, Policy},
+    rendezvous::{rendezvous_weight, rendezvous_weight_of},
 };
 
 /// In place of a replica's number.
@@ -112,7 +112,7 @@
 /// needed so many times as often as on one that is.
 fn agreed_order(all: &[Candidate], key: Option<u64>, regional: bool) -> Vec<usize> {
     let weight = |c: &Candidate| {
-        let hash = key.map_or(0, |k| weight_of(k, c.row.site.number));
+        let hash = key.map_or(0, |k| rendezvous_weight_of(k, c.row.site.number));
         if regional || c.zone.needed { hash } else { raised(hash, NOT_NEEDED_WEIGHT) }
     };
     let rank = |c: &Candidate| (c.stands, !(regional && c.zone.far), weight(c));
@@ -250,7 +250,8 @@
         // Each of those who warm it may send one at the same moment: no more of them than what it bears besides.
         let spare = rate * (self.bounds.cold_over - 1.0).max(0.0) + self.bounds.cold_slack;
         let all = self.edges().min((spare * COLD_BURST_PART).max(1.0) as usize).max(1);
-        let before = self.edges.iter().filter(|n| **n != self.me && weight(id, n) > weight(id, &self.me)).count();
+        let before =
+            self.edges.iter().filter(|n| **n != self.me && rendezvous_weight(id, n) > rendezvous_weight(id, &self.me)).count();
         if before >= all { 0.0 } else { rate * COLD_PART / all as f64 }
     }
 
--- a/coordination/src/placement/travel.rs
+++ b/coordination/src/placement/travel.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     limits::{FAR_MS, NEAR_MS, TRAVEL_WEIGHT, ZONE_MS},
-    regions::{Regions, region},
+    regions::{Regions, region_of},
 };
 
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
         Travel { zone: zone.into(), regions, took: BTreeMap::new() }
     }
     pub fn region<'a>(&'a self, zone: &'a str) -> &'a str {
-        region(&self.regions, zone)
+        region_of(&self.regions, zone)
     }
     pub fn home(&self) -> &str {
         self.region(&self.zone)
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -18,17 +18,17 @@
 
 use crate::{
     Ms,
-    agent::{RULE_NONE, RULE_STABLE},
-    board::{Board, SpecReader, own_spec},
     bounds::Bounds,
     context::{Chain, Demand},
-    control::SPEC,
-    health::Health,
+    control::SPEC_KEY,
+    edge_agent::{REJECT_ALL, STABLE_ONLY},
     limits::{PLACE_OLD, SECOND_ROUNDS_FREE},
-    order::weight,
     pass::Paths,
     placement::{Budget, Placement},
     policy::{Mechanism, Policy},
+    rendezvous::rendezvous_weight,
+    state_table::{SpecParser, StateTable, parse_own_spec},
+    version_health::VersionHealth,
 };
 
 /// Where a round goes.
@@ -131,7 +131,7 @@
     zone: Name,
     http: Name,
     born: u64,
-    board: Board,
+    state_table: StateTable,
     spec: Option<Arc<Spec>>,
     records: BTreeMap<String, (u64, u64, RolloutRecord)>,
     leaving: BTreeSet<String>,
@@ -156,7 +156,7 @@
     shares: BTreeMap<String, u32>,
     /// Versions whose failures show here, and until when they are capped.
     suspects: BTreeMap<String, Ms>,
-    health: BTreeMap<String, Health>,
+    health: BTreeMap<String, VersionHealth>,
     warm: BTreeMap<Prefix, Ms>,
     waiting: VecDeque<Waiting>,
     /// By rank: percent of each replica's places kept from tiers behind it, and when that was last raised.
@@ -165,7 +165,7 @@
     budget: u64,
     rng: fastrand::Rng,
     pub counters: BTreeMap<&'static str, u64>,
-    reader: SpecReader,
+    reader: SpecParser,
     /// Place of the spec on the board that was read last, and the index of its paths.
     read: (u64, u64),
     paths: Paths,
@@ -195,19 +195,19 @@
 impl Proxy {
     /// `seed` is random from outside: two proxies of one fleet must never mint the same ids.
     pub fn new(name: Name, zone: Name, http: Name, born: u64, seed: u64) -> Self {
-        let rng = fastrand::Rng::with_seed(weight(&name, &seed.to_string()));
+        let rng = fastrand::Rng::with_seed(rendezvous_weight(&name, &seed.to_string()));
         let (me, at) = (name.clone(), zone.clone());
         Proxy {
             name,
             zone,
             http,
             born,
-            board: Board::default(),
+            state_table: StateTable::default(),
             spec: None,
             records: BTreeMap::new(),
             leaving: BTreeSet::new(),
             evacuated: BTreeSet::new(),
-            rule: RULE_NONE,
+            rule: REJECT_ALL,
             until: 0,
             whole: false,
             leases: BTreeMap::new(),
@@ -229,7 +229,7 @@
             budget: SECOND_ROUNDS_FREE * 100,
             rng,
             counters: BTreeMap::new(),
-            reader: own_spec,
+            reader: parse_own_spec,
             read: (0, 0),
             paths: Paths::default(),
             placement: Placement::new(&me, &at, BTreeMap::new(), Bounds::default()),
@@ -241,7 +241,7 @@
         }
     }
     /// Another spelling of the operator's document than the product's own.
-    pub fn set_reader(&mut self, r: SpecReader) {
+    pub fn set_reader(&mut self, r: SpecParser) {
         self.reader = r;
     }
     /// Bounds to keep and the region of each zone; before anything is placed.
@@ -261,13 +261,13 @@
         *self.counters.entry(what).or_default() += 1;
     }
     pub fn ready(&self, now: Ms) -> bool {
-        self.rule >= RULE_STABLE && now < self.until && self.whole && self.spec.is_some()
+        self.rule >= STABLE_ONLY && now < self.until && self.whole && self.spec.is_some()
     }
     pub fn spec_version(&self) -> u64 {
-        self.board.get(SPEC).map_or(0, |c| c.version)
+        self.state_table.get(SPEC_KEY).map_or(0, |c| c.version)
     }
-    pub fn board(&self) -> &Board {
-        &self.board
+    pub fn state_table(&self) -> &StateTable {
+        &self.state_table
     }
 }
 
--- a/coordination/src/proxy/counts.rs
+++ b/coordination/src/proxy/counts.rs
@@ -5,8 +5,8 @@
 use super::{Ended, Placed, Proxy};
 use crate::{
     Ms,
-    health::{Health, Verdict, failing},
     limits::SUSPECT_FOR,
+    version_health::{Verdict, VersionHealth, replica_bit},
 };
 
 impl Proxy {
@@ -73,7 +73,7 @@
             Ended::Failed => {
                 self.tally(p, 2);
                 let k = (p.service.clone(), p.version.clone(), p.lane.clone(), p.warm, p.role as u8);
-                self.tallies.entry(k).or_default()[6] |= failing(&p.replica);
+                self.tallies.entry(k).or_default()[6] |= replica_bit(&p.replica);
             }
             Ended::Dropped | Ended::Busy => {}
         }
@@ -83,11 +83,11 @@
         let rows = self.told(unjudged.iter(), now).0;
         let h = self.health.entry(p.service.clone()).or_insert_with(|| {
             // This proxy has counted everything itself: nothing came before.
-            let mut h = Health::default();
-            h.feed(&self.name, self.born, &[]);
+            let mut h = VersionHealth::default();
+            h.add_counters(&self.name, self.born, &[]);
             h
         });
-        h.feed(&self.name, self.born, &rows);
+        h.add_counters(&self.name, self.born, &rows);
         h.tick(now);
         if p.version == stable {
             return None;
@@ -95,7 +95,7 @@
         // Where the platform places versions few replicas have the new one: one that crashes is no version's fault.
         let placed = |s: &ServiceSpec| s.name == p.service && s.mode == ServiceMode::Placed;
         let beside = self.spec.as_ref().is_some_and(|s| s.services.iter().any(placed));
-        let verdict = if beside { h.judge_beside(&p.version, None, now) } else { h.judge(&p.version, &stable, now) };
+        let verdict = if beside { h.judge_placed(&p.version, None, now) } else { h.judge(&p.version, &stable, now) };
         if verdict == Verdict::Fine {
             return None;
         }
--- a/coordination/src/proxy/news.rs
+++ b/coordination/src/proxy/news.rs
@@ -10,13 +10,13 @@
 use super::{Placed, Proxy, Ready, TallyKey};
 use crate::{
     Ms,
-    board::stamp,
     context::{Chain, homes, number},
-    control::{LEAVING, SPEC, evacuated},
+    control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
     limits::CONTEXT_TOKENS,
     pass::{Ask, Paths},
     placement::{Needed, Nominee, chain, shared, tokens},
-    register::{CONTEXT, DUTY},
+    register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
+    state_table::version_stamp,
 };
 
 impl Proxy {
@@ -33,7 +33,7 @@
         self.whole |= m.is_snapshot != 0;
         let mut new = false;
         for c in &m.changes.0 {
-            new |= self.board.merge(c);
+            new |= self.state_table.merge(c);
         }
         for p in m.leases.0 {
             let k = p.lease.service.to_string();
@@ -47,11 +47,11 @@
     }
 
     fn read_board(&mut self, now: Ms) {
-        let spec = self.board.get(SPEC).filter(|c| !c.value.0.is_empty());
+        let spec = self.state_table.get(SPEC_KEY).filter(|c| !c.value.0.is_empty());
         // Documents grow long and records change often: each is read once per change of its own.
-        if let Some(c) = spec.filter(|c| stamp(c) != self.read) {
+        if let Some(c) = spec.filter(|c| version_stamp(c) != self.read) {
             let mut s = (self.reader)(&c.value.0);
-            self.read = stamp(c);
+            self.read = version_stamp(c);
             // Tenants bring paths by the ten thousand: the index alone has them.
             self.placement.needed = Needed::new(s.as_ref().map_or(&[], |s| &s.paths));
             self.paths = Paths::new(s.as_mut().map_or(vec![], |s| std::mem::take(&mut s.paths)));
@@ -60,31 +60,31 @@
             }
             self.spec = s.map(Arc::new);
         }
-        self.leaving = self.board.under(LEAVING).map(|(r, _)| r.to_string()).collect();
+        self.leaving = self.state_table.with_prefix(DRAINING_PREFIX).map(|(r, _)| r.to_string()).collect();
         let changed: Vec<(String, (u64, u64))> = self
-            .board
-            .under(DUTY)
-            .map(|(s, c)| (s.to_string(), stamp(c)))
+            .state_table
+            .with_prefix(ROLLOUT_PREFIX)
+            .map(|(s, c)| (s.to_string(), version_stamp(c)))
             .filter(|(s, at)| self.records.get(s).is_none_or(|r| (r.0, r.1) != *at))
             .collect();
         for (s, at) in changed {
-            let Some(r) = self.board.read::<RolloutRecord>(&format!("{DUTY}{s}")) else { continue };
+            let Some(r) = self.state_table.read::<RolloutRecord>(&format!("{ROLLOUT_PREFIX}{s}")) else { continue };
             let old = self.records.get(&s).map_or(BTreeSet::new(), |o| o.2.replicas.iter().map(|p| p.id.clone()).collect());
             self.placement.set_service(&s, &r.replicas, &old, now);
             self.records.insert(s, (at.0, at.1, r));
         }
         self.read_contexts();
         let zones = self.spec.as_ref().map_or(&[][..], |s| &s.zones);
-        self.evacuated = zones.iter().filter(|z| evacuated(&self.board, &z.name)).map(|z| z.name.clone()).collect();
+        self.evacuated = zones.iter().filter(|z| evacuated(&self.state_table, &z.name)).map(|z| z.name.clone()).collect();
     }
 
     /// Takes copies of shared context as their records have them.
     fn read_contexts(&mut self) {
-        let all = self.board.under(CONTEXT).map(|(s, c)| (s.to_string(), stamp(c)));
+        let all = self.state_table.with_prefix(CONTEXT_PREFIX).map(|(s, c)| (s.to_string(), version_stamp(c)));
         let changed: Vec<(String, (u64, u64))> = all.filter(|(s, at)| self.contexts.get(s) != Some(at)).collect();
         for (s, at) in changed {
             // Nothing stands under the key where copies are switched off.
-            let r = self.board.read::<ContextRecord>(&format!("{CONTEXT}{s}"));
+            let r = self.state_table.read::<ContextRecord>(&format!("{CONTEXT_PREFIX}{s}"));
             self.placement.set_context(&s, r.as_ref());
             if r.is_none() {
                 self.demand.remove(&s);
--- a/coordination/src/proxy/pass.rs
+++ b/coordination/src/proxy/pass.rs
@@ -7,12 +7,12 @@
 use super::{Admit, Ended, Flight, Placed, Proxy, pools};
 use crate::{
     Ms,
-    agent::RULE_NONE,
-    health::log_ms,
+    edge_agent::REJECT_ALL,
     limits::{MISSED_PART, SLOW_FACTOR},
     pass::{Ask, PassEnd, Told},
     placement::{Nominee, Want, read_ms},
     policy::Mechanism,
+    version_health::log_ms,
 };
 
 impl Proxy {
@@ -23,7 +23,7 @@
 
     /// The lane of a request, if this edge may serve at all.
     pub fn path(&mut self, host: &str, path: &str, now: Ms) -> Result<Arc<PathSpec>, Fault> {
-        if self.rule == RULE_NONE || now >= self.until {
+        if self.rule == REJECT_ALL || now >= self.until {
             return Err(self.reject("no_rule", "check_rule", "this edge may not serve now"));
         }
         if !self.whole || self.spec.is_none() {
--- a/coordination/src/proxy/place.rs
+++ b/coordination/src/proxy/place.rs
@@ -7,11 +7,10 @@
 
 use super::{Admit, Placed, Proxy, Seen};
 use crate::{
-    Ms,
-    agent::RULE_NONE,
-    claims,
+    Ms, claims,
+    edge_agent::REJECT_ALL,
     limits::{PREFIX_KEPT, PREFIXES, RETRY_AFTER},
-    order::weight,
+    rendezvous::rendezvous_weight,
 };
 
 impl Proxy {
@@ -64,7 +63,7 @@
 
     fn allowed(&mut self, now: Ms) -> Result<Arc<Spec>, Fault> {
         // The rule is read with the clock at hand: a process that slept finds it lapsed.
-        if self.rule == RULE_NONE || now >= self.until {
+        if self.rule == REJECT_ALL || now >= self.until {
             return Err(self.reject("no_rule", "check_rule", "this edge may not serve now"));
         }
         match self.spec.clone().filter(|_| self.whole) {
@@ -111,10 +110,10 @@
         let near: Vec<&Node> = self.nodes.iter().filter(|n| *n.zone == *zone && !n.http_addr.is_empty()).collect();
         let edge = match near.iter().find(|n| n.name == self.name) {
             Some(n) => *n,
-            None => *near.iter().max_by_key(|n| weight(&format!("{random}"), &n.name)).unwrap_or(&near[0]),
+            None => *near.iter().max_by_key(|n| rendezvous_weight(&format!("{random}"), &n.name)).unwrap_or(&near[0]),
         };
         let (proxy, zone) = (edge.http_addr.to_string(), edge.zone.to_string());
-        let request = claims::mint(random, self.nodes.clone());
+        let request = claims::mint_request_id(random, self.nodes.clone());
         self.count("nominated");
         Ok(Nomination { proxy, zone, request })
     }
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -7,10 +7,10 @@
 use super::{Group, Proxy, Seen, What};
 use crate::{
     Ms,
-    agent::RULE_ALL,
+    edge_agent::SERVE_ALL,
     limits::{AFFINITY_BUSY, COLD_PLACES, KV_FULL, PREFIX_KEPT, PRESS_EBB, PRESS_MOST, PRESS_STEP, REPORT_OLD, WAITING, WARM_UP},
-    order::weight,
     policy::Mechanism,
+    rendezvous::rendezvous_weight,
 };
 
 impl Proxy {
@@ -58,7 +58,7 @@
         let id = &s.report.replica;
         let near = || self.nodes.iter().filter(|n| *n.zone == s.report.zone && !n.http_addr.is_empty());
         let Some(me) = near().find(|n| n.http_addr == self.http) else { return near().next().is_none() };
-        let before = near().filter(|n| weight(id, &n.name) > weight(id, &me.name)).count() as u32;
+        let before = near().filter(|n| rendezvous_weight(id, &n.name) > rendezvous_weight(id, &me.name)).count() as u32;
         // What the others have sent since the last report is not known here: each keeps to its part of what
         // that report left, and those in front have the odd ones.
         let (left, all) = (places.saturating_sub(s.report.busy), near().count() as u32);
@@ -160,13 +160,13 @@
                 let places = self.places(s, version, now);
                 free > 0 && (known(s) || Self::load(s) * 100 < places * AFFINITY_BUSY)
             };
-            let best = fit.iter().filter(|(s, f)| room(s, *f)).max_by_key(|(s, _)| weight(p, &s.report.replica));
+            let best = fit.iter().filter(|(s, f)| room(s, *f)).max_by_key(|(s, _)| rendezvous_weight(p, &s.report.replica));
             if let Some((s, _)) = best {
                 return Some(s);
             }
         }
         let key = |s: &Seen, free: u32| {
-            (u64::from(free) * 1000 / u64::from(s.report.slots.max(1)), weight(&self.name, &s.report.replica))
+            (u64::from(free) * 1000 / u64::from(s.report.slots.max(1)), rendezvous_weight(&self.name, &s.report.replica))
         };
         fit.iter().max_by_key(|(s, f)| key(s, *f)).map(|(s, _)| *s)
     }
@@ -174,7 +174,7 @@
     /// Groups in the order they are tried: by share, within leases.
     pub(super) fn groups(&mut self, service: &str, now: Ms) -> Vec<Group> {
         let Some((epoch, version, r)) = self.records.get(service) else { return vec![] };
-        let lease = self.leases.get(service).filter(|p| p.expires_at > now && self.rule == RULE_ALL);
+        let lease = self.leases.get(service).filter(|p| p.expires_at > now && self.rule == SERVE_ALL);
         // The canary's lease must be for this very record or a later one of the same holder.
         let share = lease
             .filter(|p| p.lease.epoch >= *epoch && p.lease.record_version >= *version)
--- a/coordination/src/regions.rs
+++ b/coordination/src/regions.rs
@@ -6,6 +6,6 @@
 pub type Regions = BTreeMap<String, String>;
 
 /// A zone that no region is named for is its own.
-pub fn region<'a>(regions: &'a Regions, zone: &'a str) -> &'a str {
+pub fn region_of<'a>(regions: &'a Regions, zone: &'a str) -> &'a str {
     regions.get(zone).map_or(zone, String::as_str)
 }
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -12,39 +12,39 @@
 
 use crate::{
     Ms, Row,
-    board::{SpecReader, own_spec},
     limits::LEASE_MARGIN,
-    order::weight,
+    rendezvous::rendezvous_weight,
+    state_table::{SpecParser, parse_own_spec},
 };
 
-mod members;
+mod acceptor;
 mod owner;
-mod repeats;
-mod turn;
-mod voter;
+mod prior_writes;
+mod timers;
+mod voters;
 
 /// Keys of duties begin with this; their owner runs the rollout of the service named behind it.
-pub const DUTY: &str = "rollout/";
+pub const ROLLOUT_PREFIX: &str = "rollout/";
 /// Keys of services' copies of shared context. They come with the duty: the same daemon owns both, under leases alike.
-pub const CONTEXT: &str = "context/";
+pub const CONTEXT_PREFIX: &str = "context/";
 /// The voters themselves are a key.
-pub const MEMBERS: &str = "members";
+pub const MEMBERS_KEY: &str = "members";
 
 /// The row that keeps the highest epoch this daemon may have taken anything under; it is no key.
-const EPOCHS: &str = "epochs";
+const EPOCHS_KEY: &str = "epochs";
 
-fn leased(key: &str) -> bool {
-    key.starts_with(DUTY) || key.starts_with(CONTEXT)
+fn is_leased(key: &str) -> bool {
+    key.starts_with(ROLLOUT_PREFIX) || key.starts_with(CONTEXT_PREFIX)
 }
 
 /// Keys that operators write, and may write again without having heard of the first time.
-fn remembered(key: &str) -> bool {
-    !leased(key) && key != MEMBERS
+fn keeps_history(key: &str) -> bool {
+    !is_leased(key) && key != MEMBERS_KEY
 }
 
 /// The key by which the agreed order of a key's owners goes.
 fn order_key(key: &str) -> Cow<'_, str> {
-    key.strip_prefix(CONTEXT).map_or(Cow::Borrowed(key), |s| format!("{DUTY}{s}").into())
+    key.strip_prefix(CONTEXT_PREFIX).map_or(Cow::Borrowed(key), |s| format!("{ROLLOUT_PREFIX}{s}").into())
 }
 
 /// What must stand for a write to count.
@@ -57,7 +57,7 @@
     /// A spec of this release of the operator's; 0: none yet.
     Release(u64),
     /// This version stood when the order was given. The same value is accepted under any version.
-    Since(u64),
+    UnchangedSince(u64),
 }
 
 impl From<Option<u64>> for Expect {
@@ -67,47 +67,47 @@
 }
 
 #[derive(Clone, Debug)]
-struct Ask {
+struct PendingRequest {
     token: u64,
     expect: Expect,
     /// None: the newest version is asked for.
     value: Option<Blob>,
-    at: Ms,
+    received_at: Ms,
 }
 
 #[derive(Clone, Debug)]
-struct Write {
+struct InFlightWrite {
     version: u64,
     value: Blob,
-    past: List<ReplacedValue>,
+    replaced: List<ReplacedValue>,
     acks: BTreeSet<Name>,
     token: Option<u64>,
     expect: Expect,
-    at: Ms,
-    sent: Ms,
+    received_at: Ms,
+    sent_at: Ms,
 }
 
 /// A write, or a reading where there is no value, whose key is no longer owned here.
 #[derive(Clone, Debug)]
-pub struct Moved {
+pub struct DisplacedRequest {
     pub token: u64,
     pub key: Name,
     pub expect: Expect,
     pub value: Option<Blob>,
-    pub at: Ms,
+    pub received_at: Ms,
     /// The version that it was offered to disks as: it may stand, or come to stand.
-    pub offered: Option<u64>,
+    pub offered_version: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
-enum Phase {
+enum OwnershipPhase {
     /// Promises so far, and the newest accepted value among them.
-    Asking {
+    Preparing {
         promises: BTreeSet<Name>,
         best: Slot,
         sent: Ms,
     },
-    Holding {
+    Owning {
         version: u64,
     },
 }
@@ -116,17 +116,17 @@
 #[derive(Clone, Debug)]
 struct Ownership {
     epoch: u64,
-    phase: Phase,
-    write: Option<Write>,
-    waiting: VecDeque<Ask>,
+    phase: OwnershipPhase,
+    in_flight: Option<InFlightWrite>,
+    pending: VecDeque<PendingRequest>,
     /// Not before then: somebody's lease still runs, or a rival was ahead.
     not_before: Ms,
     /// A voter has promised a higher epoch: this one cannot win any more.
-    outbid: bool,
+    superseded: bool,
     /// When each voter's latest renewal was asked for.
-    renewed: BTreeMap<Name, Ms>,
+    confirmed_by: BTreeMap<Name, Ms>,
     /// When the voters were last asked whether the key is still this daemon's own.
-    asked: Ms,
+    confirmation_sent_at: Ms,
 }
 
 #[derive(Clone, Debug)]
@@ -135,29 +135,29 @@
     pub member_epoch: u32,
     pub voters: Vec<Voter>,
     /// How many voters the member epoch before had; 0: not known.
-    pub before: u32,
+    pub previous_voter_count: u32,
     pub voting: bool,
     /// It voted until this member epoch, which gave its place away: newcomers may still read it.
-    pub left: bool,
+    pub retired: bool,
     /// Control daemons that do not vote: they are told what is committed.
     pub followers: Vec<Name>,
     /// ms. Life of a lease.
-    lease: Ms,
+    lease_duration: Ms,
     addrs: BTreeMap<Name, Name>,
     slots: BTreeMap<Name, Slot>,
-    own: BTreeMap<Name, Ownership>,
+    ownerships: BTreeMap<Name, Ownership>,
     /// Who may keep a duty, as this voter let it: the holder's address, its epoch, until.
     grants: BTreeMap<Name, (Name, u64, Ms)>,
     abstain_until: Ms,
-    highest: u64,
+    highest_epoch: u64,
     next_renew: Ms,
-    next_look: Ms,
+    next_ownership_check: Ms,
     /// Writes and readings that waited for keys which are no longer owned here.
-    pub moved: Vec<Moved>,
+    pub displaced: Vec<DisplacedRequest>,
     /// Values newly known to be committed, for the feed.
-    pub fresh: Vec<Change>,
+    pub newly_committed: Vec<Change>,
     /// How the operator's document is read.
-    pub reader: SpecReader,
+    pub spec_parser: SpecParser,
     /// The release last read from each key's value, with that value's epoch and version.
     releases: BTreeMap<Name, ((u64, u64), u64)>,
 }
@@ -169,35 +169,36 @@
             name,
             member_epoch: 0,
             voters: Vec::new(),
-            before: 0,
+            previous_voter_count: 0,
             voting: false,
-            left: false,
+            retired: false,
             followers: Vec::new(),
-            lease,
+            lease_duration: lease,
             addrs: BTreeMap::new(),
             slots: BTreeMap::new(),
-            own: BTreeMap::new(),
+            ownerships: BTreeMap::new(),
             grants: BTreeMap::new(),
             // A voter that has just started has forgotten whom it let keep a duty; it waits those leases out.
             abstain_until: now + lease,
-            highest: 0,
+            highest_epoch: 0,
             next_renew: 0,
-            next_look: 0,
-            moved: Vec::new(),
-            fresh: Vec::new(),
-            reader: own_spec,
+            next_ownership_check: 0,
+            displaced: Vec::new(),
+            newly_committed: Vec::new(),
+            spec_parser: parse_own_spec,
             releases: BTreeMap::new(),
         };
         for row in rows {
             match row {
                 Row::Members { member_epoch, before, voters, voting, left } => {
-                    (r.member_epoch, r.before, r.voters, r.voting, r.left) = (member_epoch, before, voters, voting, left);
+                    (r.member_epoch, r.previous_voter_count, r.voters, r.voting, r.retired) =
+                        (member_epoch, before, voters, voting, left);
                 }
-                Row::Slot(s) if &*s.key == EPOCHS => r.highest = r.highest.max(s.promised_epoch),
+                Row::Slot(s) if &*s.key == EPOCHS_KEY => r.highest_epoch = r.highest_epoch.max(s.promised_epoch),
                 Row::Slot(s) => {
-                    r.highest = r.highest.max(s.promised_epoch);
+                    r.highest_epoch = r.highest_epoch.max(s.promised_epoch);
                     if s.committed_version == s.version && s.version > 0 {
-                        r.fresh.push(change(&s));
+                        r.newly_committed.push(change(&s));
                     }
                     r.slots.insert(s.key.clone(), s);
                 }
@@ -207,12 +208,12 @@
     }
 
     /// Votes from now on. It does not know whom others let keep a duty before they told it what they have.
-    pub fn vote(&mut self, now: Ms) {
+    pub fn start_voting(&mut self, now: Ms) {
         self.voting = true;
-        self.abstain_until = self.abstain_until.max(now + self.lease);
+        self.abstain_until = self.abstain_until.max(now + self.lease_duration);
     }
     /// No voter has let anybody keep a duty in any life.
-    pub fn no_leases_before(&mut self) {
+    pub fn skip_lease_wait(&mut self) {
         self.abstain_until = 0;
     }
     pub fn set_addr(&mut self, name: &Name, addr: &Name) {
@@ -235,19 +236,19 @@
     }
     /// Above all known ones, and no other daemon's: under each member epoch a rank is one voter's alone.
     fn next_epoch(&mut self) -> u64 {
-        self.highest = (((self.highest >> 24) + 1) << 24) | u64::from(self.member_epoch & 0xffff) << 8 | self.rank();
-        self.highest
+        self.highest_epoch = (((self.highest_epoch >> 24) + 1) << 24) | u64::from(self.member_epoch & 0xffff) << 8 | self.rank();
+        self.highest_epoch
     }
-    pub fn keys(&self) -> impl Iterator<Item = &Slot> {
+    pub fn slots(&self) -> impl Iterator<Item = &Slot> {
         self.slots.values()
     }
     /// What is had of each key, without the values.
-    pub fn have(&self) -> List<Slot> {
+    pub fn slot_metadata(&self) -> List<Slot> {
         let bare = |s: &Slot| Slot { key: s.key.clone(), value: Blob::default(), replaced: List::default(), ..*s };
         self.slots.values().map(bare).collect()
     }
     /// Slots in which this daemon differs from one that has `have`.
-    pub fn slots_beyond(&self, have: &[Slot]) -> List<Slot> {
+    pub fn slots_differing_from(&self, have: &[Slot]) -> List<Slot> {
         let stamp = |s: &Slot| (s.promised_epoch, s.accepted_epoch, s.version, s.committed_version);
         let had: BTreeMap<&str, _> = have.iter().map(|s| (&*s.key, stamp(s))).collect();
         self.slots.values().filter(|s| had.get(&*s.key) != Some(&stamp(s))).cloned().collect()
@@ -257,41 +258,41 @@
         self.slots.values().all(|s| s.committed_version == s.version)
     }
     /// Digest over what is committed, for mending between daemons.
-    pub fn digest(&self) -> u64 {
+    pub fn committed_digest(&self) -> u64 {
         let done = self.slots.values().filter(|s| s.committed_version == s.version && s.version > 0);
         done.fold(0, |a, s| a ^ xxh3_64(format!("{} {} {}", s.key, s.accepted_epoch, s.version).as_bytes()))
     }
     /// The epoch under which this daemon owns a key, if it does; for a duty also until when.
-    pub fn holds(&self, key: &str, now: Ms) -> Option<(u64, Ms)> {
-        let o = self.own.get(key)?;
-        let Phase::Holding { .. } = o.phase else { return None };
-        if !leased(key) {
+    pub fn held_until(&self, key: &str, now: Ms) -> Option<(u64, Ms)> {
+        let o = self.ownerships.get(key)?;
+        let OwnershipPhase::Owning { .. } = o.phase else { return None };
+        if !is_leased(key) {
             return Some((o.epoch, Ms::MAX));
         }
         let until = self.lease_until(o);
         (until > now).then_some((o.epoch, until))
     }
     /// When a majority of voters was last asked, that has answered since, whether the key is still owned here.
-    fn confirmed(&self, o: &Ownership) -> Option<Ms> {
-        let mut at: Vec<Ms> = o.renewed.values().copied().collect();
+    fn majority_confirmed_at(&self, o: &Ownership) -> Option<Ms> {
+        let mut at: Vec<Ms> = o.confirmed_by.values().copied().collect();
         at.sort_unstable_by(|a, b| b.cmp(a));
         at.get(self.majority().wrapping_sub(1)).copied()
     }
     fn lease_until(&self, o: &Ownership) -> Ms {
         // A majority of voters keeps others out at least until then.
-        self.confirmed(o).map_or(0, |t| t + self.lease - LEASE_MARGIN)
+        self.majority_confirmed_at(o).map_or(0, |t| t + self.lease_duration - LEASE_MARGIN)
     }
     /// The agreed first live voter for a key.
-    pub fn first(&self, key: &str, live: &dyn Fn(&str) -> bool) -> Option<&Voter> {
+    pub fn preferred_owner(&self, key: &str, live: &dyn Fn(&str) -> bool) -> Option<&Voter> {
         let order_key = order_key(key);
-        self.voters.iter().filter(|v| live(&v.name)).max_by_key(|v| weight(&order_key, &v.name))
+        self.voters.iter().filter(|v| live(&v.name)).max_by_key(|v| rendezvous_weight(&order_key, &v.name))
     }
     /// Whether a write to the key is under way or waits here.
-    pub fn busy(&self, key: &str) -> bool {
-        self.own.get(key).is_some_and(|o| o.write.is_some() || !o.waiting.is_empty())
+    pub fn has_pending_writes(&self, key: &str) -> bool {
+        self.ownerships.get(key).is_some_and(|o| o.in_flight.is_some() || !o.pending.is_empty())
     }
 
-    fn slot(&mut self, key: &Name) -> &mut Slot {
+    fn slot_mut(&mut self, key: &Name) -> &mut Slot {
         self.slots.entry(key.clone()).or_insert_with(|| Slot { key: key.clone(), ..Slot::default() })
     }
 }
--- a/coordination/src/register/voter.rs
+++ b/coordination/src/register/acceptor.rs
@@ -4,13 +4,13 @@
     Accept, Accepted, Change, LeasesRenewed, List, Name, Prepare, Promise, ReleaseLeases, RenewLeases, ReplacedValue, Slot,
 };
 
-use super::{Registers, change, leased};
+use super::{Registers, change, is_leased};
 use crate::{Effect, Effects, Ms, Row, effect::send};
 
 impl Registers {
     pub fn on_prepare(&mut self, to: &Name, m: Prepare, now: Ms, out: &mut Effects) {
         let member_epoch = self.member_epoch;
-        self.highest = self.highest.max(m.epoch);
+        self.highest_epoch = self.highest_epoch.max(m.epoch);
         // A disk that may lack what it once confirmed must not vote, and other member epochs count other votes.
         if !self.voting || m.member_epoch != member_epoch {
             if m.member_epoch < member_epoch {
@@ -27,8 +27,8 @@
             }
             return;
         }
-        let wait = self.keeps_out(&m.key, to, now);
-        let s = self.slot(&m.key);
+        let wait = self.lease_wait(&m.key, to, now);
+        let s = self.slot_mut(&m.key);
         if wait > 0 || m.epoch < s.promised_epoch {
             let slot = s.clone();
             out.push(send(to, Promise { epoch: m.epoch, member_epoch, granted: 0, retry_after_ms: wait as u32, slot }));
@@ -37,16 +37,16 @@
         s.promised_epoch = m.epoch;
         let slot = s.clone();
         // Its own promise tells this daemon that the key is no longer its own.
-        if self.own.get(&m.key).is_some_and(|o| o.epoch < m.epoch) {
-            self.give_up(&m.key, out);
+        if self.ownerships.get(&m.key).is_some_and(|o| o.epoch < m.epoch) {
+            self.relinquish(&m.key, out);
         }
         let then = vec![send(to, Promise { epoch: m.epoch, member_epoch, granted: 1, retry_after_ms: 0, slot: slot.clone() })];
         out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then });
     }
 
     /// ms. For how long nobody but the holder may take the key, as this voter let it keep a duty or may have.
-    fn keeps_out(&self, key: &Name, from: &Name, now: Ms) -> Ms {
-        if !leased(key) {
+    fn lease_wait(&self, key: &Name, from: &Name, now: Ms) -> Ms {
+        if !is_leased(key) {
             return 0;
         }
         let granted = self.grants.get(key).filter(|g| g.0 != *from).map_or(0, |g| g.2);
@@ -55,11 +55,11 @@
 
     pub fn on_accept(&mut self, to: &Name, m: Accept, out: &mut Effects) {
         let member_epoch = self.member_epoch;
-        self.highest = self.highest.max(m.epoch);
+        self.highest_epoch = self.highest_epoch.max(m.epoch);
         if !self.voting || m.member_epoch != member_epoch {
             return;
         }
-        let s = self.slot(&m.key);
+        let s = self.slot_mut(&m.key);
         let mut a = Accepted {
             key: m.key.clone(),
             epoch: m.epoch,
@@ -83,15 +83,15 @@
         let slot = s.clone();
         // This version was known to be committed before something newer, which no majority took, stood in its place.
         if slot.committed_version == slot.version && slot.accepted_epoch == m.epoch {
-            self.fresh.push(change(&slot));
+            self.newly_committed.push(change(&slot));
         }
         out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then: vec![send(to, a)] });
     }
 
     /// Learns a committed value.
     pub fn on_commit(&mut self, c: &Change, past: &[ReplacedValue], out: &mut Effects) {
-        self.highest = self.highest.max(c.epoch);
-        let s = self.slot(&c.key);
+        self.highest_epoch = self.highest_epoch.max(c.epoch);
+        let s = self.slot_mut(&c.key);
         if (c.epoch, c.version) < (s.accepted_epoch, s.version)
             || (s.accepted_epoch, s.version, s.committed_version) == (c.epoch, c.version, c.version)
         {
@@ -101,7 +101,7 @@
         s.replaced = List(past.to_vec());
         let slot = s.clone();
         out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then: vec![] });
-        self.fresh.push(c.clone());
+        self.newly_committed.push(c.clone());
     }
 
     pub fn on_renew(&mut self, to: &Name, m: RenewLeases, now: Ms, out: &mut Effects) {
@@ -128,18 +128,18 @@
             }
             // An owner that others made one without this voter: it may need its word once one of those is gone.
             if promised < h.epoch {
-                if self.keeps_out(&h.key, to, now) > 0 {
+                if self.lease_wait(&h.key, to, now) > 0 {
                     continue;
                 }
-                self.highest = self.highest.max(h.epoch);
-                if self.own.get(&h.key).is_some_and(|o| o.epoch < h.epoch) {
-                    self.give_up(&h.key, out);
+                self.highest_epoch = self.highest_epoch.max(h.epoch);
+                if self.ownerships.get(&h.key).is_some_and(|o| o.epoch < h.epoch) {
+                    self.relinquish(&h.key, out);
                 }
-                let s = self.slot(&h.key);
+                let s = self.slot_mut(&h.key);
                 s.promised_epoch = h.epoch;
                 rows.push(Row::Slot(s.clone()));
             }
-            self.grants.insert(h.key.clone(), (to.clone(), h.epoch, now + self.lease));
+            self.grants.insert(h.key.clone(), (to.clone(), h.epoch, now + self.lease_duration));
             keys.0.push(h);
         }
         let told = send(to, LeasesRenewed { keys, request_sent_at: m.sent_at, member_epoch: self.member_epoch });
--- a/coordination/src/register/repeats.rs
+++ b/coordination/src/register/prior_writes.rs
@@ -6,12 +6,12 @@
 use sha2::{Digest, Sha256};
 use wire_messages::{Blob, List, Name, ReplacedValue};
 
-use super::{Expect, Registers, remembered};
+use super::{Expect, Registers, keeps_history};
 use crate::limits::PAST_VALUES;
 
 /// What is known of an order that does not fit what stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Earlier {
+pub(super) enum PriorOutcome {
     /// It was accepted as this version, which has been replaced since.
     Accepted(u64),
     /// It was never accepted.
@@ -30,32 +30,32 @@
 
 impl Registers {
     /// Whether an order was accepted before. It has lost no race then: whoever sends it again did not hear of it.
-    pub(super) fn earlier(&self, key: &Name, version: u64, expect: Expect, value: &Blob) -> Earlier {
+    pub(super) fn prior_outcome(&self, key: &Name, version: u64, expect: Expect, value: &Blob) -> PriorOutcome {
         if version == 0 {
-            return Earlier::Never;
+            return PriorOutcome::Never;
         }
         // The slot is a later owner's already: nothing is told from it.
-        let Some(slot) = self.slots.get(key).filter(|s| s.version == version) else { return Earlier::Forgotten };
+        let Some(slot) = self.slots.get(key).filter(|s| s.version == version) else { return PriorOutcome::Forgotten };
         let oldest = version - slot.replaced.len() as u64;
         match expect {
-            Expect::Any | Expect::Since(_) => Earlier::Never,
+            Expect::Any | Expect::UnchangedSince(_) => PriorOutcome::Never,
             Expect::Version(on) => match on + 1 {
-                was if was >= version => Earlier::Never,
-                was if was < oldest => Earlier::Forgotten,
-                was if slot.replaced[(was - oldest) as usize].digest == digest(&value.0) => Earlier::Accepted(was),
-                _ => Earlier::Never,
+                was if was >= version => PriorOutcome::Never,
+                was if was < oldest => PriorOutcome::Forgotten,
+                was if slot.replaced[(was - oldest) as usize].digest == digest(&value.0) => PriorOutcome::Accepted(was),
+                _ => PriorOutcome::Never,
             },
             Expect::Release(_) => {
                 let wanted = digest(&value.0);
                 if let Some(i) = slot.replaced.iter().rposition(|p| p.digest == wanted) {
-                    return Earlier::Accepted(oldest + i as u64);
+                    return PriorOutcome::Accepted(oldest + i as u64);
                 }
                 // Releases rise with each accepted document: what was forgotten is below all that is remembered.
-                let release = |value: &Blob| (self.reader)(&value.0).map_or(0, |s| s.release);
+                let release = |value: &Blob| (self.spec_parser)(&value.0).map_or(0, |s| s.release);
                 let lowest = slot.replaced.first().map_or_else(|| release(&slot.value), |p| p.release);
                 match oldest > 1 && release(value) < lowest {
-                    true => Earlier::Forgotten,
-                    false => Earlier::Never,
+                    true => PriorOutcome::Forgotten,
+                    false => PriorOutcome::Never,
                 }
             }
         }
@@ -63,9 +63,9 @@
 
     /// What stood before the version after the one that stands. It goes with the value itself, under the same majority:
     /// a record of its own could be there without the value, or lack it.
-    pub(super) fn past_of_next(&mut self, key: &Name, version: u64) -> List<ReplacedValue> {
+    pub(super) fn replaced_by_next(&mut self, key: &Name, version: u64) -> List<ReplacedValue> {
         let release = self.release(key, version).unwrap_or(0);
-        let kept = self.slots.get(key).filter(|s| remembered(key) && s.version == version && version > 0);
+        let kept = self.slots.get(key).filter(|s| keeps_history(key) && s.version == version && version > 0);
         let Some(slot) = kept else { return List::default() };
         let mut past = slot.replaced.0.clone();
         past.push(ReplacedValue { release, digest: digest(&slot.value.0) });
@@ -84,7 +84,7 @@
         if let Some(read) = self.releases.get(key).filter(|r| r.0 == stamp) {
             return Some(read.1);
         }
-        let release = (self.reader)(&slot.value.0).map_or(0, |s| s.release);
+        let release = (self.spec_parser)(&slot.value.0).map_or(0, |s| s.release);
         self.releases.insert(key.clone(), (stamp, release));
         Some(release)
     }
--- a/coordination/src/register/tests.rs
+++ b/coordination/src/register/tests.rs
@@ -85,7 +85,7 @@
                     let (life, wait) = (self.lives[i], self.busy[i] - self.now);
                     self.at(wait, Ev::Synced { at: i, life, rows, then });
                 }
-                Effect::Answer { token, outcome: WriteOutcome::Accepted(v) } => {
+                Effect::WriteFinished { token, outcome: WriteOutcome::Accepted(v) } => {
                     let value = self.asked[&token].clone();
                     self.told.entry(v).or_default().insert(value);
                 }
@@ -93,7 +93,7 @@
             }
         }
         let Some(n) = self.nodes[i].as_mut() else { return };
-        for c in std::mem::take(&mut n.fresh) {
+        for c in std::mem::take(&mut n.newly_committed) {
             self.told.entry(c.version).or_default().insert(c.value.0);
         }
     }
@@ -142,7 +142,7 @@
                 let live = |n: &str| if wrong { *n == *name(i) } else { up.contains(n) };
                 let (mut out, now) = (vec![], self.now);
                 let Some(n) = self.nodes[i].as_mut() else { continue };
-                if wild && self.rng.u8(..) < 6 && n.first("k", &live).is_some_and(|v| v.name == name(i)) {
+                if wild && self.rng.u8(..) < 6 && n.preferred_owner("k", &live).is_some_and(|v| v.name == name(i)) {
                     let token = self.seq + 1_000_000 * (i as u64 + 1);
                     let value = format!("{token}").into_bytes();
                     self.asked.insert(token, value.clone());
@@ -319,14 +319,14 @@
     let taken = slot(12, 7, 2, 1, "accepted");
     expect_that!(of(&n), eq(&taken));
     expect_that!(rows, contains(eq(&Row::Slot(taken.clone()))), "it is on its disk before it votes");
-    expect_that!(n.fresh, is_empty(), "what no majority is known to have taken is told to nobody");
-    expect_that!(n.highest, eq(12), "its own epochs are above all that it read of");
+    expect_that!(n.newly_committed, is_empty(), "what no majority is known to have taken is told to nobody");
+    expect_that!(n.highest_epoch, eq(12), "its own epochs are above all that it read of");
     // What is older changes nothing, and what is newer and committed goes to the feed.
     n.catch_up(&[slot(3, 7, 1, 1, "old")]);
     expect_that!(of(&n), eq(&taken));
     n.catch_up(&[slot(9, 8, 3, 3, "newest")]);
     expect_that!(of(&n), eq(&slot(12, 8, 3, 3, "newest")));
-    expect_that!(n.fresh.iter().map(|c| c.version).collect::<Vec<_>>(), elements_are![eq(&3)]);
+    expect_that!(n.newly_committed.iter().map(|c| c.version).collect::<Vec<_>>(), elements_are![eq(&3)]);
     // It promises nothing below what any of them promised.
     let mut out = vec![];
     n.on_prepare(&name(1), wire_messages::Prepare { key: "k".into(), epoch: 11, member_epoch: 1 }, 10_000, &mut out);
@@ -383,7 +383,7 @@
         n.on_promise(&name(0), promise.clone(), 1, &mut vec![]);
         (n, promise)
     };
-    let holds = |n: &Registers| matches!(n.own.get(&key).map(|o| &o.phase), Some(Phase::Holding { .. }));
+    let holds = |n: &Registers| matches!(n.ownerships.get(&key).map(|o| &o.phase), Some(OwnershipPhase::Owning { .. }));
     let (n, promise) = owner();
     for (member_epoch, from, counts) in [(1, 1, true), (0, 1, false), (2, 1, false), (1, 0, false), (1, 9, false)] {
         let mut n = n.clone();
@@ -410,7 +410,7 @@
     for (member_epoch, epoch, version, from, counts) in all.into_iter().chain(rest) {
         let (mut n, mut out) = (n.clone(), vec![]);
         n.on_accepted(&name(from), ack(member_epoch, epoch, version), 1, &mut out);
-        let told = out.iter().any(|e| matches!(e, Effect::Answer { outcome: WriteOutcome::Accepted(1), .. }));
+        let told = out.iter().any(|e| matches!(e, Effect::WriteFinished { outcome: WriteOutcome::Accepted(1), .. }));
         expect_that!(told, eq(counts), "version {version} under {epoch} in member epoch {member_epoch} by {from}");
     }
     // Nor does a voter take part in another member epoch than its own.
@@ -438,18 +438,18 @@
     let key: Name = "k".into();
     let mut n = voter(0);
     n.on_commit(&Change { key: key.clone(), epoch: 5, version: 3, value: Blob("value".into()) }, &[], &mut vec![]);
-    let phase = Phase::Holding { version: 3 };
+    let phase = OwnershipPhase::Owning { version: 3 };
     let own = Ownership {
         epoch: 7,
         phase,
-        write: None,
-        waiting: VecDeque::new(),
+        in_flight: None,
+        pending: VecDeque::new(),
         not_before: 0,
-        outbid: false,
-        renewed: BTreeMap::new(),
-        asked: 0,
+        superseded: false,
+        confirmed_by: BTreeMap::new(),
+        confirmation_sent_at: 0,
     };
-    n.own.insert(key.clone(), own);
+    n.ownerships.insert(key.clone(), own);
     let mut out = vec![];
     n.read(9, &key, 100, &mut out);
     let renewed = |n: &mut Registers, from: usize, epoch, sent, member_epoch| {
@@ -460,7 +460,7 @@
         };
         let mut out = vec![];
         n.on_renewed(&name(from), m, 101, &mut out);
-        out.iter().any(|e| matches!(e, Effect::Answer { token: 9, outcome: WriteOutcome::Accepted(3) }))
+        out.iter().any(|e| matches!(e, Effect::WriteFinished { token: 9, outcome: WriteOutcome::Accepted(3) }))
     };
     let mut told = |from, epoch, sent, member_epoch| renewed(&mut n, from, epoch, sent, member_epoch);
     expect_that!(told(0, 7, 100, 1), eq(false), "one is no majority");
@@ -471,7 +471,7 @@
     expect_that!(told(2, 7, 100, 1), eq(true));
     // A voter that has promised another owner says so and keeps no later one out.
     let mut v = voter(1);
-    v.slot(&key).promised_epoch = 8;
+    v.slot_mut(&key).promised_epoch = 8;
     let mut out = vec![];
     v.on_renew(
         &name(0),
--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -68,7 +68,8 @@
 impl Node {
     fn seal(&mut self) {
         let (r, key) = (&self.regs, KEY);
-        let text = format!("{:?} {:?} {} {:?} {:?}", r.slots.get(key), r.own.get(key), r.highest, self.disk, self.unsynced);
+        let text =
+            format!("{:?} {:?} {} {:?} {:?}", r.slots.get(key), r.ownerships.get(key), r.highest_epoch, self.disk, self.unsynced);
         self.digest = xxh3_128(text.as_bytes());
     }
 }
@@ -110,7 +111,7 @@
     fn new(without: Without, crashes: u32, copies: u32, calls: &[(usize, Request)]) -> Self {
         let node = |i| {
             let mut regs = voter(i);
-            regs.no_leases_before();
+            regs.skip_lease_wait();
             if without == Without::Majority {
                 regs.voters.retain(|v| v.name == name(i));
             }
@@ -186,7 +187,7 @@
             }
             Message::Accept(m) => {
                 if without == Without::PromiseKept {
-                    let slot = regs.slot(&m.key);
+                    let slot = regs.slot_mut(&m.key);
                     (slot.promised_epoch, slot.accepted_epoch) =
                         (slot.promised_epoch.min(m.epoch), slot.accepted_epoch.min(m.epoch));
                 }
@@ -211,7 +212,7 @@
                     self.send(at, to, msg);
                 }
                 Effect::Persist { rows, then } => self.persist(at, rows, then),
-                Effect::Answer { token, outcome } => {
+                Effect::WriteFinished { token, outcome } => {
                     self.step += 1;
                     self.calls[token as usize - 1].ended = Some((self.step, outcome));
                 }
@@ -220,7 +221,7 @@
         }
         self.leave_out(at);
         let node = self.node(at);
-        node.regs.fresh.clear();
+        node.regs.newly_committed.clear();
         node.seal();
     }
 
@@ -228,8 +229,8 @@
     fn leave_out(&mut self, at: usize) {
         let without = self.without;
         let regs = &mut self.node(at).regs;
-        match (without, regs.own.get_mut(KEY), regs.slots.get_mut(KEY)) {
-            (Without::ConfirmedRead, Some(own), _) => own.renewed = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect(),
+        match (without, regs.ownerships.get_mut(KEY), regs.slots.get_mut(KEY)) {
+            (Without::ConfirmedRead, Some(own), _) => own.confirmed_by = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect(),
             (Without::Memory, _, Some(slot)) => slot.replaced.0.iter_mut().for_each(|p| p.digest = 0),
             _ => {}
         }
@@ -266,8 +267,8 @@
         let node = self.node(at);
         node.unsynced.clear();
         node.regs = Registers::new(name(at), node.disk.values().cloned().collect(), LEASE, step);
-        node.regs.no_leases_before();
-        node.regs.fresh.clear();
+        node.regs.skip_lease_wait();
+        node.regs.newly_committed.clear();
         node.seal();
         for i in 0..NODES {
             while self.crashes == 0 && !self.nodes[i].unsynced.is_empty() {
--- a/coordination/src/register/tests/rules.rs
+++ b/coordination/src/register/tests/rules.rs
@@ -51,10 +51,10 @@
 /// Only its holder gives a duty up, and only the ownership that it means.
 #[gtest]
 fn a_lease_ends_by_its_own_holders_word_alone() {
-    let key = format!("{DUTY}s");
+    let key = format!("{ROLLOUT_PREFIX}s");
     let fresh = || {
         let mut n = voter(0);
-        n.no_leases_before();
+        n.skip_lease_wait();
         n.on_renew(&name(1), RenewLeases { keys: held(&key, 7), sent_at: 5, member_epoch: 1 }, 1, &mut vec![]);
         n
     };
@@ -69,12 +69,12 @@
 /// A voter that has just started, or begun to vote, has forgotten or never heard whom others let keep a duty.
 #[gtest]
 fn a_voter_that_has_just_begun_waits_a_lease_out() {
-    let key = format!("{DUTY}s");
+    let key = format!("{ROLLOUT_PREFIX}s");
     let rows = vec![voter(0).members_row()];
     let started = Registers::new(name(0), rows, LEASE, 1_000);
     let mut votes = voter(0);
-    votes.no_leases_before();
-    votes.vote(1_000);
+    votes.skip_lease_wait();
+    votes.start_voting(1_000);
     for n in [started, votes] {
         expect_that!(promise(&mut n.clone(), 2, &key, 9, 1_001), some(eq((0, LEASE as u32 - 1))));
         expect_that!(promise(&mut n.clone(), 2, &key, 9, 1_000 + LEASE), some(eq((1, 0))));
@@ -86,10 +86,10 @@
 fn voters_are_not_changed_back() {
     let mut n = voter(0);
     let mut out = vec![];
-    n.follow(3, 3, voters()[..2].to_vec(), &mut out);
+    n.adopt_members(3, 3, voters()[..2].to_vec(), &mut out);
     expect_that!((n.member_epoch, n.voters.len()), eq((3, 2)));
     for old in [1, 2, 3] {
-        n.follow(old, 3, voters(), &mut out);
+        n.adopt_members(old, 3, voters(), &mut out);
         expect_that!((n.member_epoch, n.voters.len()), eq((3, 2)), "member epoch {old}");
     }
 }
@@ -101,9 +101,9 @@
     let mut n = voter(0);
     n.on_commit(&Change { key: KEY.into(), epoch: 5, version: 3, value: Blob("stands".into()) }, &[], &mut vec![]);
     n.on_accept(&name(1), accept(KEY, 6, 4, "never"), &mut vec![]);
-    n.fresh.clear();
+    n.newly_committed.clear();
     n.on_accept(&name(2), accept(KEY, 8, 3, "stands"), &mut vec![]);
-    expect_that!(n.fresh.iter().map(|c| (c.epoch, c.version)).collect::<Vec<_>>(), elements_are![eq(&(8, 3))]);
+    expect_that!(n.newly_committed.iter().map(|c| (c.epoch, c.version)).collect::<Vec<_>>(), elements_are![eq(&(8, 3))]);
 }
 
 /// A new owner goes by the epoch under which a value was accepted, and by what it has accepted itself.
@@ -127,9 +127,9 @@
         if let Some(s) = own {
             n.on_accept(&name(1), accept(KEY, s.accepted_epoch, s.version, &String::from_utf8_lossy(&s.value.0)), &mut vec![]);
         }
-        n.highest = 1 << 30;
-        n.take(&KEY.into(), 1, &mut vec![]);
-        let epoch = n.own[KEY].epoch;
+        n.highest_epoch = 1 << 30;
+        n.acquire(&KEY.into(), 1, &mut vec![]);
+        let epoch = n.ownerships[KEY].epoch;
         let mut out = vec![];
         for (from, s) in [(1, first), (2, second)] {
             let m = Promise { epoch, member_epoch: 1, granted: 1, retry_after_ms: 0, slot: s.clone() };
--- a/coordination/src/request.rs
+++ b/coordination/src/request.rs
@@ -4,7 +4,7 @@
 use remote_calls::{Fault, Outcome, RunRequest};
 
 use crate::{
-    claims::{self, GRANTED, TAKEN, VOIDED},
+    claims::{self, GRANTED, HELD_BY_OTHER, VOIDED},
     proxy::{Ended, Placed},
 };
 
@@ -88,7 +88,7 @@
     /// What a claim is made on, and how long ago it was first used: the caller's own key, or the id.
     pub fn claimed_name(&self) -> (String, u64) {
         match &self.q.key {
-            Some(k) => (format!("{}{}", claims::KEY, k.value.as_str()), k.first_used_ms_ago),
+            Some(k) => (format!("{}{}", claims::CALLER_KEY_PREFIX, k.value.as_str()), k.first_used_ms_ago),
             None => (self.q.request.clone(), 0),
         }
     }
@@ -159,7 +159,7 @@
         match state {
             GRANTED => Step::Place,
             VOIDED => Step::Reply(f("voided", "the request was given up before and never runs").outcome(Outcome::NotRun)),
-            TAKEN => Step::Reply(
+            HELD_BY_OTHER => Step::Reply(
                 f("claimed", "another round of this request may have run or may be running").outcome(Outcome::Unknown),
             ),
             _ => self.give_up(f("no_claim", "no majority of the claim's holders answered").retry(1_000)),
--- a/coordination/src/request/tests.rs
+++ b/coordination/src/request/tests.rs
@@ -45,7 +45,8 @@
 
 #[gtest]
 fn not_run_is_said_only_once_a_majority_has_voided_the_id() {
-    for (state, said) in [(GRANTED, Outcome::NotRun), (VOIDED, Outcome::NotRun), (TAKEN, Outcome::Unknown), (3, Outcome::Unknown)]
+    for (state, said) in
+        [(GRANTED, Outcome::NotRun), (VOIDED, Outcome::NotRun), (HELD_BY_OTHER, Outcome::Unknown), (3, Outcome::Unknown)]
     {
         let mut r = request(true);
         expect_that!(r.next(Got::Checked(Err(fault()))), eq(&Step::Claim { void: true }));
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -11,11 +11,11 @@
 use crate::{
     Ms,
     bounds::Bounds,
-    health::{Health, Verdict},
     limits::{
         CANARY_LANE, CANARY_MIN, CANARY_QUIET, CANARY_RARE, CANARY_REQUESTS, DRAIN_EXTRA, FORECAST_MOVES, HEAR_ALL, LOAD_LATE,
         REORDER, REPORT_OLD, STEP_GUESS, STEP_MIN, STEP_PERCENT, STUCK_AFTER, UNLOAD_GUESS, WARM_UP,
     },
+    version_health::{Verdict, VersionHealth},
 };
 
 mod exposure;
@@ -29,51 +29,51 @@
 }
 
 /// What the loop reads.
-pub struct Inputs<'a> {
+pub struct RolloutInputs<'a> {
     pub spec: &'a Spec,
     pub service: &'a ServiceSpec,
     pub plan: Option<(u64, &'a ReleasePlan)>,
-    pub platform: &'a [PlatformReplica],
+    pub replica_list: &'a [PlatformReplica],
     pub reports: &'a BTreeMap<String, (ReplicaReport, Ms)>,
-    pub leaving: &'a BTreeSet<String>,
+    pub draining: &'a BTreeSet<String>,
     /// When the platform was asked for the list.
-    pub listed: Ms,
+    pub list_requested_at: Ms,
     /// Streams that proxies still have open on a replica's version; without one, on all of its versions.
-    pub open: &'a dyn Fn(&str, &str) -> u64,
+    pub open_streams: &'a dyn Fn(&str, &str) -> u64,
     /// Version of the record that stands, and the newest that all edges which are heard have seen.
-    pub stands: u64,
-    pub seen: &'a dyn Fn() -> u64,
+    pub record_version: u64,
+    pub oldest_seen_record: &'a dyn Fn() -> u64,
     pub bounds: &'a Bounds,
     pub now: Ms,
     /// Seconds since 1970, to hold completion times against.
-    pub wall: u64,
+    pub wall_clock_s: u64,
 }
 
 /// Memory of one loop, lost with its duty; everything that must last is in the record.
 #[derive(Clone, Debug, Default)]
-pub struct Loop {
-    pub health: Health,
+pub struct RolloutLoop {
+    pub health: VersionHealth,
     /// Since when the duty is held here.
-    held_at: Ms,
+    lease_since: Ms,
     /// Every replica was heard or given up: what the loop decides is founded.
-    pub heard: bool,
+    pub has_all_reports: bool,
     phase_at: Ms,
-    moved_at: Ms,
+    progressed_at: Ms,
     shape: Option<(RolloutPhase, usize, usize)>,
-    ordered: BTreeMap<String, Ms>,
+    ordered_at: BTreeMap<String, Ms>,
     /// When a replica's new version was first seen ready, and when its retirement began.
     ready_at: BTreeMap<String, Ms>,
     retire_at: BTreeMap<String, Ms>,
     canary_at: Option<Ms>,
-    pub bad: Option<String>,
+    pub bad_version: Option<String>,
     placed: placed::Memory,
 }
 
 /// A step's next record and what to order.
-pub type Step = (RolloutRecord, Vec<Order>);
+pub type RolloutStep = (RolloutRecord, Vec<Order>);
 
 /// The record of a service that has none yet.
-pub fn first_record(s: &ServiceSpec) -> RolloutRecord {
+pub fn initial_record(s: &ServiceSpec) -> RolloutRecord {
     RolloutRecord {
         service: s.name.clone(),
         phase: RolloutPhase::Steady,
@@ -90,19 +90,19 @@
     }
 }
 
-struct View<'a> {
-    i: &'a Inputs<'a>,
+struct RolloutView<'a> {
+    inputs: &'a RolloutInputs<'a>,
     /// Replicas that may be used: running, not leaving.
-    up: Vec<&'a PlatformReplica>,
+    usable: Vec<&'a PlatformReplica>,
 }
 
-impl View<'_> {
+impl RolloutView<'_> {
     fn report(&self, id: &str) -> Option<&ReplicaReport> {
-        let (r, at) = self.i.reports.get(id)?;
-        (self.i.now.saturating_sub(*at) <= REPORT_OLD).then_some(r)
+        let (r, at) = self.inputs.reports.get(id)?;
+        (self.inputs.now.saturating_sub(*at) <= REPORT_OLD).then_some(r)
     }
     fn has(&self, id: &str, version: &str) -> bool {
-        let name = &self.i.service.name;
+        let name = &self.inputs.service.name;
         self.report(id).is_some_and(|r| r.loaded.iter().any(|l| l.ready && l.version == version && l.service == *name))
     }
     fn holds(&self, id: &str, version: &str) -> bool {
@@ -110,21 +110,21 @@
     }
     fn streams(&self, id: &str, version: &str) -> u64 {
         let own = self.report(id).and_then(|r| r.loaded.iter().find(|l| l.version == version)).map_or(0, |l| l.streams as u64);
-        own.max((self.i.open)(id, version))
+        own.max((self.inputs.open_streams)(id, version))
     }
     fn with(&self, version: &str) -> Vec<String> {
-        self.up.iter().filter(|r| self.has(&r.id, version)).map(|r| r.id.clone()).collect()
+        self.usable.iter().filter(|r| self.has(&r.id, version)).map(|r| r.id.clone()).collect()
     }
     /// How long streams on what retires may still run: the longest lane's time and a little more.
     fn drain_limit(&self) -> Ms {
-        self.i.service.lanes.iter().map(|l| l.time_limit_ms).max().unwrap_or(0) + DRAIN_EXTRA
+        self.inputs.service.lanes.iter().map(|l| l.time_limit_ms).max().unwrap_or(0) + DRAIN_EXTRA
     }
     /// Replicas that one step takes.
     fn step(&self) -> usize {
-        STEP_MIN.max(self.up.len() * STEP_PERCENT / 100)
+        STEP_MIN.max(self.usable.len() * STEP_PERCENT / 100)
     }
     fn zone(&self, id: &str) -> &str {
-        self.up.iter().find(|r| r.id == id).map_or("", |r| r.zone.as_str())
+        self.usable.iter().find(|r| r.id == id).map_or("", |r| r.zone.as_str())
     }
 }
 
@@ -133,7 +133,7 @@
 }
 
 /// Replicas of the group with this role and version.
-pub fn members<'a>(r: &'a RolloutRecord, role: GroupRole, version: &str) -> &'a [String] {
+pub fn group_replicas<'a>(r: &'a RolloutRecord, role: GroupRole, version: &str) -> &'a [String] {
     r.groups.iter().find(|g| g.role == role && g.version == version).map_or(&[], |g| &g.replicas)
 }
 
@@ -149,18 +149,18 @@
     }
 }
 
-impl Loop {
+impl RolloutLoop {
     pub fn new(now: Ms) -> Self {
-        let mut l = Loop { held_at: now, phase_at: now, moved_at: now, ..Loop::default() };
+        let mut l = RolloutLoop { lease_since: now, phase_at: now, progressed_at: now, ..RolloutLoop::default() };
         l.health.restart(now);
         l
     }
 
     /// The duty is not held here: all timing is forgotten, the evidence is kept.
-    pub fn rest(&mut self, now: Ms) {
+    pub fn on_lease_lost(&mut self, now: Ms) {
         let placed = self.placed.without_duty();
         let health = std::mem::take(&mut self.health);
-        *self = Loop { health, placed, held_at: now, phase_at: now, moved_at: now, ..Loop::default() };
+        *self = RolloutLoop { health, placed, lease_since: now, phase_at: now, progressed_at: now, ..RolloutLoop::default() };
     }
 
     fn enter(&mut self, r: &mut RolloutRecord, p: RolloutPhase, now: Ms) {
@@ -177,25 +177,25 @@
     /// Orders once, then again only when it has gone without effect for a while.
     fn order(&mut self, now: Ms, every: Ms, o: Order, out: &mut Vec<Order>) {
         let k = format!("{o:?}");
-        if self.ordered.get(&k).is_some_and(|t| now.saturating_sub(*t) < every) {
+        if self.ordered_at.get(&k).is_some_and(|t| now.saturating_sub(*t) < every) {
             return;
         }
-        self.ordered.insert(k, now);
+        self.ordered_at.insert(k, now);
         out.push(o);
     }
-    fn tell(&mut self, v: &View, id: &str, action: OrderAction, version: &str, out: &mut Vec<Order>) {
-        let Some(r) = v.up.iter().find(|r| r.id == id) else { return };
+    fn tell(&mut self, v: &RolloutView, id: &str, action: OrderAction, version: &str, out: &mut Vec<Order>) {
+        let Some(r) = v.usable.iter().find(|r| r.id == id) else { return };
         let every = if action == OrderAction::Load { LOAD_LATE } else { REORDER };
         let o = Order::Replica { id: id.into(), addr: r.addr.clone(), action, version: version.into() };
         // A replica that reports it is loading has taken the order, however late it gets ready.
         if action == OrderAction::Load && v.holds(id, version) {
             return;
         }
-        self.order(v.i.now, if v.report(id).is_some() { REORDER.max(every / 5) } else { every }, o, out);
+        self.order(v.inputs.now, if v.report(id).is_some() { REORDER.max(every / 5) } else { every }, o, out);
     }
 
     /// One pass of the loop.
-    pub fn step(&mut self, old: &RolloutRecord, i: &Inputs) -> Step {
+    pub fn step(&mut self, old: &RolloutRecord, i: &RolloutInputs) -> RolloutStep {
         let now = i.now;
         let mut r = old.clone();
         let mut out = Vec::new();
@@ -208,24 +208,24 @@
         }
         let mine = |p: &&PlatformReplica| p.service == i.service.name;
         let up: Vec<_> = i
-            .platform
+            .replica_list
             .iter()
             .filter(mine)
-            .filter(|p| p.state == PlatformReplicaState::Running && !i.leaving.contains(&p.id))
+            .filter(|p| p.state == PlatformReplicaState::Running && !i.draining.contains(&p.id))
             .collect();
-        let v = View { i, up };
+        let v = RolloutView { inputs: i, usable: up };
         let plan = i.plan.filter(|(n, p)| *n != r.failed_plan && p.target != r.stable);
         // A new holder that has not heard every replica yet would take the unheard for lost. What the edges
         // counted it knows at once.
-        if now.saturating_sub(self.held_at) < HEAR_ALL && v.up.iter().any(|p| v.report(&p.id).is_none()) {
+        if now.saturating_sub(self.lease_since) < HEAR_ALL && v.usable.iter().any(|p| v.report(&p.id).is_none()) {
             let at_work = matches!(r.phase, RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking);
             if at_work && self.turned_back(&mut r, now) {
                 r.groups.iter_mut().filter(|g| g.version != old.stable).for_each(|g| g.share_percent = 0);
             }
             return (r, out);
         }
-        self.heard = true;
-        r.replicas = v.up.iter().map(|p| told(p)).collect();
+        self.has_all_reports = true;
+        r.replicas = v.usable.iter().map(|p| told(p)).collect();
         r.alerts.clear();
 
         self.replan(&mut r, plan, now);
@@ -260,7 +260,7 @@
         }
     }
 
-    fn steady(&mut self, r: &mut RolloutRecord, v: &View) {
+    fn steady(&mut self, r: &mut RolloutRecord, v: &RolloutView) {
         let s = r.stable.clone();
         r.retiring.clear();
         r.groups = vec![group(GroupRole::Stable, &s, 100, v.with(&s))];
@@ -272,14 +272,14 @@
         if self.health.judge_all(&t, &r.stable, now) == Verdict::Fine {
             return false;
         }
-        self.bad = Some(t);
+        self.bad_version = Some(t);
         r.failed_plan = r.plan_version;
         self.enter(r, RolloutPhase::Reverting, now);
         true
     }
 
-    fn canary(&mut self, r: &mut RolloutRecord, v: &View, out: &mut Vec<Order>) {
-        let (now, s) = (v.i.now, r.stable.clone());
+    fn canary(&mut self, r: &mut RolloutRecord, v: &RolloutView, out: &mut Vec<Order>) {
+        let (now, s) = (v.inputs.now, r.stable.clone());
         if self.turned_back(r, now) {
             return self.unload(r, v, out);
         }
@@ -294,7 +294,7 @@
         }
         let (mut picks, mut base) = (vec![], vec![]);
         for ids in by_zone.into_values() {
-            let n = (ids.len() * v.i.spec.canary_percent as usize / 100).max(1);
+            let n = (ids.len() * v.inputs.spec.canary_percent as usize / 100).max(1);
             let (new, rest): (Vec<&String>, Vec<&String>) = ids.into_iter().partition(|id| v.holds(id, &t));
             let mut all = new.into_iter().chain(rest).cloned();
             picks.extend(all.by_ref().take(n));
@@ -307,7 +307,7 @@
         }
         // Canary and baseline start in the same record, so that they meet the same traffic.
         let began = *self.canary_at.get_or_insert(now);
-        let c = v.i.spec.canary_percent;
+        let c = v.inputs.spec.canary_percent;
         let rest = old.iter().filter(|id| !base.contains(id)).cloned().collect();
         r.groups = vec![
             group(GroupRole::Canary, &t, c, picks),
@@ -317,21 +317,21 @@
         let (age, h) = (now - began, &self.health);
         // A lane that only the stable version has met says nothing of the new one yet.
         let met = |l: &str| h.ended_on(&t, l, now) >= CANARY_LANE || h.ended_on(&s, l, now) == 0;
-        let lanes = v.i.service.lanes.iter().all(|l| met(&l.name));
+        let lanes = v.inputs.service.lanes.iter().all(|l| met(&l.name));
         let quiet = h.failed(&t, now) == 0 && (age >= CANARY_QUIET && lanes || age >= CANARY_RARE);
         let enough = age >= CANARY_MIN && h.ended(&t, now) >= CANARY_REQUESTS && lanes;
-        if quiet || enough && !h.doubtful(&t, &s, now) {
+        if quiet || enough && !h.is_suspicious(&t, &s, now) {
             self.enter(r, RolloutPhase::Shifting, now);
         }
     }
 
-    fn shifting(&mut self, r: &mut RolloutRecord, v: &View, out: &mut Vec<Order>) {
-        let (now, s) = (v.i.now, r.stable.clone());
+    fn shifting(&mut self, r: &mut RolloutRecord, v: &RolloutView, out: &mut Vec<Order>) {
+        let (now, s) = (v.inputs.now, r.stable.clone());
         if self.turned_back(r, now) {
             return self.unload(r, v, out);
         }
         let Some(t) = r.target.clone() else { return };
-        let total = v.up.len();
+        let total = v.usable.len();
         let size = v.step();
         let new = v.with(&t);
         for id in &new {
@@ -340,7 +340,7 @@
         // A replica whose old version has ended its streams, or has had the longest time for it, is through.
         let limit = v.drain_limit();
         let mut retired: Vec<String> = vec![];
-        r.retiring.retain(|id| v.up.iter().any(|p| p.id == *id));
+        r.retiring.retain(|id| v.usable.iter().any(|p| p.id == *id));
         for id in &r.retiring {
             let at = *self.retire_at.entry(id.clone()).or_insert(now);
             if v.streams(id, &s) == 0 && now > at + REORDER || now.saturating_sub(at) > limit {
@@ -351,7 +351,7 @@
         let serving: Vec<String> = v.with(&s).into_iter().filter(|id| !r.retiring.contains(id)).collect();
         // The next step: load beside the old version first, on replicas chosen evenly over the zones.
         let loading: Vec<String> =
-            v.up.iter().filter(|p| v.holds(&p.id, &t) && !new.contains(&p.id)).map(|p| p.id.clone()).collect();
+            v.usable.iter().filter(|p| v.holds(&p.id, &t) && !new.contains(&p.id)).map(|p| p.id.clone()).collect();
         let pending: Vec<String> = new.iter().filter(|id| serving.contains(id)).cloned().collect();
         let room = size.saturating_sub(loading.len() + pending.len() + waits);
         let mut next: Vec<&String> = serving.iter().filter(|id| !v.holds(id, &t)).collect();
@@ -363,7 +363,7 @@
             self.tell(v, id, OrderAction::Load, &t, out);
         }
         // Replicas that came back with nothing get the new version only.
-        for p in v.up.iter().filter(|p| !v.holds(&p.id, &t) && !v.holds(&p.id, &s) && v.report(&p.id).is_some()) {
+        for p in v.usable.iter().filter(|p| !v.holds(&p.id, &t) && !v.holds(&p.id, &s) && v.report(&p.id).is_some()) {
             self.tell(v, &p.id, OrderAction::Load, &t, out);
         }
         // Then retire, at most a step at a time and never below a zone's floor of warm replicas.
@@ -373,7 +373,7 @@
             for id in &pending {
                 let warm = |n: &str| self.ready_at.get(n).is_some_and(|t| now.saturating_sub(*t) >= WARM_UP);
                 let z = v.zone(id);
-                let floor = v.i.service.zones.iter().find(|c| c.zone == z).map_or(0, |c| c.floor as usize);
+                let floor = v.inputs.service.zones.iter().find(|c| c.zone == z).map_or(0, |c| c.floor as usize);
                 let mut keep: BTreeSet<&String> =
                     serving.iter().filter(|n| *n != id && !going.contains(*n) && v.zone(n) == z).collect();
                 keep.extend(new.iter().filter(|n| v.zone(n) == z && warm(n)));
@@ -395,8 +395,8 @@
         }
     }
 
-    fn baking(&mut self, r: &mut RolloutRecord, v: &View) {
-        let (now, s) = (v.i.now, r.stable.clone());
+    fn baking(&mut self, r: &mut RolloutRecord, v: &RolloutView) {
+        let (now, s) = (v.inputs.now, r.stable.clone());
         if self.turned_back(r, now) {
             return;
         }
@@ -404,7 +404,7 @@
         r.retiring.clear();
         // The old version stays loaded without a share: turning back needs no load.
         r.groups = vec![group(GroupRole::Stable, &t, 100, v.with(&t)), group(GroupRole::Stable, &s, 0, v.with(&s))];
-        if now.saturating_sub(self.phase_at) >= v.i.spec.bake_ms {
+        if now.saturating_sub(self.phase_at) >= v.inputs.spec.bake_ms {
             r.stable = t;
             r.target = Some(s);
             self.enter(r, RolloutPhase::Unloading, now);
@@ -412,30 +412,30 @@
     }
 
     /// A completed version that turns bad while the old one can still carry every zone is taken back.
-    fn undo(&mut self, r: &mut RolloutRecord, v: &View) {
-        let (now, bad) = (v.i.now, r.stable.clone());
+    fn undo(&mut self, r: &mut RolloutRecord, v: &RolloutView) {
+        let (now, bad) = (v.inputs.now, r.stable.clone());
         let Some(old) = r.target.clone().filter(|_| r.phase == RolloutPhase::Unloading) else { return };
         if !self.health.fails(&bad, now) {
             return;
         }
         let left = v.with(&old);
         let carries = |z: &remote_calls::ZoneCount| left.iter().filter(|id| v.zone(id) == z.zone).count() >= z.floor as usize;
-        if !v.i.service.zones.iter().all(carries) {
+        if !v.inputs.service.zones.iter().all(carries) {
             return;
         }
         (r.stable, r.target, r.failed_plan) = (old, Some(bad.clone()), r.plan_version);
-        self.bad = Some(bad);
+        self.bad_version = Some(bad);
         self.enter(r, RolloutPhase::Reverting, now);
     }
 
     /// Unloads `target`, what is no longer wanted, once it carries nothing. The flag that leases it is
     /// set here, because the rollout was completed or reverted, and cleared when nothing reports it.
-    fn unload(&mut self, r: &mut RolloutRecord, v: &View, out: &mut Vec<Order>) {
-        let now = v.i.now;
+    fn unload(&mut self, r: &mut RolloutRecord, v: &RolloutView, out: &mut Vec<Order>) {
+        let now = v.inputs.now;
         self.undo(r, v);
         let (s, Some(t)) = (r.stable.clone(), r.target.clone()) else { return };
         r.retiring.clear();
-        let gone: Vec<String> = v.up.iter().filter(|p| v.holds(&p.id, &t)).map(|p| p.id.clone()).collect();
+        let gone: Vec<String> = v.usable.iter().filter(|p| v.holds(&p.id, &t)).map(|p| p.id.clone()).collect();
         let mut old = group(GroupRole::Stable, &t, 0, gone.clone());
         old.allow_unload = true;
         let limit = v.drain_limit();
@@ -456,25 +456,26 @@
     }
 
     /// Drift: missing replicas are started, replicas without weights are loaded, surplus ones drained.
-    fn fill(&mut self, r: &RolloutRecord, v: &View, out: &mut Vec<Order>) {
-        let now = v.i.now;
+    fn fill(&mut self, r: &RolloutRecord, v: &RolloutView, out: &mut Vec<Order>) {
+        let now = v.inputs.now;
         let new = matches!(r.phase, RolloutPhase::Shifting | RolloutPhase::Baking);
         let want = if new { r.target.as_ref().unwrap_or(&r.stable) } else { &r.stable };
-        for z in &v.i.service.zones {
-            let here = |p: &&PlatformReplica| p.zone == z.zone && p.service == v.i.service.name;
+        for z in &v.inputs.service.zones {
+            let here = |p: &&PlatformReplica| p.zone == z.zone && p.service == v.inputs.service.name;
             // Started ones count though they have not reported yet: a late load is not a missing replica.
-            let have =
-                v.i.platform
-                    .iter()
-                    .filter(here)
-                    .filter(|p| p.state != PlatformReplicaState::Draining && !v.i.leaving.contains(&p.id));
+            let have = v
+                .inputs
+                .replica_list
+                .iter()
+                .filter(here)
+                .filter(|p| p.state != PlatformReplicaState::Draining && !v.inputs.draining.contains(&p.id));
             let have: Vec<_> = have.collect();
             let need = z.replicas as usize;
             for n in have.len()..need {
                 let o = Order::Start { zone: z.zone.clone(), version: want.clone() };
                 let k = format!("start {} {n}", z.zone);
-                if self.ordered.get(&k).is_none_or(|t| now.saturating_sub(*t) >= LOAD_LATE / 3) {
-                    self.ordered.insert(k, now);
+                if self.ordered_at.get(&k).is_none_or(|t| now.saturating_sub(*t) >= LOAD_LATE / 3) {
+                    self.ordered_at.insert(k, now);
                     out.push(o);
                 }
             }
@@ -488,7 +489,7 @@
         if new {
             return;
         }
-        for p in &v.up {
+        for p in &v.usable {
             if v.report(&p.id).is_some() && !v.holds(&p.id, want) {
                 self.tell(v, &p.id, OrderAction::Load, want, out);
             }
@@ -496,11 +497,11 @@
     }
 
     /// When the rollout will be complete, by the steps that this phase has taken so far.
-    fn forecast(&self, r: &mut RolloutRecord, v: &View) {
-        let now = v.i.now;
-        let (total, age) = (v.up.len(), now.saturating_sub(self.phase_at));
+    fn forecast(&self, r: &mut RolloutRecord, v: &RolloutView) {
+        let now = v.inputs.now;
+        let (total, age) = (v.usable.len(), now.saturating_sub(self.phase_at));
         let steps = |n: usize| n.div_ceil(v.step()) as Ms;
-        let after = v.i.spec.bake_ms + UNLOAD_GUESS;
+        let after = v.inputs.spec.bake_ms + UNLOAD_GUESS;
         let left = match r.phase {
             RolloutPhase::Steady | RolloutPhase::Reverting => {
                 r.forecast = 0;
@@ -511,7 +512,7 @@
                 CANARY_QUIET.saturating_sub(waited) + steps(total) * STEP_GUESS + after
             }
             RolloutPhase::Shifting => {
-                let old = members(r, GroupRole::Stable, &r.stable).len() + r.retiring.len();
+                let old = group_replicas(r, GroupRole::Stable, &r.stable).len() + r.retiring.len();
                 let done = steps(total.saturating_sub(old));
                 let each = age.checked_div(done).unwrap_or(STEP_GUESS.max(age));
                 steps(old) * each + after
@@ -519,23 +520,23 @@
             RolloutPhase::Baking => after.saturating_sub(age),
             RolloutPhase::Unloading => UNLOAD_GUESS,
         };
-        let at = if r.target.is_none() { 0 } else { v.i.wall + left.div_ceil(1_000) };
+        let at = if r.target.is_none() { 0 } else { v.inputs.wall_clock_s + left.div_ceil(1_000) };
         if at.abs_diff(r.forecast) > FORECAST_MOVES {
             r.forecast = at;
         }
     }
 
-    fn alerts(&mut self, r: &mut RolloutRecord, plan: Option<(u64, &ReleasePlan)>, v: &View) {
-        let now = v.i.now;
+    fn alerts(&mut self, r: &mut RolloutRecord, plan: Option<(u64, &ReleasePlan)>, v: &RolloutView) {
+        let now = v.inputs.now;
         let shape = Some((r.phase, r.retiring.len(), r.groups.last().map_or(0, |g| g.replicas.len())));
         // A canary that waits for requests is not stuck; one that waits for its weights is.
         if shape != self.shape || r.phase == RolloutPhase::Steady || self.canary_at.is_some() {
-            (self.shape, self.moved_at) = (shape, now);
+            (self.shape, self.progressed_at) = (shape, now);
         }
-        if now.saturating_sub(self.moved_at) > STUCK_AFTER {
+        if now.saturating_sub(self.progressed_at) > STUCK_AFTER {
             r.alerts.push("stuck".into());
         }
-        if plan.is_some_and(|(_, p)| v.i.wall > p.complete_by) {
+        if plan.is_some_and(|(_, p)| v.inputs.wall_clock_s > p.complete_by) {
             r.alerts.push("plan_late".into());
         } else if plan.is_some_and(|(_, p)| r.forecast > p.complete_by) {
             // Before the time has passed, so that operators can still choose: no step is hurried for it.
@@ -547,7 +548,7 @@
         }
         // A version nobody wants and no rollout accounts for: it stays until a flag leases its unload.
         let wanted = |x: &str| x == r.stable || Some(x) == r.target.as_deref();
-        let stray = v.up.iter().filter_map(|p| v.report(&p.id)).flat_map(|p| &p.loaded).any(|l| !wanted(&l.version));
+        let stray = v.usable.iter().filter_map(|p| v.report(&p.id)).flat_map(|p| &p.loaded).any(|l| !wanted(&l.version));
         if stray {
             r.alerts.push("unload_waits".into());
         }
--- a/coordination/src/rollout/exposure.rs
+++ b/coordination/src/rollout/exposure.rs
@@ -6,37 +6,37 @@
 use crate::{
     Ms,
     bounds::Bounds,
-    health::Health,
     limits::{EXPOSURE_KEPT, PACE_WINDOW, PACE_WORST, TERM_LATE},
+    version_health::VersionHealth,
 };
 
 /// An order as this daemon came to know it. Every daemon notes it, whoever holds the duty.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct AcceptedPlan {
     pub plan: u64,
     pub target: String,
     /// By this daemon's own clock: the wall's may step.
-    pub at: Ms,
-    pub term: Ms,
+    pub accepted_at: Ms,
+    pub deadline: Ms,
     /// Counts at that time: sent to all versions and to the target.
     base: (u64, u64),
 }
 
-impl Taken {
+impl AcceptedPlan {
     /// `fresh`: the order has only just come, so that what was left then is left now, whatever the wall's clock says.
-    pub fn new(plan: u64, p: &ReleasePlan, h: &Health, fresh: bool, now: Ms, wall: u64) -> Self {
+    pub fn new(plan: u64, p: &ReleasePlan, h: &VersionHealth, fresh: bool, now: Ms, wall: u64) -> Self {
         let by_wall = p.complete_by.saturating_sub(wall);
         let left = p.within_s.filter(|_| fresh).unwrap_or(by_wall);
         let term = now + left * 1_000;
-        Taken { plan, target: p.target.clone(), at: now, term, base: h.sent(&p.target) }
+        AcceptedPlan { plan, target: p.target.clone(), accepted_at: now, deadline: term, base: h.sent(&p.target) }
     }
 
     /// Percent of the requests that the target may have from now to its time, so that the whole stays inside the
     /// bound even if it was bad all along. Once its time is over nothing is counted any more.
-    pub fn cap(&self, b: &Bounds, h: &Health, now: Ms) -> u32 {
+    pub fn max_share_percent(&self, b: &Bounds, h: &VersionHealth, now: Ms) -> u32 {
         // The time comes in whole seconds, and another clock ends it.
-        let left = (self.term + TERM_LATE).saturating_sub(now) as f64 / 1_000.0;
-        let pace = h.pace(PACE_WINDOW, now);
+        let left = (self.deadline + TERM_LATE).saturating_sub(now) as f64 / 1_000.0;
+        let pace = h.request_rate(PACE_WINDOW, now);
         let to_come = pace * left;
         if left <= 0.0 || to_come < 1.0 {
             return 100;
