--- a/coordination/src/rollout/placed.rs
+++ b/coordination/src/rollout/placed.rs
@@ -1,7 +1,7 @@
 //! The loop of a service whose versions the platform places: it starts new replicas beside old ones and stops
 //! them, this loop moves shares and withdraws replicas. The platform's list is all it reads of replicas.
 
-use super::{exposure::Taken, *};
+use super::{exposure::AcceptedPlan, *};
 use crate::limits::{
     CANARY_LIGHT, CANARY_MOST, DRY, FINAL_DOUBT, HOLD_PART, PACE_WINDOW, REUSE, SHIFT_GUESS, SIDE_FULL, STEP_ENDED, STEP_HOLDS,
     STEP_QUIET, STREAMS_LEAST,
@@ -13,7 +13,7 @@
     /// Since when each listed replica has been on the list without a break; nought if ever since the day began.
     came: BTreeMap<String, Ms>,
     /// The last order, as this daemon came to know it; kept when the duty goes.
-    taken: Option<Taken>,
+    taken: Option<AcceptedPlan>,
     /// Orders have been followed here for a while, so the next one is as new as it looks.
     heeds: bool,
     /// When the share last changed, and since when the canary is as warm as the baseline.
@@ -82,7 +82,7 @@
 
 /// Both sides of a rollout, and the record that it starts from.
 struct Sides<'a> {
-    i: &'a Inputs<'a>,
+    i: &'a RolloutInputs<'a>,
     before: &'a RolloutRecord,
     target: String,
     new: Vec<&'a PlatformReplica>,
@@ -94,7 +94,7 @@
 
 impl<'a> Sides<'a> {
     fn open(&self, id: &str) -> u64 {
-        (self.i.open)(id, "")
+        (self.i.open_streams)(id, "")
     }
     fn warm(&self) -> Vec<&'a PlatformReplica> {
         self.new.iter().filter(|p| p.loaded && !self.cold.contains(p.id.as_str())).copied().collect()
@@ -136,10 +136,10 @@
     }
 }
 
-impl Loop {
+impl RolloutLoop {
     /// Takes note of an order, whoever holds the duty: its time and counts run by this daemon's own clock, and
     /// evidence from before it is about other replicas.
-    pub fn heed(&mut self, plan: Option<(u64, &ReleasePlan)>, now: Ms, wall: u64) {
+    pub fn observe_plan(&mut self, plan: Option<(u64, &ReleasePlan)>, now: Ms, wall: u64) {
         // What is there at the first look may have been ordered long ago.
         let fresh = std::mem::replace(&mut self.placed.heeds, true);
         let old = self.placed.taken.as_ref();
@@ -151,32 +151,32 @@
         if fresh && old.is_none_or(|o| o.target != p.target) {
             self.health.restart(now);
         }
-        self.placed.taken = Some(Taken::new(n, p, &self.health, fresh, now, wall));
+        self.placed.taken = Some(AcceptedPlan::new(n, p, &self.health, fresh, now, wall));
     }
 
     /// Percent that the target may have: none without an order, all if it is no trial.
     fn cap(&self, s: &Sides) -> u32 {
-        let cap = |t: &Taken| t.cap(s.i.bounds, &self.health, s.i.now);
+        let cap = |t: &AcceptedPlan| t.max_share_percent(s.i.bounds, &self.health, s.i.now);
         if s.proven() { 100 } else { self.placed.taken.as_ref().map_or(0, cap) }
     }
     fn term(&self) -> Ms {
-        self.placed.taken.as_ref().map_or(0, |t| t.term)
+        self.placed.taken.as_ref().map_or(0, |t| t.deadline)
     }
 
     /// One pass: the next record. There are no orders, as daemons cannot load or unload here.
-    pub(super) fn placed(&mut self, old: &RolloutRecord, i: &Inputs) -> Step {
+    pub(super) fn placed(&mut self, old: &RolloutRecord, i: &RolloutInputs) -> RolloutStep {
         let now = i.now;
-        self.heed(i.plan, now, i.wall);
+        self.observe_plan(i.plan, now, i.wall_clock_s);
         // A list from before the duty was held may be older than the one the last holder wrote by.
-        if i.listed < self.held_at {
+        if i.list_requested_at < self.lease_since {
             return (old.clone(), vec![]);
         }
         // The list alone tells all there is to hear.
-        self.heard = true;
-        let mine: Vec<&PlatformReplica> = i.platform.iter().filter(|p| p.service == i.service.name).collect();
+        self.has_all_reports = true;
+        let mine: Vec<&PlatformReplica> = i.replica_list.iter().filter(|p| p.service == i.service.name).collect();
         if self.placed.came.is_empty() {
             // The record does not tell when the last step began: for a new holder it began with the duty.
-            (self.placed.moved_by, self.placed.step_at) = (i.stands, self.held_at);
+            (self.placed.moved_by, self.placed.step_at) = (i.record_version, self.lease_since);
         }
         self.placed.note(&mine, old, now);
         let mut r = old.clone();
@@ -185,7 +185,7 @@
         let stays = |p: &&PlatformReplica| {
             p.state == PlatformReplicaState::Running
                 && p.left_ms == 0
-                && !i.leaving.contains(&p.id)
+                && !i.draining.contains(&p.id)
                 && !retired.iter().any(|g| g.replicas.contains(&p.id))
         };
         let up: Vec<&PlatformReplica> = mine.into_iter().filter(stays).collect();
@@ -201,7 +201,7 @@
         };
         let (new, rest): (Vec<_>, Vec<_>) = up.into_iter().partition(trial);
         let new = new.into_iter().filter(|p| p.version == target).collect();
-        let seen = if r.phase == RolloutPhase::Steady { 0 } else { (i.seen)() };
+        let seen = if r.phase == RolloutPhase::Steady { 0 } else { (i.oldest_seen_record)() };
         let s = Sides { i, before: old, target, new, old: rest, cold, seen };
         match r.phase {
             RolloutPhase::Steady | RolloutPhase::Unloading => self.stand(&mut r, &s, retired.is_empty()),
@@ -220,13 +220,13 @@
     }
 
     /// Flagged groups whose replicas are still listed; they stay out whatever comes.
-    fn retired(&self, r: &RolloutRecord, mine: &[&PlatformReplica], i: &Inputs) -> Vec<GroupRecord> {
+    fn retired(&self, r: &RolloutRecord, mine: &[&PlatformReplica], i: &RolloutInputs) -> Vec<GroupRecord> {
         // A flag of a rollout that is not completed yet may have to be taken back.
         if r.phase == RolloutPhase::Baking {
             return vec![];
         }
         let again = |v: &str| i.plan.is_some_and(|(n, p)| n != r.failed_plan && p.target == v);
-        let waited = self.placed.taken.as_ref().is_some_and(|t| i.now.saturating_sub(t.at) >= REUSE);
+        let waited = self.placed.taken.as_ref().is_some_and(|t| i.now.saturating_sub(t.accepted_at) >= REUSE);
         let mut all: Vec<GroupRecord> = r.groups.iter().filter(|g| g.allow_unload).cloned().collect();
         // Ordered again, a version's new replicas are others than those that were to go.
         all.retain(|g| !(again(&g.version) && waited));
@@ -248,7 +248,7 @@
         old: &RolloutRecord,
         up: &[&PlatformReplica],
         retired: &[GroupRecord],
-        i: &Inputs,
+        i: &RolloutInputs,
     ) {
         let now = i.now;
         if at_work(r.phase) {
@@ -258,7 +258,7 @@
                 Some((n, _)) => r.plan_version = n,
                 None => {
                     self.enter(r, RolloutPhase::Reverting, now);
-                    self.placed.moved_by = i.stands + 1;
+                    self.placed.moved_by = i.record_version + 1;
                 }
             }
             return;
@@ -304,13 +304,13 @@
 
     /// Turns back at once if the target is the worse one.
     fn falls(&mut self, r: &mut RolloutRecord, s: &Sides) -> bool {
-        if s.proven() || self.health.judge_beside(&s.target, self.placed.even, s.i.now) == Verdict::Fine {
+        if s.proven() || self.health.judge_placed(&s.target, self.placed.even, s.i.now) == Verdict::Fine {
             return false;
         }
-        self.bad = Some(s.target.clone());
+        self.bad_version = Some(s.target.clone());
         r.failed_plan = r.plan_version;
         self.enter(r, RolloutPhase::Reverting, s.i.now);
-        self.placed.moved_by = s.i.stands + 1;
+        self.placed.moved_by = s.i.record_version + 1;
         self.turn_back(r, s);
         true
     }
@@ -328,7 +328,7 @@
             let old: Vec<_> = s.old.iter().filter(|p| p.zone == z).copied().collect();
             let n = (old.len() * percent as usize / 100).max(1);
             let pick = |from: Vec<&'_ PlatformReplica>, role: GroupRole, v: &str, n: usize| -> Vec<String> {
-                let stood = members(s.before, role, v);
+                let stood = group_replicas(s.before, role, v);
                 let mut from = from;
                 // Those that are it stay it; then warm ones, so that caches say little.
                 from.sort_by_key(|p| (!stood.contains(&p.id), s.cold.contains(p.id.as_str()), p.id.clone()));
@@ -367,20 +367,20 @@
         ];
         if warm && self.passed_trial(&s.target, cap, now) {
             self.enter(r, RolloutPhase::Shifting, now);
-            (self.placed.step_at, self.placed.moved_by) = (now, s.i.stands + 1);
+            (self.placed.step_at, self.placed.moved_by) = (now, s.i.record_version + 1);
         }
     }
 
     /// Whether a canary has shown enough, or there is nothing that it could be shown by.
     fn passed_trial(&self, t: &str, cap: u32, now: Ms) -> bool {
         let (h, age) = (&self.health, self.canary_at.map_or(0, |a| now.saturating_sub(a)));
-        let lanes = h.met_lanes(t, CANARY_LANE, now);
-        if !h.heard() || age < CANARY_MIN || h.doubtful_beside(t, now) {
+        let lanes = h.has_tried_all_lanes(t, CANARY_LANE, now);
+        if !h.has_sources() || age < CANARY_MIN || h.is_suspicious_placed(t, now) {
             return false;
         }
         let enough = h.ended(t, now) >= CANARY_REQUESTS && lanes;
         // Where all that is to come stays inside the bound, or the plan's time is over, less will do.
-        let light = cap == 100 && (h.ended(t, now) >= CANARY_LIGHT || h.pace(PACE_WINDOW, now) < 1.0);
+        let light = cap == 100 && (h.ended(t, now) >= CANARY_LIGHT || h.request_rate(PACE_WINDOW, now) < 1.0);
         enough || h.failed(t, now) == 0 && (light || age >= CANARY_QUIET && lanes || age >= CANARY_RARE)
     }
 
@@ -390,10 +390,10 @@
         let shown = age >= STEP_QUIET || self.health.ended_in(&s.target, age, s.i.now) >= STEP_ENDED;
         // A process that has just started knows of no failures and of no requests until edges tell.
         s.seen >= self.placed.moved_by
-            && self.health.heard()
+            && self.health.has_sources()
             && age >= STEP_HOLDS
             && shown
-            && (s.proven() || !self.health.doubtful_beside(&s.target, s.i.now))
+            && (s.proven() || !self.health.is_suspicious_placed(&s.target, s.i.now))
     }
 
     fn shift(&mut self, r: &mut RolloutRecord, s: &Sides) {
@@ -429,7 +429,7 @@
             most
         } else if !begins && r.retiring.is_empty() {
             // A good one that is early spends little of what it may have, so that more is left for the steps.
-            self.moved_at = now;
+            self.progressed_at = now;
             had.min(hold + 1)
         } else if !waits && self.calm(s) {
             let to = (had + (100 * step).div_ceil(n.max(1)) as u32).min(most).min(100);
@@ -439,7 +439,7 @@
         };
         let seen = s.seen >= self.placed.moved_by;
         if next != had {
-            (self.placed.step_at, self.placed.moved_by) = (now, s.i.stands + 1);
+            (self.placed.step_at, self.placed.moved_by) = (now, s.i.record_version + 1);
         }
 
         // Replicas are withdrawn only after all edges have moved the share that they carried.
@@ -482,7 +482,7 @@
             let Some(id) = of.last() else { return };
             r.retiring.push(id.to_string());
             self.retire_at.insert(id.to_string(), s.i.now);
-            self.placed.busy.insert(id.to_string(), (s.i.now, s.i.stands + 1));
+            self.placed.busy.insert(id.to_string(), (s.i.now, s.i.record_version + 1));
             left -= 1;
         }
     }
@@ -513,7 +513,7 @@
             // An edge that suspects the target sends to the old side until it sees the flag: streams there end from
             // when all have seen it.
             if first && !of {
-                self.placed.busy.insert(p.id.clone(), (now, s.i.stands));
+                self.placed.busy.insert(p.id.clone(), (now, s.i.record_version));
             }
         }
         let late = |t: Ms| now.saturating_sub(t) > limit;
@@ -565,14 +565,14 @@
         let shape = Some((r.phase, r.retiring.len(), share(r, &s.target) as usize));
         // A canary that waits for requests is not stuck; one that waits for its weights is.
         if shape != self.shape || !at_work(r.phase) || self.canary_at.is_some() {
-            (self.shape, self.moved_at) = (shape, now);
+            (self.shape, self.progressed_at) = (shape, now);
         }
-        if now.saturating_sub(self.moved_at) > STUCK_AFTER {
+        if now.saturating_sub(self.progressed_at) > STUCK_AFTER {
             r.alerts.push("stuck".into());
         }
         let steps = s.old.len().saturating_sub(r.retiring.len()).div_ceil(s.step()) as Ms;
         let end = now + steps * SHIFT_GUESS;
-        let at = if at_work(r.phase) { s.i.wall + (end - now) / 1_000 } else { 0 };
+        let at = if at_work(r.phase) { s.i.wall_clock_s + (end - now) / 1_000 } else { 0 };
         if at == 0 || at.abs_diff(r.forecast) > FORECAST_MOVES {
             r.forecast = at;
         }
--- a/coordination/src/rollout/tests.rs
+++ b/coordination/src/rollout/tests.rs
@@ -7,7 +7,7 @@
     spec: Spec,
     platform: Vec<PlatformReplica>,
     reports: BTreeMap<String, (ReplicaReport, Ms)>,
-    l: Loop,
+    l: RolloutLoop,
     r: RolloutRecord,
     now: Ms,
 }
@@ -22,8 +22,8 @@
         {"id": "a-1", "zone": "a", "addr": "x", "service": "s", "version": "v1", "state": "running"},
         {"id": "a-2", "zone": "a", "addr": "y", "service": "s", "version": "v1", "state": "running"}]))
     .unwrap();
-    let r = first_record(&spec.services[0]);
-    let mut b = Bench { spec, platform, reports: BTreeMap::new(), l: Loop::new(0), r, now: 0 };
+    let r = initial_record(&spec.services[0]);
+    let mut b = Bench { spec, platform, reports: BTreeMap::new(), l: RolloutLoop::new(0), r, now: 0 };
     b.load("a-1", &["v1"]);
     b.load("a-2", &["v1"]);
     b
@@ -43,20 +43,20 @@
             self.now += 300;
             self.reports.values_mut().for_each(|r| r.1 = self.now);
             let (leaving, open) = (BTreeSet::new(), |_: &str, _: &str| 0);
-            let i = Inputs {
+            let i = RolloutInputs {
                 spec: &self.spec,
                 service: &self.spec.services[0],
                 plan: plan.map(|p| (1, p)),
-                platform: &self.platform,
+                replica_list: &self.platform,
                 reports: &self.reports,
-                leaving: &leaving,
-                listed: self.now,
-                open: &open,
-                stands: 0,
-                seen: &|| 0,
+                draining: &leaving,
+                list_requested_at: self.now,
+                open_streams: &open,
+                record_version: 0,
+                oldest_seen_record: &|| 0,
                 bounds: &Bounds::default(),
                 now: self.now,
-                wall: self.now / 1_000,
+                wall_clock_s: self.now / 1_000,
             };
             let (r, orders) = self.l.step(&self.r, &i);
             self.r = r;
--- a/coordination/src/stream.rs
+++ b/coordination/src/stream.rs
@@ -3,7 +3,7 @@
 
 use remote_calls::{Fault, Outcome, ResumePoint, StreamEnd, StreamLine};
 
-use crate::order::digest;
+use crate::rendezvous::text_digest;
 
 /// What a line means for the caller.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,7 +51,7 @@
     }
     /// Whether the replica's digest tells of another text. Of a resumed stream only the caller has all.
     fn differs(&self, e: &StreamEnd) -> bool {
-        matches!((&self.text, &e.digest), (Some(t), Some(d)) if *d != digest(t))
+        matches!((&self.text, &e.digest), (Some(t), Some(d)) if *d != text_digest(t))
     }
     fn unknown(&self, f: Fault) -> Next {
         let end = StreamEnd { outcome: Outcome::Unknown, pieces: self.next - 1, digest: None, fault: Some(f) };
--- a/coordination/src/stream/tests.rs
+++ b/coordination/src/stream/tests.rs
@@ -54,7 +54,7 @@
     }
     let told = |text: &str| {
         let mut e = end(1);
-        e.end.as_mut().unwrap().digest = Some(digest(text));
+        e.end.as_mut().unwrap().digest = Some(text_digest(text));
         e
     };
     expect_true!(whole(0, vec![start("q"), piece(1), told("x")]));
--- a/coordination/src/health.rs
+++ b/coordination/src/version_health.rs
@@ -11,7 +11,7 @@
     limits::{BAD_ALONE, BAD_FAILURES, BAD_MARGIN, HEALTH_SPACING, HEALTH_WINDOWS, LOG_UNIT},
 };
 
-mod beside;
+mod placed;
 
 /// Version, lane, warm.
 type Cell = (Name, Name, bool);
@@ -20,17 +20,17 @@
     ($($(#[$d:meta])* $f:ident),* $(,)?) => {
         /// What was counted of a cell.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-        pub struct Counts {
+        pub struct OutcomeCounts {
             $($(#[$d])* pub $f: u64,)*
             /// Replicas that failed, one or a few to a bit: `failing`.
-            pub failed_on: u64,
+            pub failed_replicas: u64,
         }
-        impl Counts {
-            fn minus(self, o: Counts) -> Counts {
-                Counts { $($f: self.$f.saturating_sub(o.$f),)* failed_on: self.failed_on & !o.failed_on }
+        impl OutcomeCounts {
+            fn minus(self, o: OutcomeCounts) -> OutcomeCounts {
+                OutcomeCounts { $($f: self.$f.saturating_sub(o.$f),)* failed_replicas: self.failed_replicas & !o.failed_replicas }
             }
-            fn plus(self, o: Counts) -> Counts {
-                Counts { $($f: self.$f + o.$f,)* failed_on: self.failed_on | o.failed_on }
+            fn plus(self, o: OutcomeCounts) -> OutcomeCounts {
+                OutcomeCounts { $($f: self.$f + o.$f,)* failed_replicas: self.failed_replicas | o.failed_replicas }
             }
         }
     };
@@ -42,13 +42,13 @@
     failed,
     slow,
     /// First pieces, and the sum of `log_ms` of the times to them.
-    firsts,
-    first_log,
+    first_chunks,
+    first_chunk_log_sum,
 }
 
 /// The bit of a replica that failed. Replicas are told apart only as far as it takes to see whether there is
 /// more than one.
-pub fn failing(replica: &str) -> u64 {
+pub fn replica_bit(replica: &str) -> u64 {
     1 << (xxh3_64(replica.as_bytes()) % 64)
 }
 
@@ -70,60 +70,68 @@
 }
 
 /// A cell by its number, and what it counted.
-type Row = (u32, Counts);
+type Row = (u32, OutcomeCounts);
 
 /// What one edge told last.
 #[derive(Clone, Debug, Default)]
-struct Source {
-    life: u64,
+struct CounterSource {
+    incarnation: u64,
     /// Cumulative counts, by cell and group.
-    last: BTreeMap<(u32, u8), Counts>,
+    last: BTreeMap<(u32, u8), OutcomeCounts>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Health {
+pub struct VersionHealth {
     /// Cells are many and their names long: all tables below name them by number.
     cells: BTreeMap<Cell, u32>,
     /// Sums over all sources, by the cell's number.
-    sums: Vec<Counts>,
-    sources: BTreeMap<Name, Source>,
+    sums: Vec<OutcomeCounts>,
+    sources: BTreeMap<Name, CounterSource>,
     /// What was added in each spell, and when the spell ended. Nothing is kept of a cell that nothing was added to:
     /// most lanes rest most of the time.
-    past: VecDeque<(Ms, Vec<Row>)>,
+    windows: VecDeque<(Ms, Vec<Row>)>,
     /// Added since.
-    fresh: BTreeMap<u32, Counts>,
+    current_window: BTreeMap<u32, OutcomeCounts>,
     /// Sums at the last restart: nothing before it counts.
-    floor: Vec<Counts>,
+    baseline: Vec<OutcomeCounts>,
 }
 
-impl Counts {
+impl OutcomeCounts {
     fn failures(&self) -> (u64, u64) {
         (self.ended, self.failed)
     }
 }
 
-impl Health {
+impl VersionHealth {
     fn number(&mut self, cell: Cell) -> u32 {
         let next = self.sums.len() as u32;
         let n = *self.cells.entry(cell).or_insert(next);
         if n == next {
-            self.sums.push(Counts::default());
+            self.sums.push(OutcomeCounts::default());
         }
         n
     }
 
     /// Adds a source's cumulative tallies of one service: of all its cells, or of those that have changed.
-    pub fn feed(&mut self, source: &Name, life: u64, tallies: &[OutcomeCounters]) {
+    pub fn add_counters(&mut self, source: &Name, life: u64, tallies: &[OutcomeCounters]) {
         // Of what a source counted before it was first heard only its last half minute is evidence; a later
         // life of it counts from nought.
         let first = !self.sources.contains_key(source);
-        let mut old = self.sources.remove(source).filter(|o| o.life == life).unwrap_or_default();
-        old.life = life;
+        let mut old = self.sources.remove(source).filter(|o| o.incarnation == life).unwrap_or_default();
+        old.incarnation = life;
         for t in tallies {
             let n = self.number((t.version.clone(), t.lane.clone(), t.cached != 0));
             let ended = t.succeeded + t.failed;
             let (failed, slow, firsts, first_log) = (t.failed, t.slow, t.first_chunks, t.first_chunk_log_sum);
-            let c = Counts { sent: t.sent, ended, failed, slow, firsts, first_log, failed_on: t.failed_replicas };
+            let c = OutcomeCounts {
+                sent: t.sent,
+                ended,
+                failed,
+                slow,
+                first_chunks: firsts,
+                first_chunk_log_sum: first_log,
+                failed_replicas: t.failed_replicas,
+            };
             let before = old.last.get(&(n, t.group)).copied().unwrap_or_default();
             // Counts only rise in a life: lower ones are late.
             if c.sent + c.ended < before.sent + before.ended {
@@ -133,40 +141,41 @@
             let (ended, failed, slow) = (t.recent_ended, t.recent_failed, t.recent_slow);
             // Which replicas failed is told since the edge's start only; without them what comes in one word is one crash.
             let failed_on = if failed > 0 { t.failed_replicas } else { 0 };
-            let recent = Counts { sent: ended, ended, failed, slow, failed_on, ..Counts::default() };
+            let recent =
+                OutcomeCounts { sent: ended, ended, failed, slow, failed_replicas: failed_on, ..OutcomeCounts::default() };
             let d = if first { recent } else { c.minus(before) };
-            if d != Counts::default() {
-                let (s, f) = (&mut self.sums[n as usize], self.fresh.entry(n).or_default());
+            if d != OutcomeCounts::default() {
+                let (s, f) = (&mut self.sums[n as usize], self.current_window.entry(n).or_default());
                 (*s, *f) = (s.plus(d), f.plus(d));
             }
         }
         self.sources.insert(source.clone(), old);
     }
     pub fn tick(&mut self, now: Ms) {
-        if self.past.back().is_some_and(|(t, _)| now.saturating_sub(*t) < HEALTH_SPACING) {
+        if self.windows.back().is_some_and(|(t, _)| now.saturating_sub(*t) < HEALTH_SPACING) {
             return;
         }
         self.close(now);
         // One that is older than the longest window stays: it is that window's beginning.
-        while self.past.get(1).is_some_and(|(t, _)| now.saturating_sub(*t) > LONG_WINDOW) {
-            self.past.pop_front();
+        while self.windows.get(1).is_some_and(|(t, _)| now.saturating_sub(*t) > LONG_WINDOW) {
+            self.windows.pop_front();
         }
     }
     fn close(&mut self, now: Ms) {
-        let fresh = std::mem::take(&mut self.fresh).into_iter().collect();
-        self.past.push_back((now, fresh));
+        let fresh = std::mem::take(&mut self.current_window).into_iter().collect();
+        self.windows.push_back((now, fresh));
     }
     /// Forgets the past, so that a new phase is judged by what happens in it.
     pub fn restart(&mut self, now: Ms) {
-        self.past.clear();
+        self.windows.clear();
         self.close(now);
-        self.floor = self.sums.clone();
+        self.baseline = self.sums.clone();
     }
     /// Counts within the last `w` ms, of cells that `f` picks.
-    fn within(&self, now: Ms, w: Ms, f: impl Fn(&Cell) -> bool) -> Counts {
+    fn within(&self, now: Ms, w: Ms, f: impl Fn(&Cell) -> bool) -> OutcomeCounts {
         let mut picked = vec![false; self.sums.len()];
         self.cells.iter().for_each(|(c, n)| picked[*n as usize] = f(c));
-        let mut sum = Counts::default();
+        let mut sum = OutcomeCounts::default();
         self.rows(now, w, |n, c| {
             if picked[n as usize] {
                 sum = sum.plus(c);
@@ -175,31 +184,31 @@
         sum
     }
     /// Gives all that was counted within the last `w` ms.
-    fn rows(&self, now: Ms, w: Ms, mut take: impl FnMut(u32, Counts)) {
+    fn rows(&self, now: Ms, w: Ms, mut take: impl FnMut(u32, OutcomeCounts)) {
         // The last spell that had ended when the window began: what came after it lies in the window.
-        if let Some(i) = self.past.iter().rposition(|(t, _)| now.saturating_sub(*t) >= w) {
-            self.past.iter().skip(i + 1).flat_map(|(_, rows)| rows).for_each(|(n, c)| take(*n, *c));
-            return self.fresh.iter().for_each(|(n, c)| take(*n, *c));
+        if let Some(i) = self.windows.iter().rposition(|(t, _)| now.saturating_sub(*t) >= w) {
+            self.windows.iter().skip(i + 1).flat_map(|(_, rows)| rows).for_each(|(n, c)| take(*n, *c));
+            return self.current_window.iter().for_each(|(n, c)| take(*n, *c));
         }
-        let floor = |n: usize| self.floor.get(n).copied().unwrap_or_default();
+        let floor = |n: usize| self.baseline.get(n).copied().unwrap_or_default();
         self.sums.iter().enumerate().for_each(|(n, v)| take(n as u32, v.minus(floor(n))));
     }
     /// What one cell counted in the longest window: ended, failed, slow.
     pub fn recent(&self, version: &str, lane: &str, warm: bool, now: Ms) -> (u64, u64, u64) {
         let cell = (Name::from(version), Name::from(lane), warm);
         let Some(n) = self.cells.get(&cell).copied() else { return (0, 0, 0) };
-        let c = match self.past.iter().rposition(|(t, _)| now.saturating_sub(*t) >= LONG_WINDOW) {
+        let c = match self.windows.iter().rposition(|(t, _)| now.saturating_sub(*t) >= LONG_WINDOW) {
             Some(i) => {
-                let at = |rows: &Vec<Row>| rows.binary_search_by_key(&n, |r| r.0).map_or(Counts::default(), |i| rows[i].1);
-                let all = self.past.iter().skip(i + 1).map(|(_, rows)| at(rows));
-                all.chain(self.fresh.get(&n).copied()).fold(Counts::default(), Counts::plus)
+                let at = |rows: &Vec<Row>| rows.binary_search_by_key(&n, |r| r.0).map_or(OutcomeCounts::default(), |i| rows[i].1);
+                let all = self.windows.iter().skip(i + 1).map(|(_, rows)| at(rows));
+                all.chain(self.current_window.get(&n).copied()).fold(OutcomeCounts::default(), OutcomeCounts::plus)
             }
-            None => self.sums[n as usize].minus(self.floor.get(n as usize).copied().unwrap_or_default()),
+            None => self.sums[n as usize].minus(self.baseline.get(n as usize).copied().unwrap_or_default()),
         };
         (c.ended, c.failed, c.slow)
     }
     /// Whether any edge has told its counts, were it that there are none.
-    pub fn heard(&self) -> bool {
+    pub fn has_sources(&self) -> bool {
         !self.sources.is_empty()
     }
     /// Requests of a version that ended since the last restart, within the long window.
@@ -223,10 +232,10 @@
         v
     }
     /// What a version counted on each lane within the last `w` ms, in one go over all that was counted: lanes are many.
-    fn by_lane(&self, now: Ms, w: Ms, version: &str) -> BTreeMap<&Name, Counts> {
+    fn by_lane(&self, now: Ms, w: Ms, version: &str) -> BTreeMap<&Name, OutcomeCounts> {
         let mut lane: Vec<Option<&Name>> = vec![None; self.sums.len()];
         self.cells.iter().filter(|(c, _)| &*c.0 == version).for_each(|(c, n)| lane[*n as usize] = Some(&c.1));
-        let mut all: BTreeMap<&Name, Counts> = BTreeMap::new();
+        let mut all: BTreeMap<&Name, OutcomeCounts> = BTreeMap::new();
         self.rows(now, w, |n, c| {
             if let Some(l) = lane[n as usize] {
                 let s = all.entry(l).or_default();
@@ -237,14 +246,14 @@
     }
     /// Whether a version fails by itself, over all lanes or on one, with nothing to hold it against.
     pub fn fails(&self, version: &str, now: Ms) -> bool {
-        let bad = |n: &Counts| n.failed >= BAD_FAILURES && n.failed * 100 >= n.ended * BAD_ALONE;
+        let bad = |n: &OutcomeCounts| n.failed >= BAD_FAILURES && n.failed * 100 >= n.ended * BAD_ALONE;
         HEALTH_WINDOWS.iter().any(|w| {
             let lanes = self.by_lane(now, *w, version);
-            bad(&lanes.values().fold(Counts::default(), |sum, c| sum.plus(*c))) || lanes.values().any(bad)
+            bad(&lanes.values().fold(OutcomeCounts::default(), |sum, c| sum.plus(*c))) || lanes.values().any(bad)
         })
     }
     /// Whether what failed of `new` since the last restart is too little to judge it by and too much to trust it.
-    pub fn doubtful(&self, new: &str, old: &str, now: Ms) -> bool {
+    pub fn is_suspicious(&self, new: &str, old: &str, now: Ms) -> bool {
         self.lanes(new).into_iter().any(|l| {
             let of = |v: &str| self.within(now, EVER, |c| &*c.0 == v && c.1 == *l);
             let (n, o) = (of(new), of(old));
--- a/coordination/src/health/beside.rs
+++ b/coordination/src/version_health/placed.rs
@@ -1,7 +1,7 @@
 //! The verdict on a version that runs beside others for a short time: the sooner it falls the fewer meet it,
 //! and yet a replica that crashes, or a cut, is no version's fault.
 
-use super::{Cell, EVER, Health, LONG_WINDOW, Verdict, higher};
+use super::{Cell, EVER, LONG_WINDOW, Verdict, VersionHealth, higher};
 use crate::{
     Ms,
     limits::{
@@ -29,23 +29,23 @@
     n.0 as f64 * o.1 as f64 / o.0.max(1) as f64
 }
 
-impl Health {
+impl VersionHealth {
     /// Bad ends in the worst burst of the last `w` ms: a crash is one burst.
     fn burst(&self, now: Ms, w: Ms, f: impl Fn(&Cell) -> bool) -> u64 {
         let picked: std::collections::BTreeSet<u32> = self.cells.iter().filter(|(c, _)| f(c)).map(|(_, n)| *n).collect();
-        let failed = |rows: &mut dyn Iterator<Item = (&u32, &super::Counts)>| -> u64 {
+        let failed = |rows: &mut dyn Iterator<Item = (&u32, &super::OutcomeCounts)>| -> u64 {
             rows.filter(|(n, _)| picked.contains(n)).map(|(_, c)| c.failed).sum()
         };
         // From where the window's counts begin, which is the last spell that ended before it.
-        let from = self.past.iter().rposition(|(t, _)| now.saturating_sub(*t) >= w).unwrap_or(0);
+        let from = self.windows.iter().rposition(|(t, _)| now.saturating_sub(*t) >= w).unwrap_or(0);
         let mut sum = 0;
         let mut sums: Vec<(Ms, u64)> = vec![];
-        for (t, rows) in self.past.iter().skip(from) {
+        for (t, rows) in self.windows.iter().skip(from) {
             // What the first spell brought lies before all that is compared.
             sum += if sums.is_empty() { 0 } else { failed(&mut rows.iter().map(|(n, c)| (n, c))) };
             sums.push((*t, sum));
         }
-        sums.push((now, sum + failed(&mut self.fresh.iter())));
+        sums.push((now, sum + failed(&mut self.current_window.iter())));
         let bursts = sums.iter().enumerate().map(|(i, (t, n))| {
             let end = sums[i..].iter().take_while(|(u, _)| u - t <= BAD_BURST).last().map_or(*n, |l| l.1);
             end - n
@@ -55,7 +55,7 @@
 
     /// Judges `new` against all other versions, over all lanes and on each. `even`: since when its replicas are
     /// as warm as the others'; times before that say nothing.
-    pub fn judge_beside(&self, new: &str, even: Option<Ms>, now: Ms) -> Verdict {
+    pub fn judge_placed(&self, new: &str, even: Option<Ms>, now: Ms) -> Verdict {
         let cells = std::iter::once(None).chain(self.lanes(new).into_iter().map(Some));
         for l in cells {
             let on = |c: &Cell, mine: bool| (&*c.0 == new) == mine && l.is_none_or(|l| c.1 == *l);
@@ -75,7 +75,7 @@
                 // or what failed at other times.
                 let few = chance(n, long).max(chance(n, o));
                 let more = if few > SELDOM { few + 2.0 * few.sqrt() + 2.0 } else { 0.0 };
-                if f64::from(all.failed_on.count_ones()) - 1.0 > more {
+                if f64::from(all.failed_replicas.count_ones()) - 1.0 > more {
                     return Verdict::Bad;
                 }
                 let crash = self.burst(now, w, |c| on(c, true)).min(n.1);
@@ -108,21 +108,21 @@
             let of = |mine: bool| self.within(now, w, |c| (&*c.0 == new) == mine && c.1 == *l && c.2 == warm);
             let (n, o) = (of(true), of(false));
             // Without a like cache on the other side nothing can be said about slowness.
-            if n.firsts == 0 || o.firsts < SLOW_FIRSTS.min(n.firsts) {
+            if n.first_chunks == 0 || o.first_chunks < SLOW_FIRSTS.min(n.first_chunks) {
                 continue;
             }
-            let mean = o.first_log as f64 / o.firsts as f64;
-            let more = n.first_log as f64 - mean * n.firsts as f64;
-            if o.firsts >= SLOW_FIRSTS && late((n.firsts, more)) {
+            let mean = o.first_chunk_log_sum as f64 / o.first_chunks as f64;
+            let more = n.first_chunk_log_sum as f64 - mean * n.first_chunks as f64;
+            if o.first_chunks >= SLOW_FIRSTS && late((n.first_chunks, more)) {
                 return true;
             }
-            (firsts, over) = (firsts + n.firsts, over + more);
+            (firsts, over) = (firsts + n.first_chunks, over + more);
         }
         late((firsts, over))
     }
 
     /// Whether too little of `new` has failed to condemn it and too much to trust it.
-    pub fn doubtful_beside(&self, new: &str, now: Ms) -> bool {
+    pub fn is_suspicious_placed(&self, new: &str, now: Ms) -> bool {
         self.lanes(new).into_iter().any(|l| {
             let on = |c: &Cell, mine: bool| (&*c.0 == new) == mine && c.1 == *l;
             let of = |mine: bool| self.within(now, LONG_WINDOW, |c| on(c, mine)).failures();
@@ -152,8 +152,8 @@
     }
 
     /// Requests a second that were lately sent to all versions.
-    pub fn pace(&self, w: Ms, now: Ms) -> f64 {
-        let seen = self.past.front().map_or(0, |(t, _)| now.saturating_sub(*t)).min(w);
+    pub fn request_rate(&self, w: Ms, now: Ms) -> f64 {
+        let seen = self.windows.front().map_or(0, |(t, _)| now.saturating_sub(*t)).min(w);
         if seen == 0 {
             return 0.0;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Whether `new` ended enough on each lane that others met since the last restart.
-    pub fn met_lanes(&self, new: &str, enough: u64, now: Ms) -> bool {
+    pub fn has_tried_all_lanes(&self, new: &str, enough: u64, now: Ms) -> bool {
         let mut lanes: Vec<_> = self.cells.keys().map(|c| &c.1).collect();
         lanes.sort_unstable();
         lanes.dedup();
--- a/coordination/src/health/tests.rs
+++ b/coordination/src/version_health/tests.rs
@@ -18,10 +18,10 @@
 }
 
 fn verdict(rows: &[OutcomeCounters]) -> Verdict {
-    let mut h = Health::default();
+    let mut h = VersionHealth::default();
     h.restart(0);
-    h.feed(&"e1".into(), 1, &[]);
-    h.feed(&"e1".into(), 1, rows);
+    h.add_counters(&"e1".into(), 1, &[]);
+    h.add_counters(&"e1".into(), 1, rows);
     h.judge("v2", "v1", 1_000)
 }
 
@@ -45,13 +45,13 @@
 
 #[gtest]
 fn a_restarted_source_is_not_counted_twice_and_old_failures_leave_the_window() {
-    let mut h = Health::default();
+    let mut h = VersionHealth::default();
     h.restart(0);
-    h.feed(&"e1".into(), 1, &[tally("v2", "a", true, 900, 0, 0)]);
-    h.feed(&"e1".into(), 1, &[tally("v2", "a", true, 910, 0, 0)]);
-    h.feed(&"e1".into(), 2, &[tally("v2", "a", true, 12, 0, 0)]);
+    h.add_counters(&"e1".into(), 1, &[tally("v2", "a", true, 900, 0, 0)]);
+    h.add_counters(&"e1".into(), 1, &[tally("v2", "a", true, 910, 0, 0)]);
+    h.add_counters(&"e1".into(), 2, &[tally("v2", "a", true, 12, 0, 0)]);
     expect_that!(h.ended("v2", 10), eq(22));
-    h.feed(&"e1".into(), 2, &[tally("v2", "a", true, 12, 5, 0)]);
+    h.add_counters(&"e1".into(), 2, &[tally("v2", "a", true, 12, 5, 0)]);
     expect_that!(h.judge("v2", "v1", 100), eq(Verdict::Bad));
     (0..400).for_each(|i| h.tick(i * 250));
     expect_that!(h.judge("v2", "v1", 100_000), eq(Verdict::Fine));
@@ -63,11 +63,11 @@
 }
 
 fn beside(rows: &[OutcomeCounters]) -> Verdict {
-    let mut h = Health::default();
+    let mut h = VersionHealth::default();
     h.restart(0);
-    h.feed(&"e1".into(), 1, &[]);
-    h.feed(&"e1".into(), 1, rows);
-    h.judge_beside("v2", Some(0), 2_000)
+    h.add_counters(&"e1".into(), 1, &[]);
+    h.add_counters(&"e1".into(), 1, rows);
+    h.judge_placed("v2", Some(0), 2_000)
 }
 
 #[gtest]
--- a/coordination/src/members.rs
+++ b/coordination/src/voter_placement.rs
@@ -18,16 +18,16 @@
 pub struct VoterChange<'a> {
     pub voters: &'a [Voter],
     /// How long nothing was heard of a voter's disk.
-    pub silent: &'a dyn Fn(&Voter) -> Ms,
+    pub unheard_for: &'a dyn Fn(&Voter) -> Ms,
     pub candidates: Vec<Candidate>,
     pub regions: &'a Regions,
     pub bounds: &'a Bounds,
     /// Whether a voter was heard lately, and votes.
-    pub live: &'a dyn Fn(&Voter) -> bool,
+    pub is_live: &'a dyn Fn(&Voter) -> bool,
 }
 
 /// Places that a loss of the worst zone or region would take beyond what leaves a majority.
-fn excess(voters: &[Voter], regions: &Regions) -> usize {
+fn excess_voters(voters: &[Voter], regions: &Regions) -> usize {
     let spare = voters.len() - (voters.len() / 2 + 1).min(voters.len());
     let most = |group: &dyn Fn(&Voter) -> String| {
         let mut n: BTreeMap<String, usize> = BTreeMap::new();
@@ -38,45 +38,45 @@
 }
 
 fn region<'a>(v: &'a Voter, regions: &'a Regions) -> &'a str {
-    regions::region(regions, &v.zone)
+    regions::region_of(regions, &v.zone)
 }
 
 /// How crowded a place is: voters in its region, and in its zone.
-fn crowd(v: &Voter, voters: &[Voter], regions: &Regions) -> (usize, usize) {
+fn crowding(v: &Voter, voters: &[Voter], regions: &Regions) -> (usize, usize) {
     let there = region(v, regions);
     (voters.iter().filter(|o| region(o, regions) == there).count(), voters.iter().filter(|o| o.zone == v.zone).count())
 }
 
 /// The next voters, if the present ones are to change. A change keeps at least as many voters, so that a majority of
 /// the next that is made of former ones is a majority of the former.
-pub fn next(s: &VoterChange) -> Option<Vec<Voter>> {
+pub fn next_voters(s: &VoterChange) -> Option<Vec<Voter>> {
     let mut voters = s.voters.to_vec();
     let mut free = s.candidates.clone();
     // A lost disk's place goes to whoever has its name or address: the process with the old disk is no more.
     for v in &mut voters {
         let i = free.iter().position(|(c, _)| c.name == v.name || c.addr == v.addr);
-        if let Some(i) = i.filter(|_| (s.silent)(v) > 2 * HEARTBEAT_EVERY) {
+        if let Some(i) = i.filter(|_| (s.unheard_for)(v) > 2 * HEARTBEAT_EVERY) {
             *v = free.remove(i).0;
         }
     }
-    step_in(s, &mut voters, &mut free);
-    grow(s, &mut voters, &mut free);
-    if s.voters.iter().all(|v| (s.live)(v) && (s.silent)(v) <= 2 * HEARTBEAT_EVERY) {
-        even_out(s, &mut voters, &mut free);
+    replace_lost(s, &mut voters, &mut free);
+    add_voters(s, &mut voters, &mut free);
+    if s.voters.iter().all(|v| (s.is_live)(v) && (s.unheard_for)(v) <= 2 * HEARTBEAT_EVERY) {
+        rebalance(s, &mut voters, &mut free);
     }
     // Newcomers read a majority of the former voters: without it a change would leave them waiting for good.
-    let read = voters.iter().filter(|v| s.voters.contains(v) && (s.live)(v)).count();
+    let read = voters.iter().filter(|v| s.voters.contains(v) && (s.is_live)(v)).count();
     (voters != s.voters && read > s.voters.len() / 2).then_some(voters)
 }
 
 /// Gives places of voters that are silent for long to others: an empty machine comes in a lost one's stead, while a
 /// daemon that stands by waits longer, as the voter may be restarting.
-fn step_in(s: &VoterChange, voters: &mut [Voter], free: &mut Vec<Candidate>) {
+fn replace_lost(s: &VoterChange, voters: &mut [Voter], free: &mut Vec<Candidate>) {
     // Who has been silent longest is least likely to come back.
     let mut order: Vec<usize> = (0..voters.len()).collect();
-    order.sort_by_key(|i| std::cmp::Reverse((s.silent)(&voters[*i])));
+    order.sort_by_key(|i| std::cmp::Reverse((s.unheard_for)(&voters[*i])));
     for i in order {
-        let silent = (s.silent)(&voters[i]);
+        let silent = (s.unheard_for)(&voters[i]);
         let ready = |c: &Candidate| silent > if c.1 { PEER_GONE } else { STEP_IN };
         let with = |c: &Candidate| {
             let mut next = voters.to_vec();
@@ -84,12 +84,12 @@
             next
         };
         // After long enough a worse spread is better than a place that nobody fills.
-        let most = if silent > REPLACE_ANYWHERE { usize::MAX } else { excess(voters, s.regions) };
-        let fits = (0..free.len()).filter(|n| ready(&free[*n]) && excess(&with(&free[*n]), s.regions) <= most);
+        let most = if silent > REPLACE_ANYWHERE { usize::MAX } else { excess_voters(voters, s.regions) };
+        let fits = (0..free.len()).filter(|n| ready(&free[*n]) && excess_voters(&with(&free[*n]), s.regions) <= most);
         let best = fits.min_by_key(|n| {
             let (c, _) = &free[*n];
             let (far, out) = (region(c, s.regions) != region(&voters[i], s.regions), c.zone != voters[i].zone);
-            (excess(&with(&free[*n]), s.regions), out, far, crowd(c, voters, s.regions), c.name.clone())
+            (excess_voters(&with(&free[*n]), s.regions), out, far, crowding(c, voters, s.regions), c.name.clone())
         });
         if let Some(n) = best {
             voters[i] = free.remove(n).0;
@@ -99,7 +99,7 @@
 
 /// Adds voters: two at a time, as an even number bears no more losses than one less; one at a time below what the
 /// losses to be borne need, where one more disk still keeps what a single loss would take.
-fn grow(s: &VoterChange, voters: &mut Vec<Voter>, free: &mut Vec<Candidate>) {
+fn add_voters(s: &VoterChange, voters: &mut Vec<Voter>, free: &mut Vec<Candidate>) {
     let least = VOTERS_LEAST.max(2 * s.bounds.lost_disks as usize + 1);
     while voters.len() < least.max(VOTERS) && !free.is_empty() {
         let mut next = voters.clone();
@@ -110,10 +110,10 @@
             return;
         }
         for _ in 0..step {
-            let best = (0..left.len()).min_by_key(|n| (crowd(&left[*n].0, &next, s.regions), left[*n].0.name.clone()));
+            let best = (0..left.len()).min_by_key(|n| (crowding(&left[*n].0, &next, s.regions), left[*n].0.name.clone()));
             next.extend(best.map(|n| left.remove(n).0));
         }
-        if voters.len() >= least && excess(&next, s.regions) > excess(voters, s.regions) {
+        if voters.len() >= least && excess_voters(&next, s.regions) > excess_voters(voters, s.regions) {
             return;
         }
         (*voters, *free) = (next, left);
@@ -121,8 +121,8 @@
 }
 
 /// Swaps one voter for a daemon that stands by where that spreads the voters better.
-fn even_out(s: &VoterChange, voters: &mut [Voter], free: &mut Vec<Candidate>) {
-    let now = excess(voters, s.regions);
+fn rebalance(s: &VoterChange, voters: &mut [Voter], free: &mut Vec<Candidate>) {
+    let now = excess_voters(voters, s.regions);
     if now == 0 {
         return;
     }
@@ -131,24 +131,24 @@
     let after = |(i, n): &(usize, usize)| {
         let mut next = voters.to_vec();
         next[*i] = free[*n].0.clone();
-        excess(&next, s.regions)
+        excess_voters(&next, s.regions)
     };
     let Some(best) = swaps.min_by_key(after).filter(|b| after(b) < now) else { return };
     voters[best.0] = free.remove(best.1).0;
 }
 
 /// What stands under the members' key: how many voters there were before, and each voter.
-type Stored = (u32, Vec<(Name, u64, Name, Name, u32)>);
+type StoredVoters = (u32, Vec<(Name, u64, Name, Name, u32)>);
 
-pub fn to_bytes(before: u32, v: &[Voter]) -> Blob {
+pub fn encode(before: u32, v: &[Voter]) -> Blob {
     let rows = v.iter().map(|v| (v.name.clone(), v.disk_id, v.addr.clone(), v.zone.clone(), v.since_epoch)).collect();
-    let stored: Stored = (before, rows);
+    let stored: StoredVoters = (before, rows);
     Blob(serde_json::to_vec(&stored).unwrap_or_default())
 }
 
 /// Reads what stands under the members' key; also as it was written before voters had zones.
-pub fn of_bytes(b: &[u8]) -> Option<(u32, Vec<Voter>)> {
-    if let Ok((before, rows)) = serde_json::from_slice::<Stored>(b) {
+pub fn decode(b: &[u8]) -> Option<(u32, Vec<Voter>)> {
+    if let Ok((before, rows)) = serde_json::from_slice::<StoredVoters>(b) {
         let voter = |(name, disk, addr, zone, since)| Voter { name, disk_id: disk, addr, zone, since_epoch: since };
         return Some((before, rows.into_iter().map(voter).collect()));
     }
--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the platform: one bound for the whole fleet, also while a duty goes from one holder to another.
 
-use coordination::{Ms, control::calls_share, placement::Bucket};
+use coordination::{Ms, control::call_rate_share, placement::Bucket};
 use googletest::prelude::*;
 
 /// Most calls in any second, of callers who call whenever they may; each begins and ends at times of its own.
@@ -20,7 +20,7 @@
     const END: Ms = 12_000;
     for rate in [2.0, 5.0, 10.0, 40.0] {
         for (voters, duties) in [(1, 1), (3, 1), (5, 1), (3, 2), (5, 2), (5, 7)] {
-            let share = calls_share(rate, voters, duties);
+            let share = call_rate_share(rate, voters, duties);
             // Each duty has a holder and one that has not noticed yet that it lost it.
             let holders = voters.min(2 * duties);
             let callers: Vec<(Ms, Ms)> =
--- a/coordination/tests/catching_up.rs
+++ b/coordination/tests/catching_up.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use coordination::{Ms, control::SPEC};
+use coordination::{Ms, control::SPEC_KEY};
 use fleet::Fleet;
 use googletest::prelude::*;
 use wire_messages::Message;
@@ -14,7 +14,7 @@
 
 fn settled(seed: u64, n: usize) -> Fleet {
     let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.settled()))).expect("the fleet settles");
+    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))).expect("the fleet settles");
     f
 }
 /// Changes the spec every so often for a while; gives how many changes were accepted.
@@ -22,9 +22,9 @@
     let end = f.now + ms;
     let before = f.ends.len();
     while f.now < end {
-        let on = f.held(at, SPEC).map_or(0, |h| h.0);
+        let on = f.held(at, SPEC_KEY).map_or(0, |h| h.0);
         let value = format!("at {}", f.now).into_bytes();
-        f.write(at, SPEC, Some(on), &value);
+        f.write(at, SPEC_KEY, Some(on), &value);
         f.run(STORM);
         each(f);
     }
@@ -37,10 +37,10 @@
 fn what_a_member_missed_comes_though_other_keys_keep_changing() {
     for seed in 0..20 {
         let f = &mut settled(seed, 3);
-        let owner = |f: &Fleet, key| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds(key, f.now).is_some()));
+        let owner = |f: &Fleet, key| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(key, f.now).is_some()));
         f.put(ZONE, b"before", 5_000).expect("it is accepted");
         f.run(1_000);
-        let (zones, specs) = (owner(f, ZONE).unwrap(), owner(f, SPEC).unwrap_or(0));
+        let (zones, specs) = (owner(f, ZONE).unwrap(), owner(f, SPEC_KEY).unwrap_or(0));
         let behind = (0..3).find(|i| ![zones, specs].contains(i)).unwrap();
         let addr = fleet::addr(behind);
         f.sieve = Box::new(move |_, to, m| {
@@ -76,7 +76,7 @@
         }
         let missed = storm(f, at, 24_000, |_| ());
         expect_that!(missed, ge(200), "seed {seed}");
-        let newest = f.held(at, SPEC).unwrap().0;
+        let newest = f.held(at, SPEC_KEY).unwrap().0;
         if seed % 2 == 0 {
             f.start(behind);
         } else {
@@ -86,12 +86,12 @@
         let told = std::cell::Cell::new(0);
         let whole = std::cell::Cell::new(None);
         storm(f, at, 6_000, |f| {
-            let has = f.held(behind, SPEC).map_or(0, |h| h.0);
+            let has = f.held(behind, SPEC_KEY).map_or(0, |h| h.0);
             expect_that!(has, ge(told.get()), "seed {seed}: it goes back");
             told.set(has);
             // With daemons to spare another has its vote by then, and it stands by.
             let votes = f.voters(behind).contains(&format!("c{behind}"));
-            let is_whole = has >= newest && (!votes || f.brain(behind).is_some_and(|b| b.settled()));
+            let is_whole = has >= newest && (!votes || f.brain(behind).is_some_and(|b| b.is_settled()));
             whole.set(whole.get().or(is_whole.then_some(f.now - back)));
         });
         expect_that!(whole.get(), some(le(3_000)), "seed {seed}, {n} daemons, {behind} was away");
@@ -112,9 +112,9 @@
             f.start(behind);
             let ms = f.rng.u64(20..500);
             storm(f, at, ms, |_| ());
-            let has = f.held(behind, SPEC).map_or(0, |h| h.0);
+            let has = f.held(behind, SPEC_KEY).map_or(0, |h| h.0);
             expect_that!(has, ge(synced), "seed {seed}: it goes back");
-            let on_disk = f.all[behind].disk.get(SPEC).cloned();
+            let on_disk = f.all[behind].disk.get(SPEC_KEY).cloned();
             if let Some(coordination::Row::Slot(s)) = on_disk {
                 synced = s.committed_version;
             }
@@ -122,9 +122,9 @@
         }
         f.start(behind);
         f.run(4_000);
-        let newest = f.held(at, SPEC).unwrap().0;
-        expect_that!(f.held(behind, SPEC).map(|h| h.0), some(eq(newest)), "seed {seed}");
-        expect_true!(f.brain(behind).is_some_and(|b| b.settled()));
+        let newest = f.held(at, SPEC_KEY).unwrap().0;
+        expect_that!(f.held(behind, SPEC_KEY).map(|h| h.0), some(eq(newest)), "seed {seed}");
+        expect_true!(f.brain(behind).is_some_and(|b| b.is_settled()));
     }
 }
 
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -40,7 +40,7 @@
             }
         }
         let holders: Vec<usize> = (0..self.f.all.len())
-            .filter(|i| self.f.brain(*i).is_some_and(|b| b.regs.holds("rollout/s", now).is_some()))
+            .filter(|i| self.f.brain(*i).is_some_and(|b| b.registers.held_until("rollout/s", now).is_some()))
             .collect();
         if holders.len() > 1 {
             self.faults.push(format!("{holders:?} hold one duty at {now}"));
@@ -55,9 +55,11 @@
     /// All voters are up and vote: the losses before are made up for.
     fn whole(&self) -> bool {
         let voting = self.f.voting();
-        let member_epoch = voting.iter().filter_map(|i| self.f.brain(*i)).map(|b| b.regs.member_epoch).max();
+        let member_epoch = voting.iter().filter_map(|i| self.f.brain(*i)).map(|b| b.registers.member_epoch).max();
         let all = |i: &usize| {
-            self.f.brain(*i).is_some_and(|b| Some(b.regs.member_epoch) == member_epoch && b.regs.voters.len() == voting.len())
+            self.f
+                .brain(*i)
+                .is_some_and(|b| Some(b.registers.member_epoch) == member_epoch && b.registers.voters.len() == voting.len())
         };
         !voting.is_empty() && voting.iter().all(all)
     }
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -6,8 +6,8 @@
 use coordination::{
     Ms,
     context::number,
-    order::weight,
-    register::{CONTEXT, DUTY},
+    register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
+    rendezvous::rendezvous_weight,
     wire::{ChainDemand, ContextDemand, List, Message, Node, Poll},
 };
 use fleet::{Fleet, addr};
@@ -17,12 +17,12 @@
 
 /// A service whose keys would have different owners if each went by its own name.
 fn service() -> String {
-    let first = |key: String| (0..3).max_by_key(|i| weight(&key, &format!("c{i}")));
-    let differ = |s: &String| first(format!("{DUTY}{s}")) != first(format!("{CONTEXT}{s}"));
+    let first = |key: String| (0..3).max_by_key(|i| rendezvous_weight(&key, &format!("c{i}")));
+    let differ = |s: &String| first(format!("{ROLLOUT_PREFIX}{s}")) != first(format!("{CONTEXT_PREFIX}{s}"));
     (0..).map(|i| format!("s{i}")).find(differ).unwrap_or_default()
 }
 fn key() -> String {
-    format!("{CONTEXT}{}", service())
+    format!("{CONTEXT_PREFIX}{}", service())
 }
 
 fn spec(on: bool) -> Vec<u8> {
@@ -72,18 +72,18 @@
     }
     fn holder(&self, prefix: &str) -> Option<usize> {
         let key = format!("{prefix}{}", service());
-        (0..3).find(|i| self.f.brain(*i).is_some_and(|b| b.regs.holds(&key, self.f.now).is_some()))
+        (0..3).find(|i| self.f.brain(*i).is_some_and(|b| b.registers.held_until(&key, self.f.now).is_some()))
     }
     fn loops(&mut self, i: usize) {
         let now = self.f.now;
         let Some(b) = self.f.all[i].brain.as_mut() else { return };
-        b.on_platform(list(), now);
-        let out = b.loops(now, now / 1_000);
+        b.on_replica_list(list(), now);
+        let out = b.run_rollouts(now, now / 1_000);
         self.f.carry(i, out);
     }
     /// Every edge asks all daemons, and tells the holder what its callers ask for.
     fn edges(&mut self) {
-        let (now, holder) = (self.f.now, self.holder(DUTY));
+        let (now, holder) = (self.f.now, self.holder(ROLLOUT_PREFIX));
         for e in 0..3 {
             let name = format!("e{e}");
             let node = Node {
@@ -122,7 +122,7 @@
     fn tell(&mut self, i: usize, from: &str, m: Message) {
         let now = self.f.now;
         let Some(b) = self.f.all[i].brain.as_mut() else { return };
-        let out = b.on_msg(&from.into(), &from.into(), m, now);
+        let out = b.on_message(&from.into(), &from.into(), m, now);
         self.f.carry(i, out);
     }
     fn run(&mut self, ms: Ms) {
@@ -160,9 +160,9 @@
         let mut d = Duty::new(seed);
         d.asked = (1..=6).collect();
         d.run(10_000);
-        let holder = d.holder(DUTY);
+        let holder = d.holder(ROLLOUT_PREFIX);
         expect_that!(holder, some(anything()));
-        expect_that!(d.holder(CONTEXT), eq(holder), "seed {seed}");
+        expect_that!(d.holder(CONTEXT_PREFIX), eq(holder), "seed {seed}");
         // Each chain has one place and a copy in both other regions.
         expect_that!(d.copies(), eq(&vec![12; 3]), "seed {seed}");
         // The holder dies, and no edge has told the next one anything yet.
@@ -170,9 +170,9 @@
         d.asked.clear();
         d.f.kill(old);
         d.run(12_000);
-        let next = d.holder(DUTY);
+        let next = d.holder(ROLLOUT_PREFIX);
         expect_that!(next, some(not(eq(old))));
-        expect_that!(d.holder(CONTEXT), eq(next));
+        expect_that!(d.holder(CONTEXT_PREFIX), eq(next));
         expect_that!(d.copies(), eq(&vec![12; 2]), "seed {seed}: silence is no cold yet");
         // Nobody asks any more: the next holder gives all back in time.
         d.run(60_000);
@@ -186,7 +186,7 @@
         let mut d = Duty::new(seed);
         d.asked = (1..=6).collect();
         d.run(10_000);
-        let old = d.holder(DUTY).unwrap_or_default();
+        let old = d.holder(ROLLOUT_PREFIX).unwrap_or_default();
         d.freeze(old);
         // Meanwhile others are asked for, by another holder's decision.
         d.asked = (20..=25).collect();
@@ -211,7 +211,7 @@
         let mut d = Duty::new(seed);
         d.asked = (1..=6).collect();
         d.run(10_000);
-        let old = d.holder(DUTY).unwrap_or_default();
+        let old = d.holder(ROLLOUT_PREFIX).unwrap_or_default();
         let before = d.f.held(old, &key()).map(|h| h.0);
         d.f.cut.insert(addr(old));
         d.run(4_000);
@@ -221,7 +221,7 @@
             d.run(500);
         }
         expect_that!(d.f.held(old, &key()).map(|h| h.0), eq(before), "seed {seed}");
-        expect_that!(d.holder(CONTEXT), some(not(eq(old))));
+        expect_that!(d.holder(CONTEXT_PREFIX), some(not(eq(old))));
         d.f.cut.clear();
         d.run(10_000);
         expect_true!(d.copies().iter().all(|n| *n == 12));
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -5,8 +5,8 @@
 
 use coordination::{
     Effect, Effects, Ms, Row,
-    agent::Agent,
-    control::{Control, ControlParams, SPEC},
+    control::{Control, ControlConfig, SPEC_KEY},
+    edge_agent::EdgeAgent,
     limits::TICK,
     pass::{Ask, PassEnd},
     proxy::{Admit, Placed, Proxy},
@@ -27,7 +27,7 @@
     rng: fastrand::Rng,
     control: Control,
     rows: BTreeMap<String, Row>,
-    agent: Agent,
+    agent: EdgeAgent,
     proxy: Proxy,
     /// Percent of messages lost, and that come again late.
     lost: u32,
@@ -45,17 +45,17 @@
     held: bool,
 }
 
-fn params() -> ControlParams {
-    ControlParams {
+fn params() -> ControlConfig {
+    ControlConfig {
         name: "c".into(),
         zone: "z".into(),
         addr: "c".into(),
-        http: "".into(),
+        http_addr: "".into(),
         members: vec!["c".into()],
         seeds: vec![],
         regions: Default::default(),
-        reader: coordination::board::own_spec,
-        founding: false,
+        spec_parser: coordination::state_table::parse_own_spec,
+        bootstrap: false,
         bounds: Default::default(),
     }
 }
@@ -99,7 +99,7 @@
     fn ready(seed: u64) -> Self {
         let mut b = Bench::new(seed);
         b.run(1_000, 0);
-        let out = b.control.write(SPEC, Expect::Any, spec(), b.now).1;
+        let out = b.control.write(SPEC_KEY, Expect::Any, spec(), b.now).1;
         b.carry("c", out);
         b.run(5_000, 0);
         assert!(b.proxy.ready(b.now));
@@ -143,11 +143,11 @@
         let now = self.now;
         match to {
             "c" => {
-                let out = self.control.on_msg(from, from, msg, now);
+                let out = self.control.on_message(from, from, msg, now);
                 self.carry("c", out);
             }
             "a" => {
-                let out = self.agent.on_msg(from, from, msg, now);
+                let out = self.agent.on_message(from, from, msg, now);
                 self.carry("a", out);
             }
             _ => {
@@ -178,7 +178,7 @@
             }
             if now.is_multiple_of(TICK) {
                 let mut out = self.control.tick(now);
-                out.extend(self.control.loops(now, now / 1_000));
+                out.extend(self.control.run_rollouts(now, now / 1_000));
                 self.carry("c", out);
                 let out = self.agent.tick(now);
                 self.carry("a", out);
@@ -204,7 +204,7 @@
                 "state": "running", "slots": 64, "loaded": true})
         });
         let l: PlatformList = serde_json::from_value(json!({"replicas": all.collect::<Vec<_>>()})).unwrap();
-        self.control.on_platform(l, self.now);
+        self.control.on_replica_list(l, self.now);
     }
     fn request(&mut self) {
         let (now, n) = (self.now, self.rng.usize(..LANES));
@@ -221,13 +221,13 @@
         self.control.status(self.now).streams.iter().map(|z| z.streams).sum()
     }
     fn counted(&self) -> u64 {
-        self.control.counted("s", "v1").0
+        self.control.requests_counted("s", "v1").0
     }
 }
 
-fn agent(born: u64, now: Ms, seed: u64) -> Agent {
+fn agent(born: u64, now: Ms, seed: u64) -> EdgeAgent {
     let me = Node { name: "a".into(), zone: "z".into(), addr: "a".into(), incarnation: born, ..Node::default() };
-    Agent::new(me, vec!["c".into()], seed, now)
+    EdgeAgent::new(me, vec!["c".into()], seed, now)
 }
 fn proxy(born: u64, seed: u64) -> Proxy {
     let mut p = Proxy::new("p".into(), "z".into(), "p:1".into(), born, seed);
@@ -350,13 +350,13 @@
         serde_json::from_value(json!({"replicas": [one]})).unwrap()
     };
     let mut c = Control::new(params(), 7, vec![], 1, 0);
-    expect_false!(c.list_calm(60_000), "nothing is known yet");
+    expect_false!(c.is_list_stable(60_000), "nothing is known yet");
     for at in (10_000..20_000).step_by(500) {
-        c.on_platform(list("running"), at);
-        expect_that!(c.list_calm(at), eq(at > 15_000), "at {at}");
+        c.on_replica_list(list("running"), at);
+        expect_that!(c.is_list_stable(at), eq(at > 15_000), "at {at}");
     }
-    c.on_platform(list("draining"), 20_000);
-    expect_false!(c.list_calm(20_000));
-    expect_false!(c.list_calm(24_000));
-    expect_true!(c.list_calm(26_000));
+    c.on_replica_list(list("draining"), 20_000);
+    expect_false!(c.is_list_stable(20_000));
+    expect_false!(c.is_list_stable(24_000));
+    expect_true!(c.is_list_stable(26_000));
 }
--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -5,8 +5,8 @@
 
 use coordination::{
     Effect, Effects, Ms, Row,
-    agent::Agent,
-    control::{Caller, Control, ControlParams},
+    control::{Caller, Control, ControlConfig},
+    edge_agent::EdgeAgent,
     limits::{KNOWS_FLEET, TICK},
     wire::{Message, Name, Node, ProxyReport},
 };
@@ -53,13 +53,13 @@
 }
 
 struct ControlHost {
-    params: ControlParams,
+    params: ControlConfig,
     brain: Option<Control>,
     rows: BTreeMap<String, Row>,
 }
 
 struct EdgeHost {
-    agent: Agent,
+    agent: EdgeAgent,
     zone: usize,
     next_tick: Ms,
 }
@@ -99,9 +99,9 @@
             let (name, zone) = (Name::from(format!("e{i}").as_str()), i % ZONES.len());
             let node =
                 Node { name: name.clone(), addr: name.clone(), zone: ZONES[zone].0.into(), incarnation: 1, ..Node::default() };
-            let mut agent = Agent::new(node, seeds(), plane.rng.u64(..), plane.now);
+            let mut agent = EdgeAgent::new(node, seeds(), plane.rng.u64(..), plane.now);
             agent.set_regions(regions());
-            agent.set_serve_on(true);
+            agent.set_serve_when_partitioned(true);
             let next_tick = plane.now + plane.rng.u64(..TICK);
             plane.edges.insert(name, EdgeHost { agent, zone, next_tick });
         }
@@ -110,16 +110,16 @@
 
     fn add_control(&mut self, i: usize, founding: bool) {
         let name = Name::from(format!("c{i}").as_str());
-        let params = ControlParams {
+        let params = ControlConfig {
             name: name.clone(),
             zone: ZONES[i % ZONES.len()].0.into(),
             addr: name.clone(),
-            http: format!("h-{name}").as_str().into(),
+            http_addr: format!("h-{name}").as_str().into(),
             members: vec![],
             seeds: seeds(),
-            founding,
+            bootstrap: founding,
             regions: regions(),
-            reader: coordination::board::own_spec,
+            spec_parser: coordination::state_table::parse_own_spec,
             bounds: Default::default(),
         };
         self.controls.insert(name.clone(), ControlHost { params, brain: None, rows: BTreeMap::new() });
@@ -167,8 +167,8 @@
     fn deliver(&mut self, to: &Name, from: &Name, msg: Message) {
         let now = self.now;
         let out = match (self.edges.get_mut(to), self.controls.get_mut(to).and_then(|c| c.brain.as_mut())) {
-            (Some(e), _) if !self.gone.contains(to) => e.agent.on_msg(from, from, msg, now),
-            (None, Some(c)) => c.on_msg(from, from, msg, now),
+            (Some(e), _) if !self.gone.contains(to) => e.agent.on_message(from, from, msg, now),
+            (None, Some(c)) => c.on_message(from, from, msg, now),
             _ => return,
         };
         self.carry(to, out);
@@ -182,7 +182,7 @@
         if now % HELLO < TICK {
             let hello = ProxyReport { incarnation: 1, http_addr: format!("h-{name}").as_str().into(), ..ProxyReport::default() };
             let proxy: Name = format!("p-{name}").into();
-            out = e.agent.on_msg(&proxy, &proxy, Message::from(hello), now);
+            out = e.agent.on_message(&proxy, &proxy, Message::from(hello), now);
         }
         out.extend(e.agent.tick(now));
         self.carry(name, out);
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -6,12 +6,12 @@
 
 use coordination::{
     Ms,
-    agent::RULE_ALL,
     context::{self, Demands},
+    edge_agent::SERVE_ALL,
     limits::{DEMAND_OLD, STANDING_EVERY},
-    order::weight_of,
     pass::{Ask, PassEnd, Told},
     proxy::{Admit, Placed, Proxy},
+    rendezvous::rendezvous_weight_of,
     wire::{Blob, Change, List, Node, TableUpdate},
 };
 use remote_calls::{ContextRecord, ContextSpec, PathSpec, PlacedReplica, StandingPart};
@@ -188,7 +188,7 @@
             let m = TableUpdate {
                 proxy_incarnation: 1,
                 counters_through: 0,
-                serving_rule: RULE_ALL,
+                serving_rule: SERVE_ALL,
                 valid_until: Ms::MAX,
                 is_snapshot: 1,
                 changes: List(vec![spec.clone()]),
@@ -326,7 +326,7 @@
     }
     /// Zone of the replica that comes first in a chain's agreed order.
     fn one_place(&self, chain: u64) -> Option<&str> {
-        let of = |e: &&Engine| weight_of(chain, context::number(&e.row.id));
+        let of = |e: &&Engine| rendezvous_weight_of(chain, context::number(&e.row.id));
         self.engines.values().filter(|e| e.row.version == self.version).max_by_key(of).map(|e| e.row.zone.as_str())
     }
     fn way(&self, proxy: usize, replica: &str) -> Ms {
@@ -380,7 +380,7 @@
                 let m = TableUpdate {
                     proxy_incarnation: 1,
                     counters_through: 0,
-                    serving_rule: RULE_ALL,
+                    serving_rule: SERVE_ALL,
                     valid_until: Ms::MAX,
                     is_snapshot: 0,
                     changes: List(vec![*m]),
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use coordination::{Ms, WriteOutcome, control::SPEC, register::Expect};
+use coordination::{Ms, WriteOutcome, control::SPEC_KEY, register::Expect};
 use fleet::{Fleet, addr};
 use googletest::prelude::*;
 use wire_messages::Message;
@@ -16,14 +16,14 @@
 
 fn settled(seed: u64) -> Fleet {
     let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.settled()))).expect("the fleet settles");
+    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))).expect("the fleet settles");
     f
 }
 
 /// Takes a write to a daemon; the end is looked for later.
 fn send(f: &mut Fleet, i: usize, e: Expect, v: &[u8]) -> (usize, u64) {
     let now = f.now;
-    let (t, out) = f.all[i].brain.as_mut().unwrap().write(SPEC, e, v.to_vec(), now);
+    let (t, out) = f.all[i].brain.as_mut().unwrap().write(SPEC_KEY, e, v.to_vec(), now);
     f.carry(i, out);
     (i, t)
 }
@@ -37,7 +37,7 @@
 }
 fn newest(f: &mut Fleet, i: usize) -> Option<WriteOutcome> {
     let now = f.now;
-    let (t, out) = f.all[i].brain.as_mut().unwrap().newest(SPEC, now);
+    let (t, out) = f.all[i].brain.as_mut().unwrap().read_newest(SPEC_KEY, now);
     f.carry(i, out);
     end(f, (i, t))
 }
@@ -90,7 +90,7 @@
     for seed in 0..20 {
         let f = &mut settled(seed);
         expect_that!(put(f, 0, Expect::Release(0), &document(1, 0)), some(eq(WriteOutcome::Accepted(1))));
-        let owner = (0..3).find(|i| f.brain(*i).unwrap().regs.holds(SPEC, f.now).is_some()).expect("an owner");
+        let owner = (0..3).find(|i| f.brain(*i).unwrap().registers.held_until(SPEC_KEY, f.now).is_some()).expect("an owner");
         let other = (owner + 1) % 3;
         f.cut.insert(addr(owner));
         // Until the others gave it up for dead they keep asking it, and are told that it is not known.
@@ -110,7 +110,7 @@
             expect_false!(clear, "seed {seed}: {t:?}");
         }
         f.cut.clear();
-        let back: Option<Ms> = f.until(6_000, |f| f.held(owner, SPEC).is_some_and(|h| h.0 == 2));
+        let back: Option<Ms> = f.until(6_000, |f| f.held(owner, SPEC_KEY).is_some_and(|h| h.0 == 2));
         expect_that!(back, some(anything()), "seed {seed}");
         expect_that!(newest(f, owner), some(eq(WriteOutcome::Accepted(2))), "seed {seed}");
     }
@@ -148,7 +148,7 @@
         f.way = 1;
         expect_that!(put(f, 0, Expect::Release(0), &document(1, 0)), some(eq(WriteOutcome::Accepted(1))));
         f.run(1_000);
-        let owner = (0..3).find(|i| f.brain(*i).unwrap().regs.holds(SPEC, f.now).is_some()).expect("an owner");
+        let owner = (0..3).find(|i| f.brain(*i).unwrap().registers.held_until(SPEC_KEY, f.now).is_some()).expect("an owner");
         let (own, other) = (addr(owner), (owner + 1) % 3);
         // Offered to its own disk only; then another owns the key.
         f.sieve = Box::new(move |from, to, m| *from != own || from == to || !matches!(m, Message::Accept(_)));
@@ -159,7 +159,7 @@
         f.run(2_500);
         f.all[owner].sync = 100;
         f.start(owner);
-        let back = |f: &Fleet| f.brain(owner).unwrap().regs.holds(SPEC, f.now).is_some();
+        let back = |f: &Fleet| f.brain(owner).unwrap().registers.held_until(SPEC_KEY, f.now).is_some();
         if f.until(2_000, back).is_none() {
             continue;
         }
--- a/coordination/tests/feed.rs
+++ b/coordination/tests/feed.rs
@@ -9,8 +9,8 @@
 
 use coordination::{
     Effect, Effects, Ms,
-    agent::Agent,
-    control::SPEC,
+    control::SPEC_KEY,
+    edge_agent::EdgeAgent,
     limits::{POLL_EVERY, PUSH_TAKES, PUSHED_TO, TICK},
     wire::{Envelope, Message, Name, Node, encode},
 };
@@ -39,7 +39,7 @@
 }
 
 struct Edge {
-    agent: Agent,
+    agent: EdgeAgent,
     zone: usize,
     /// When its link is free again.
     free: Ms,
@@ -104,9 +104,9 @@
                 incarnation: 1,
                 ..Node::default()
             };
-            let mut agent = Agent::new(me, (0..3).map(fleet::addr).collect(), seed + i as u64, l.fleet.now);
+            let mut agent = EdgeAgent::new(me, (0..3).map(fleet::addr).collect(), seed + i as u64, l.fleet.now);
             agent.set_regions(regions.clone());
-            agent.set_serve_on(true);
+            agent.set_serve_when_partitioned(true);
             l.edges.insert(name, Edge { agent, zone, free: 0, had: None });
         }
         l.run(5_000);
@@ -152,10 +152,10 @@
             while let Some(e) = self.way.first_entry().filter(|e| e.key().0 <= now) {
                 let (to, from, addr, m) = e.remove();
                 if let Some(x) = self.edges.get_mut(&to) {
-                    let out = x.agent.on_msg(&from, &addr, m, now);
+                    let out = x.agent.on_message(&from, &addr, m, now);
                     self.carry(&to, out);
                 } else if let Some(i) = self.fleet.all.iter().position(|d| d.p.addr == to && d.brain.is_some()) {
-                    let out = self.fleet.all[i].brain.as_mut().map_or(vec![], |b| b.on_msg(&from, &addr, m, now));
+                    let out = self.fleet.all[i].brain.as_mut().map_or(vec![], |b| b.on_message(&from, &addr, m, now));
                     self.fleet.carry(i, out);
                 }
             }
@@ -171,7 +171,7 @@
                 self.carry(&n, out);
             }
             for e in self.edges.values_mut().filter(|e| e.had.is_none()) {
-                e.had = e.agent.board().get(SPEC).is_some_and(|c| c.value.0.len() >= LONG).then_some(now);
+                e.had = e.agent.state_table().get(SPEC_KEY).is_some_and(|c| c.value.0.len() >= LONG).then_some(now);
             }
         }
     }
@@ -188,7 +188,7 @@
         self.edges.values_mut().for_each(|e| e.had = None);
         self.far = 0;
         let value: Vec<u8> = (0..LONG).map(|_| self.fleet.rng.u8(..)).collect();
-        let w = self.fleet.write(0, SPEC, None, &value).unwrap();
+        let w = self.fleet.write(0, SPEC_KEY, None, &value).unwrap();
         for _ in 0..2_000 {
             self.run(1);
             if let Some((at, _)) = self.fleet.ends.get(&w) {
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -6,13 +6,13 @@
 
 use coordination::{
     Effect, Effects, Ms, Row, WriteOutcome,
-    control::{Control, ControlParams},
+    control::{Control, ControlConfig},
     limits::{SYNC_LATE, TICK},
 };
 use wire_messages::{Message, Name};
 
 pub struct Daemon {
-    pub p: ControlParams,
+    pub p: ControlConfig,
     pub brain: Option<Control>,
     pub disk: BTreeMap<String, Row>,
     pub disk_id: u64,
@@ -106,16 +106,16 @@
 
     /// Adds and starts a daemon.
     pub fn add(&mut self, i: usize, seeds: &[usize], founding: bool, regions: &BTreeMap<String, String>) {
-        let p = ControlParams {
+        let p = ControlConfig {
             name: format!("c{i}").into(),
             zone: format!("z{i}").into(),
             addr: addr(i),
-            http: format!("h{i}").into(),
+            http_addr: format!("h{i}").into(),
             members: vec![],
             seeds: seeds.iter().map(|s| addr(*s)).collect(),
-            founding,
+            bootstrap: founding,
             regions: regions.clone(),
-            reader: coordination::board::own_spec,
+            spec_parser: coordination::state_table::parse_own_spec,
             bounds: Default::default(),
         };
         let disk_id = self.rng.u64(1..1 << 60);
@@ -160,7 +160,7 @@
         let d = &mut self.all[i];
         d.disk.clear();
         d.disk_id = id;
-        d.p.founding = false;
+        d.p.bootstrap = false;
     }
 
     fn at(&mut self, ms: Ms, ev: Ev) {
@@ -184,7 +184,7 @@
                     self.all[i].buffer.push((rows, then));
                     self.disk_work(i);
                 }
-                Effect::Answer { token, outcome } => {
+                Effect::WriteFinished { token, outcome } => {
                     self.ends.insert((i, token), (self.now, outcome));
                     if self.wipe_after_ack == Some(i) && matches!(outcome, WriteOutcome::Accepted(_)) {
                         self.wipe_after_ack = None;
@@ -192,7 +192,7 @@
                         return;
                     }
                 }
-                Effect::Note { event, .. } => {
+                Effect::Log { event, .. } => {
                     let now = self.now;
                     self.all[i].notes.push((now, event.name));
                 }
@@ -231,9 +231,9 @@
                 let now = self.now;
                 let Some(b) = self.all[i].brain.as_mut() else { return };
                 if let Some(change) = &self.change {
-                    change(b.regs.member_epoch, &mut msg);
+                    change(b.registers.member_epoch, &mut msg);
                 }
-                let out = b.on_msg(&from, &addr, *msg, now);
+                let out = b.on_message(&from, &addr, *msg, now);
                 self.carry(i, out);
             }
             Ev::Synced { at, life, rows, then } => {
@@ -269,7 +269,7 @@
                 d.next_tick = now + TICK;
                 let Some(b) = d.brain.as_mut() else { continue };
                 // As the shell tells it.
-                b.disk_ok = !d.working || now - d.since <= SYNC_LATE;
+                b.disk_healthy = !d.working || now - d.since <= SYNC_LATE;
                 let out = b.tick(now);
                 self.carry(i, out);
             }
@@ -292,14 +292,14 @@
     }
     /// Daemons that vote.
     pub fn voting(&self) -> Vec<usize> {
-        (0..self.all.len()).filter(|i| self.brain(*i).is_some_and(|b| b.regs.voting)).collect()
+        (0..self.all.len()).filter(|i| self.brain(*i).is_some_and(|b| b.registers.voting)).collect()
     }
     /// Names of the voters as the daemon knows them.
     pub fn voters(&self, i: usize) -> BTreeSet<String> {
-        self.brain(i).map_or(BTreeSet::new(), |b| b.regs.voters.iter().map(|v| v.name.to_string()).collect())
+        self.brain(i).map_or(BTreeSet::new(), |b| b.registers.voters.iter().map(|v| v.name.to_string()).collect())
     }
     pub fn held(&self, i: usize, key: &str) -> Option<(u64, Vec<u8>)> {
-        self.brain(i)?.board().get(key).map(|c| (c.version, c.value.0.clone()))
+        self.brain(i)?.state_table().get(key).map(|c| (c.version, c.value.0.clone()))
     }
 
     pub fn write(&mut self, i: usize, key: &str, expect: Option<u64>, value: &[u8]) -> Option<(usize, u64)> {
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -61,7 +61,7 @@
                     continue;
                 }
                 f.run(300);
-                f.all[victim].p.founding = told;
+                f.all[victim].p.bootstrap = told;
                 f.start(victim);
                 let took = f.until(6_000, |f| f.voting().len() == 3);
                 expect_that!(took, some(anything()), "killed {victim} at {t}, told again: {told}");
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -5,7 +5,7 @@
 use coordination::{
     Effect, Effects, Ms,
     limits::{GONE_A_NODE, NODE_GONE, SHUFFLE_EVERY, SHUFFLE_SLOWEST, TICK, VIEW},
-    membership::{EDGE, Membership},
+    membership::{EDGE_ROLE, Membership},
 };
 use googletest::prelude::*;
 use wire_messages::{Envelope, Message, Name, Node, encode};
@@ -27,7 +27,7 @@
     }
     fn add(&mut self, i: usize, seeds: &[&str]) {
         let name: Name = format!("n{i}").into();
-        let me = Node { name: name.clone(), addr: name.clone(), role: EDGE, incarnation: self.now + 1, ..Node::default() };
+        let me = Node { name: name.clone(), addr: name.clone(), role: EDGE_ROLE, incarnation: self.now + 1, ..Node::default() };
         let seeds = seeds.iter().map(|s| (*s).into()).collect();
         self.nodes.insert(name, Membership::new(me, seeds, self.rng.u64(..)));
     }
@@ -61,7 +61,7 @@
         let all: BTreeSet<&Name> = self.nodes.keys().collect();
         self.nodes
             .iter()
-            .map(|(n, m)| (n, m.live(EDGE).map(|x| &x.name).chain([n]).collect::<BTreeSet<&Name>>()))
+            .map(|(n, m)| (n, m.live(EDGE_ROLE).map(|x| &x.name).chain([n]).collect::<BTreeSet<&Name>>()))
             .filter(|(_, live)| *live != all)
             .collect()
     }
@@ -84,7 +84,7 @@
 fn a_large_fleet_takes_no_live_node_for_gone_and_notices_the_gone() {
     let mut b = Bench::new(120, 1);
     b.run(20_000);
-    let missing = |b: &Bench| -> usize { b.nodes.values().map(|m| b.nodes.len() - 1 - m.live(EDGE).count()).sum() };
+    let missing = |b: &Bench| -> usize { b.nodes.values().map(|m| b.nodes.len() - 1 - m.live(EDGE_ROLE).count()).sum() };
     let mut all = 0;
     for _ in 0..40 {
         b.run(500);
@@ -95,7 +95,7 @@
     let gone = Name::from("n100");
     drop(b.nodes.remove(&gone));
     b.run(2 * 120 * GONE_A_NODE);
-    expect_false!(b.nodes.values().any(|m| m.live(EDGE).any(|n| n.name == gone)));
+    expect_false!(b.nodes.values().any(|m| m.live(EDGE_ROLE).any(|n| n.name == gone)));
 }
 
 #[gtest]
@@ -123,7 +123,7 @@
 
 /// Looks of one node at another that miss it.
 fn missing(b: &Bench) -> usize {
-    b.nodes.values().map(|m| b.nodes.len() - 1 - m.live(EDGE).count()).sum()
+    b.nodes.values().map(|m| b.nodes.len() - 1 - m.live(EDGE_ROLE).count()).sum()
 }
 
 #[gtest]
@@ -139,7 +139,7 @@
         expect_that!(missed * 100_000, le(looks), "{n}: live ones taken for gone");
         let gone = [Name::from("n3"), Name::from("n4")];
         gone.iter().for_each(|g| drop(b.nodes.remove(g)));
-        let sees = |b: &Bench| b.nodes.values().any(|m| m.live(EDGE).any(|x| gone.contains(&x.name)));
+        let sees = |b: &Bench| b.nodes.values().any(|m| m.live(EDGE_ROLE).any(|x| gone.contains(&x.name)));
         // A beat's age rises by nothing on the way, here as long as a tick.
         b.run(NODE_GONE.max(GONE_A_NODE * n as Ms) + 2 * SHUFFLE_SLOWEST);
         expect_false!(sees(&b), "{n}: gone ones taken for live");
@@ -154,8 +154,9 @@
 fn turn(from: &mut Membership, to: &mut Membership, name: &str, now: Ms) {
     let mut out = vec![];
     from.tick(now, &mut out);
-    let me = Node { name: name.into(), addr: name.into(), role: EDGE, incarnation: 1, heartbeat: now as u32, ..Node::default() };
-    to.hear(&me, now, &mut vec![]);
+    let me =
+        Node { name: name.into(), addr: name.into(), role: EDGE_ROLE, incarnation: 1, heartbeat: now as u32, ..Node::default() };
+    to.on_description(&me, now, &mut vec![]);
     for e in out {
         let Effect::Send { msg: Message::Shuffle(m), .. } = e else { continue };
         to.on_shuffle(&name.into(), m, now, &mut vec![]);
@@ -164,14 +165,14 @@
 
 #[gtest]
 fn a_beat_that_is_passed_to_and_fro_gets_no_younger() {
-    let node = |n: &str| Node { name: n.into(), addr: n.into(), role: EDGE, incarnation: 1, ..Node::default() };
+    let node = |n: &str| Node { name: n.into(), addr: n.into(), role: EDGE_ROLE, incarnation: 1, ..Node::default() };
     let new = |n: &str| Membership::new(node(n), vec![], 1);
     let (mut a, mut b, mut out) = (new("a"), new("b"), vec![]);
-    a.hear(&Node { heartbeat: 9, ..node("c") }, 10_000, &mut out);
+    a.on_description(&Node { heartbeat: 9, ..node("c") }, 10_000, &mut out);
     for now in (10_000..14_000).step_by(TICK as usize) {
         turn(&mut a, &mut b, "a", now);
         turn(&mut b, &mut a, "b", now);
-        let knows = |m: &Membership| m.live(EDGE).any(|n| &*n.name == "c");
+        let knows = |m: &Membership| m.live(EDGE_ROLE).any(|n| &*n.name == "c");
         if now > 10_000 + NODE_GONE + 2 * SHUFFLE_EVERY {
             expect_false!(knows(&a) || knows(&b), "{now}");
         }
@@ -183,7 +184,7 @@
     let mut b = Bench::new(60, 3);
     b.run(10_000);
     let who = Name::from("n7");
-    b.nodes.entry(who.clone()).and_modify(|m| m.set_http("10.0.0.7:80"));
+    b.nodes.entry(who.clone()).and_modify(|m| m.set_http_addr("10.0.0.7:80"));
     b.run(6_000);
     let lacks = |m: &&Membership| m.me().name != who && m.get(&who).is_none_or(|n| n.http_addr.is_empty());
     expect_that!(b.nodes.values().filter(lacks).count(), eq(0));
--- a/coordination/tests/newcomers.rs
+++ b/coordination/tests/newcomers.rs
@@ -1,7 +1,7 @@
 //! What a daemon that is given a place among the voters reads before it votes, and what those that are read say of
 //! themselves: one rule each.
 
-use coordination::{Effect, Effects, Row, control::Control, control::ControlParams};
+use coordination::{Effect, Effects, Row, control::Control, control::ControlConfig};
 use googletest::prelude::*;
 use wire_messages::{Bootstrap, List, Message, Name, SlotsReply, SlotsRequest, Voter};
 
@@ -14,17 +14,17 @@
 fn voter(name: &str, disk: u64, since: u32) -> Voter {
     Voter { name: name.into(), disk_id: disk, addr: format!("{name}:1").into(), zone: "z".into(), since_epoch: since }
 }
-fn params() -> ControlParams {
-    ControlParams {
+fn params() -> ControlConfig {
+    ControlConfig {
         name: "n".into(),
         zone: "z".into(),
         addr: "n:1".into(),
-        http: "n:2".into(),
+        http_addr: "n:2".into(),
         members: vec![],
         seeds: vec![],
         regions: Default::default(),
-        reader: coordination::board::own_spec,
-        founding: false,
+        spec_parser: coordination::state_table::parse_own_spec,
+        bootstrap: false,
         bounds: Default::default(),
     }
 }
@@ -41,13 +41,13 @@
 }
 fn tells(c: &mut Control, from: &str, member_epoch: u32, voting: u8, voters: Vec<Voter>) -> bool {
     let m = SlotsReply { member_epoch, voting, previous_voter_count: 3, voters: List(voters), slots: List::default() };
-    c.on_msg(&from.into(), &format!("{from}:1").into(), Message::SlotsReply(m), 5_000);
-    c.regs.voting
+    c.on_message(&from.into(), &format!("{from}:1").into(), Message::SlotsReply(m), 5_000);
+    c.registers.voting
 }
 /// What a daemon says of itself to one that asks.
 fn says(c: &mut Control) -> Option<(u32, u8)> {
-    let ask = SlotsRequest { member_epoch: c.regs.member_epoch, known: List::default() };
-    let out: Effects = c.on_msg(&Name::from("x"), &Name::from("x:1"), Message::SlotsRequest(ask), 6_000);
+    let ask = SlotsRequest { member_epoch: c.registers.member_epoch, known: List::default() };
+    let out: Effects = c.on_message(&Name::from("x"), &Name::from("x:1"), Message::SlotsRequest(ask), 6_000);
     out.iter().find_map(|e| match e {
         // Only once all that it has voted is on its disk.
         Effect::Persist { then, .. } => then.iter().find_map(|e| match e {
@@ -85,7 +85,7 @@
     expect_false!(tells(&mut c, "a", 2, VOTES, with_place(2)));
     // The place is given anew; whoever tells of it is read at once.
     expect_false!(tells(&mut c, "b", 3, VOTES, with_place(3)));
-    expect_that!(c.regs.member_epoch, eq(3));
+    expect_that!(c.registers.member_epoch, eq(3));
     expect_true!(tells(&mut c, "a", 3, VOTES, with_place(3)));
 }
 
@@ -120,14 +120,14 @@
 fn only_a_disk_among_the_first_voters_takes_their_list() {
     let told = |voters: Vec<Voter>| {
         let mut c = Control::new(params(), DISK, vec![], 1, 0);
-        c.on_msg(&"a".into(), &"a:1".into(), Message::Bootstrap(Bootstrap { voters: List(voters) }), 5_000);
-        (c.regs.voting, c.regs.member_epoch)
+        c.on_message(&"a".into(), &"a:1".into(), Message::Bootstrap(Bootstrap { voters: List(voters) }), 5_000);
+        (c.registers.voting, c.registers.member_epoch)
     };
     expect_that!(told(with_place(1)), eq((true, 1)));
     expect_that!(told(without_place()), eq((false, 0)));
     expect_that!(told(vec![voter("a", 1, 1), voter("b", 2, 1), voter("n", DISK + 1, 1)]), eq((false, 0)));
     // Nor does one that knows voters already.
     let mut c = daemon(2, without_place(), false);
-    c.on_msg(&"a".into(), &"a:1".into(), Message::Bootstrap(Bootstrap { voters: List(with_place(1)) }), 5_000);
-    expect_that!((c.regs.voting, c.regs.member_epoch), eq((false, 2)));
+    c.on_message(&"a".into(), &"a:1".into(), Message::Bootstrap(Bootstrap { voters: List(with_place(1)) }), 5_000);
+    expect_that!((c.registers.voting, c.registers.member_epoch), eq((false, 2)));
 }
--- a/coordination/tests/news.rs
+++ b/coordination/tests/news.rs
@@ -2,8 +2,8 @@
 
 use coordination::{
     Effect, Ms,
-    agent::{Agent, RULE_ALL},
-    control::{Control, ControlParams},
+    control::{Control, ControlConfig},
+    edge_agent::{EdgeAgent, SERVE_ALL},
     limits::{MISSED, POLL_EVERY, PUSH_TAKES, TICK},
     register::Expect,
     wire::{
@@ -45,11 +45,11 @@
     }
     .into()
 }
-fn agent(name: &str, changes: Vec<Change>) -> Agent {
-    let mut a = Agent::new(node(name, 2), vec!["c1".into()], 7, 0);
-    a.set_serve_on(true);
+fn agent(name: &str, changes: Vec<Change>) -> EdgeAgent {
+    let mut a = EdgeAgent::new(node(name, 2), vec!["c1".into()], 7, 0);
+    a.set_serve_when_partitioned(true);
     for c in ["c1", "c2", "c3"] {
-        a.on_msg(&c.into(), &c.into(), news(changes.clone(), 1), 10);
+        a.on_message(&c.into(), &c.into(), news(changes.clone(), 1), 10);
     }
     a
 }
@@ -62,14 +62,14 @@
 }
 
 /// Passes mending messages to and fro until nothing is left; gives the bytes of values that travelled.
-fn mend(a: &mut Agent, b: &mut Agent) -> usize {
-    let ranges = List(b.board().digests());
+fn mend(a: &mut EdgeAgent, b: &mut EdgeAgent) -> usize {
+    let ranges = List(b.state_table().range_digests());
     let mut box_of: Vec<(Name, Message)> = vec![("a".into(), TableDigests { sent_at: 20, ranges }.into())];
     let mut sum = 0;
     while let Some((to, m)) = box_of.pop() {
         sum += bytes(&m);
         let (at, from) = if &*to == "a" { (&mut *a, "b") } else { (&mut *b, "a") };
-        let out = sends(at.on_msg(&from.into(), &from.into(), m, 30));
+        let out = sends(at.on_message(&from.into(), &from.into(), m, 30));
         box_of.extend(out.into_iter().filter(|(t, m)| t.len() == 1 && matches!(m, Message::Repair(_))));
     }
     sum
@@ -83,18 +83,18 @@
     let with = |v: u64| same(v).into_iter().chain([change("spec", 5, LONG)]).collect::<Vec<_>>();
     let (mut a, mut b) = (agent("a", with(1)), agent("b", with(2)));
     expect_that!(mend(&mut a, &mut b), le(40 * 10));
-    expect_that!(a.board().digest(), eq(b.board().digest()));
+    expect_that!(a.state_table().digest(), eq(b.state_table().digest()));
     // The long one goes where it is lacking, once.
     let (mut a, mut b) = (agent("a", same(2)), agent("b", with(2)));
     expect_that!(mend(&mut a, &mut b), eq(LONG));
-    expect_that!(a.board().digest(), eq(b.board().digest()));
+    expect_that!(a.state_table().digest(), eq(b.state_table().digest()));
 }
 
 #[gtest]
 fn one_that_serves_on_does_not_ask_every_edge_while_it_is_cut_off() {
     let mut a = agent("a", vec![change("spec", 1, 10)]);
     let nodes: List<Node> = (0..87).map(|i| node(&format!("e{i}"), 2)).collect();
-    a.on_msg(&"e0".into(), &"e0".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
+    a.on_message(&"e0".into(), &"e0".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     let mut asked = 0;
     for now in (20..2 * MISSED + 3_000).step_by(TICK as usize) {
         asked += sends(a.tick(now)).iter().filter(|(_, m)| matches!(m, Message::TableDigests(_))).count();
@@ -105,8 +105,13 @@
 #[gtest]
 fn places_are_told_to_a_daemon_until_it_has_answered_to_them() {
     let mut a = agent("a", vec![change("spec", 1, 10)]);
-    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes: List(vec![node("c1", 1)]), step: 1, ..Shuffle::default() }.into(), 10);
-    let polls = |a: &mut Agent, from: u64, to: u64| -> Vec<Poll> {
+    a.on_message(
+        &"c1".into(),
+        &"c1".into(),
+        Shuffle { nodes: List(vec![node("c1", 1)]), step: 1, ..Shuffle::default() }.into(),
+        10,
+    );
+    let polls = |a: &mut EdgeAgent, from: u64, to: u64| -> Vec<Poll> {
         let out = (from..to).step_by(TICK as usize).flat_map(|t| sends(a.tick(t))).collect::<Vec<_>>();
         out.into_iter().filter_map(|(_, m)| if let Message::Poll(p) = m { Some(p) } else { None }).collect()
     };
@@ -114,9 +119,9 @@
     expect_that!(first.len(), ge(2));
     expect_true!(first.iter().all(|p| p.has_versions == 1 && p.versions.len() == 1), "nothing was answered yet");
     let last = first.last().map_or(0, |p| p.sent_at);
-    a.on_msg(&"c1".into(), &"c1".into(), news(vec![], last), 1_510);
+    a.on_message(&"c1".into(), &"c1".into(), news(vec![], last), 1_510);
     expect_true!(polls(&mut a, 1_520, 2_600).iter().all(|p| p.has_versions == 0 && p.versions.is_empty()));
-    a.on_msg(&"c1".into(), &"c1".into(), news(vec![change("spec", 2, 10)], last), 2_610);
+    a.on_message(&"c1".into(), &"c1".into(), news(vec![change("spec", 2, 10)], last), 2_610);
     expect_true!(polls(&mut a, 2_620, 3_600).iter().any(|p| p.has_versions == 1 && p.versions.len() == 1));
 }
 
@@ -126,10 +131,10 @@
     a.set_regions([("z", "r1"), ("y", "r2")].map(|(z, r)| (z.to_string(), r.to_string())).into());
     let at = |n: &str, zone: &str| Node { zone: zone.into(), ..node(n, 1) };
     let nodes = List(vec![at("c1", "z"), at("c2", "y"), at("c3", "y")]);
-    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
+    a.on_message(&"c1".into(), &"c1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     // Answers every question at once; c2 holds a duty.
     let mut version = 1;
-    let asked = |a: &mut Agent, from: u64, to: u64| -> [usize; 3] {
+    let asked = |a: &mut EdgeAgent, from: u64, to: u64| -> [usize; 3] {
         let mut n = [0; 3];
         for now in (from..to).step_by(TICK as usize) {
             for (to, m) in sends(a.tick(now)) {
@@ -138,7 +143,7 @@
                 let lease = Lease { service: "s".into(), epoch: 1, record_version: 1, canary_share_percent: 0, ttl_ms: 2_000 };
                 let leases = if &*to == "c2" { vec![lease] } else { vec![] };
                 let Message::Update(news) = news(vec![], p.sent_at) else { continue };
-                a.on_msg(&to, &to, Update { leases: List(leases), ..news }.into(), now);
+                a.on_message(&to, &to, Update { leases: List(leases), ..news }.into(), now);
             }
         }
         n
@@ -147,11 +152,11 @@
     let [near, holder, far] = asked(&mut a, 2_050, 18_050);
     expect_that!(near, all!(ge(35), eq(holder)));
     expect_that!(far * 2, all!(ge(near - 2), le(near + 2)));
-    expect_that!(a.rule(), eq(RULE_ALL));
+    expect_that!(a.serving_rule(), eq(SERVE_ALL));
     for t in 0..10 {
         version += 1;
         let start = 18_050 + t * 1_000;
-        a.on_msg(&"c1".into(), &"c1".into(), news(vec![change("spec", version, 10)], start - 10), start);
+        a.on_message(&"c1".into(), &"c1".into(), news(vec![change("spec", version, 10)], start - 10), start);
         expect_that!(asked(&mut a, start, start + POLL_EVERY + TICK)[2], ge(1), "news {t}");
         asked(&mut a, start + POLL_EVERY + TICK, start + 1_000);
     }
@@ -170,21 +175,21 @@
     let at = |n: &str, role, zone: &str| Node { zone: zone.into(), ..node(n, role) };
     let nodes: List<Node> =
         [at("e1", 2, "z"), at("e2", 2, "z2"), at("e3", 2, "y"), at("e4", 2, "x"), at("c1", 1, "z")].into_iter().collect();
-    a.on_msg(&"e1".into(), &"e1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
-    expect_that!(sends(a.on_msg(&"e1".into(), &"e1".into(), m(), 20)), is_empty(), "there is no proxy yet");
+    a.on_message(&"e1".into(), &"e1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
+    expect_that!(sends(a.on_message(&"e1".into(), &"e1".into(), m(), 20)), is_empty(), "there is no proxy yet");
     let hello = ProxyReport { incarnation: 1, http_addr: "h".into(), ..ProxyReport::default() };
-    a.on_msg(&"p".into(), &"p".into(), hello.into(), 30);
+    a.on_message(&"p".into(), &"p".into(), hello.into(), 30);
     let to = |out: Vec<Effect>| {
         let readings = sends(out).into_iter().filter(|(_, o)| matches!(o, Message::PrefillReport(_)));
         readings.map(|(n, _)| n.to_string()).collect::<Vec<_>>()
     };
-    expect_that!(to(a.on_msg(&"p".into(), &"p".into(), m(), 40)), unordered_elements_are![eq("e1"), eq("e2")]);
+    expect_that!(to(a.on_message(&"p".into(), &"p".into(), m(), 40)), unordered_elements_are![eq("e1"), eq("e2")]);
     // Read in another region it delays those there too.
     expect_that!(
-        to(a.on_msg(&"p".into(), &"p".into(), in_region("r2"), 45)),
+        to(a.on_message(&"p".into(), &"p".into(), in_region("r2"), 45)),
         unordered_elements_are![eq("e1"), eq("e2"), eq("e3")]
     );
-    expect_that!(to(a.on_msg(&"e1".into(), &"e1".into(), m(), 50)), elements_are![eq("p")]);
+    expect_that!(to(a.on_message(&"e1".into(), &"e1".into(), m(), 50)), elements_are![eq("p")]);
 }
 
 #[gtest]
@@ -198,17 +203,18 @@
         .into()
     };
     let polls = |out: Vec<Effect>| sends(out).into_iter().filter(|(_, m)| matches!(m, Message::Poll(_))).count();
-    let mut a = Agent::new(node("a", 2), vec!["c1".into()], 7, 0);
+    let mut a = EdgeAgent::new(node("a", 2), vec!["c1".into()], 7, 0);
     a.tick(TICK);
-    a.on_msg(&"c1".into(), &"c1".into(), shuffle(&["c1"]), 60);
+    a.on_message(&"c1".into(), &"c1".into(), shuffle(&["c1"]), 60);
     expect_that!(polls(a.tick(2 * TICK)), eq(1));
-    a.on_msg(&"c1".into(), &"c1".into(), shuffle(&["c1", "c2", "c3"]), 110);
+    a.on_message(&"c1".into(), &"c1".into(), shuffle(&["c1", "c2", "c3"]), 110);
     expect_that!(polls(a.tick(3 * TICK)), eq(3));
     // From then on as often as its fleet bears, until a majority has answered.
-    let often = |a: &mut Agent, from: u64| (from..from + 2_000).step_by(TICK as usize).map(|t| polls(a.tick(t))).sum::<usize>();
+    let often =
+        |a: &mut EdgeAgent, from: u64| (from..from + 2_000).step_by(TICK as usize).map(|t| polls(a.tick(t))).sum::<usize>();
     expect_that!(often(&mut a, 200), all!(ge(45), le(63)));
     let many: Vec<String> = (0..60).map(|i| format!("e{i}")).collect();
-    a.on_msg(&"c1".into(), &"c1".into(), shuffle(&many.iter().map(String::as_str).collect::<Vec<_>>()), 2_200);
+    a.on_message(&"c1".into(), &"c1".into(), shuffle(&many.iter().map(String::as_str).collect::<Vec<_>>()), 2_200);
     expect_that!(often(&mut a, 2_250), le(18), "a large fleet");
 }
 
@@ -220,7 +226,7 @@
     };
     for (life, now) in [(1, 30), (2, 100)] {
         let hello = ProxyReport { incarnation: life, http_addr: "h".into(), ..ProxyReport::default() };
-        a.on_msg(&"p".into(), &"p".into(), hello.into(), now);
+        a.on_message(&"p".into(), &"p".into(), hello.into(), now);
         expect_that!(boards(a.tick(now + 1)), eq(1), "life {life}");
     }
 }
@@ -229,7 +235,7 @@
 fn tallies_go_to_the_daemons_that_keep_them_and_all_again_when_they_choose_anew() {
     let mut a = agent("e1", vec![]);
     let nodes = ["c1", "c2", "c3"].iter().map(|n| node(n, 1)).collect();
-    a.on_msg(&"c1".into(), &"c1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
+    a.on_message(&"c1".into(), &"c1".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     let tally = |s: &str| OutcomeCounters {
         service: s.into(),
         version: "v".into(),
@@ -243,8 +249,8 @@
         counters: List(vec![tally("s1"), tally("s2")]),
         ..ProxyReport::default()
     };
-    let told = |a: &mut Agent, now| -> Vec<(Name, u32, Vec<Name>)> {
-        a.on_msg(
+    let told = |a: &mut EdgeAgent, now| -> Vec<(Name, u32, Vec<Name>)> {
+        a.on_message(
             &"p".into(),
             &"p".into(),
             ProxyReport { after_change: 1, counters: List::default(), ..hello.clone() }.into(),
@@ -254,8 +260,8 @@
             sends(a.tick(now)).into_iter().filter_map(|(to, m)| if let Message::Poll(p) = m { Some((to, p)) } else { None });
         polls.map(|(to, p)| (to, p.selection, p.counters.iter().map(|t| t.service.clone()).collect())).collect()
     };
-    a.on_msg(&"p".into(), &"p".into(), hello.clone().into(), 20);
-    let says = |a: &mut Agent, c: &str, choice, counts: &[&str], sent| {
+    a.on_message(&"p".into(), &"p".into(), hello.clone().into(), 20);
+    let says = |a: &mut EdgeAgent, c: &str, choice, counts: &[&str], sent| {
         let counts = counts.iter().map(|s| (*s).into()).collect();
         let m = Update {
             poll_sent_at: sent,
@@ -267,7 +273,7 @@
             selected_services: counts,
             ..Update::default()
         };
-        a.on_msg(&c.into(), &c.into(), m.into(), sent + 5);
+        a.on_message(&c.into(), &c.into(), m.into(), sent + 5);
     };
     says(&mut a, "c1", 1, &["s1"], 30);
     says(&mut a, "c2", 4, &["s1", "s2"], 30);
@@ -289,16 +295,16 @@
 
 impl Alone {
     fn new() -> Self {
-        let p = ControlParams {
+        let p = ControlConfig {
             name: "c".into(),
             zone: "z".into(),
             addr: "c".into(),
-            http: "".into(),
+            http_addr: "".into(),
             members: vec!["c".into()],
             seeds: vec![],
             regions: Default::default(),
-            reader: coordination::board::own_spec,
-            founding: false,
+            spec_parser: coordination::state_table::parse_own_spec,
+            bootstrap: false,
             bounds: Default::default(),
         };
         let mut a = Alone { c: Control::new(p, 7, vec![], 1, 0), now: 0, zone: "z" };
@@ -309,7 +315,7 @@
         let mut news = vec![];
         while let Some(e) = out.pop() {
             match e {
-                Effect::Send { to, msg } if &*to == "c" => out.extend(self.c.on_msg(&to, &to, msg, self.now)),
+                Effect::Send { to, msg } if &*to == "c" => out.extend(self.c.on_message(&to, &to, msg, self.now)),
                 Effect::Send { msg: Message::Update(m), .. } => news.push(m),
                 Effect::Persist { then, .. } => out.extend(then),
                 _ => {}
@@ -330,7 +336,7 @@
     fn poll(&mut self, run: u64, after: u64) -> Vec<Update> {
         let node = Node { zone: self.zone.into(), ..node("e", 2) };
         let m = Poll { node, sent_at: self.now, source_incarnation: run, after_position: after, ..Poll::default() };
-        let out = self.c.on_msg(&"e".into(), &"e".into(), m.into(), self.now);
+        let out = self.c.on_message(&"e".into(), &"e".into(), m.into(), self.now);
         self.carry(out)
     }
 }
@@ -382,7 +388,7 @@
 /// Another control daemon lives in the zone `y`.
 fn beside(a: &mut Alone) {
     let m = Heartbeat { member_epoch: 1, disk_id: 8, zone: "y".into(), ..Heartbeat::default() };
-    let out = a.c.on_msg(&"d".into(), &"d".into(), m.into(), a.now);
+    let out = a.c.on_message(&"d".into(), &"d".into(), m.into(), a.now);
     a.carry(out);
 }
 
--- a/coordination/tests/operators.rs
+++ b/coordination/tests/operators.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use coordination::{Ms, WriteOutcome, control::SPEC, limits::FORWARD_LIMIT, register::Expect};
+use coordination::{Ms, WriteOutcome, control::SPEC_KEY, limits::FORWARD_LIMIT, register::Expect};
 use fleet::Fleet;
 use googletest::prelude::*;
 
@@ -61,7 +61,7 @@
     for _ in 0..40 {
         let (now, up) = (f.now, up(f));
         let at = *f.rng.choice(&up)?;
-        let (t, out) = f.all[at].brain.as_mut()?.newest(key, now);
+        let (t, out) = f.all[at].brain.as_mut()?.read_newest(key, now);
         f.carry(at, out);
         if let Some(e @ WriteOutcome::Accepted(_)) = end(f, Some((at, t))) {
             return Some(e);
@@ -99,7 +99,7 @@
             f.run(ms);
         }
     }
-    let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds(key, f.now).is_some()));
+    let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(key, f.now).is_some()));
     let gone: Vec<usize> = match t {
         Trouble::AllAfterAck | Trouble::AllSoon => up(f),
         Trouble::OwnerSoon => owner.into_iter().collect(),
@@ -120,7 +120,7 @@
 fn settled(seed: u64) -> Fleet {
     let n = if seed.is_multiple_of(3) { 6 } else { 3 };
     let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.settled()))).expect("the fleet settles");
+    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))).expect("the fleet settles");
     f
 }
 
@@ -138,13 +138,13 @@
             let order = match f.rng.u8(..3) {
                 0 => {
                     release += 1 + f.rng.u64(..3);
-                    Order { key: SPEC, expect: Expect::Any, value: document(release, n) }
+                    Order { key: SPEC_KEY, expect: Expect::Any, value: document(release, n) }
                 }
                 1 => Order { key: PLAN, expect: Expect::Version(plan), value: format!("plan {n}").into_bytes() },
                 _ => Order { key: ZONE, expect: Expect::Any, value: format!("{}", n % 2).into_bytes() },
             };
             let from = f.brain(up(f)[0]).and_then(|b| b.spec()).map_or(0, |s| s.release);
-            let order = if order.key == SPEC { Order { expect: Expect::Release(from), ..order } } else { order };
+            let order = if order.key == SPEC_KEY { Order { expect: Expect::Release(from), ..order } } else { order };
             let told = format!("seed {seed}, change {n}, {t:?}: {order:?}");
             let Some(w) = anywhere(f, &order) else { continue };
             let gone = goes(f, t, w, order.key);
@@ -185,10 +185,10 @@
 fn of_eight_orders_at_once_one_configuration_wins_and_all_others_are_taken() {
     for seed in 0..200 {
         let f = &mut settled(seed);
-        let first = Order { key: SPEC, expect: Expect::Release(0), value: document(1, 0) };
+        let first = Order { key: SPEC_KEY, expect: Expect::Release(0), value: document(1, 0) };
         expect_that!(clear(f, &first), some(eq(WriteOutcome::Accepted(1))), "seed {seed}");
         f.run(300);
-        let spec = |release, mark| Order { key: SPEC, expect: Expect::Release(1), value: document(release, mark) };
+        let spec = |release, mark| Order { key: SPEC_KEY, expect: Expect::Release(1), value: document(release, mark) };
         let any = |key, v: &str| Order { key, expect: Expect::Any, value: v.into() };
         let mut orders = vec![spec(5, 1), spec(5, 2), spec(6, 3), spec(2, 4)];
         orders.extend([any(ZONE, "1"), any("zone/z2", "1"), any("zone/z0", "0"), any("plan/t", "v2")]);
@@ -200,7 +200,7 @@
             f.run(ms);
         }
         let t = *f.rng.choice(&TROUBLES).unwrap();
-        let gone = goes(f, t, sent[0].unwrap(), SPEC);
+        let gone = goes(f, t, sent[0].unwrap(), SPEC_KEY);
         back(f, gone);
         f.run(3_000);
         let mut won = vec![];
@@ -212,16 +212,16 @@
             if let Some(e @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_))) = told {
                 expect_that!(sure, some(eq(e)), "seed {seed}, {t:?}: {o:?}");
             }
-            if o.key != SPEC {
+            if o.key != SPEC_KEY {
                 expect_that!(sure, some(eq(WriteOutcome::Accepted(1))), "seed {seed}, {t:?}: {o:?}");
             } else if let Some(WriteOutcome::Accepted(v)) = sure {
                 won.push((v, o.value.clone()));
             }
         }
         expect_that!(won, len(eq(1)), "seed {seed}, {t:?}");
-        expect_that!(newest(f, SPEC), some(eq(WriteOutcome::Accepted(2))), "seed {seed}, {t:?}");
+        expect_that!(newest(f, SPEC_KEY), some(eq(WriteOutcome::Accepted(2))), "seed {seed}, {t:?}");
         f.run(500);
-        let held: Vec<_> = (0..f.all.len()).filter_map(|i| f.held(i, SPEC)).filter(|h| Some(h) != won.first()).collect();
+        let held: Vec<_> = (0..f.all.len()).filter_map(|i| f.held(i, SPEC_KEY)).filter(|h| Some(h) != won.first()).collect();
         expect_that!(held, is_empty(), "seed {seed}, {t:?}");
     }
 }
@@ -237,7 +237,7 @@
         f.run(2_000);
         for n in 0..4u64 {
             let on = f.brain(0).and_then(|b| b.spec()).map_or(0, |s| s.release);
-            anywhere(f, &Order { key: SPEC, expect: Expect::Release(on), value: document(n + 1, 0) });
+            anywhere(f, &Order { key: SPEC_KEY, expect: Expect::Release(on), value: document(n + 1, 0) });
             let w = anywhere(f, &Order { key: ZONE, expect: Expect::Any, value: format!("{}", n % 2).into_bytes() }).unwrap();
             let took = f.until(3_000, |f| f.ends.contains_key(&w));
             expect_that!(took, some(le(CALM)), "seed {seed}");
@@ -255,7 +255,7 @@
     for seed in 0..120u64 {
         let mut f = settled(seed);
         expect_that!(clear(&mut f, &off), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
-        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds(ZONE, f.now).is_some()));
+        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some()));
         let asked = f.rng.usize(..f.all.len());
         // Either whoever was asked stands still, or who owns the key: before or after it took it or told of it.
         let (unread, still) = (seed % 3 == 2, if seed % 3 == 1 { owner.unwrap_or(asked) } else { asked });
@@ -301,7 +301,7 @@
     for seed in 0..150u64 {
         let mut f = settled(seed);
         expect_that!(clear(&mut f, &off), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
-        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds(ZONE, f.now).is_some()));
+        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some()));
         let others: Vec<usize> = up(&f).into_iter().filter(|i| Some(*i) != owner).collect();
         let cut = *f.rng.choice(&others).unwrap();
         let near: Vec<usize> = up(&f).into_iter().filter(|i| *i != cut).collect();
@@ -336,7 +336,7 @@
     for seed in 0..120u64 {
         let mut f = settled(seed);
         expect_that!(clear(&mut f, &off), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
-        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds(ZONE, f.now).is_some()));
+        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some()));
         let others: Vec<usize> = up(&f).into_iter().filter(|i| Some(*i) != owner).collect();
         let asked = *f.rng.choice(&others).unwrap();
         f.late = f.rng.u64(1_000..2_400);
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -5,7 +5,7 @@
 use coordination::{
     Effect,
     limits::{NODE_GONE, TICK},
-    membership::{EDGE, Membership},
+    membership::{EDGE_ROLE, Membership},
     regions::Regions,
     wire::{Message, Name, Node},
 };
@@ -31,7 +31,7 @@
         let one = |i: usize| {
             let name: Name = format!("n{i}").into();
             let zone = format!("z{}", zone(&name)).into();
-            let me = Node { name: name.clone(), addr: name.clone(), role: EDGE, incarnation: 1, zone, ..Node::default() };
+            let me = Node { name: name.clone(), addr: name.clone(), role: EDGE_ROLE, incarnation: 1, zone, ..Node::default() };
             let mut m = Membership::new(me, ["n0", "n1", "n2"].map(Into::into).into(), seed + i as u64);
             m.set_regions(regions.clone());
             (name, m)
@@ -62,7 +62,7 @@
     }
     /// Nodes not taken for live, over all that look.
     fn missing(&self) -> usize {
-        self.nodes.values().map(|m| self.nodes.len() - 1 - m.live(EDGE).count()).sum()
+        self.nodes.values().map(|m| self.nodes.len() - 1 - m.live(EDGE_ROLE).count()).sum()
     }
 }
 
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use coordination::{WriteOutcome, control::SPEC, limits::PAST_VALUES, register::Expect};
+use coordination::{WriteOutcome, control::SPEC_KEY, limits::PAST_VALUES, register::Expect};
 use fleet::Fleet;
 use googletest::prelude::*;
 
@@ -19,7 +19,7 @@
 fn put(f: &mut Fleet, i: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
     let now = f.now;
     let e = Expect::Release(release - 1);
-    let (t, out) = f.all[i].brain.as_mut().unwrap().write(SPEC, e, document(release, mark), now);
+    let (t, out) = f.all[i].brain.as_mut().unwrap().write(SPEC_KEY, e, document(release, mark), now);
     f.carry(i, out);
     f.until(4_000, |f| f.ends.contains_key(&(i, t)));
     f.ends.get(&(i, t)).map(|e| e.1)
@@ -35,7 +35,7 @@
     None
 }
 fn settle(f: &mut Fleet) {
-    let all = |f: &Fleet| (0..3).all(|i| f.brain(i).is_some_and(|b| b.settled()));
+    let all = |f: &Fleet| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()));
     f.until(20_000, all).expect("the fleet settles");
 }
 
@@ -70,7 +70,7 @@
             expect_that!(clear(f, at, r, 1), some(eq(WriteOutcome::Conflict(r))), "seed {seed}, {t:?}");
         }
         f.cut.clear();
-        let owner = (0..3).find(|i| f.brain(*i).unwrap().regs.holds(SPEC, f.now).is_some());
+        let owner = (0..3).find(|i| f.brain(*i).unwrap().registers.held_until(SPEC_KEY, f.now).is_some());
         let gone = match t {
             AllKilled => vec![0, 1, 2],
             OwnerKilled => owner.into_iter().collect(),
@@ -115,7 +115,7 @@
         }
     }
     // Edges have no use for it: what goes to them is the value alone.
-    let slot = f.brain(0).unwrap().regs.keys().find(|s| &*s.key == SPEC).unwrap();
+    let slot = f.brain(0).unwrap().registers.slots().find(|s| &*s.key == SPEC_KEY).unwrap();
     expect_that!(slot.replaced.len(), eq(PAST_VALUES));
 }
 
@@ -154,7 +154,7 @@
     settle(f);
     let ask = |f: &mut Fleet, release| {
         let now = f.now;
-        let (t, out) = f.all[0].brain.as_mut().unwrap().write(SPEC, Expect::Release(0), document(release, 0), now);
+        let (t, out) = f.all[0].brain.as_mut().unwrap().write(SPEC_KEY, Expect::Release(0), document(release, 0), now);
         f.carry(0, out);
         f.until(4_000, |f| f.ends.contains_key(&(0, t)));
         f.ends.get(&(0, t)).map(|e| e.1)
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -52,7 +52,7 @@
         f.put("rollout/s", b"duty", 5_000);
         f.kill((i + 1) % 3);
         let left = SYNC - took.unwrap_or(0);
-        let held = |f: &Fleet| (0..3).any(|j| f.brain(j).is_some_and(|b| b.regs.holds("rollout/s", f.now).is_some()));
+        let held = |f: &Fleet| (0..3).any(|j| f.brain(j).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
         expect_that!(f.until(left + 1_000, held), some(anything()), "seed {seed}");
     }
 }
@@ -126,7 +126,8 @@
             }
             let took = f.put("spec", b"two", 12_000);
             expect_that!(took, some(le(4_000)), "seed {seed}, {n} daemons");
-            let held = |f: &Fleet| (0..n).any(|j| f.brain(j).is_some_and(|b| b.regs.holds("rollout/s", f.now).is_some()));
+            let held =
+                |f: &Fleet| (0..n).any(|j| f.brain(j).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
             expect_that!(f.until(5_000, held), some(anything()), "seed {seed}, {n} daemons");
         }
     }
@@ -145,7 +146,7 @@
         f.until(2_000, |f| f.ends.contains_key(&w));
         expect_that!(f.ends[&w].1, eq(WriteOutcome::Accepted(1)), "seed {seed}");
         expect_that!(f.until(200, |f| holds(f, "spec", b"one").len() == 6), some(anything()), "seed {seed}");
-        expect_true!(f.brain(spare).is_some_and(|b| b.health().ok && b.regs.holds("spec", f.now).is_none()));
+        expect_true!(f.brain(spare).is_some_and(|b| b.health().ok && b.registers.held_until("spec", f.now).is_none()));
         // Two lost for good at once, also a whole region: it steps in and the next loss is borne again.
         let region = seed as usize % 3;
         (2 * region..2 * region + 2).for_each(|i| f.wipe(i));
@@ -164,13 +165,14 @@
         for goes in [false, true] {
             let mut f = three(seed);
             f.put("rollout/s", b"duty", 5_000);
-            let holder = |f: &Fleet| (0..3).find(|j| f.brain(*j).is_some_and(|b| b.regs.holds("rollout/s", f.now).is_some()));
+            let holder =
+                |f: &Fleet| (0..3).find(|j| f.brain(*j).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
             f.until(5_000, |f| holder(f).is_some());
             // The voters have waited out the leases of lives before this one.
             f.run(4_000);
             let old = holder(&f).unwrap();
             if goes {
-                f.all[old].brain.as_mut().unwrap().going = true;
+                f.all[old].brain.as_mut().unwrap().stopping = true;
             } else {
                 f.kill(old);
             }
@@ -187,7 +189,7 @@
     for seed in 0..300 {
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
-        let owner_of = |f: &Fleet| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds("spec", f.now).is_some()));
+        let owner_of = |f: &Fleet| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("spec", f.now).is_some()));
         f.until(2_000, |f| owner_of(f).is_some());
         let owner = owner_of(&f).unwrap();
         let at = (owner + 1) % 3;
@@ -211,7 +213,7 @@
     for seed in 0..20 {
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
-        let owner_of = |f: &Fleet| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds("spec", f.now).is_some()));
+        let owner_of = |f: &Fleet| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("spec", f.now).is_some()));
         f.until(2_000, |f| owner_of(f).is_some());
         let i = owner_of(&f).unwrap();
         f.all[i].hung = f.now + 8_000;
@@ -265,7 +267,9 @@
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
         f.run(1_000);
-        let Some(has) = (0..3).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds("spec", f.now).is_some())) else { continue };
+        let Some(has) = (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("spec", f.now).is_some())) else {
+            continue;
+        };
         let (lost, lacks) = ((has + 1) % 3, (has + 2) % 3);
         let (h, l, n) = (fleet::addr(has), fleet::addr(lacks), fleet::addr(lost));
         f.sieve = Box::new(move |from, to, m| match m {
@@ -377,8 +381,8 @@
         let to_b = slow.clone();
         f.sieve = Box::new(move |_, to, m| *to != to_b || !matches!(m, Message::Commit(_) | Message::SlotsReply(_)));
         f.add(3, &[a, b], false, &regions(8, 1));
-        if f.until(6_000, |f| f.brain(a).is_some_and(|x| x.regs.member_epoch == 2)).is_none()
-            || f.brain(b).unwrap().regs.member_epoch != 1
+        if f.until(6_000, |f| f.brain(a).is_some_and(|x| x.registers.member_epoch == 2)).is_none()
+            || f.brain(b).unwrap().registers.member_epoch != 1
         {
             continue;
         }
@@ -413,7 +417,7 @@
     for seed in 0..40 {
         let mut f = six(seed);
         f.put("rollout/s", b"duty", 5_000);
-        let holder = |f: &Fleet, i: usize| f.brain(i).is_some_and(|b| b.regs.holds("rollout/s", f.now).is_some());
+        let holder = |f: &Fleet, i: usize| f.brain(i).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some());
         f.run(4_000);
         let voting = f.voting();
         let Some(&h) = voting.iter().find(|i| holder(&f, **i)) else { continue };
@@ -452,9 +456,11 @@
         expect_that!(f.put("spec", spec, 5_000), some(anything()));
         f.put("rollout/s", b"duty", 5_000);
         f.run(1_000);
-        let keep =
-            |f: &Fleet| -> Vec<usize> { (0..6).filter(|i| f.brain(*i).is_some_and(|b| b.counts().any(|s| s == "s"))).collect() };
-        let holder = |f: &Fleet| (0..6).find(|i| f.brain(*i).is_some_and(|b| b.regs.holds("rollout/s", f.now).is_some()));
+        let keep = |f: &Fleet| -> Vec<usize> {
+            (0..6).filter(|i| f.brain(*i).is_some_and(|b| b.selected_services().any(|s| s == "s"))).collect()
+        };
+        let holder =
+            |f: &Fleet| (0..6).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
         let (before, old) = (keep(&f), holder(&f).unwrap());
         // One that stands by may be the next as well.
         expect_that!(before, all!(len(le(3)), contains(eq(&old))), "seed {seed}");
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -4,8 +4,8 @@
 
 use coordination::{
     Effect, Effects, Ms,
-    agent::Agent,
-    control::{Caller, Control, ControlParams, SPEC},
+    control::{Caller, Control, ControlConfig, SPEC_KEY},
+    edge_agent::EdgeAgent,
     limits::{KNOWS_FLEET, NODE_GONE, POLL_EVERY, RESOLUTION_LOGGED, RULE_LIFE, SHUFFLE_EVERY, TICK},
     register::Expect,
     wire::{Message, Name, Node, ProxyReport},
@@ -22,7 +22,7 @@
 struct Land {
     now: Ms,
     control: Control,
-    agents: BTreeMap<Name, Agent>,
+    agents: BTreeMap<Name, EdgeAgent>,
     /// Machines that neither run nor are reached, and machines whose proxy alone is down.
     frozen: BTreeSet<Name>,
     silent: BTreeSet<Name>,
@@ -43,16 +43,16 @@
 impl Land {
     fn new() -> Self {
         let regions = ["a1", "a2", "b1", "b2"].map(|z| (z.to_string(), z[..1].to_string())).into_iter().collect();
-        let p = ControlParams {
+        let p = ControlConfig {
             name: "c".into(),
             zone: "a1".into(),
             addr: "c".into(),
-            http: "hc".into(),
+            http_addr: "hc".into(),
             members: vec![],
             seeds: vec!["c".into()],
-            founding: true,
+            bootstrap: true,
             regions,
-            reader: coordination::board::own_spec,
+            spec_parser: coordination::state_table::parse_own_spec,
             bounds: Default::default(),
         };
         let mut l = Land {
@@ -68,8 +68,8 @@
         l
     }
     fn add(&mut self, name: &str, zone: &str) {
-        let mut a = Agent::new(node(name, zone, 2), vec!["c".into()], 7 + self.agents.len() as u64, self.now);
-        a.set_serve_on(true);
+        let mut a = EdgeAgent::new(node(name, zone, 2), vec!["c".into()], 7 + self.agents.len() as u64, self.now);
+        a.set_serve_when_partitioned(true);
         self.agents.insert(name.into(), a);
     }
     fn deliver(&mut self, from: Name, out: Effects) {
@@ -85,8 +85,8 @@
                 _ => continue,
             };
             let more = match (&*to, self.agents.get_mut(&to)) {
-                ("c", _) => self.control.on_msg(&from, &from, msg, self.now),
-                (_, Some(a)) if !self.frozen.contains(&to) => a.on_msg(&from, &from, msg, self.now),
+                ("c", _) => self.control.on_message(&from, &from, msg, self.now),
+                (_, Some(a)) if !self.frozen.contains(&to) => a.on_message(&from, &from, msg, self.now),
                 _ => vec![],
             };
             all.extend(more.into_iter().map(|e| (to.clone(), e)));
@@ -104,7 +104,7 @@
                 if self.now.is_multiple_of(HELLO) && !self.silent.contains(&n) {
                     let m = ProxyReport { incarnation: 1, http_addr: format!("h-{n}").as_str().into(), ..ProxyReport::default() };
                     let p: Name = format!("p-{n}").into();
-                    let _ = a.on_msg(&p, &p, Message::from(m), self.now);
+                    let _ = a.on_message(&p, &p, Message::from(m), self.now);
                 }
                 let out = a.tick(self.now);
                 self.deliver(n, out);
@@ -129,7 +129,7 @@
         };
         let paths: Vec<Value> = lanes.iter().enumerate().map(path).collect();
         let spec = json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": 0, "paths": paths});
-        let (_, out) = self.control.write(SPEC, Expect::Any, spec.to_string().into_bytes(), self.now);
+        let (_, out) = self.control.write(SPEC_KEY, Expect::Any, spec.to_string().into_bytes(), self.now);
         self.deliver("c".into(), out);
         self.run(1_000);
         assert!(self.control.spec().is_some());
--- a/coordination/tests/rollout_placed.rs
+++ b/coordination/tests/rollout_placed.rs
@@ -5,9 +5,9 @@
 use coordination::{
     Ms,
     bounds::Bounds,
-    health::{failing, log_ms},
-    rollout::{Inputs, Loop, first_record},
-    standing::{Standing, repeats, standing},
+    rollout::{RolloutInputs, RolloutLoop, initial_record},
+    rollout_status::{RolloutStatus, is_repeated_plan, rollout_status},
+    version_health::{log_ms, replica_bit},
     wire::OutcomeCounters,
 };
 use googletest::prelude::*;
@@ -22,7 +22,7 @@
     list: Vec<PlatformReplica>,
     listed: Ms,
     leaving: BTreeSet<String>,
-    l: Loop,
+    l: RolloutLoop,
     r: RolloutRecord,
     now: Ms,
     written: usize,
@@ -42,9 +42,9 @@
             "lanes": [{"name": "often", "time_limit_ms": 10_000, "expected_ms": 500}],
             "engine": {"slots": 8, "cold_ms": 3000, "cold_rate": 26.0}}]}))
     .unwrap();
-    let r = first_record(&spec.services[0]);
+    let r = initial_record(&spec.services[0]);
     let list = (0..n).map(|i| replica(&format!("{}-{i}", ["a", "b", "c"][i % 3]), "v1")).collect();
-    Bench { spec, list, listed: 0, leaving: BTreeSet::new(), l: Loop::new(0), r, now: 0, written: 0, ahead: 0 }
+    Bench { spec, list, listed: 0, leaving: BTreeSet::new(), l: RolloutLoop::new(0), r, now: 0, written: 0, ahead: 0 }
 }
 
 impl Bench {
@@ -62,20 +62,20 @@
     /// A pass by what edges tell: streams on replicas, and the newest record that all have seen.
     fn look(&mut self, plan: Option<(u64, &ReleasePlan)>, opens: &BTreeMap<String, u64>, seen: u64) {
         let (reports, open) = (BTreeMap::new(), |id: &str, _: &str| opens.get(id).copied().unwrap_or(0));
-        let i = Inputs {
+        let i = RolloutInputs {
             spec: &self.spec,
             service: &self.spec.services[0],
             plan,
-            platform: &self.list,
+            replica_list: &self.list,
             reports: &reports,
-            leaving: &self.leaving,
-            listed: self.listed,
-            open: &open,
-            stands: self.written as u64,
-            seen: &|| seen,
+            draining: &self.leaving,
+            list_requested_at: self.listed,
+            open_streams: &open,
+            record_version: self.written as u64,
+            oldest_seen_record: &|| seen,
             bounds: &Bounds::default(),
             now: self.now,
-            wall: self.wall(),
+            wall_clock_s: self.wall(),
         };
         let (r, orders) = self.l.step(&self.r, &i);
         assert_that!(orders, is_empty());
@@ -129,7 +129,7 @@
     b.pass(None);
     expect_that!(b.cold("a-0"), eq(true));
     // Another holder takes the record's word for who is warm, and begins anew with who is cold.
-    b.l = Loop::new(b.now);
+    b.l = RolloutLoop::new(b.now);
     b.pass(None);
     expect_that!((b.cold("a-0"), b.cold("c-5")), eq((true, false)));
 }
@@ -140,7 +140,7 @@
     b.pass(None);
     let r = b.r.clone();
     b.now += 5_000;
-    b.l = Loop::new(b.now);
+    b.l = RolloutLoop::new(b.now);
     b.list.clear();
     b.step(None);
     expect_that!(b.r, eq(&r));
@@ -197,7 +197,7 @@
     /// What the loop did wrong, and what it did.
     broken: Vec<String>,
     phases: Vec<(Ms, RolloutPhase, u32)>,
-    done: Option<(Ms, Standing)>,
+    done: Option<(Ms, RolloutStatus)>,
     /// Sent since the order: all, and to the new version; those after the fiftieth bad answer and its bound.
     sent: (u64, u64),
     bad_answers: u64,
@@ -206,7 +206,7 @@
     /// Edges are not heard at all.
     mute: bool,
     /// Another daemon, which hears the same and does not hold the duty; times at which the two change places.
-    other: Loop,
+    other: RolloutLoop,
     changes: Vec<Ms>,
     /// Percent of all answers that fail whatever the version, and when a replica of the canary crashes.
     noise: u32,
@@ -258,7 +258,7 @@
         fiftieth: None,
         guard: true,
         mute: false,
-        other: Loop::new(0),
+        other: RolloutLoop::new(0),
         changes: vec![],
         noise: 0,
         crash: None,
@@ -315,7 +315,7 @@
             if self.crash.is_none() && self.b.list.iter().all(|p| p.id != id) && id.ends_with("-new") {
                 return;
             }
-            if self.done.is_none_or(|d| d.1 != Standing::Completed) || r.phase != RolloutPhase::Unloading {
+            if self.done.is_none_or(|d| d.1 != RolloutStatus::Completed) || r.phase != RolloutPhase::Unloading {
                 self.broken.push(format!("{}: {id} is gone and still has a share", self.now()));
             }
             return;
@@ -409,11 +409,11 @@
             broken.push("withdrawn before the share moved".into());
         }
         let plan = self.plan.as_ref().map(|(n, p)| (*n, p));
-        let (at, target) = standing(Some(r), plan);
-        if at != Standing::InService && self.done.is_none() {
-            let gone = if at == Standing::Completed { "v1" } else { "v2" };
+        let (at, target) = rollout_status(Some(r), plan);
+        if at != RolloutStatus::InService && self.done.is_none() {
+            let gone = if at == RolloutStatus::Completed { "v1" } else { "v2" };
             let flag = old.groups.iter().all(|g| g.version != gone || g.allow_unload && g.share_percent == 0);
-            if at == Standing::Completed && !flag {
+            if at == RolloutStatus::Completed && !flag {
                 broken.push(format!("{at:?} of {target} without a flag that stands"));
             }
             let left = self.streams.iter().filter(|s| self.b.list.iter().any(|p| p.id == s.replica && p.version == gone)).count();
@@ -466,7 +466,7 @@
             let t = self.tallies.get_mut(&s.tally).unwrap();
             if s.fails {
                 t.failed += 1;
-                t.failed_replicas |= failing(&s.replica);
+                t.failed_replicas |= replica_bit(&s.replica);
             } else {
                 t.succeeded += 1;
             }
@@ -484,13 +484,13 @@
             self.opens = opens;
             if self.restarts.first().is_some_and(|t| *t <= now) {
                 self.restarts.remove(0);
-                (self.b.l, self.other) = (Loop::new(now), Loop::new(now));
+                (self.b.l, self.other) = (RolloutLoop::new(now), RolloutLoop::new(now));
             }
             // With the guard off edges are heard, and tell of nothing.
             let tallies = if self.guard { tallies } else { vec![] };
             if !self.mute {
-                self.b.l.health.feed(&"e".into(), 1, &tallies);
-                self.other.health.feed(&"e".into(), 1, &tallies);
+                self.b.l.health.add_counters(&"e".into(), 1, &tallies);
+                self.other.health.add_counters(&"e".into(), 1, &tallies);
             }
         }
         if now.is_multiple_of(PASS) {
@@ -498,8 +498,8 @@
             let plan = self.plan.clone().filter(|_| now >= self.ordered);
             let (old, seen) = (self.b.r.clone(), self.followed_version());
             self.other.health.tick(now);
-            self.other.heed(plan.as_ref().map(|(n, p)| (*n, p)), now, self.b.wall());
-            self.other.rest(now);
+            self.other.observe_plan(plan.as_ref().map(|(n, p)| (*n, p)), now, self.b.wall());
+            self.other.on_lease_lost(now);
             if self.changes.first().is_some_and(|t| *t <= now) {
                 self.changes.remove(0);
                 std::mem::swap(&mut self.b.l, &mut self.other);
@@ -553,7 +553,7 @@
             f.run(200_000);
             let words = told(&f);
             expect_that!(f.broken, is_empty(), "{words}");
-            expect_that!(f.done, some((le(f.term() + late * 1_000), eq(Standing::Completed))), "{words}");
+            expect_that!(f.done, some((le(f.term() + late * 1_000), eq(RolloutStatus::Completed))), "{words}");
             // Bad or not, nobody could know until its time: it had no more than a bad one may have.
             expect_false!(f.over(), "{words}");
             let order: Vec<_> = f.phases.iter().map(|p| p.1).collect();
@@ -591,7 +591,7 @@
                 f.run(120_000);
                 let words = format!("{way}, {n} replicas, seed {seed}: {}", told(&f));
                 expect_that!(f.broken, is_empty(), "{words}");
-                expect_that!(f.done.map(|d| d.1), some(eq(Standing::Reverted)), "{words}");
+                expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Reverted)), "{words}");
                 expect_false!(f.over(), "{words}");
             }
         }
@@ -606,11 +606,11 @@
         for seed in 1..=4 {
             let mut good = fleet(n, per_s, 12, None, seed);
             good.run(200_000);
-            let Some((at, Standing::Completed)) = good.done else { panic!("{}", told(&good)) };
+            let Some((at, RolloutStatus::Completed)) = good.done else { panic!("{}", told(&good)) };
             let mut f = fleet(n, per_s, 12, Some(Bad { from: at - 1_800, ..FAILS }), seed);
             f.run(120_000);
             let words = format!("{n} replicas, seed {seed}, completed at {at} if good: {}", told(&f));
-            expect_that!(f.done, some((anything(), eq(Standing::Reverted))), "{words}");
+            expect_that!(f.done, some((anything(), eq(RolloutStatus::Reverted))), "{words}");
         }
     }
 }
@@ -620,7 +620,7 @@
     let mut f = fleet(18, 200.0, 12, Some(FAILS), 1);
     f.guard = false;
     f.run(120_000);
-    expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{}", told(&f));
+    expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{}", told(&f));
     expect_true!(f.over() || !f.broken.is_empty(), "{}", told(&f));
 }
 
@@ -630,7 +630,7 @@
         let mut f = fleet(18, 200.0, 12, None, seed);
         (f.noise, f.crash) = (3, Some(12_000 + seed * 200));
         f.run(120_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "seed {seed}: {}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "seed {seed}: {}", told(&f));
         expect_that!(f.broken, is_empty());
     }
 }
@@ -640,7 +640,7 @@
     let mut f = fleet(18, 200.0, 12, None, 1);
     f.load = 30_000;
     f.run(120_000);
-    expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{}", told(&f));
+    expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{}", told(&f));
     expect_that!(f.broken, is_empty());
     expect_that!(f.alerts, contains(eq("plan_late")));
     let mut f = fleet(18, 200.0, 12, None, 1);
@@ -658,13 +658,13 @@
         let mut f = fleet(18, 200.0, 12, None, seed);
         f.changes = changes.clone();
         f.run(150_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "seed {seed}: {}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "seed {seed}: {}", told(&f));
         expect_that!(f.broken, is_empty(), "seed {seed}: {}", told(&f));
         expect_false!(f.over());
         let mut f = fleet(18, 200.0, 12, Some(Bad { from: 14_000 + seed * 700, ..FAILS }), seed);
         f.changes = changes;
         f.run(150_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Reverted)), "seed {seed}: {}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Reverted)), "seed {seed}: {}", told(&f));
         expect_that!(f.broken, is_empty(), "seed {seed}: {}", told(&f));
         expect_false!(f.over());
     }
@@ -676,14 +676,14 @@
         let mut f = fleet(18, 200.0, 12, None, 1);
         f.run(at);
         let (had, phase) = (f.share(), f.b.r.phase);
-        (f.b.l, f.mute) = (Loop::new(at), true);
+        (f.b.l, f.mute) = (RolloutLoop::new(at), true);
         f.run(at + 9_000);
         let words = told(&f);
         expect_that!(f.phases.iter().filter(|p| p.0 > at && p.2 > had).count(), eq(0), "{at}: {words}");
         expect_that!(f.b.r.phase, eq(phase), "{at}: {words}");
         f.mute = false;
         f.run(150_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{at}: {}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{at}: {}", told(&f));
         expect_that!(f.broken, is_empty(), "{at}: {}", told(&f));
     }
 }
@@ -708,7 +708,7 @@
     for at in [13_500, 24_300, 28_200] {
         let mut f = fleet(18, 200.0, 12, None, 1);
         f.run(at);
-        (f.b.l, f.mute) = (Loop::new(at), true);
+        (f.b.l, f.mute) = (RolloutLoop::new(at), true);
         let tally = |version: &str, failed: u64, failed_on: u64| OutcomeCounters {
             service: "s".into(),
             version: version.into(),
@@ -722,7 +722,7 @@
             ..OutcomeCounters::default()
         };
         // On several replicas: what comes in one word is no crash for that.
-        f.b.l.health.feed(&"e".into(), 1, &[tally("v1", 0, 0), tally("v2", 40, 0b1011)]);
+        f.b.l.health.add_counters(&"e".into(), 1, &[tally("v1", 0, 0), tally("v2", 40, 0b1011)]);
         f.run(at + 2 * PASS);
         expect_that!(f.b.r.phase, eq(RolloutPhase::Reverting), "{at}: {}", told(&f));
     }
@@ -737,7 +737,7 @@
             f.run(200_000);
             let words = format!("every {every}, {per_s} a second, seed {seed}: {}", told(&f));
             expect_that!(f.broken, is_empty(), "{words}");
-            expect_that!(f.done.map(|d| d.1), some(eq(Standing::Reverted)), "{words}");
+            expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Reverted)), "{words}");
             expect_false!(f.over(), "{words}");
         }
     }
@@ -763,7 +763,7 @@
             }
         }
         expect_true!(had_third, "{at}");
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{at}: {}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{at}: {}", told(&f));
         expect_that!(f.b.r.stable, eq("v3"));
         expect_that!(f.broken, is_empty(), "{at}: {}", told(&f));
     }
@@ -799,9 +799,9 @@
     let mut f = fleet(9, 100.0, 12, Some(FAILS), 1);
     f.run(60_000);
     let plan = f.plan.clone().unwrap().1;
-    let of = |n: u64| standing(Some(&f.b.r), Some((n, &plan))).0;
-    expect_that!((of(1), of(2)), eq((Standing::Reverted, Standing::InService)));
-    expect_that!(standing(None, Some((1, &plan))).0, eq(Standing::InService));
+    let of = |n: u64| rollout_status(Some(&f.b.r), Some((n, &plan))).0;
+    expect_that!((of(1), of(2)), eq((RolloutStatus::Reverted, RolloutStatus::InService)));
+    expect_that!(rollout_status(None, Some((1, &plan))).0, eq(RolloutStatus::InService));
     (0..10).for_each(|_| f.b.pass(Some((1, &plan))));
     expect_that!((f.b.r.phase, f.b.r.groups.len()), eq((RolloutPhase::Steady, 1)));
     // A failed version stays out, whatever starts it.
@@ -812,7 +812,7 @@
     let same = ReleasePlan { target: "v1".into(), ..plan.clone() };
     f.b.list.retain(|p| p.version == "v1");
     f.b.pass(Some((2, &same)));
-    expect_that!(standing(Some(&f.b.r), Some((2, &same))).0, eq(Standing::Completed));
+    expect_that!(rollout_status(Some(&f.b.r), Some((2, &same))).0, eq(RolloutStatus::Completed));
 }
 
 #[gtest]
@@ -821,12 +821,12 @@
         let mut f = fleet(18, 200.0, 12, None, seed);
         (f.lag, f.long) = (1_800, (3, 8));
         f.run(300_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{}", told(&f));
         expect_that!(f.broken, is_empty(), "{}", told(&f));
         let mut f = fleet(18, 200.0, 12, Some(Bad { from: 17_000, ..FAILS }), seed);
         (f.lag, f.long) = (1_800, (3, 8));
         f.run(300_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Reverted)), "{}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Reverted)), "{}", told(&f));
         expect_that!(f.broken, is_empty(), "{}", told(&f));
     }
 }
@@ -838,7 +838,7 @@
             let mut f = fleet(18, 200.0, 12, None, seed);
             (f.lag, f.seen_lag, f.suspects, f.long) = (lag, seen_lag, 6, (5, 6));
             f.run(300_000);
-            expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{}", told(&f));
+            expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{}", told(&f));
             expect_that!(f.broken, is_empty(), "{}", told(&f));
             // The longest time of a lane was waited for the old side, and not twice more.
             let baking = f.phases.iter().find(|p| p.1 == RolloutPhase::Baking).unwrap().0;
@@ -860,7 +860,7 @@
     f.records.push((0, f.b.r.clone()));
     f.run(300_000);
     let words = told(&f);
-    expect_that!(f.done, some((all!(ge(baking + 24_000), le(baking + 26_000)), eq(Standing::Completed))), "{words}");
+    expect_that!(f.done, some((all!(ge(baking + 24_000), le(baking + 26_000)), eq(RolloutStatus::Completed))), "{words}");
 }
 
 #[gtest]
@@ -868,7 +868,7 @@
     let mut f = fleet(18, 200.0, 12, None, 1);
     f.stragglers = (3, 16_000);
     f.run(120_000);
-    expect_that!(f.done.map(|d| d.1), some(eq(Standing::Completed)), "{}", told(&f));
+    expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Completed)), "{}", told(&f));
     expect_that!(f.broken, is_empty(), "{}", told(&f));
 }
 
@@ -878,7 +878,7 @@
         let mut f = fleet(18, 200.0, 12, Some(Bad { lane: Some("rare"), percent: 90, ..FAILS }), seed);
         f.rare = 2;
         f.run(120_000);
-        expect_that!(f.done.map(|d| d.1), some(eq(Standing::Reverted)), "{}", told(&f));
+        expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Reverted)), "{}", told(&f));
         expect_that!((f.broken.len(), f.over()), eq((0, false)), "{}", told(&f));
     }
 }
@@ -904,7 +904,7 @@
                 f.run(120_000);
                 let words = format!("{ahead} s ahead, bad from {from}, seed {seed}: {}", told(&f));
                 expect_that!(f.broken, is_empty(), "{words}");
-                expect_that!(f.done.map(|d| d.1), some(eq(Standing::Reverted)), "{words}");
+                expect_that!(f.done.map(|d| d.1), some(eq(RolloutStatus::Reverted)), "{words}");
                 expect_false!(f.over(), "{words}");
             }
         }
@@ -916,13 +916,13 @@
     let mut f = fleet(9, 100.0, 12, Some(FAILS), 1);
     let order = f.plan.clone().unwrap().1;
     let again = ReleasePlan { complete_by: 100, ..order.clone() };
-    let same = |f: &Fleet, wall| repeats(Some(&f.b.r), (1, &order), &again, wall);
+    let same = |f: &Fleet, wall| is_repeated_plan(Some(&f.b.r), (1, &order), &again, wall);
     // The daemon that is asked may have a clock that is far ahead.
     f.run(10_500);
     expect_that!((same(&f, 12), same(&f, 40)), eq((true, true)));
-    expect_that!(repeats(None, (1, &order), &again, 40), eq(true));
+    expect_that!(is_repeated_plan(None, (1, &order), &again, 40), eq(true));
     let other = ReleasePlan { target: "v3".into(), ..again.clone() };
-    expect_that!(repeats(Some(&f.b.r), (1, &order), &other, 12), eq(false));
+    expect_that!(is_repeated_plan(Some(&f.b.r), (1, &order), &other, 12), eq(false));
     f.run(60_000);
     // Reverted: until its time it is a repetition, afterwards another try.
     expect_that!((same(&f, 22), same(&f, 23)), eq((true, false)));
--- a/coordination/tests/suspect.rs
+++ b/coordination/tests/suspect.rs
@@ -2,7 +2,7 @@
 
 use coordination::{
     Ms,
-    agent::RULE_ALL,
+    edge_agent::SERVE_ALL,
     pass::{Ask, PassEnd},
     proxy::{Admit, Placed, Proxy},
 };
@@ -42,7 +42,7 @@
         let m = TableUpdate {
             proxy_incarnation: 1,
             counters_through: 0,
-            serving_rule: RULE_ALL,
+            serving_rule: SERVE_ALL,
             valid_until: Ms::MAX,
             is_snapshot: 1,
             changes: List(vec![c]),
--- a/coordination/tests/tenants.rs
+++ b/coordination/tests/tenants.rs
@@ -9,7 +9,7 @@
     },
 };
 
-use coordination::{control::SPEC, proxy::Proxy};
+use coordination::{control::SPEC_KEY, proxy::Proxy};
 use googletest::prelude::*;
 use remote_calls::{NominateRequest, Spec};
 use serde_json::json;
@@ -67,7 +67,7 @@
 }
 
 fn board(version: u64) -> TableUpdate {
-    let c = Change { key: SPEC.into(), epoch: 1, version, value: Blob(b"spec".to_vec()) };
+    let c = Change { key: SPEC_KEY.into(), epoch: 1, version, value: Blob(b"spec".to_vec()) };
     TableUpdate {
         proxy_incarnation: 1,
         counters_through: 0,
--- a/coordination/tests/worst_days.rs
+++ b/coordination/tests/worst_days.rs
@@ -6,7 +6,7 @@
 
 use std::{cell::RefCell, collections::BTreeMap, collections::BTreeSet, rc::Rc};
 
-use coordination::{Ms, WriteOutcome, control::SPEC, register::Expect};
+use coordination::{Ms, WriteOutcome, control::SPEC_KEY, register::Expect};
 use fleet::Fleet;
 use fleet_simulator::register_history::{Call, History, Order, Told};
 use googletest::prelude::*;
@@ -87,7 +87,7 @@
         };
         let operator = |i| Operator { pending: None, order: None, rests: 0, number: i };
         let operators = (0..4).map(operator).collect();
-        let histories = BTreeMap::from([(SPEC, History::default()), (ZONE, History::default())]);
+        let histories = BTreeMap::from([(SPEC_KEY, History::default()), (ZONE, History::default())]);
         let (expects, unread) = Default::default();
         Day { f, operators, expects, histories, unread, cut, lose, regions, orders: 0 }
     }
@@ -111,7 +111,7 @@
                 self.operate(i);
             }
             for i in self.up() {
-                for key in [SPEC, ZONE] {
+                for key in [SPEC_KEY, ZONE] {
                     if let Some((v, value)) = self.f.held(i, key) {
                         self.histories.get_mut(key).unwrap().see(v, &value, self.f.now);
                     }
@@ -147,7 +147,7 @@
         let brain = self.f.all[at].brain.as_mut()?;
         let (token, out) = match (expect, value) {
             (Some(e), Some(v)) => brain.write(key, e, v, now),
-            _ => brain.newest(key, now),
+            _ => brain.read_newest(key, now),
         };
         self.f.carry(at, out);
         Some((at, token))
@@ -192,7 +192,7 @@
 
     /// What an operator does next, by what it sees at a daemon: one in three reads, two pick the same number at times.
     fn think(&mut self, i: usize, at: usize) -> (&'static str, Option<usize>) {
-        let key = if self.f.rng.u8(..3) == 0 { ZONE } else { SPEC };
+        let key = if self.f.rng.u8(..3) == 0 { ZONE } else { SPEC_KEY };
         if self.f.rng.u8(..3) == 0 {
             return (key, None);
         }
@@ -216,9 +216,11 @@
     /// All voters are up, vote and hear each other: the losses before are made up for.
     fn whole(&self) -> bool {
         let voting = self.f.voting();
-        let member_epoch = voting.iter().filter_map(|i| self.f.brain(*i)).map(|b| b.regs.member_epoch).max();
+        let member_epoch = voting.iter().filter_map(|i| self.f.brain(*i)).map(|b| b.registers.member_epoch).max();
         let all = |i: &usize| {
-            self.f.brain(*i).is_some_and(|b| Some(b.regs.member_epoch) == member_epoch && b.regs.voters.len() == voting.len())
+            self.f
+                .brain(*i)
+                .is_some_and(|b| Some(b.registers.member_epoch) == member_epoch && b.registers.voters.len() == voting.len())
         };
         !voting.is_empty() && voting.iter().all(all) && self.cut.borrow().is_empty()
     }
@@ -236,14 +238,14 @@
     }
 
     fn owner(&self, key: &str) -> Option<usize> {
-        (0..self.f.all.len()).find(|i| self.f.brain(*i).is_some_and(|b| b.regs.holds(key, self.f.now).is_some()))
+        (0..self.f.all.len()).find(|i| self.f.brain(*i).is_some_and(|b| b.registers.held_until(key, self.f.now).is_some()))
     }
 
     /// One trouble.
     fn trouble(&mut self) {
         let up = self.up();
         let Some(&any) = self.f.rng.choice(&up) else { return };
-        let one = if self.f.rng.bool() { self.owner(SPEC).unwrap_or(any) } else { any };
+        let one = if self.f.rng.bool() { self.owner(SPEC_KEY).unwrap_or(any) } else { any };
         match self.f.rng.u8(..11) {
             // Cut off, at times in one direction only.
             0 | 1 => {
@@ -300,7 +302,7 @@
         // Planned: it tells the others that it goes.
         if self.f.rng.bool() {
             let brain = self.f.all[first].brain.as_mut();
-            brain.into_iter().for_each(|b| b.going = true);
+            brain.into_iter().for_each(|b| b.stopping = true);
             let ms = self.f.rng.u64(..600);
             self.run(ms);
         }
@@ -364,9 +366,9 @@
             self.run(500);
         }
         self.run(SYNC);
-        let calls = self.histories[SPEC].calls.len();
+        let calls = self.histories[SPEC_KEY].calls.len();
         for _ in 0..1_000 {
-            let told = self.histories[SPEC].calls[calls..].iter();
+            let told = self.histories[SPEC_KEY].calls[calls..].iter();
             if told.filter(|c| c.order.is_some()).any(|c| matches!(c.told, Told::Version(_))) {
                 break;
             }
@@ -423,7 +425,7 @@
             d.run(ms);
         }
         d.close();
-        for key in [SPEC, ZONE] {
+        for key in [SPEC_KEY, ZONE] {
             if !d.read_back(key) {
                 wrong.push(format!("seed {seed}: {key} cannot be read back"));
             }
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use actix::prelude::*;
-use coordination::{Effect, Effects, agent::Agent, events, limits::TICK};
+use coordination::{Effect, Effects, edge_agent::EdgeAgent, events, limits::TICK};
 use daemon_parts::{
     channels::{self, Channels, Incoming},
     clock,
@@ -20,7 +20,7 @@
 struct AgentActor {
     name: String,
     listen: String,
-    brain: Agent,
+    brain: EdgeAgent,
     ch: Option<Channels>,
 }
 
@@ -33,9 +33,9 @@
                         ch.send(&to, msg);
                     }
                 }
-                Effect::Note { event: e, peer, text } => event(e, &peer, &text),
+                Effect::Log { event: e, peer, text } => event(e, &peer, &text),
                 // An agent keeps nothing on disk and holds no duty.
-                Effect::Persist { .. } | Effect::Answer { .. } | Effect::Order { .. } => {}
+                Effect::Persist { .. } | Effect::WriteFinished { .. } | Effect::Order { .. } => {}
             }
         }
     }
@@ -56,7 +56,7 @@
 impl Handler<Incoming> for AgentActor {
     type Result = ();
     fn handle(&mut self, m: Incoming, _: &mut Self::Context) {
-        let out = self.brain.on_msg(&m.0.from, &m.0.addr, m.0.msg, clock::now());
+        let out = self.brain.on_message(&m.0.from, &m.0.addr, m.0.msg, clock::now());
         self.carry(out);
     }
 }
@@ -80,8 +80,8 @@
         ..Node::default()
     };
     let seeds = p.seeds.iter().map(|s| s.as_str().into()).collect();
-    let mut brain = Agent::new(me, seeds, born, clock::now());
-    brain.set_serve_on(p.serve_on);
+    let mut brain = EdgeAgent::new(me, seeds, born, clock::now());
+    brain.set_serve_when_partitioned(p.serve_on);
     brain.set_regions(p.regions.clone());
     let mut signals = StopSignals::listen()?;
     let a = AgentActor { name: p.name.clone(), listen: p.listen.clone(), brain, ch: None }.start();
@@ -92,7 +92,7 @@
     let last = clock::now() + p.bounds.grace.saturating_sub(AGENT_LAST);
     tokio::time::sleep(FAREWELL).await;
     while clock::now() < last {
-        let goes = a.send(Look(Box::new(|a: &mut AgentActor, now| a.brain.proxy_goes(now)))).await;
+        let goes = a.send(Look(Box::new(|a: &mut AgentActor, now| a.brain.proxy_is_draining(now)))).await;
         if !matches!(goes, Ok(Ok(true))) {
             break;
         }
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -226,7 +226,7 @@
         Box::pin(async move {
             match tokio::time::timeout(limit, r).await {
                 Ok(Ok(state)) => state,
-                _ => coordination::claims::ABSTAINS,
+                _ => coordination::claims::ABSTAINED,
             }
         })
     }
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -86,7 +86,7 @@
             Step::Claim { void } => {
                 let (request, age) = r.claimed_name();
                 let ask = AskClaim { request, round: r.round, void, age };
-                Got::Claimed(b.send(ask).await.unwrap_or(claims::ABSTAINS))
+                Got::Claimed(b.send(ask).await.unwrap_or(claims::ABSTAINED))
             }
             Step::Place => Got::Placed(place(b, r, until).await),
             Step::Call(p) if p.stale(clock::now()) => {
--- a/edge-proxy/src/lib.rs
+++ b/edge-proxy/src/lib.rs
@@ -22,7 +22,7 @@
 
 use actix::{Actor, Addr};
 use actix_web::{App, HttpServer, dev::Server, http::KeepAlive, web};
-use coordination::{board::SpecReader, events, proxy::Proxy};
+use coordination::{events, proxy::Proxy, state_table::SpecParser};
 use daemon_parts::{
     channels, clock,
     limits::{BACKLOG, NOT_YET, STOP_LOOK, WORKERS},
@@ -42,7 +42,7 @@
     stopping::{Stopping, wind_down},
 };
 
-fn brain(p: &Params, reader: SpecReader) -> Proxy {
+fn brain(p: &Params, reader: SpecParser) -> Proxy {
     let mut b =
         Proxy::new(p.name.as_str().into(), p.zone.as_str().into(), p.http.as_str().into(), clock::born(), fastrand::u64(..));
     b.set_reader(reader);
@@ -52,7 +52,7 @@
 }
 
 /// Runs until the process is asked to stop. With a dialect it also passes requests by host and path.
-pub async fn run(p: Params, dialect: Option<Arc<dyn Dialect>>, reader: SpecReader) -> Result<(), Report<StartFault>> {
+pub async fn run(p: Params, dialect: Option<Arc<dyn Dialect>>, reader: SpecParser) -> Result<(), Report<StartFault>> {
     let _log = logging::start(&p.log)?;
     let signals = StopSignals::listen()?;
     let brain: Shared = Arc::new(Mutex::new(brain(&p, reader)));
--- a/edge-proxy/src/main.rs
+++ b/edge-proxy/src/main.rs
@@ -9,7 +9,7 @@
         params::command("edge-proxy", "Takes callers' requests to replicas").arg(params::without_flag()),
         &needs,
     );
-    if let Err(e) = edge_proxy::run(p, None, coordination::board::own_spec).await {
+    if let Err(e) = edge_proxy::run(p, None, coordination::state_table::parse_own_spec).await {
         eprintln!("{e:?}");
         std::process::exit(EXIT_FAILED);
     }
--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -5,8 +5,8 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use coordination::{
-    agent::{RULE_ALL, RULE_NONE},
     bounds::Bounds,
+    edge_agent::{REJECT_ALL, SERVE_ALL},
     limits::SHUTDOWN_SERVES,
     wire::TableUpdate,
 };
@@ -183,14 +183,14 @@
             hold(&e.brain)
                 .on_board(TableUpdate { serving_rule: rule, valid_until: until, ..TableUpdate::default() }, clock::now())
         };
-        rule(&e, RULE_NONE, 0);
+        rule(&e, REJECT_ALL, 0);
         let mut d = Downstream::to(e.addr).await;
         d.send(request("a", "q")).await;
         e.until(|e| e.stopping.open() == 1).await;
-        rule(&e, RULE_ALL, u64::MAX);
+        rule(&e, SERVE_ALL, u64::MAX);
         expect_that!(d.answer().await.status, eq(200));
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
-        rule(&e, RULE_NONE, 0);
+        rule(&e, REJECT_ALL, 0);
         let began = clock::now();
         let a = ask(&e, request("b", "q")).await;
         expect_that!((a.status, a.header("retry-after").is_some(), r.count()), eq((503, true, 1)));
@@ -577,11 +577,11 @@
             d.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
             d.answer().await.status
         };
-        expect_that!(ready(RULE_ALL, u64::MAX).await, eq(200));
+        expect_that!(ready(SERVE_ALL, u64::MAX).await, eq(200));
         // Its machine slept, and the rule lapsed meanwhile; the agent renews it.
-        expect_that!(ready(RULE_ALL, clock::now()).await, eq(503));
-        expect_that!(ready(RULE_ALL, u64::MAX).await, eq(200));
-        expect_that!(ready(RULE_NONE, u64::MAX).await, eq(503));
+        expect_that!(ready(SERVE_ALL, clock::now()).await, eq(503));
+        expect_that!(ready(SERVE_ALL, u64::MAX).await, eq(200));
+        expect_that!(ready(REJECT_ALL, u64::MAX).await, eq(503));
         expect_that!(r.count(), eq(0));
     });
 }
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -12,8 +12,8 @@
 use actix_web::dev::ServerHandle;
 use coordination::{
     Ms,
-    agent::RULE_ALL,
     bounds::Bounds,
+    edge_agent::SERVE_ALL,
     pass::{Ask, Told},
     proxy::{Placed, Proxy},
     wire::{Blob, Change, TableUpdate},
@@ -341,7 +341,7 @@
             "since_ms": 0, "retiring": [], "alerts": [], "replicas": placed,
             "groups": [{"role": "stable", "version": "v1", "share_percent": 100, "replicas": ids, "allow_unload": false}]});
         let m = TableUpdate {
-            serving_rule: RULE_ALL,
+            serving_rule: SERVE_ALL,
             valid_until: u64::MAX,
             is_snapshot: 1,
             changes: [change("spec", 1, &spec(&lane)), change("rollout/s", 1, &record)].into_iter().collect(),
@@ -371,7 +371,7 @@
     pub fn set_spec(&self, version: u64, lane: &Lane) {
         let changes = [change("spec", version, &spec(lane))].into_iter().collect();
         hold(&self.brain).on_board(
-            TableUpdate { serving_rule: RULE_ALL, valid_until: u64::MAX, changes, ..TableUpdate::default() },
+            TableUpdate { serving_rule: SERVE_ALL, valid_until: u64::MAX, changes, ..TableUpdate::default() },
             clock::now(),
         );
     }
--- a/fleet-simulator/src/effect_digest.rs
+++ b/fleet-simulator/src/effect_digest.rs
@@ -39,7 +39,7 @@
     }
 
     fn effect(&mut self, by: &str, effect: &Effect, now: Ms) {
-        if matches!(effect, Effect::Note { .. }) {
+        if matches!(effect, Effect::Log { .. }) {
             return;
         }
         self.text(by);
@@ -51,7 +51,7 @@
                 rows.iter().for_each(|row| self.row(row));
                 self.update(by, then, now);
             }
-            Effect::Answer { token, outcome } => {
+            Effect::WriteFinished { token, outcome } => {
                 self.byte(tag::ANSWER);
                 self.number(*token);
                 self.outcome(*outcome);
@@ -63,7 +63,7 @@
                 self.number(*until);
                 self.order(order);
             }
-            Effect::Note { .. } => {}
+            Effect::Log { .. } => {}
         }
     }
 
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -12,8 +12,8 @@
 
 use clap::{Arg, ArgAction, Command};
 use coordination::{
-    order::{mix, weight},
     policy::{Mechanism, Policy},
+    rendezvous::{combine_hashes, rendezvous_weight},
 };
 use fleet_simulator::{
     checkers::{self, Found},
@@ -181,8 +181,8 @@
     for (index, (.., run)) in done {
         let (deployment, schedule, _) = cases[*index];
         let sum = by_schedule.entry(format!("{} {schedule}", deployment.name)).or_default();
-        sum.effects = mix(sum.effects, run.effects);
-        sum.observed = mix(sum.observed, run.observed);
+        sum.effects = combine_hashes(sum.effects, run.effects);
+        sum.observed = combine_hashes(sum.observed, run.observed);
     }
     by_schedule.iter().map(|(name, sum)| format!("{name} effects {:016x} observed {:016x}", sum.effects, sum.observed)).collect()
 }
@@ -232,7 +232,7 @@
     }
     let figures = if l.figures { Figures::from(&w.h) } else { Figures::default() };
     let digests = if l.digests {
-        Digests { effects: w.effects.value(), observed: weight(&observed(&w.h), "") }
+        Digests { effects: w.effects.value(), observed: rendezvous_weight(&observed(&w.h), "") }
     } else {
         Digests::default()
     };
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -4,18 +4,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use coordination::{
-    Effect, Effects, Row, WriteOutcome,
-    agent::Agent,
-    board::{Stamp, stamp},
-    claims,
-    control::{Control, ControlParams, KILL, LEAVING, PLAN, SPEC, ZONE},
+    Effect, Effects, Row, WriteOutcome, claims,
+    control::{Control, ControlConfig, DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY, ZONE_PREFIX},
+    edge_agent::EdgeAgent,
     limits::{CLAIM_LIMIT, REPORT_EVERY, SLOW_FACTOR, TICK, WARM_UP},
-    order::digest,
     policy::Policy,
     proxy::{Admit, Ended, Placed, Proxy},
-    register::DUTY,
+    register::ROLLOUT_PREFIX,
+    rendezvous::text_digest,
     request::{Got, NotBegun, Request, Step},
     rollout::Order,
+    state_table::{VersionStamp, version_stamp},
     stream::{Lines, Next},
 };
 use remote_calls::{
@@ -232,7 +231,7 @@
 }
 
 struct Ctl {
-    p: ControlParams,
+    p: ControlConfig,
     zone: String,
     brain: Option<Control>,
     disk: Disk,
@@ -248,7 +247,7 @@
     /// What its addresses end in.
     place: String,
     zone: String,
-    agent: Option<Agent>,
+    agent: Option<EdgeAgent>,
     proxy: Option<Proxy>,
     life: u64,
     frozen: Ms,
@@ -374,7 +373,7 @@
     spec: Spec,
     held: BTreeMap<(String, Name), u64>,
     /// The spec that an edge's proxy was last seen with: its life, stamp and mark.
-    marks: BTreeMap<usize, (u64, Stamp, u64)>,
+    marks: BTreeMap<usize, (u64, VersionStamp, u64)>,
     net: Net,
     /// By machine: since when its clock runs otherwise, how far it was off then, thousandths.
     clocks: BTreeMap<String, (Ms, i64, i64)>,
@@ -534,16 +533,16 @@
         for (i, z) in w.d.control.clone().into_iter().enumerate() {
             // Half of the fleets name their members, and half are founded by the daemons at the seeds.
             let founding = seed % 2 == 1;
-            let p = ControlParams {
+            let p = ControlConfig {
                 name: members[i].clone(),
                 zone: z.as_str().into(),
                 addr: format!("c{}", i + 1).into(),
-                http: format!("h{}", i + 1).into(),
+                http_addr: format!("h{}", i + 1).into(),
                 members: if founding { vec![] } else { members.clone() },
                 seeds: vec!["c1".into(), "c2".into(), "c3".into()],
                 regions: w.d.regions.clone(),
-                reader: coordination::board::own_spec,
-                founding,
+                spec_parser: coordination::state_table::parse_own_spec,
+                bootstrap: founding,
                 bounds: Default::default(),
             };
             let id = w.rng.u64(1..1 << 60);
@@ -672,7 +671,7 @@
             Ev::Line { flow, life, line } => self.line(flow, life, line),
             Ev::ClaimLate { flow, token } => {
                 if self.claims.remove(&token).is_some() {
-                    self.drive(flow, Got::Claimed(claims::ABSTAINS));
+                    self.drive(flow, Got::Claimed(claims::ABSTAINED));
                 }
             }
             Ev::TimeUp { flow } => self.lost(flow),
--- a/fleet-simulator/src/world/callers.rs
+++ b/fleet-simulator/src/world/callers.rs
@@ -403,7 +403,7 @@
             b.done(&p, spared(self.off, e), local);
         }
         let Some(f) = self.flows.get_mut(&id) else { return };
-        f.told.digest = digest(&f.text);
+        f.told.digest = text_digest(&f.text);
         let answered = end.as_ref().is_some_and(|e| e.outcome == Outcome::Answered);
         // Of an answer that was resumed only its caller has all pieces, and compares them itself.
         let other = end.as_ref().and_then(|e| e.digest.as_ref()).is_some_and(|d| *d != f.told.digest);
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -33,7 +33,7 @@
                 };
                 let seeds = vec!["c1".into(), "c2".into(), "c3".into()];
                 let (seed, at) = (self.rng.u64(..), self.clock(t));
-                let mut a = Agent::new(me.clone(), seeds, seed, at);
+                let mut a = EdgeAgent::new(me.clone(), seeds, seed, at);
                 a.set_regions(self.d.regions.clone());
                 self.edges[i].agent = Some(a);
                 self.addrs.insert(me.addr, t);
@@ -64,14 +64,14 @@
             To::Control(i) => {
                 let Some(b) = self.ctl[i].brain.as_mut() else { return };
                 let mut out = b.tick(now);
-                out.extend(b.loops(now, now / 1_000));
-                let duty = b.on_duty(now);
+                out.extend(b.run_rollouts(now, now / 1_000));
+                let duty = b.holds_any_role(now);
                 self.carry(i, out);
                 if duty && now >= self.ctl[i].next_report {
                     self.ctl[i].next_report = now + REPORT_EVERY;
                     self.after(6, Ev::List { at: i });
                     let Some(b) = &self.ctl[i].brain else { return };
-                    for r in b.replicas() {
+                    for r in b.replicas_to_poll() {
                         self.ask_report(t, r);
                     }
                 }
@@ -114,7 +114,7 @@
         for e in out {
             match e {
                 Effect::Send { to, msg } => self.post(To::Agent(i), &name, &addr, &to, msg),
-                Effect::Note { event, peer, text } => self.say(&name, &format!("{} {peer} {text}", event.name)),
+                Effect::Log { event, peer, text } => self.say(&name, &format!("{} {peer} {text}", event.name)),
                 _ => {}
             }
         }
@@ -139,7 +139,7 @@
                     self.ctl[i].disk.buffer.push((rows, then));
                     self.disk_work(i);
                 }
-                Effect::Answer { token, outcome } => self.answered(i, token, outcome),
+                Effect::WriteFinished { token, outcome } => self.answered(i, token, outcome),
                 Effect::Order { service, epoch, until, order } => {
                     if self.clock(To::Control(i)) < until {
                         self.say(&name, &format!("orders {order:?} under {epoch}"));
@@ -152,7 +152,7 @@
                         }
                     }
                 }
-                Effect::Note { event, peer, text } => self.say(&name, &format!("{} {peer} {text}", event.name)),
+                Effect::Log { event, peer, text } => self.say(&name, &format!("{} {peer} {text}", event.name)),
             }
         }
     }
--- a/fleet-simulator/src/world/engine/model.rs
+++ b/fleet-simulator/src/world/engine/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coordination::{order::mix, pass::Part};
+use coordination::{pass::Part, rendezvous::combine_hashes};
 use serde::Deserialize;
 
 /// What an engine can do.
@@ -80,7 +80,7 @@
 fn chains(parts: &[Part]) -> Vec<(u64, u64)> {
     let shared = parts.split_last().map_or(&[][..], |s| s.1);
     let next = |at: &mut u64, p: &Part| {
-        *at = mix(*at, p.0);
+        *at = combine_hashes(*at, p.0);
         Some((*at, u64::from(p.1)))
     };
     shared.iter().scan(0, next).collect()
--- a/fleet-simulator/src/world/faults.rs
+++ b/fleet-simulator/src/world/faults.rs
@@ -10,7 +10,7 @@
     }
     pub(super) fn wipe(&mut self, at: usize) {
         self.kill_control(at);
-        self.ctl[at].p.founding = false;
+        self.ctl[at].p.bootstrap = false;
         let id = self.rng.u64(1..1 << 60);
         let d = &mut self.ctl[at].disk;
         // With the guard off a lost disk passes for a voter that has caught up.
@@ -233,7 +233,7 @@
             }
             Fault::KillSwitch { on } => {
                 let Some(i) = self.any() else { return };
-                self.write(i, KILL, None, serde_json::to_vec(&on).unwrap_or_default(), What::Other);
+                self.write(i, KILL_SWITCH_KEY, None, serde_json::to_vec(&on).unwrap_or_default(), What::Other);
             }
             Fault::Evacuate { zone } => self.zone(zone, true),
             Fault::Restore { zone } => self.zone(zone, false),
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -129,7 +129,7 @@
         let replicas = if self.stale.0 > self.now { self.stale.1.clone() } else { self.listed() };
         let now = self.clock(To::Control(at));
         if let Some(b) = &mut self.ctl[at].brain {
-            b.on_platform(PlatformList { replicas }, now);
+            b.on_replica_list(PlatformList { replicas }, now);
         }
     }
 
@@ -139,18 +139,18 @@
         match t {
             To::Control(i) => {
                 let Some(b) = self.ctl[i].brain.as_mut() else { return };
-                let out = b.on_msg(&from, &addr, msg, now);
+                let out = b.on_message(&from, &addr, msg, now);
                 self.carry(i, out);
             }
             To::Agent(i) => {
                 let Some(a) = self.edges[i].agent.as_mut() else { return };
-                let out = a.on_msg(&from, &addr, msg, now);
+                let out = a.on_message(&from, &addr, msg, now);
                 self.carry_agent(i, out);
             }
             To::Proxy(i) => match msg {
                 Message::TableUpdate(mut b) => {
                     // The guard is off: the news never arrives.
-                    b.changes.0.retain(|c| self.off != Some(Guard::Evacuation) || !c.key.starts_with(ZONE));
+                    b.changes.0.retain(|c| self.off != Some(Guard::Evacuation) || !c.key.starts_with(ZONE_PREFIX));
                     b.changes.0.retain(|c| self.off != Some(Guard::LongNews) || c.value.0.len() < LONG);
                     if self.off == Some(Guard::Rule) {
                         (b.serving_rule, b.valid_until) = (2, Ms::MAX);
--- a/fleet-simulator/src/world/operators.rs
+++ b/fleet-simulator/src/world/operators.rs
@@ -57,17 +57,17 @@
         if self.off == Some(Guard::Press) {
             spec.tiers.iter_mut().for_each(|t| (t.rank, t.keep_free) = (0, 0));
         }
-        let Some(v) = self.ctl[at].brain.as_ref().map(|b| b.board().get(SPEC).map_or(0, |c| c.version)) else { return };
+        let Some(v) = self.ctl[at].brain.as_ref().map(|b| b.state_table().get(SPEC_KEY).map_or(0, |c| c.version)) else { return };
         let bytes = serde_json::to_vec(&spec).unwrap_or_default();
-        self.write(at, SPEC, Some(v), bytes, What::Spec(m));
+        self.write(at, SPEC_KEY, Some(v), bytes, What::Spec(m));
     }
 
     /// An operator that was told "unknown" reads the spec at a daemon that has settled.
     pub(super) fn read(&mut self, mark: u64) {
         let settled: Vec<usize> =
-            (0..self.ctl.len()).filter(|i| self.ctl[*i].brain.as_ref().is_some_and(|b| b.settled())).collect();
+            (0..self.ctl.len()).filter(|i| self.ctl[*i].brain.as_ref().is_some_and(|b| b.is_settled())).collect();
         let Some(i) = self.rng.choice(&settled).copied() else { return self.after(READ_AFTER, Ev::Read { mark }) };
-        let Some(c) = self.ctl[i].brain.as_ref().and_then(|b| b.board().get(SPEC)) else { return };
+        let Some(c) = self.ctl[i].brain.as_ref().and_then(|b| b.state_table().get(SPEC_KEY)) else { return };
         let s: Option<Spec> = serde_json::from_slice(&c.value.0).ok();
         if s.is_some_and(|s| s.bake_ms == self.d.spec.bake_ms + mark) {
             self.h.specs.push((self.now, c.version, mark));
@@ -79,7 +79,7 @@
         let Some(at) = self.any().filter(|_| self.reps.contains_key(id)) else {
             return self.after(WARN_AGAIN, Ev::Warn { id: id.into() });
         };
-        self.write(at, &format!("{LEAVING}{id}"), None, b"true".to_vec(), What::Warned(id.into()));
+        self.write(at, &format!("{DRAINING_PREFIX}{id}"), None, b"true".to_vec(), What::Warned(id.into()));
     }
 
     pub(super) fn first_spec(&mut self) {
@@ -96,14 +96,14 @@
         let now = self.now;
         for (i, e) in self.edges.iter().enumerate().filter(|(_, e)| e.frozen <= now) {
             let Some(p) = e.proxy.as_ref().filter(|p| p.ready(self.clock(To::Proxy(i)))) else { continue };
-            let at = p.board().get(SPEC).map_or((0, 0), stamp);
+            let at = p.state_table().get(SPEC_KEY).map_or((0, 0), version_stamp);
             // Specs grow long: each is read once by a life of an edge.
             let known = self.marks.get(&i).filter(|m| (m.0, m.1) == (e.life, at)).map(|m| m.2);
-            let read = || p.board().read::<Spec>(SPEC).map_or(0, |s| s.bake_ms.saturating_sub(self.d.spec.bake_ms));
+            let read = || p.state_table().read::<Spec>(SPEC_KEY).map_or(0, |s| s.bake_ms.saturating_sub(self.d.spec.bake_ms));
             let mark = known.unwrap_or_else(read);
             self.marks.insert(i, (e.life, at, mark));
             self.h.seen.push((now, e.name.clone(), p.spec_version(), mark));
-            for c in p.board().rows() {
+            for c in p.state_table().entries() {
                 let old = self.held.insert((e.name.clone(), c.key.clone()), c.version);
                 if old != Some(c.version) {
                     self.h.held.push((now, e.name.clone(), c.key.to_string(), c.version));
@@ -131,18 +131,18 @@
 
     /// Daemons that say by their own clocks that they hold the service's duty.
     pub(super) fn holders(&self) -> Vec<String> {
-        let duty = format!("{DUTY}{}", self.d.spec.services[0].name);
+        let duty = format!("{ROLLOUT_PREFIX}{}", self.d.spec.services[0].name);
         let holds = |(i, c): &(usize, &Ctl)| {
             let at = self.clock(To::Control(*i));
-            c.frozen <= self.now && c.brain.as_ref().is_some_and(|b| b.regs.holds(&duty, at).is_some())
+            c.frozen <= self.now && c.brain.as_ref().is_some_and(|b| b.registers.held_until(&duty, at).is_some())
         };
         self.ctl.iter().enumerate().filter(holds).map(|(_, c)| c.p.name.to_string()).collect()
     }
 
     pub(super) fn plan(&mut self, at: usize, target: String) {
         let s = self.d.spec.services[0].name.clone();
-        let key = format!("{PLAN}{s}");
-        let v = self.ctl[at].brain.as_ref().and_then(|b| b.board().get(&key).map(|c| c.version)).unwrap_or(0);
+        let key = format!("{PLAN_PREFIX}{s}");
+        let v = self.ctl[at].brain.as_ref().and_then(|b| b.state_table().get(&key).map(|c| c.version)).unwrap_or(0);
         let complete_by = if self.places { self.now / 1_000 + PLACED_IN } else { 3_600 };
         let what = What::Plan(target.clone(), complete_by * 1_000);
         let plan = ReleasePlan { service: s, target, complete_by, within_s: self.places.then_some(PLACED_IN) };
@@ -158,6 +158,6 @@
         let word = self.h.zones.len() - 1;
         let z = ZoneState { zone: zone.clone(), evacuated };
         let bytes = serde_json::to_vec(&z).unwrap_or_default();
-        self.write(i, &format!("{ZONE}{zone}"), None, bytes, What::Zone(word));
+        self.write(i, &format!("{ZONE_PREFIX}{zone}"), None, bytes, What::Zone(word));
     }
 }
--- a/fleet-simulator/src/world/placing.rs
+++ b/fleet-simulator/src/world/placing.rs
@@ -1,6 +1,6 @@
 //! A platform that places versions: what it lists, and what it starts and stops at an order.
 
-use coordination::standing::{Standing, standing};
+use coordination::rollout_status::{RolloutStatus, rollout_status};
 
 use super::*;
 
@@ -50,16 +50,16 @@
         let (target, version) = (self.h.orders[order].2.clone(), self.orders_taken[order]);
         let service = self.d.spec.services[0].name.clone();
         let told = self.any().and_then(|i| {
-            let b = self.ctl[i].brain.as_ref().filter(|b| b.settled())?.board();
-            let plan: ReleasePlan = b.read(&format!("{PLAN}{service}"))?;
-            let n = b.get(&format!("{PLAN}{service}")).map(|c| c.version).filter(|n| *n == version)?;
-            Some(standing(b.read(&format!("{DUTY}{service}")).as_ref(), Some((n, &plan))).0)
+            let b = self.ctl[i].brain.as_ref().filter(|b| b.is_settled())?.state_table();
+            let plan: ReleasePlan = b.read(&format!("{PLAN_PREFIX}{service}"))?;
+            let n = b.get(&format!("{PLAN_PREFIX}{service}")).map(|c| c.version).filter(|n| *n == version)?;
+            Some(rollout_status(b.read(&format!("{ROLLOUT_PREFIX}{service}")).as_ref(), Some((n, &plan))).0)
         });
         let of = |w: &World, new: bool| -> Vec<String> {
             w.reps.values().filter(|r| (r.r.version == target) == new).map(|r| r.r.id.clone()).collect()
         };
         match told {
-            Some(Standing::Completed) => {
+            Some(RolloutStatus::Completed) => {
                 self.h.standings.push((self.now, true));
                 for id in of(self, false) {
                     if self.reps.get(&id).is_some_and(|r| r.work.values().any(|w| !w.readers.is_empty())) {
@@ -68,7 +68,7 @@
                     self.replica_down(&id, None);
                 }
             }
-            Some(Standing::Reverted) => {
+            Some(RolloutStatus::Reverted) => {
                 self.h.standings.push((self.now, false));
                 for id in of(self, true) {
                     self.after(TAKEN_AWAY, Ev::ReplicaGone { id });
--- a/fleet-simulator/src/world/replicas.rs
+++ b/fleet-simulator/src/world/replicas.rs
@@ -331,7 +331,7 @@
         } else {
             let failed = w.fail_at.is_some();
             let rec = &mut self.h.runs[run];
-            (rec.done, rec.failed, rec.digest, rec.end_ms) = (!failed, failed, digest(&w.text), now);
+            (rec.done, rec.failed, rec.digest, rec.end_ms) = (!failed, failed, text_digest(&w.text), now);
             let version = rec.version.clone();
             if let Some(r) = self.reps.get_mut(id) {
                 r.work.remove(&run);
@@ -344,7 +344,7 @@
             StreamLine {
                 start: None,
                 piece: None,
-                end: Some(StreamEnd { outcome, pieces: w.made, digest: Some(digest(&w.text)), fault }),
+                end: Some(StreamEnd { outcome, pieces: w.made, digest: Some(text_digest(&w.text)), fault }),
             }
         };
         let lines = w.spoiler.lines(w.made, over, line);
--- a/fleet-tools/src/caller.rs
+++ b/fleet-tools/src/caller.rs
@@ -8,7 +8,7 @@
 use futures_util::StreamExt;
 use remote_calls::{Fault, NominateRequest, Nomination, Outcome, ResumePoint, RunRequest, StreamLine, calls};
 
-use coordination::order::digest;
+use coordination::rendezvous::text_digest;
 
 /// What a caller wants.
 #[derive(Clone, Debug)]
@@ -134,7 +134,7 @@
                 all.push_str(&p.text);
             }
             if let Some(e) = l.end {
-                t.digest = digest(all);
+                t.digest = text_digest(all);
                 // A stream that was resumed is whole only if all its pieces are what the replica says it sent.
                 let own = e.digest.is_none_or(|d| d == t.digest);
                 t.outcome = if e.outcome == Outcome::Answered && own { "answered" } else { "unknown" }.into();
--- a/fleet-tools/src/replica.rs
+++ b/fleet-tools/src/replica.rs
@@ -169,7 +169,7 @@
 
 /// A piece's text: nobody else would write it, and it tells whose it is.
 fn text(q: &GenerateRequest, run: &str, n: u64) -> String {
-    let h = coordination::order::weight(&q.prompt, &format!("{run} {n}"));
+    let h = coordination::rendezvous::rendezvous_weight(&q.prompt, &format!("{run} {n}"));
     format!("{h:016x}")
 }
 
@@ -262,7 +262,7 @@
     }
     if let Some(x) = s.runs.get_mut(&id) {
         x.record.state = if fails { RunState::Failed } else { RunState::Done };
-        x.record.digest = coordination::order::digest(&hash);
+        x.record.digest = coordination::rendezvous::text_digest(&hash);
         x.grown.send_replace(());
     }
 }
