--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -1,6 +1,5 @@
 //! The one owner of a control daemon's brain: works through its mailbox and carries effects out.
 
-use daemon_parts::limits::DISK_AGAIN;
 use std::{
     collections::{BTreeMap, HashMap},
     rc::Rc,
@@ -14,14 +13,14 @@
     control::{Control, ControlConfig},
     effect::log_event,
     events,
-    limits::{REPORT_EVERY, SYNC_LATE, TICK},
     register::Expect,
     rollout::Order,
+    timing::{DISK_SYNC_TIMEOUT, REPORT_INTERVAL, TICK_INTERVAL},
 };
 use daemon_parts::{
     channels::{Channels, Incoming},
     clock, http,
-    limits::{CALL_LIMIT, MAILBOX},
+    limits::{CALL_LIMIT, DISK_AGAIN, MAILBOX},
     logging::event,
     look::Look,
 };
@@ -227,7 +226,7 @@
             self.pace.set_rate(brain.call_rate_share(rate));
             return self.ask_list(call, now, every, ctx);
         }
-        self.next_report = now + REPORT_EVERY;
+        self.next_report = now + REPORT_INTERVAL;
         let (c, a) = (self.client.clone(), self.platform.clone());
         let f = async move { http::call::<(), PlatformList>(&c, &a, calls::PLATFORM_LIST, None, CALL_LIMIT).await };
         ctx.spawn(f.into_actor(self).map(move |r, me, _| {
@@ -269,7 +268,7 @@
         let Some(c) = &mut self.c else { return self.reopen(ctx) };
         c.stopping = self.stopping;
         // A disk that hangs says nothing; others must not wait for it, and take over what is owned here.
-        let ok = self.syncing.values().next().is_none_or(|t| now.saturating_sub(*t) <= SYNC_LATE);
+        let ok = self.syncing.values().next().is_none_or(|t| now.saturating_sub(*t) <= DISK_SYNC_TIMEOUT);
         if c.disk_healthy != ok {
             c.disk_healthy = ok;
             let e = if ok { events::DISK_BACK } else { events::DISK_FAILED };
@@ -288,7 +287,7 @@
         ctx.set_mailbox_capacity(MAILBOX);
         self.ch = Some(Channels::new(&self.p.name, &self.p.addr, ctx.address().recipient()));
         self.reopen(ctx);
-        ctx.run_interval(Duration::from_millis(TICK), |me, ctx| me.tick(ctx));
+        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, ctx| me.tick(ctx));
     }
 }
 
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -8,10 +8,10 @@
     register::Expect,
     wire::Change,
 };
-use daemon_parts::limits::{NEWS_EVERY, NEWS_TURNS, VERSION_MAX};
 use daemon_parts::{
     clock,
     http::{Answer, json_config, no_such_path},
+    limits::{NEWS_EVERY, NEWS_TURNS, VERSION_MAX},
     look::Look,
 };
 use remote_calls::{
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -8,10 +8,9 @@
 use actix::Actor;
 use actix_web::{App, HttpServer, web};
 use coordination::control::ControlConfig;
-use daemon_parts::limits::WORKERS;
 use daemon_parts::{
     channels,
-    limits::CONTROL_STOP,
+    limits::{CONTROL_STOP, WORKERS},
     logging::{self, StartFault},
     params::Params,
     stop::{self, StopSignals},
@@ -21,7 +20,7 @@
 use crate::face::Face;
 
 /// ms. Time for the others to hear that this daemon goes: two beats.
-const FAREWELL: u64 = 2 * coordination::limits::HEARTBEAT_EVERY;
+const FAREWELL: u64 = 2 * coordination::timing::HEARTBEAT_INTERVAL;
 
 /// Runs until the process is asked to stop.
 pub async fn run(p: Params, face: Face) -> Result<(), Report<StartFault>> {
--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -12,11 +12,11 @@
     bounds::Bounds,
     control::{Control, ControlConfig, SPEC_KEY},
     edge_agent::EdgeAgent,
-    limits::TICK,
     membership::EDGE_ROLE,
     pass::{Ask, PassEnd, Told},
     proxy::{Admit, Placed, Proxy},
     register::Expect,
+    timing::TICK_INTERVAL,
 };
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use remote_calls::{PlatformList, Spec};
@@ -174,7 +174,7 @@
             w.addrs.insert(addr.clone(), (Role::Control, i));
             w.controls.push(Daemon { brain: Some(c), name, addr, zone: z });
             w.disks.push(Disk::default());
-            let at = w.rng.u64(..TICK);
+            let at = w.rng.u64(..TICK_INTERVAL);
             w.at(at, (Role::Control, i), Ev::Tick);
             w.at(at, (Role::Control, i), Ev::List);
         }
@@ -193,7 +193,7 @@
             w.agents.push(Daemon { brain: Some(a), name: name.clone(), addr, zone: z });
             w.proxies.push(Daemon { brain: Some(p), name: format!("{name}/proxy").into(), addr: at, zone: z });
             for r in [Role::Agent, Role::Proxy] {
-                let at = w.rng.u64(..TICK);
+                let at = w.rng.u64(..TICK_INTERVAL);
                 w.at(at, (r, i), Ev::Tick);
             }
         }
@@ -364,12 +364,12 @@
                 let mut out = c.tick(now);
                 out.extend(c.run_rollouts(now, now / 1_000));
                 self.carry(me, out);
-                self.at(TICK, me, Ev::Tick);
+                self.at(TICK_INTERVAL, me, Ev::Tick);
             }
             (Role::Agent, Ev::Tick) => {
                 let out = self.agents[me.1].brain.as_mut().map(|a| a.tick(now));
                 self.carry(me, out.unwrap_or_default());
-                self.at(TICK, me, Ev::Tick);
+                self.at(TICK_INTERVAL, me, Ev::Tick);
             }
             (Role::Proxy, Ev::Tick) => {
                 if now >= self.next_hello[me.1] {
@@ -378,11 +378,11 @@
                     let agent = self.agents[me.1].addr.clone();
                     hello.into_iter().for_each(|h| self.post(me, &agent, h.into()));
                 }
-                let mean = self.size.rate() / self.size.edges as f64 * TICK as f64 / 1_000.0;
+                let mean = self.size.rate() / self.size.edges as f64 * TICK_INTERVAL as f64 / 1_000.0;
                 if self.size.busy > 0 && self.rng.f64() < mean {
                     self.request(me.1);
                 }
-                self.at(TICK, me, Ev::Tick);
+                self.at(TICK_INTERVAL, me, Ev::Tick);
             }
             (_, Ev::First(p)) => {
                 if let Some(b) = &mut self.proxies[me.1].brain {
--- a/coordination/src/bounds.rs
+++ b/coordination/src/bounds.rs
@@ -3,10 +3,10 @@
 
 use serde::Deserialize;
 
-use crate::{
-    Ms,
-    limits::{LEASE, LEASES_IN_CONTACT},
-};
+use crate::{Ms, timing::LEASE_DURATION};
+
+/// Leases in a contact bound: a duty whose holder died is taken over, one lease later, well within it.
+const LEASES_PER_CONTACT_BOUND: Ms = 2;
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -48,7 +48,7 @@
 impl Bounds {
     /// ms. Life of a lease.
     pub fn lease(&self) -> Ms {
-        LEASE.min(self.contact / LEASES_IN_CONTACT)
+        LEASE_DURATION.min(self.contact / LEASES_PER_CONTACT_BOUND)
     }
 }
 
--- a/coordination/src/claims.rs
+++ b/coordination/src/claims.rs
@@ -10,10 +10,18 @@
     Effects, Ms,
     effect::{log_event, send},
     events,
-    limits::{CLAIM_GROUP, CLAIM_KEPT, CLAIM_LIMIT, KEY_MARGIN},
     rendezvous::rendezvous_order,
 };
 
+/// ms. Longest wait for a claim's majority; many in-country round trips, and short enough to void after it.
+pub const CLAIM_TIMEOUT: Ms = 300;
+/// ms. How long claims are remembered: five times the longest time left that a lane may grant.
+const CLAIM_RETENTION: Ms = 600_000;
+/// ms. A key's age as its caller tells it may be off by so much: two machines' clocks over ten minutes.
+const KEY_AGE_MARGIN: Ms = 5_000;
+/// Holders of one claim: a majority of three outlives one of them.
+const CLAIM_HOLDERS: usize = 3;
+
 /// Answers to a claim, as on the wire.
 pub const GRANTED: u8 = 0;
 pub const HELD_BY_OTHER: u8 = 1;
@@ -29,7 +37,7 @@
 /// A request id: random part, then `~name.born` for each holder.
 pub fn mint_request_id(random: u64, edges: Vec<Node>) -> String {
     let key = format!("{random:016x}");
-    let group = rendezvous_order(&key, edges, |n| &n.name).into_iter().take(CLAIM_GROUP);
+    let group = rendezvous_order(&key, edges, |n| &n.name).into_iter().take(CLAIM_HOLDERS);
     group.fold(key, |id, n| format!("{id}~{}.{:x}", n.name, n.incarnation))
 }
 
@@ -44,7 +52,7 @@
             Some((n.into(), u64::from_str_radix(b, 16).ok()?))
         })
         .collect();
-    v.filter(|v| !v.is_empty() && v.len() <= CLAIM_GROUP)
+    v.filter(|v| !v.is_empty() && v.len() <= CLAIM_HOLDERS)
 }
 
 /// What this edge granted: request to (round, voided, when).
@@ -67,7 +75,7 @@
         // whose life is shorter than that may have forgotten a grant.
         let lived = now.saturating_sub(self.started_at);
         let named = if m.request.starts_with(CALLER_KEY_PREFIX) {
-            m.key_age_ms == 0 || m.key_age_ms + KEY_MARGIN < lived && m.key_age_ms < CLAIM_KEPT
+            m.key_age_ms == 0 || m.key_age_ms + KEY_AGE_MARGIN < lived && m.key_age_ms < CLAIM_RETENTION
         } else {
             holders(&m.request).is_some_and(|h| h.iter().any(|(n, b)| *n == me.name && *b == me.incarnation))
         };
@@ -81,7 +89,7 @@
     }
 
     fn grant(&mut self, m: &Claim, now: Ms) -> u8 {
-        while self.by_age.front().is_some_and(|(t, _)| now.saturating_sub(*t) > CLAIM_KEPT) {
+        while self.by_age.front().is_some_and(|(t, _)| now.saturating_sub(*t) > CLAIM_RETENTION) {
             if let Some((_, r)) = self.by_age.pop_front() {
                 self.grants.remove(&r);
             }
@@ -155,7 +163,7 @@
                 holders: names,
                 quorum: need,
                 replies: BTreeMap::new(),
-                deadline: now + CLAIM_LIMIT,
+                deadline: now + CLAIM_TIMEOUT,
                 requester: proxy,
             },
         );
--- a/coordination/src/compressed.rs
+++ b/coordination/src/compressed.rs
@@ -6,7 +6,10 @@
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 use serde::{Serialize, de::DeserializeOwned};
 
-use crate::limits::{PACKED_FROM, UNPACKED_MAX};
+/// Bytes. A value that is as long is packed: below, packing saves less than it costs on every edge.
+pub(crate) const COMPRESSION_THRESHOLD_BYTES: usize = 4 << 10;
+/// Bytes that a packed value may unpack to: forty times the record of the largest fleet.
+pub(crate) const DECOMPRESSED_MAX_BYTES: usize = 32 << 20;
 
 /// Begins a packed value; no JSON begins so.
 const COMPRESSED_MARK: u8 = 0;
@@ -14,7 +17,7 @@
 /// The value as it is kept and sent; none if it cannot be written.
 pub fn encode<T: Serialize>(v: &T) -> Option<Vec<u8>> {
     let json = serde_json::to_vec(v).ok()?;
-    if json.len() < PACKED_FROM {
+    if json.len() < COMPRESSION_THRESHOLD_BYTES {
         return Some(json);
     }
     let mut e = DeflateEncoder::new(vec![COMPRESSED_MARK], Compression::fast());
@@ -29,8 +32,8 @@
     }
     let mut json = Vec::new();
     // A few bytes may unpack to any number.
-    let n = DeflateDecoder::new(&b[1..]).take(UNPACKED_MAX as u64 + 1).read_to_end(&mut json).ok()?;
-    if n > UNPACKED_MAX {
+    let n = DeflateDecoder::new(&b[1..]).take(DECOMPRESSED_MAX_BYTES as u64 + 1).read_to_end(&mut json).ok()?;
+    if n > DECOMPRESSED_MAX_BYTES {
         return None;
     }
     serde_json::from_slice(&json).ok()
--- a/coordination/src/compressed/tests.rs
+++ b/coordination/src/compressed/tests.rs
@@ -1,3 +1,4 @@
+use crate::compressed::{COMPRESSION_THRESHOLD_BYTES, DECOMPRESSED_MAX_BYTES};
 use googletest::prelude::*;
 use remote_calls::{GroupRecord, GroupRole, PlacedReplica, RolloutRecord};
 
@@ -30,7 +31,7 @@
         let r = record(n);
         let b = encode(&r).unwrap();
         expect_that!(decode::<RolloutRecord>(&b), some(eq(&r)));
-        expect_that!(b[0] == COMPRESSED_MARK, eq(serde_json::to_vec(&r).unwrap().len() >= PACKED_FROM));
+        expect_that!(b[0] == COMPRESSED_MARK, eq(serde_json::to_vec(&r).unwrap().len() >= COMPRESSION_THRESHOLD_BYTES));
     }
     // What an earlier build wrote is read too.
     let long = serde_json::to_vec(&record(3_000)).unwrap();
@@ -51,7 +52,7 @@
 fn bytes_that_are_no_value_or_unpack_to_too_much_are_none() {
     expect_that!(decode::<RolloutRecord>(&[COMPRESSED_MARK, 7, 7, 7]), none());
     expect_that!(decode::<RolloutRecord>(b""), none());
-    let text = encode(&"a".repeat(UNPACKED_MAX)).unwrap();
-    expect_that!(text.len(), lt(UNPACKED_MAX / 100));
+    let text = encode(&"a".repeat(DECOMPRESSED_MAX_BYTES)).unwrap();
+    expect_that!(text.len(), lt(DECOMPRESSED_MAX_BYTES / 100));
     expect_that!(decode::<String>(&text), none());
 }
--- a/coordination/src/context/decide.rs
+++ b/coordination/src/context/decide.rs
@@ -6,14 +6,23 @@
 
 use super::{Chain, number};
 use crate::{
-    limits::{
-        COPY_ASKS, CROSS_REGION_BYTE_MS, DEMAND_HALF, FAR_MS, GIVE_BACK_PART, OWN_TOKENS, STANDING_FOR, STANDING_MOST,
-        TOKEN_BYTES,
-    },
-    placement::again_ms,
+    Ms,
+    context::demand::DEMAND_HALF,
+    placement::{CROSS_REGION_BYTE_MS, TOKEN_BYTES, again_ms, travel::FAR_MS},
     rendezvous::rendezvous_weight_of,
 };
 
+/// ms. A copy is planned for so long: less than a cache keeps what is asked for so often.
+const STANDING_FOR: Ms = 30_000;
+/// Copies in one record: with ids it stays some ten KB, which each edge gets at each change.
+pub const STANDING_MOST: usize = 128;
+/// A copy is given back when it is worth less than this part of what would have it made.
+const GIVE_BACK_PART: f64 = 0.25;
+/// Asks in the window that one replica takes beside its other work: three a second, a fifth of what it reads.
+const COPY_ASKS: f64 = 64.0;
+/// Tokens of a prompt that are its own, where only its chain is known.
+const OWN_TOKENS: u32 = 2_000;
+
 /// How often a region asks for a chain, decaying, and how often it was taken for ready there and was not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Asked {
--- a/coordination/src/context/demand.rs
+++ b/coordination/src/context/demand.rs
@@ -7,10 +7,27 @@
 use wire_messages::{ChainDemand, Name};
 
 use super::{Asked, Chain};
-use crate::{
-    Ms,
-    limits::{ASK_UNIT, DECAY_EVERY, DEMAND_CHAINS, DEMAND_EVERY, DEMAND_EVERY_EDGE, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD},
-};
+use crate::Ms;
+
+/// Chains that an edge counts: a summary of so many errs by at most a 128th of what was asked for lately.
+pub const DEMAND_CHAINS: usize = 128;
+/// Units of one ask: counts decay as whole numbers.
+const ASK_UNIT: u64 = 256;
+/// ms. An ask counts half after so long: some asks of a popular chain lie within it, and busy hours move more slowly.
+pub const DEMAND_HALF: Ms = 15_000;
+/// ms. Counts decay in steps of this.
+const DECAY_EVERY: Ms = 1_000;
+/// ms, at least and for each edge, between two tellings of what is asked for; and chains in one: the holder of the duty
+/// hears 50 KB a second at most.
+pub const DEMAND_EVERY: Ms = 1_000;
+/// ms, at least and for each edge, between two tellings of what is asked for; and chains in one: the holder of the duty
+/// hears 50 KB a second at most.
+const DEMAND_EVERY_EDGE: Ms = 25;
+/// ms, at least and for each edge, between two tellings of what is asked for; and chains in one: the holder of the duty
+/// hears 50 KB a second at most.
+pub const DEMAND_TOLD: usize = 32;
+/// ms. What an edge told counts no more after so long, several tellings of the largest fleets.
+pub const DEMAND_OLD: Ms = 30_000;
 
 /// What one edge counts.
 #[derive(Clone)]
--- a/coordination/src/context/mod.rs
+++ b/coordination/src/context/mod.rs
@@ -1,8 +1,10 @@
 //! Popular shared context: how often shared parts of prompts are asked for, and where copies of them stand ready.
 
 mod decide;
-mod demand;
+pub(crate) mod demand;
 mod standing;
+pub use decide::STANDING_MOST;
+pub use demand::{DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD};
 
 pub use decide::{Asked, Inputs, decide};
 pub use demand::{Demand, Demands};
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -21,14 +21,9 @@
     bounds::Bounds,
     compressed,
     context::{self, Demands, homes},
+    control::{rollouts::ROLLOUT_STALLED_AFTER, voters::JOINER_WINDOW},
     effect::{log_event, send},
     events,
-    limits::{
-        ADDRESSES, BEHIND_AFTER, COUNTERS, COUNTS_LEFT, DEMAND_OLD, DIFFERS_LONG, FOLLOWER_GONE, FORWARD_LIMIT, HEARTBEAT_EVERY,
-        IN_TOUCH_AFTER, INTRODUCE_EVERY, KNOWS_FLEET, LIST_CALM, LONG_VALUE, LOOP_EVERY, LOOP_RESTS, NEWCOMER, NEWS_PACE,
-        NODE_FORGOTTEN, NODE_GONE, ORDER_RENEWED, PEER_GONE, PUSH_TAKES, PUSHED_TO, READING, RESOLUTION_LOGGED, SILENT_EDGE,
-        SILENT_LOGGED, STANDING_EVERY, STOOD_STILL, WAKES_FOR,
-    },
     membership::{CONTROL_ROLE, EDGE_ROLE, Membership},
     pass::host_name,
     regions,
@@ -36,6 +31,7 @@
     rendezvous::{rendezvous_order, rendezvous_weight},
     rollout::{RolloutInputs, RolloutLoop, initial_record},
     state_table::{SpecParser, StateTable, version_stamp},
+    timing::{HEARTBEAT_INTERVAL, NODE_TIMEOUT},
     version_health::VersionHealth,
     voter_placement,
 };
@@ -50,6 +46,11 @@
 mod status;
 mod voters;
 mod writes;
+pub use change_feed::{ASSUMED_BYTES_PER_MS, PUSH_ELIGIBILITY, PUSH_TIMEOUT};
+pub use context_placement::CONTEXT_WRITE_INTERVAL;
+pub use directory::{DISTANT_LOG_INTERVAL, FLEET_DISCOVERY_TIME};
+pub use followers::COUNTER_RETENTION;
+pub use writes::FORWARD_TIMEOUT;
 
 use change_feed::FeedEntry;
 use context_placement::ContextRole;
@@ -397,7 +398,7 @@
         self.select_services(now, &live);
         self.change_voters(now, &live, &mut out);
         self.detect_stalled_loops(now, &live, &mut out);
-        self.forwards_seen.retain(|_, t| now.saturating_sub(*t) < 2 * FORWARD_LIMIT);
+        self.forwards_seen.retain(|_, t| now.saturating_sub(*t) < 2 * FORWARD_TIMEOUT);
         self.unconditional_writes.retain(|_, o| o.is_awaited(now));
         self.retry_forwarded(now, &mut out);
         let need = self.registers.voters.len() / 2;
@@ -426,7 +427,7 @@
                 continue;
             }
             let at = *self.loop_ran_at.entry(s.name.clone()).or_insert(now);
-            if now.saturating_sub(at) > LOOP_RESTS && self.stalled_loops.insert(s.name.clone()) {
+            if now.saturating_sub(at) > ROLLOUT_STALLED_AFTER && self.stalled_loops.insert(s.name.clone()) {
                 out.push(log_event(events::LOOP_RESTS, &s.name, format!("{} ms", now - at)));
             }
         }
@@ -436,14 +437,14 @@
         if now < self.next_heartbeat {
             return;
         }
-        self.next_heartbeat = now + HEARTBEAT_EVERY;
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let state = match (self.registers.member_epoch, self.registers.voting) {
             _ if self.stopping => PeerState::Stopping,
             (0, _) if !self.registers.voters.is_empty() => PeerState::Bootstrapping,
             (0, _) => PeerState::Blank,
             (_, true) if self.disk_healthy => PeerState::Voter,
             _ if self.is_listed_voter() => PeerState::CatchingUp,
-            _ if self.started_blank && now.saturating_sub(self.started_at) < NEWCOMER => PeerState::Joiner,
+            _ if self.started_blank && now.saturating_sub(self.started_at) < JOINER_WINDOW => PeerState::Joiner,
             _ => PeerState::Learner,
         };
         let zone = self.config.zone.clone();
@@ -454,7 +455,7 @@
             state,
             committed_digest: self.registers.committed_digest(),
         };
-        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= NODE_GONE);
+        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= NODE_TIMEOUT);
         let votes = |n: &Name| self.registers.voters.iter().any(|v| v.name == *n);
         let mut to: BTreeSet<Name> = self.registers.voters.iter().map(|v| self.registers.addr(v)).collect();
         // Daemons that stand by have nothing to tell each other.
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -2,6 +2,18 @@
 
 use super::*;
 
+/// Bytes a ms. News to an agent are taken to arrive at this pace: an edge's link of 10 Mbit/s, shared by the daemons that
+/// send it news. What is short, as nearly all is, arrives at once.
+pub const ASSUMED_BYTES_PER_MS: Ms = 256;
+/// ms. They are pushed to if they polled within this, two questions' time: who is cut off asks when it is back, and what
+/// was pushed meanwhile would come then as a flood.
+pub const PUSH_ELIGIBILITY: Ms = 1_000;
+/// Bytes. A longer value is let come to an agent from one daemon: to send it is dearer than to wait.
+const LONG_VALUE_BYTES: usize = 1_000;
+/// ms. News is pushed to an agent within this, also a long spec over a slow link and by a busy daemon; after it whichever
+/// daemon is asked tells, well before a change must be in force.
+pub const PUSH_TIMEOUT: Ms = 1_000;
+
 /// A key's newest place in the feed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FeedEntry {
@@ -15,7 +27,7 @@
 
 impl FeedEntry {
     fn advance(self, place: u64, stood: u64, now: Ms) -> FeedEntry {
-        match now.saturating_sub(self.burst_started_at) < PUSH_TAKES {
+        match now.saturating_sub(self.burst_started_at) < PUSH_TIMEOUT {
             true => FeedEntry { position: place, ..self },
             false => FeedEntry {
                 position: place,
@@ -54,7 +66,9 @@
         }
         let tellers = self.update_sources(now);
         let mut agents = std::mem::take(&mut self.followers);
-        for a in agents.values_mut().filter(|a| now.saturating_sub(a.polled_at) <= PUSHED_TO && self.pushes_to(&a.node, &tellers))
+        for a in agents
+            .values_mut()
+            .filter(|a| now.saturating_sub(a.polled_at) <= PUSH_ELIGIBILITY && self.pushes_to(&a.node, &tellers))
         {
             let to = a.node.addr.clone();
             self.send_update(&to, a, self.feed_position, false, now, out);
@@ -90,7 +104,7 @@
         let mut m = self.build_update(a, full, now);
         let bytes: usize = m.changes.iter().map(|c| c.value.0.len()).sum();
         // Behind what is still on its way.
-        a.in_flight = (m.through_position, now.max(a.in_flight.1) + bytes as Ms / NEWS_PACE);
+        a.in_flight = (m.through_position, now.max(a.in_flight.1) + bytes as Ms / ASSUMED_BYTES_PER_MS);
         m.through_position = m.through_position.min(upto);
         out.push(send(to, m));
     }
@@ -118,14 +132,14 @@
         // may have been cut off with the agent until just now.
         let far =
             regions::region_of(&self.config.regions, &a.node.zone) != regions::region_of(&self.config.regions, &self.config.zone);
-        let lately = |at: Ms| now.saturating_sub(at) < PUSH_TAKES;
+        let lately = |at: Ms| now.saturating_sub(at) < PUSH_TIMEOUT;
         let waits = !full && (a.was_delayed || (far && lately(a.in_touch_since)));
         let first = OnceCell::new();
         let others = || !full && !*first.get_or_init(|| self.is_preferred_source(&a.node, now));
         let served = |c: &Change, f: FeedEntry| {
             lately(f.burst_started_at) && has(c).map_or(0, |s| s.version) >= f.version_before_last_burst
         };
-        let comes = |c: &Change, f: FeedEntry| c.value.0.len() > LONG_VALUE && (waits || (served(c, f) && others()));
+        let comes = |c: &Change, f: FeedEntry| c.value.0.len() > LONG_VALUE_BYTES && (waits || (served(c, f) && others()));
         let (mut upto, mut changes) = (self.feed_position, vec![]);
         for (c, f) in new.filter(|(c, _)| lacks(c)) {
             if comes(c, f) {
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -1,6 +1,10 @@
 //! Copies of shared context, for the services whose duty is held here.
 
 use super::*;
+use crate::context::demand::DEMAND_OLD;
+
+/// ms. A record of copies is not written again before: each writing is a sync and a message to every edge.
+pub const CONTEXT_WRITE_INTERVAL: Ms = 3_000;
 
 /// What is known for deciding a service's copies of shared context.
 #[derive(Clone, Debug)]
@@ -40,7 +44,7 @@
                 out.push(log_event(events::CONTEXT_DUTY, &s.name, ""));
                 ContextRole { held_since: now, written_at: 0, demand: Demands::default() }
             });
-            if now < d.written_at + STANDING_EVERY || self.registers.has_pending_writes(&key) {
+            if now < d.written_at + CONTEXT_WRITE_INTERVAL || self.registers.has_pending_writes(&key) {
                 continue;
             }
             let Some(r) = self.records.get(&s.name) else { continue };
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -1,6 +1,19 @@
 //! Where callers are sent.
 
 use super::*;
+use crate::timing::NODE_TIMEOUT;
+
+/// ms. A control daemon tells callers of edges only when every agent had three turns to poll it: a short list would
+/// send everybody to a few edges.
+pub const FLEET_DISCOVERY_TIME: Ms = 1_500;
+/// ms. That a region's callers are sent so far beyond it, or nowhere, is logged this often while it lasts.
+pub const DISTANT_LOG_INTERVAL: Ms = 60_000;
+/// ms. An edge that was not heard of for so long is most likely gone: that the directory names it all the same is logged.
+const UNREACHABLE_EDGE_AFTER: Ms = 3_000;
+/// ms. It is logged this often while it lasts.
+const UNREACHABLE_LOG_INTERVAL: Ms = 2_000;
+/// Addresses of edges in one answer to a caller.
+const MAX_ADDRESSES: usize = 64;
 
 /// Who asks the directory, and for which host.
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +71,7 @@
     unreachable: Unreachable,
 }
 
-/// Edges of an answer that were not heard of for `SILENT_EDGE`, and the longest silence of any edge in it.
+/// Edges of an answer that were not heard of for `UNREACHABLE_EDGE_AFTER`, and the longest silence of any edge in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Unreachable {
     edges: usize,
@@ -67,7 +80,7 @@
 
 impl Unreachable {
     fn among(edges: &[ServingEdge]) -> Self {
-        let silent = edges.iter().filter(|e| e.unheard_for > SILENT_EDGE).count();
+        let silent = edges.iter().filter(|e| e.unheard_for > UNREACHABLE_EDGE_AFTER).count();
         Unreachable { edges: silent, longest_ms: edges.iter().map(|e| e.unheard_for).max().unwrap_or(0) }
     }
 }
@@ -134,12 +147,12 @@
 
     /// Whether it is to be logged that an answer names silent edges.
     fn unreachable_log_due(&mut self, silent: Unreachable, now: Ms) -> bool {
-        silent.edges > 0 && is_due(&mut self.unreachable_logged_at, SILENT_LOGGED, now)
+        silent.edges > 0 && is_due(&mut self.unreachable_logged_at, UNREACHABLE_LOG_INTERVAL, now)
     }
 
     /// Whether it is to be logged how far a region's callers are sent: a region with one edge is so for ever.
     fn distant_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
-        is_due(self.distant_logged_at.entry((region.into(), reach)).or_default(), RESOLUTION_LOGGED, now)
+        is_due(self.distant_logged_at.entry((region.into(), reach)).or_default(), DISTANT_LOG_INTERVAL, now)
     }
 }
 
@@ -163,7 +176,7 @@
     }
 
     fn log_unreachable(&self, caller: Caller, silent: Unreachable, now: Ms) -> Effect {
-        let polled = self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= NODE_GONE).count();
+        let polled = self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= NODE_TIMEOUT).count();
         let live = self.membership.live(EDGE_ROLE).count();
         let Unreachable { edges, longest_ms: longest } = silent;
         let text = format!("edges={edges} longest_ms={longest} polled={polled} live={live}");
@@ -195,7 +208,7 @@
     /// and it goes by gossip, for no longer than it may be out of touch without a rule's leave.
     fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
         let in_touch = self.in_touch(now);
-        let most = if in_touch { NODE_GONE } else { self.config.bounds.contact };
+        let most = if in_touch { NODE_TIMEOUT } else { self.config.bounds.contact };
         let all = self.membership.known(EDGE_ROLE).filter(|n| !n.http_addr.is_empty());
         let all = all.filter(|n| in_touch || self.membership.is_live(&n.name));
         all.map(|node| ServingEdge { node, unheard_for: self.unheard_for(node, now) }).filter(|e| e.unheard_for <= most).collect()
@@ -206,12 +219,12 @@
     }
 
     fn edges_for(&self, caller: Caller, now: Ms) -> Result<Resolution, Unresolved> {
-        if now.saturating_sub(self.started_at) < KNOWS_FLEET {
+        if now.saturating_sub(self.started_at) < FLEET_DISCOVERY_TIME {
             return Err(Unresolved::Starting);
         }
         let (edges, reach) = self.select_edges(caller, self.serving_edges(now));
         let edges: Vec<ServingEdge> =
-            rendezvous_order(caller.host, edges, |e| &e.node.name).into_iter().take(ADDRESSES).collect();
+            rendezvous_order(caller.host, edges, |e| &e.node.name).into_iter().take(MAX_ADDRESSES).collect();
         if edges.is_empty() {
             return Err(Unresolved::NoEdge);
         }
--- a/coordination/src/control/fleet_contact.rs
+++ b/coordination/src/control/fleet_contact.rs
@@ -1,6 +1,14 @@
 //! Whether this daemon is in touch with the fleet, so that what it does not hear of is gone and not merely out of its reach.
 
 use super::*;
+use crate::{control::writes::SUSPENSION_THRESHOLD, timing::PEER_TIMEOUT};
+
+/// ms. A control daemon that has run and heard a majority of the voters for so long without a break is in touch: every live
+/// edge has polled it, also one that has just learned of it.
+const CONTACT_ESTABLISHED_AFTER: Ms = 3_000;
+/// ms. Until it is in touch a daemon tells edges of itself this often, where gossip knows them and they have not polled it:
+/// those that know it have done so twice by then.
+const INTRODUCTION_INTERVAL: Ms = 1_000;
 
 /// Since when a daemon has run and heard a majority of the voters without a break, and when it next tells edges of itself
 /// until that has lasted.
@@ -13,7 +21,7 @@
 impl FleetContact {
     /// Of a daemon that starts.
     pub(super) fn new(now: Ms) -> Self {
-        FleetContact { in_touch_since: None, next_introduction: now + INTRODUCE_EVERY }
+        FleetContact { in_touch_since: None, next_introduction: now + INTRODUCTION_INTERVAL }
     }
 
     /// Takes what was seen at a tick.
@@ -22,7 +30,7 @@
     }
 
     fn is_established(&self, now: Ms) -> bool {
-        self.in_touch_since.is_some_and(|since| now.saturating_sub(since) >= IN_TOUCH_AFTER)
+        self.in_touch_since.is_some_and(|since| now.saturating_sub(since) >= CONTACT_ESTABLISHED_AFTER)
     }
 }
 
@@ -31,7 +39,7 @@
     /// votes it matters neither what state they are in nor which member epoch they follow.
     pub(super) fn hears_voter_majority(&self, now: Ms) -> bool {
         let hears = |name: &Name| {
-            *name == self.config.name || self.peers.get(name).is_some_and(|p| now.saturating_sub(p.heard_at) <= PEER_GONE)
+            *name == self.config.name || self.peers.get(name).is_some_and(|p| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT)
         };
         let heard = self.registers.voters.iter().filter(|v| hears(&v.name)).count();
         self.registers.is_majority(heard)
@@ -39,7 +47,7 @@
 
     /// Whether this daemon is in touch. One that has just woken is not, though it has not ticked since.
     pub(super) fn in_touch(&self, now: Ms) -> bool {
-        now.saturating_sub(self.last_tick) <= STOOD_STILL && self.fleet_contact.is_established(now)
+        now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD && self.fleet_contact.is_established(now)
     }
 
     /// Tells edges that have not polled this daemon of it: gossip would take long to bring a newcomer round a large fleet.
@@ -47,7 +55,7 @@
         if now < self.fleet_contact.next_introduction || self.in_touch(now) {
             return;
         }
-        self.fleet_contact.next_introduction = now + INTRODUCE_EVERY;
+        self.fleet_contact.next_introduction = now + INTRODUCTION_INTERVAL;
         let strangers = self.membership.live(EDGE_ROLE).filter(|n| !self.followers.contains_key(&n.name));
         out.extend(strangers.map(|n| send(&n.addr, self.membership.introduction())));
     }
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -2,13 +2,20 @@
 
 use super::*;
 
+/// Daemons that keep a service's tallies: who holds its duty, and who would take it next.
+const COUNTER_SUBSCRIBERS: usize = 2;
+/// ms. A daemon that is neither any more keeps them for so long: voters come and go for a moment.
+pub const COUNTER_RETENTION: Ms = 10_000;
+/// ms. Agents that polled within this are counted as followers.
+pub(crate) const FOLLOWER_TIMEOUT: Ms = 3_000;
+
 impl Control {
     pub(super) fn on_poll(&mut self, addr: &Name, m: Poll, now: Ms, out: &mut Effects) {
         let name = m.node.name.clone();
         let mut old = self.followers.remove(&name);
         let same = old.as_ref().filter(|a| a.node.incarnation == m.node.incarnation);
         let (count, told) = same.map_or((0, (0, 0)), |a| (a.counters_through, a.in_flight));
-        let since = same.filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_GONE).map_or(now, |a| a.in_touch_since);
+        let since = same.filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT).map_or(now, |a| a.in_touch_since);
         let waited = same.is_some_and(|a| m.sent_at.saturating_sub(a.poll_sent_at) > 2 * now.saturating_sub(a.polled_at));
         // What changed since a count that an earlier life of this daemon had is not enough to know anything by; nor is
         // an agent's word before its proxy has spoken.
@@ -73,7 +80,8 @@
             let key = format!("{ROLLOUT_PREFIX}{}", s.name);
             // One that stands by may step in as a voter before the duty is free to take.
             let others = self.registers.voters.iter().filter(|v| v.name != *me && live(&v.name));
-            let next = others.filter(|v| rendezvous_weight(&key, &v.name) > rendezvous_weight(&key, me)).count() < COUNTERS;
+            let next =
+                others.filter(|v| rendezvous_weight(&key, &v.name) > rendezvous_weight(&key, me)).count() < COUNTER_SUBSCRIBERS;
             if next || self.registers.held_until(&key, now).is_some() {
                 changed |= self.selected_services.insert(s.name.as_str().into(), now).is_none();
             }
@@ -81,7 +89,7 @@
         // A voter that is silent for a moment changes nothing: a choice costs every edge's every count.
         let loops = &mut self.loops;
         self.selected_services.retain(|s, at| {
-            let keep = now.saturating_sub(*at) < COUNTS_LEFT;
+            let keep = now.saturating_sub(*at) < COUNTER_RETENTION;
             if !keep {
                 // What came in the meantime would seem to have come at once.
                 loops.get_mut(&**s).into_iter().for_each(|l| l.health = VersionHealth::default());
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// ms. A list of replicas that has not changed for so long is calm: nothing is being placed, drained or taken away.
+const LIST_STABLE_AFTER: Ms = 5_000;
+
 /// What one of `voters` may call for a second so that all who may hold one of `duties`, or held it last, stay within
 /// `rate` in any second: each may have one call in hand besides.
 pub fn call_rate_share(rate: f64, voters: usize, duties: usize) -> f64 {
@@ -26,7 +29,7 @@
 
     /// Whether the list has not changed for a while, so that it may be asked for less often.
     pub fn is_list_stable(&self, now: Ms) -> bool {
-        self.replica_list.is_some() && now.saturating_sub(self.list_changed_at) > LIST_CALM
+        self.replica_list.is_some() && now.saturating_sub(self.list_changed_at) > LIST_STABLE_AFTER
     }
 
     pub fn on_report(&mut self, r: ReplicaReport, now: Ms) {
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -1,7 +1,12 @@
 //! The rollout loops of the duties that are held here.
 
 use super::*;
-use crate::{events::Event, rollout::Order};
+use crate::{control::followers::FOLLOWER_TIMEOUT, events::Event, rollout::Order};
+
+/// ms. The rollout loop's period.
+const ROLLOUT_INTERVAL: Ms = 300;
+/// ms. A loop that has not run for this long raises its alert; a handover takes a tenth of it.
+pub(crate) const ROLLOUT_STALLED_AFTER: Ms = 60_000;
 
 /// What all loops of one pass are run with.
 struct RolloutPass<'a> {
@@ -60,7 +65,7 @@
         if now < self.next_loop || !self.is_settled || self.kill_switch_on() {
             return vec![];
         }
-        self.next_loop = now + LOOP_EVERY;
+        self.next_loop = now + ROLLOUT_INTERVAL;
         // Whoever is next to take a duty keeps the evidence too, and judges by it at once.
         self.loops.values_mut().for_each(|l| l.health.tick(now));
         // Taken out and put back: it is large, and nothing below replaces it.
@@ -129,7 +134,7 @@
     ) -> (RolloutRecord, Vec<Order>) {
         let now = pass.now;
         let mut l = self.loops.remove(&service.name).unwrap_or_else(|| RolloutLoop::new(now));
-        let live = || self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_GONE);
+        let live = || self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT);
         let summed = OnceCell::new();
         let open = |id: &str, version: &str| -> u64 {
             let all: &OpenStreams = summed.get_or_init(|| sum_open_streams(live()));
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -1,6 +1,10 @@
 //! What operators and supervisors see.
 
 use super::*;
+use crate::control::followers::FOLLOWER_TIMEOUT;
+
+/// ms. A voter that has differed from this daemon for so long counts as behind.
+const LAGGING_AFTER: Ms = 500;
 
 impl Control {
     pub fn status(&self, now: Ms) -> Status {
@@ -26,8 +30,9 @@
         let contexts = self.state_table.with_prefix(CONTEXT_PREFIX).filter_map(|(_, c)| compressed::decode(&c.value.0));
         let rollouts = self.state_table.with_prefix(ROLLOUT_PREFIX).filter_map(|(_, c)| compressed::decode(&c.value.0));
         let zones = self.spec.as_ref().map_or(vec![], |s| s.zones.clone());
-        let heard =
-            || self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_GONE).flat_map(|a| &a.open_streams);
+        let heard = || {
+            self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT).flat_map(|a| &a.open_streams)
+        };
         let homes: BTreeMap<String, String> = self
             .state_table
             .with_prefix(ROLLOUT_PREFIX)
@@ -104,7 +109,7 @@
 
     pub fn counters(&self, now: Ms) -> Vec<(&'static str, u64)> {
         let voters = || self.registers.voters.iter();
-        let differ = |v: &&Voter| self.differences.get(&v.name).is_some_and(|d| now.saturating_sub(d.since) >= BEHIND_AFTER);
+        let differ = |v: &&Voter| self.differences.get(&v.name).is_some_and(|d| now.saturating_sub(d.since) >= LAGGING_AFTER);
         let copies =
             self.state_table.with_prefix(CONTEXT_PREFIX).filter_map(|(_, c)| compressed::decode::<ContextRecord>(&c.value.0));
         let mut rows = vec![
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -1,6 +1,14 @@
 //! Beats and voters: who votes, who is read before it does, and whose place another takes.
 
 use super::*;
+use crate::timing::{HEARTBEAT_INTERVAL, NODE_RETENTION, PEER_TIMEOUT};
+
+/// ms. An empty machine that came so lately came in a lost one's stead.
+pub(crate) const JOINER_WINDOW: Ms = 20_000;
+/// ms. A newcomer among the voters reads the others' disks in this time; longer, and it is given up as one.
+const CATCH_UP_TIMEOUT: Ms = 3_000;
+/// ms. Two daemons that hold different things for so long compare them, even where what they hold keeps changing.
+const DIVERGENCE_TIMEOUT: Ms = 1_000;
 
 impl Control {
     /// Whether this very disk is a voter's.
@@ -13,7 +21,7 @@
             .peers
             .iter()
             .filter(|(_, p)| {
-                now.saturating_sub(p.heard_at) <= PEER_GONE
+                now.saturating_sub(p.heard_at) <= PEER_TIMEOUT
                     && p.heartbeat.state == PeerState::Voter
                     && p.heartbeat.member_epoch == self.registers.member_epoch
             })
@@ -39,7 +47,7 @@
         }
         let behind = m.member_epoch > self.registers.member_epoch || (m.state == PeerState::Voter && missed);
         if behind && !blank && now >= self.next_slots_request {
-            self.next_slots_request = now + HEARTBEAT_EVERY / 4;
+            self.next_slots_request = now + HEARTBEAT_INTERVAL / 4;
             out.push(send(
                 addr,
                 SlotsRequest { member_epoch: self.registers.member_epoch, known: self.registers.slot_metadata() },
@@ -50,7 +58,8 @@
             out.push(send(addr, Bootstrap { voters: List(self.registers.voters.clone()) }));
         }
         // Who is new, or was gone, learns of this daemon at once.
-        if self.peers.get(from).is_none_or(|p| now.saturating_sub(p.heard_at) > PEER_GONE || p.heartbeat.disk_id != m.disk_id) {
+        if self.peers.get(from).is_none_or(|p| now.saturating_sub(p.heard_at) > PEER_TIMEOUT || p.heartbeat.disk_id != m.disk_id)
+        {
             self.next_heartbeat = now;
         }
         self.peers.insert(from.clone(), Peer { heard_at: now, heartbeat: m, addr: addr.clone() });
@@ -64,7 +73,7 @@
             self.differences.insert(from.clone(), Difference { digests, since: now, compared_at: now });
             return false;
         };
-        let missed = d.digests == digests || now.saturating_sub(d.compared_at) >= DIFFERS_LONG;
+        let missed = d.digests == digests || now.saturating_sub(d.compared_at) >= DIVERGENCE_TIMEOUT;
         *d = Difference { digests, since: d.since, compared_at: if missed { now } else { d.compared_at } };
         missed
     }
@@ -173,14 +182,14 @@
         if now < self.next_voter_change || !self.registers.voting {
             return;
         }
-        self.next_voter_change = now + 2 * HEARTBEAT_EVERY;
-        self.disk_heard_at.retain(|_, t| now.saturating_sub(*t) < NODE_FORGOTTEN);
+        self.next_voter_change = now + 2 * HEARTBEAT_INTERVAL;
+        self.disk_heard_at.retain(|_, t| now.saturating_sub(*t) < NODE_RETENTION);
         let mine = self.registers.preferred_owner(MEMBERS_KEY, live).is_some_and(|v| v.name == self.config.name);
         // One that has just started has not heard the others yet.
-        if !mine || now.saturating_sub(self.started_at) < 2 * PEER_GONE || self.registers.has_pending_writes(MEMBERS_KEY) {
+        if !mine || now.saturating_sub(self.started_at) < 2 * PEER_TIMEOUT || self.registers.has_pending_writes(MEMBERS_KEY) {
             return;
         }
-        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_GONE);
+        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT);
         let votes = |v: &Voter| v.name == self.config.name || live(&v.name);
         let member_epoch = self.registers.member_epoch;
         // A newcomer is still reading: another change would have it begin anew.
@@ -188,7 +197,7 @@
             p.heartbeat.state == PeerState::CatchingUp
                 && self.registers.voters.iter().any(|v| v.disk_id == p.heartbeat.disk_id && v.since_epoch == member_epoch)
         };
-        if now.saturating_sub(self.voters_changed_at) < READING && fresh().any(|(_, p)| reads(p)) {
+        if now.saturating_sub(self.voters_changed_at) < CATCH_UP_TIMEOUT && fresh().any(|(_, p)| reads(p)) {
             return;
         }
         let free = |p: &Peer| {
@@ -229,19 +238,20 @@
         if self.registers.voting || now < self.next_join {
             return;
         }
-        self.next_join = now + HEARTBEAT_EVERY;
+        self.next_join = now + HEARTBEAT_INTERVAL;
         if self.is_listed_voter() {
             let ask = SlotsRequest { member_epoch: self.registers.member_epoch, known: self.registers.slot_metadata() };
             // Also those that have just lost their places: what they voted may stand with them alone.
             let mut to: BTreeMap<Name, Name> =
                 self.registers.voters.iter().map(|v| (v.name.clone(), self.registers.addr(v))).collect();
-            let fresh = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_GONE);
+            let fresh = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT);
             to.extend(fresh.map(|(n, p)| (n.clone(), p.addr.clone())));
             to.retain(|n, _| *n != self.config.name && !self.caught_up_from.contains(n));
             out.extend(to.values().map(|a| send(a, ask.clone())));
             return;
         }
-        let fresh: Vec<(&Name, &Peer)> = self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_GONE).collect();
+        let fresh: Vec<(&Name, &Peer)> =
+            self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT).collect();
         if let Some(voters) = self.bootstrap_voters(&fresh) {
             // Others store it when this daemon's next beats tell them. Should it crash before it is synced here, it
             // learns it from them, or writes the same again: it takes nothing but the same disks.
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -1,6 +1,19 @@
 //! Writes: taken to their keys' owners, passed on to other daemons, and what became of them.
 
 use super::*;
+use crate::timing::HEARTBEAT_INTERVAL;
+
+/// ms. A daemon that passed a write on waits a little longer than the owner does.
+pub const FORWARD_TIMEOUT: Ms = 2_500;
+/// ms without a tick after which a daemon takes itself to have stood still: whoever asked it goes on to another after a
+/// second of silence. And for how long from its waking it takes nothing that may have waited in its sockets.
+pub(crate) const SUSPENSION_THRESHOLD: Ms = 1_000;
+/// ms without a tick after which a daemon takes itself to have stood still: whoever asked it goes on to another after a
+/// second of silence. And for how long from its waking it takes nothing that may have waited in its sockets.
+const RESUME_GRACE: Ms = 500;
+/// ms. An order that is compared with nothing is tried again on what another order left, for so long from its coming:
+/// its sender goes to another daemon after a second without an answer, and may then give the opposite order.
+const UNCONDITIONAL_RETRY_TIME: Ms = 700;
 
 /// An order that is compared with nothing, as it came to this daemon.
 #[derive(Clone, Debug)]
@@ -14,7 +27,7 @@
 impl UnconditionalWrite {
     /// Whether an answer to it may still come.
     pub(super) fn is_awaited(&self, now: Ms) -> bool {
-        now < self.retried_until + 2 * FORWARD_LIMIT
+        now < self.retried_until + 2 * FORWARD_TIMEOUT
     }
 }
 
@@ -80,7 +93,7 @@
 
 impl ForwardedRequest {
     fn new(token: u64, key: Name, request: OwnerRequest, now: Ms) -> Self {
-        ForwardedRequest { token, key, request, owner: Name::default(), expires_at: now + FORWARD_LIMIT, retry_at: None }
+        ForwardedRequest { token, key, request, owner: Name::default(), expires_at: now + FORWARD_TIMEOUT, retry_at: None }
     }
 }
 
@@ -107,8 +120,8 @@
     /// Whether this daemon stood still until just now: what it reads may have waited for long, and whoever sent it has
     /// gone to others since. A write that is compared with nothing would undo what was written meanwhile.
     pub fn was_suspended(&mut self, now: Ms) -> bool {
-        if now.saturating_sub(self.last_tick) > STOOD_STILL {
-            self.suspended_until = now + WAKES_FOR;
+        if now.saturating_sub(self.last_tick) > SUSPENSION_THRESHOLD {
+            self.suspended_until = now + RESUME_GRACE;
         }
         now < self.suspended_until
     }
@@ -120,7 +133,8 @@
                 let outcome = WriteOutcome::NotAccepted("this daemon stood still until just now; ask again");
                 return out.push(Effect::WriteFinished { token, outcome });
             }
-            let order = UnconditionalWrite { key: key.clone(), value: value.clone(), retried_until: now + ORDER_RENEWED };
+            let order =
+                UnconditionalWrite { key: key.clone(), value: value.clone(), retried_until: now + UNCONDITIONAL_RETRY_TIME };
             self.unconditional_writes.insert(token, order);
         }
         let condition = WriteCondition::new(expect, self.local_version(key));
@@ -202,7 +216,7 @@
                 None => OwnerRequest::Read,
             };
             self.last_token += 1;
-            let again = Some(now + HEARTBEAT_EVERY / 2);
+            let again = Some(now + HEARTBEAT_INTERVAL / 2);
             self.forwarded.insert(
                 self.last_token,
                 ForwardedRequest { retry_at: again, ..ForwardedRequest::new(m.token, m.key, request, m.received_at) },
@@ -304,8 +318,8 @@
             self.mark_uncertain(p.token, Some(m.version));
         }
         // The two daemons do not see the same ones live yet.
-        if matches!(m.outcome, ForwardOutcome::NotOwner | ForwardOutcome::Deposed) && now + HEARTBEAT_EVERY < p.expires_at {
-            p.retry_at = Some(now + HEARTBEAT_EVERY);
+        if matches!(m.outcome, ForwardOutcome::NotOwner | ForwardOutcome::Deposed) && now + HEARTBEAT_INTERVAL < p.expires_at {
+            p.retry_at = Some(now + HEARTBEAT_INTERVAL);
             self.forwarded.insert(m.token, p);
             return;
         }
--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -13,15 +13,32 @@
     claims::{self, ClaimGrants, Claimer},
     effect::{log_event, send},
     events,
-    limits::{
-        COUNTS_KEPT, HEALTH_WINDOWS, KNOWS_EDGES, LEASE, MET, MISSED, NODE_GONE, POLL_EVERY, REPAIR_EVERY, RULE_LIFE,
-        STABLE_BOUND, START_POLL, TICK,
-    },
     membership::{CONTROL_ROLE, EDGE_ROLE, Membership},
     regions::{Regions, region_of},
     state_table::{StateTable, version_stamp},
+    timing::{LEASE_DURATION, NODE_TIMEOUT, TICK_INTERVAL},
+    version_health::HEALTH_WINDOWS,
 };
 
+/// ms. Agents ask each control daemon for news this often; news is also pushed.
+pub const POLL_INTERVAL: Ms = 400;
+/// ms. An agent remembers streams that have ended for so long: control daemons are back sooner, after most cuts.
+const ENDED_STREAM_RETENTION: Ms = 60_000;
+/// ms for each edge that is known. An agent that has just started asks again so soon, while it may serve nobody.
+const STARTUP_POLL_INTERVAL_PER_EDGE: Ms = 20;
+/// ms. Range digests between neighbouring agents.
+const REPAIR_INTERVAL: Ms = 500;
+/// ms. A comparison of boards counts as lately made; three are tried within it.
+const COMPARISON_MAX_AGE: Ms = 900;
+/// ms. Without a control majority for so long an agent compares boards with every edge, well before its rule lapses.
+pub const MAJORITY_MISSED_AFTER: Ms = 1_200;
+/// ms. How long an edge that hears no control majority goes on with stable versions while it hears most edges.
+const STABLE_ONLY_MAX: Ms = 60_000;
+/// ms. A rule handed to a proxy holds this long; an agent that died is noticed by then.
+pub const RULE_DURATION: Ms = 1_500;
+/// ms. An agent knows all edges after so long; before that its majority of them could be another's minority.
+const EDGE_DISCOVERY_TIME: Ms = 3_000;
+
 /// What a proxy may do: reject everything, stable versions only, or all that leases allow.
 pub const REJECT_ALL: u8 = 0;
 pub const STABLE_ONLY: u8 = 1;
@@ -178,7 +195,7 @@
     /// Whether the proxy beside this agent still speaks but sends callers elsewhere: the whole machine stops.
     pub fn proxy_is_draining(&self, now: Ms) -> bool {
         self.membership.me().http_addr.is_empty()
-            && self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.heard_at) < RULE_LIFE)
+            && self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.heard_at) < RULE_DURATION)
     }
     /// Operators who would rather serve by old news than reject, where bounds hold only for daemons in touch.
     pub fn set_serve_when_partitioned(&mut self, on: bool) {
@@ -245,7 +262,7 @@
 
     fn on_claim_request(&mut self, proxy: &Name, m: ClaimRequest, now: Ms, out: &mut Effects) {
         // A young agent may know few edges, and a majority of few is no majority.
-        if m.request.starts_with(claims::CALLER_KEY_PREFIX) && now.saturating_sub(self.started_at) < KNOWS_EDGES {
+        if m.request.starts_with(claims::CALLER_KEY_PREFIX) && now.saturating_sub(self.started_at) < EDGE_DISCOVERY_TIME {
             out.push(send(proxy, ClaimResult { token: m.token, state: claims::ABSTAINED }));
             return;
         }
@@ -276,7 +293,7 @@
         self.membership.set_http_addr(&m.http_addr);
         // Another life of the proxy has nothing, however soon it came back.
         let same =
-            |p: &LocalProxy| p.addr == *addr && p.incarnation == m.incarnation && now.saturating_sub(p.heard_at) < RULE_LIFE;
+            |p: &LocalProxy| p.addr == *addr && p.incarnation == m.incarnation && now.saturating_sub(p.heard_at) < RULE_DURATION;
         let mut p = match self.proxy.take() {
             Some(p) if p.addr == *addr && p.incarnation == m.incarnation => {
                 LocalProxy { has_snapshot: p.has_snapshot && same(&p), ..p }
@@ -295,7 +312,7 @@
         // Whoever did not hear in time that these streams have ended is told everything again.
         let forgot = &mut self.forgotten_through;
         p.open_streams.retain(|_, o| {
-            let keep = o.0.streams > 0 || now.saturating_sub(o.2) < COUNTS_KEPT;
+            let keep = o.0.streams > 0 || now.saturating_sub(o.2) < ENDED_STREAM_RETENTION;
             *forgot = (*forgot).max(if keep { 0 } else { o.1 });
             keep
         });
@@ -410,7 +427,7 @@
         let met = self
             .membership
             .known(EDGE_ROLE)
-            .filter(|n| self.compared_at.get(&n.name).is_some_and(|t| now.saturating_sub(*t) <= MET))
+            .filter(|n| self.compared_at.get(&n.name).is_some_and(|t| now.saturating_sub(*t) <= COMPARISON_MAX_AGE))
             .count()
             + 1;
         met * 2 > all
@@ -421,22 +438,22 @@
         let mut sent: Vec<Ms> = self.sources.values().map(|s| s.settled_poll_sent_at).collect();
         sent.sort_unstable_by(|a, b| b.cmp(a));
         let at = sent.get(self.majority() - 1).copied().unwrap_or(0);
-        let until = at + LEASE;
+        let until = at + LEASE_DURATION;
         let hears = self.is_ready && self.voter_count > 0 && at > 0 && until > now;
         if hears {
             self.majority_heard_at = at;
         }
         // An agent that was cut off or asleep may hold old news: from then on only a control majority lets it
         // serve again. The stable rule is for those that went on hearing the others all along.
-        let awake = self.serving_rule != REJECT_ALL && now.saturating_sub(self.resumed_at) > NODE_GONE;
-        let alone = now.saturating_sub(self.majority_heard_at) > STABLE_BOUND;
+        let awake = self.serving_rule != REJECT_ALL && now.saturating_sub(self.resumed_at) > NODE_TIMEOUT;
+        let alone = now.saturating_sub(self.majority_heard_at) > STABLE_ONLY_MAX;
         let (rule, until) = if hears {
             (SERVE_ALL, until)
         } else if self.serve_when_partitioned && self.is_ready {
             // Bounds bind daemons in touch; what always binds is kept by each edge's own part of it.
-            (STABLE_ONLY, now + RULE_LIFE)
+            (STABLE_ONLY, now + RULE_DURATION)
         } else if self.is_ready && awake && !alone && self.compared_with_most_edges(now) {
-            (STABLE_ONLY, now + RULE_LIFE)
+            (STABLE_ONLY, now + RULE_DURATION)
         } else {
             (REJECT_ALL, 0)
         };
@@ -463,7 +480,7 @@
         let full = !p.has_snapshot;
         p.has_snapshot = true;
         let changes = if full { self.state_table.entries().cloned().collect() } else { List(fresh) };
-        self.next_proxy_update = now + RULE_LIFE / 5;
+        self.next_proxy_update = now + RULE_DURATION / 5;
         let (life, heard) = (p.incarnation, p.counters_through);
         out.push(send(
             &p.addr,
@@ -483,12 +500,12 @@
     pub fn tick(&mut self, now: Ms) -> Effects {
         let mut out = Vec::new();
         // A gap between ticks far over their period is a freeze.
-        const GAP: Ms = TICK * 20;
+        const GAP: Ms = TICK_INTERVAL * 20;
         if self.next_poll > 0 && now > self.next_poll + GAP {
             self.resumed_at = now;
         }
         // A proxy that is silent serves nobody: callers are not sent there until it speaks again.
-        if self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.heard_at) >= RULE_LIFE) {
+        if self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.heard_at) >= RULE_DURATION) {
             self.membership.set_http_addr("");
         }
         self.membership.tick(now, &mut out);
@@ -497,7 +514,12 @@
         if now >= self.next_poll {
             // A large fleet that starts together does not ask more often than one that serves.
             let fleet = self.membership.known(EDGE_ROLE).count() as Ms + 1;
-            self.next_poll = now + if self.is_ready { POLL_EVERY } else { (fleet * START_POLL).clamp(2 * TICK, POLL_EVERY) };
+            self.next_poll = now
+                + if self.is_ready {
+                    POLL_INTERVAL
+                } else {
+                    (fleet * STARTUP_POLL_INTERVAL_PER_EDGE).clamp(2 * TICK_INTERVAL, POLL_INTERVAL)
+                };
             self.poll_control(now, &mut out);
         }
         if now >= self.next_repair {
@@ -514,14 +536,17 @@
     fn repair(&mut self, now: Ms, out: &mut Effects) {
         let ask = |n: &Node, b: &StateTable| send(&n.addr, TableDigests { sent_at: now, ranges: List(b.range_digests()) });
         // One that serves on by old news all the same has no use for a majority of edges.
-        if !self.serve_when_partitioned && now.saturating_sub(self.majority_heard_at) > MISSED && self.majority_heard_at > 0 {
-            self.next_repair = now + MET / 3;
+        if !self.serve_when_partitioned
+            && now.saturating_sub(self.majority_heard_at) > MAJORITY_MISSED_AFTER
+            && self.majority_heard_at > 0
+        {
+            self.next_repair = now + COMPARISON_MAX_AGE / 3;
             out.extend(self.membership.known(EDGE_ROLE).map(|n| ask(n, &self.state_table)));
             return;
         }
-        self.next_repair = now + REPAIR_EVERY;
+        self.next_repair = now + REPAIR_INTERVAL;
         let near: Vec<Node> = self.membership.view().into_iter().filter(|n| n.role == EDGE_ROLE).collect();
-        let i = (now / REPAIR_EVERY) as usize;
+        let i = (now / REPAIR_INTERVAL) as usize;
         out.extend(near.get(i % near.len().max(1)).map(|n| ask(n, &self.state_table)));
     }
 
@@ -538,8 +563,8 @@
             // Bytes to other regions are dear, and only a duty's holder acts by counts: the others there are asked half
             // as often, but told at once what is new.
             let near = self.membership.is_same_region(n);
-            let holds = now.saturating_sub(s.lease_received_at) <= LEASE;
-            if self.is_ready && !near && !holds && !news && now < s.polled_at + 2 * POLL_EVERY {
+            let holds = now.saturating_sub(s.lease_received_at) <= LEASE_DURATION;
+            if self.is_ready && !near && !holds && !news && now < s.polled_at + 2 * POLL_INTERVAL {
                 continue;
             }
             s.polled_at = now;
@@ -549,7 +574,7 @@
             // Of the counts it gets what it does not have. One that does not answer would be told more each time: it is
             // only asked, until it does.
             let since = if s.counters_through < self.forgotten_through { 0 } else { s.counters_through };
-            let told = self.proxy.as_ref().filter(|_| now.saturating_sub(s.answered_poll_sent_at) <= RULE_LIFE);
+            let told = self.proxy.as_ref().filter(|_| now.saturating_sub(s.answered_poll_sent_at) <= RULE_DURATION);
             let none = || (0, since, Default::default());
             let (life, count, (tallies, opens)) =
                 told.map_or_else(none, |p| (p.incarnation, self.last_report, p.counters_since(since, &s.selected_services, now)));
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -10,7 +10,6 @@
 pub mod edge_agent;
 pub mod effect;
 pub mod events;
-pub mod limits;
 pub mod membership;
 pub mod pass;
 pub mod pass_stream;
@@ -26,6 +25,7 @@
 pub mod shutdown;
 pub mod state_table;
 pub mod stream;
+pub mod timing;
 pub mod version_health;
 pub mod voter_placement;
 
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -11,13 +11,34 @@
     Effects, Ms,
     effect::{log_event, send},
     events,
-    limits::{
-        AGE_UNIT, FAR_SHUFFLE, GONE_A_NODE, NODE_FORGOTTEN, NODE_GONE, SHUFFLE_BEATS, SHUFFLE_EVERY, SHUFFLE_FLEET,
-        SHUFFLE_NODES, SHUFFLE_SLOWEST, VIEW, YOUNG,
-    },
     regions::{Regions, region_of},
+    timing::{NODE_RETENTION, NODE_TIMEOUT},
 };
 
+/// ms. Shuffle between neighbours.
+pub const SHUFFLE_INTERVAL: Ms = 250;
+/// Of so many shuffles one goes to a neighbour in any region, the others stay in the own one if it is large.
+const REMOTE_SHUFFLE_PERIOD: u32 = 3;
+/// Neighbours in a partial view: enough that a view of 5 in a fleet of 11 stays connected when four go.
+pub const VIEW_SIZE: usize = 5;
+/// Nodes up to which a fleet shuffles so often, and ms at most between two shuffles of a larger one: what it says to
+/// neighbours is a part of its whole traffic that does not grow.
+const SHUFFLE_INTERVAL_FLEET: Ms = 88;
+/// Nodes up to which a fleet shuffles so often, and ms at most between two shuffles of a larger one: what it says to
+/// neighbours is a part of its whole traffic that does not grow.
+pub const MAX_SHUFFLE_INTERVAL: Ms = 1_000;
+/// Beats in one shuffle, ten bytes each: all of a small fleet's.
+const MAX_SHUFFLE_HEARTBEATS: usize = 24;
+/// Descriptions in one shuffle at most, besides the sender's own: those that the other asked for.
+const MAX_SHUFFLE_NODES: usize = 128;
+/// Beats during which a node has just started: it asks seeds, and is told the beats of all whom they know.
+const STARTUP_HEARTBEATS: u32 = 8;
+/// ms. Unit of a beat's age on the wire.
+const HEARTBEAT_AGE_UNIT: Ms = 10;
+/// ms for each live node. A beat comes round by samples of a fixed size, so that news of each node gets rarer as the
+/// fleet grows: from 12 nodes on they are given more time, or live ones would count as gone.
+pub const NODE_TIMEOUT_PER_NODE: Ms = 170;
+
 /// Roles of nodes, as on the wire.
 pub const CONTROL_ROLE: u8 = 1;
 pub const EDGE_ROLE: u8 = 2;
@@ -37,7 +58,7 @@
 
 impl KnownNode {
     fn age(&self, now: Ms) -> u16 {
-        u16::try_from(now.saturating_sub(self.heartbeat_at).div_ceil(AGE_UNIT)).unwrap_or(u16::MAX)
+        u16::try_from(now.saturating_sub(self.heartbeat_at).div_ceil(HEARTBEAT_AGE_UNIT)).unwrap_or(u16::MAX)
     }
     fn description(&self, now: Ms) -> Node {
         Node { heartbeat_age: self.age(now), ..self.node.clone() }
@@ -58,7 +79,7 @@
 
 /// When a beat of that age was made.
 fn heartbeat_time(age: u16, now: Ms) -> Ms {
-    now.saturating_sub(Ms::from(age) * AGE_UNIT)
+    now.saturating_sub(Ms::from(age) * HEARTBEAT_AGE_UNIT)
 }
 
 #[derive(Clone, Debug)]
@@ -135,9 +156,9 @@
     /// Silence after which a node counts as gone. Beats come round by samples of a fixed size, so that a large fleet
     /// gives them more time; nodes that are long gone are no part of it.
     fn failure_timeout(&self, now: Ms) -> Ms {
-        let most = NODE_GONE.max(GONE_A_NODE * self.known.len() as Ms);
+        let most = NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * self.known.len() as Ms);
         let lately = self.known.values().filter(|k| now.saturating_sub(k.heartbeat_at) <= most).count();
-        NODE_GONE.max(GONE_A_NODE * lately as Ms)
+        NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * lately as Ms)
     }
 
     fn merge_description(&mut self, n: &Node, now: Ms, out: &mut Effects) {
@@ -193,7 +214,7 @@
     fn build_shuffle(&mut self, wanted: &[u32], wants: Vec<u32>, answer: u8, most: usize, now: Ms) -> Shuffle {
         let all = wanted.iter().filter_map(|id| Some((id, self.known.get(self.names_by_digest.get(id)?)?)));
         let mut nodes: Vec<Node> = all.filter(|(id, k)| k.digest == **id).map(|(_, k)| k.description(now)).collect();
-        nodes.truncate(SHUFFLE_NODES);
+        nodes.truncate(MAX_SHUFFLE_NODES);
         nodes.push(self.me.clone());
         // Only beats of the live are passed on: what is said of the gone comes to an end everywhere at once.
         let live = self.known.values().filter(|k| k.live && answer < 2);
@@ -209,12 +230,12 @@
         let known = &self.known;
         self.view.retain(|n| known.get(n).is_some_and(|k| k.live));
         let more = known.values().filter(|k| k.live && !self.view.contains(&k.node.name)).map(|k| &k.node.name);
-        let more: Vec<Name> = self.rng.choose_multiple(more, VIEW).into_iter().cloned().collect();
+        let more: Vec<Name> = self.rng.choose_multiple(more, VIEW_SIZE).into_iter().cloned().collect();
         // A random newcomer takes the oldest neighbour's place, so that views keep mixing.
-        if self.view.len() >= VIEW && !more.is_empty() {
+        if self.view.len() >= VIEW_SIZE && !more.is_empty() {
             self.view.remove(0);
         }
-        self.view.extend(more.into_iter().take(VIEW.saturating_sub(self.view.len())));
+        self.view.extend(more.into_iter().take(VIEW_SIZE.saturating_sub(self.view.len())));
     }
 
     pub fn on_shuffle(&mut self, from: &Name, m: Shuffle, now: Ms, out: &mut Effects) {
@@ -223,11 +244,11 @@
         }
         let mut lacks: Vec<u32> =
             m.heartbeats.iter().filter(|h| !self.merge_heartbeat(h, now, out)).map(|h| h.node_digest).collect();
-        lacks.truncate(SHUFFLE_NODES);
+        lacks.truncate(MAX_SHUFFLE_NODES);
         if m.step == 0 || m.step < LAST_SHUFFLE_STEP && !(lacks.is_empty() && m.wanted.is_empty()) {
             // One that has just started is told of everybody: it serves nobody until it knows them.
-            let young = m.step == 0 && m.nodes.last().is_some_and(|n| n.heartbeat <= YOUNG);
-            let most = if young { self.known.len() } else { SHUFFLE_BEATS };
+            let young = m.step == 0 && m.nodes.last().is_some_and(|n| n.heartbeat <= STARTUP_HEARTBEATS);
+            let most = if young { self.known.len() } else { MAX_SHUFFLE_HEARTBEATS };
             let answer = self.build_shuffle(&m.wanted, lacks, m.step + 1, most, now);
             out.push(send(from, answer));
         }
@@ -236,7 +257,7 @@
     /// A large fleet shuffles less often: each message already says what costs most to say.
     fn shuffle_interval(&self) -> Ms {
         let live = self.known.values().filter(|k| k.live).count() as Ms;
-        (SHUFFLE_EVERY * live / SHUFFLE_FLEET).clamp(SHUFFLE_EVERY, SHUFFLE_SLOWEST)
+        (SHUFFLE_INTERVAL * live / SHUFFLE_INTERVAL_FLEET).clamp(SHUFFLE_INTERVAL, MAX_SHUFFLE_INTERVAL)
     }
 
     /// The neighbour to shuffle with.
@@ -244,8 +265,8 @@
         let mut view = self.view();
         // Bytes to other regions are dear. Where this region alone has more than a view holds, beats go round inside it,
         // and every third shuffle is enough to have them cross.
-        let crowd = self.known.values().filter(|k| k.live && self.is_same_region(&k.node)).count() > VIEW;
-        if crowd && !self.me.heartbeat.is_multiple_of(FAR_SHUFFLE) && view.iter().any(|n| self.is_same_region(n)) {
+        let crowd = self.known.values().filter(|k| k.live && self.is_same_region(&k.node)).count() > VIEW_SIZE;
+        if crowd && !self.me.heartbeat.is_multiple_of(REMOTE_SHUFFLE_PERIOD) && view.iter().any(|n| self.is_same_region(n)) {
             view.retain(|n| self.is_same_region(n));
         }
         self.rng.choice(view).map(|n| n.addr)
@@ -262,7 +283,7 @@
             k.live = false;
             out.push(log_event(events::NODE_GONE, &k.node.name, ""));
         }
-        self.known.retain(|_, k| now.saturating_sub(k.heartbeat_at) < NODE_FORGOTTEN);
+        self.known.retain(|_, k| now.saturating_sub(k.heartbeat_at) < NODE_RETENTION);
         let (known, me) = (&self.known, &self.me.name);
         self.names_by_digest.retain(|_, n| known.contains_key(n) || n == me);
         self.names_by_digest.insert(description_digest(&self.me), self.me.name.clone());
@@ -273,7 +294,7 @@
         // started asks them all: it serves nobody until it has heard most control daemons.
         if self.me.heartbeat == 1 {
             to.extend(self.seeds.iter().filter(|s| **s != self.me.addr).cloned());
-        } else if (self.view.len() < 2 || self.me.heartbeat <= YOUNG || self.me.heartbeat.is_multiple_of(16))
+        } else if (self.view.len() < 2 || self.me.heartbeat <= STARTUP_HEARTBEATS || self.me.heartbeat.is_multiple_of(16))
             && let Some(s) = self.rng.choice(&self.seeds)
             && *s != self.me.addr
         {
@@ -288,7 +309,7 @@
         let silent = self.known.values().filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone / 2);
         to.extend(self.rng.choose_multiple(silent, 1).into_iter().map(|k| k.node.addr.clone()));
         for t in to {
-            let m = self.build_shuffle(&[], Vec::new(), 0, SHUFFLE_BEATS, now);
+            let m = self.build_shuffle(&[], Vec::new(), 0, MAX_SHUFFLE_HEARTBEATS, now);
             out.push(send(&t, m));
         }
     }
--- a/coordination/src/pass_stream.rs
+++ b/coordination/src/pass_stream.rs
@@ -3,7 +3,8 @@
 
 use std::borrow::Cow;
 
-use crate::limits::EVENT_MAX;
+/// Bytes of one event of a stream that may be resumed; the largest seen are a hundredth of it.
+pub(crate) const EVENT_MAX: usize = 64 << 10;
 
 /// One answer's events, over all runs that make it up.
 #[derive(Clone, Debug, Default)]
--- a/coordination/src/pass_stream/tests.rs
+++ b/coordination/src/pass_stream/tests.rs
@@ -1,3 +1,4 @@
+use crate::pass_stream::EVENT_MAX;
 use googletest::prelude::*;
 
 use super::*;
--- a/coordination/src/placement/averages.rs
+++ b/coordination/src/placement/averages.rs
@@ -1,6 +1,9 @@
 //! What the replicas of one service are like on the whole, for those of which too little is known.
 
-use crate::limits::{LAG_MOST, MEAN_WEIGHT};
+use super::site::LAG_MOST;
+
+/// Weight of one replica's newest load or lag in the average of its service: some twenty of the last count.
+const MEAN_WEIGHT: f64 = 0.05;
 
 /// Running averages over the replicas of a service, as one proxy sees them.
 #[derive(Clone, Copy, Debug, Default)]
--- a/coordination/src/placement/budget.rs
+++ b/coordination/src/placement/budget.rs
@@ -3,11 +3,12 @@
 
 use std::collections::VecDeque;
 
-use crate::{
-    Ms,
-    bounds::Bounds,
-    limits::{BUDGET_KEPT, BUDGET_SLOT},
-};
+use crate::{Ms, bounds::Bounds};
+
+/// ms. A slot of the budget's window.
+const BUDGET_SLOT: Ms = 500;
+/// Part of the budget that is spent: the rest covers daemons that started anew.
+const BUDGET_KEPT: f64 = 0.7;
 
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
--- a/coordination/src/placement/kept.rs
+++ b/coordination/src/placement/kept.rs
@@ -2,10 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::{
-    Ms,
-    limits::{KEPT_PARTS, PREFIX_KEPT},
-};
+use crate::Ms;
+
+/// ms. How long a prefix is taken to stay in a replica's cache.
+pub(crate) const PREFIX_KEPT: Ms = 120_000;
+/// Shared parts remembered; some hundred bytes each would be too dear for more.
+const KEPT_PARTS: usize = 8_000;
 
 #[derive(Clone, Debug, Default)]
 pub struct Kept {
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -4,13 +4,15 @@
 mod averages;
 mod bucket;
 mod budget;
-mod kept;
+pub(crate) mod kept;
 mod needed;
 mod nominate;
 mod reach;
 mod reuse;
 mod site;
-mod travel;
+pub(crate) mod travel;
+pub use nominate::OPENING_MS;
+pub use site::CHANNEL_RESTS;
 
 pub use averages::Averages;
 pub use bucket::Bucket;
@@ -25,11 +27,21 @@
 pub use travel::Travel;
 
 use crate::{
-    limits::{CROSS_REGION_BYTE_MS, READ_AGAIN_WEIGHT, READ_TOKENS_A_MS, SHARED_PART_MS, TOKEN_BYTES},
     pass::{Ask, Part},
     rendezvous::combine_hashes,
 };
 
+/// Tokens of a prompt that a replica reads in a ms: what today's engines do between the tokens of others.
+const READ_TOKENS_A_MS: f64 = 35.0;
+/// Shared parts that are read again cost so many times their reading: others wait for it, and accelerators are dear.
+const READ_AGAIN_WEIGHT: f64 = 4.2;
+/// ms. What any shared part read again costs besides: keeps small ones together where little speaks against it.
+const SHARED_PART_MS: f64 = 8.0;
+/// Bytes that a token takes on the way.
+pub(crate) const TOKEN_BYTES: f64 = 2.0;
+/// ms. What a byte between regions is worth in waiting.
+pub(crate) const CROSS_REGION_BYTE_MS: f64 = 0.006;
+
 /// The parts of a prompt that others may share: all but the last, which is the request's or its session's own.
 pub fn shared(parts: &[Part]) -> &[Part] {
     parts.split_last().map_or(&[], |(_, s)| s)
--- a/coordination/src/placement/nominate.rs
+++ b/coordination/src/placement/nominate.rs
@@ -11,16 +11,52 @@
     Ms,
     bounds::Bounds,
     context::Standing,
-    limits::{
-        COLD_BURST_PART, COLD_PART, DOUBT_MS, DOUBT_NEWS, DOUBT_SHUNS, DOWN_COLD, EDGES_FALL, FAILING_EVERY, FILLING_MS, FULL_MS,
-        KEPT_TOKENS, LOAD_MS, NOT_NEEDED_WEIGHT, OPENING_MS, ORDER_MS, RATE_MS, READ_AHEAD_LOAD, READING_TOLD, READINGS_EVERY,
-        READINGS_MOST,
-    },
     pass::{Ask, Told},
+    placement::site::DOUBT_SHUNS,
     policy::{Mechanism, Policy},
     rendezvous::{rendezvous_weight, rendezvous_weight_of},
 };
 
+/// ms. What each request that runs or waits on a replica costs the next.
+const LOAD_MS: f64 = 4.0;
+/// ms. What a full replica costs: more than any way.
+const FULL_MS: f64 = 600.0;
+/// ms. What the last place of a replica costs; half of its places cost a sixteenth of it.
+const FILLING_MS: f64 = 300.0;
+/// ms. What it costs to exceed the rate that the replica would bear if it turned cold now.
+const RATE_MS: f64 = 60.0;
+/// How many times rather a prompt that is long to read is placed on a replica that no more urgent, home-bound requests
+/// depend on: these wait behind it elsewhere, and have nowhere else to go.
+const NOT_NEEDED_WEIGHT: f64 = 2.0;
+/// ms. A step down a prompt's agreed order of replicas, so that all proxies overflow to the same one.
+const ORDER_MS: f64 = 3.0;
+/// ms. What opening a channel costs besides the way there and back: the replica's work and a price.
+pub const OPENING_MS: f64 = 2.0;
+/// ms. What it costs that one proxy of the region was lately failed by a replica: more than another replica beside it.
+const DOUBT_MS: f64 = 80.0;
+/// Doubt from which on a failure is no news: others were told.
+const DOUBT_NEWS: f64 = 1.5;
+/// ms for each edge between two tellings of failures; they are few, and each that is not told costs another request.
+const FAILING_EVERY: Ms = 2;
+/// ms. A replica that was down for so long has started anew and is cold.
+const DOWN_COLD: Ms = 400;
+/// Part of a cold replica's rate that all proxies together use: the rest covers their not knowing of each other.
+const COLD_PART: f64 = 0.9;
+/// Part of what a cold replica bears over its rate that proxies' first rounds may use up together.
+const COLD_BURST_PART: f64 = 0.7;
+/// ms. A count of edges that falls is believed after so long: those that went may only have been cut off.
+const EDGES_FALL: Ms = 15_000;
+/// Shared parts smaller than this are not worth remembering, in tokens.
+const KEPT_TOKENS: u32 = 200;
+/// ms. Other proxies are told of prompts that take so long to read: a shorter one makes nobody late.
+const READING_TOLD: f64 = 30.0;
+/// ms for each edge between two tellings of what was sent: each agent then passes on the same, however large its fleet.
+const READINGS_EVERY: Ms = 8;
+/// Prompts in one telling; a second of a proxy's share of long ones is a tenth of it.
+const READINGS_MOST: usize = 64;
+/// Part of a replica's places that may be taken while a copy is made on it: reading ahead takes no places from callers.
+const READ_AHEAD_LOAD: f64 = 0.5;
+
 /// In place of a replica's number.
 const ANYWHERE: u64 = 0;
 
--- a/coordination/src/placement/reach.rs
+++ b/coordination/src/placement/reach.rs
@@ -2,10 +2,20 @@
 
 use std::collections::BTreeMap;
 
-use crate::{
-    Ms,
-    limits::{REGION_QUIET, REGION_TRIES, ZONE_FAILURES, ZONE_LOOK_FIRST, ZONE_LOOK_MOST},
-};
+use crate::Ms;
+
+/// ms, and rounds that went to another region since it last gave a sign of life: then it is left alone but for a look
+/// so often. A channel opens in a tenth of it over any way.
+const REGION_QUIET: Ms = 600;
+/// ms, and rounds that went to another region since it last gave a sign of life: then it is left alone but for a look
+/// so often. A channel opens in a tenth of it over any way.
+const REGION_TRIES: u32 = 2;
+/// Replicas of one zone in a row that cannot be reached, with no sign of life from the zone between: then it is the zone.
+const ZONE_FAILURES: u32 = 2;
+/// ms. It is looked at again after so long, doubled each time, at most so long: a channel opens in a tenth of the first.
+const ZONE_LOOK_FIRST: Ms = 600;
+/// ms. It is looked at again after so long, doubled each time, at most so long: a channel opens in a tenth of the first.
+const ZONE_LOOK_MOST: Ms = 2_400;
 
 #[derive(Clone, Debug, Default)]
 struct Tries {
--- a/coordination/src/placement/reuse.rs
+++ b/coordination/src/placement/reuse.rs
@@ -1,6 +1,7 @@
 //! How often one shared part is asked for in this region, as far as is heard.
 
-use crate::limits::REUSE_WEIGHT;
+/// Weight of a long prompt in how often shared parts are asked for again: some two thousand of the last count.
+const REUSE_WEIGHT: f64 = 0.0005;
 
 #[derive(Clone, Debug, Default)]
 pub struct Reuse {
--- a/coordination/src/placement/site.rs
+++ b/coordination/src/placement/site.rs
@@ -4,14 +4,42 @@
 
 use crate::{
     Ms,
-    limits::{
-        CHANNEL_RESTS, DOUBT_FADES, DOUBT_KEPT, DOUBT_MOST, DOUBT_SHUNS, DOWN_FIRST, DOWN_MOST, LAG_FADES, LAG_MOST, LAG_WEIGHT,
-        LOAD_OLD, OTHERS_MOST, QUIET, RISK_FADES, RISK_WEIGHT,
-    },
     pass::Told,
     placement::{Averages, Bucket},
 };
 
+/// ms. A replica that waits for nobody's first piece longer than this is quiet: new requests go elsewhere.
+const QUIET: Ms = 900;
+/// ms. A replica that failed is left alone for so long, doubled each time, at most so long.
+const DOWN_FIRST: Ms = 250;
+/// ms. A replica that failed is left alone for so long, doubled each time, at most so long.
+const DOWN_MOST: Ms = 2_000;
+/// ms. A channel that rested for longer is taken to be no longer of use: what may run once takes none.
+pub const CHANNEL_RESTS: Ms = 900;
+/// Proxies whose word counts: by then all requests that have another replica go there.
+const DOUBT_MOST: f64 = 4.0;
+/// ms. Doubt fades by e in this time: then somebody tries it again.
+const DOUBT_FADES: f64 = 1_500.0;
+/// Part of the doubt that stays when it answers well: one that fails half of what it gets stays in doubt.
+const DOUBT_KEPT: f64 = 0.5;
+/// Weight of a proxy's newest round at a replica in the part of them that it takes to fail: by three in a row it is
+/// taken to fail more often than not, by one it is not.
+const RISK_WEIGHT: f64 = 0.25;
+/// ms. That part fades by e in this time while nothing is sent there: then somebody tries it again.
+const RISK_FADES: f64 = 1_500.0;
+/// Doubt from which on a replica gets none of the requests that are nominated, while others have places.
+pub(crate) const DOUBT_SHUNS: f64 = 0.5;
+/// ms. What an answer told of its replica's load counts for so long.
+const LOAD_OLD: Ms = 1_500;
+/// Weight of a new lag of first pieces against all before, and the most ms that it counts.
+const LAG_WEIGHT: f64 = 0.2;
+/// Weight of a new lag of first pieces against all before, and the most ms that it counts.
+pub(crate) const LAG_MOST: f64 = 400.0;
+/// ms. A replica's lag fades towards the average of its service by e in this time: what made it late is over by then.
+const LAG_FADES: f64 = 5_000.0;
+/// ms. Most that prompts of other proxies count for: beyond it they have most likely gone elsewhere or failed.
+const OTHERS_MOST: f64 = 4_000.0;
+
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Number of this life of the replica, for tables keyed by it.
--- a/coordination/src/placement/travel.rs
+++ b/coordination/src/placement/travel.rs
@@ -2,10 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use crate::{
-    limits::{FAR_MS, NEAR_MS, TRAVEL_WEIGHT, ZONE_MS},
-    regions::{Regions, region_of},
-};
+use crate::regions::{Regions, region_of};
+
+/// ms there and back before any channel was opened: in a zone, in a region, between regions.
+const ZONE_MS: f64 = 1.0;
+/// ms there and back before any channel was opened: in a zone, in a region, between regions.
+const NEAR_MS: f64 = 3.0;
+/// ms there and back before any channel was opened: in a zone, in a region, between regions.
+pub(crate) const FAR_MS: f64 = 80.0;
+/// Weight of a new opening time against all before.
+const TRAVEL_WEIGHT: f64 = 0.25;
 
 #[derive(Clone, Debug, Default)]
 pub struct Travel {
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -7,6 +7,7 @@
 mod pass;
 mod place;
 mod reports;
+pub use pass::SLOW_FACTOR;
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -22,15 +23,18 @@
     context::{Chain, Demand},
     control::SPEC_KEY,
     edge_agent::{REJECT_ALL, STABLE_ONLY},
-    limits::{PLACE_OLD, SECOND_ROUNDS_FREE},
     pass::Paths,
     placement::{Budget, Placement},
     policy::{Mechanism, Policy},
+    proxy::buffer::SECOND_ROUNDS_FREE,
     rendezvous::rendezvous_weight,
     state_table::{SpecParser, StateTable, parse_own_spec},
     version_health::VersionHealth,
 };
 
+/// ms. A place chosen longer ago is chosen again before a call: the process slept, leases may have lapsed.
+const PLACE_OLD: Ms = 300;
+
 /// Where a round goes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placed {
--- a/coordination/src/proxy/buffer.rs
+++ b/coordination/src/proxy/buffer.rs
@@ -1,11 +1,18 @@
 //! Second rounds, and requests that wait for a place.
 
 use super::{Proxy, Waiting};
-use crate::{
-    Ms,
-    limits::{SECOND_ROUNDS, SECOND_ROUNDS_FREE, WAIT_MAX, WAIT_PERCENT, WAITING},
-    policy::Mechanism,
-};
+use crate::{Ms, policy::Mechanism};
+
+/// Percent of first rounds that may be second rounds.
+const SECOND_ROUNDS: u64 = 5;
+/// Second rounds a proxy may always spend, so that a quiet fleet can retry at all.
+pub(crate) const SECOND_ROUNDS_FREE: u64 = 2;
+/// Requests one proxy lets wait for a place.
+pub(crate) const WAITING: usize = 64;
+/// Percent of its time left that a request may spend waiting for a place.
+const WAIT_PERCENT: u64 = 20;
+/// ms. Longest wait for a place: a rejection that comes later is no answer at once.
+const WAIT_MAX: Ms = 600;
 
 impl Proxy {
     /// Whether a second round may be made: a small share of first rounds, and a few for free.
--- a/coordination/src/proxy/counts.rs
+++ b/coordination/src/proxy/counts.rs
@@ -5,10 +5,12 @@
 use super::{Ended, Placed, Proxy};
 use crate::{
     Ms,
-    limits::SUSPECT_FOR,
     version_health::{Verdict, VersionHealth, replica_bit},
 };
 
+/// ms. A version that was capped stays so until it has shown nothing for this long.
+const SUSPECT_FOR: Ms = 15_000;
+
 impl Proxy {
     pub(super) fn opens(&mut self, at: (String, String)) {
         self.change += 1;
--- a/coordination/src/proxy/news.rs
+++ b/coordination/src/proxy/news.rs
@@ -12,13 +12,15 @@
     Ms,
     context::{Chain, homes, number},
     control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
-    limits::CONTEXT_TOKENS,
     pass::{Ask, Paths},
     placement::{Needed, Nominee, chain, shared, tokens},
     register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
     state_table::version_stamp,
 };
 
+/// Chains of fewer tokens are read sooner than a message crosses a region: they are not counted.
+const CONTEXT_TOKENS: u32 = 1_000;
+
 impl Proxy {
     pub fn on_board(&mut self, m: BoardMsg, now: Ms) {
         (self.rule, self.until, self.nodes) = (m.serving_rule, m.valid_until, m.nodes.0);
--- a/coordination/src/proxy/pass.rs
+++ b/coordination/src/proxy/pass.rs
@@ -8,13 +8,17 @@
 use crate::{
     Ms,
     edge_agent::REJECT_ALL,
-    limits::{MISSED_PART, SLOW_FACTOR},
     pass::{Ask, PassEnd, Told},
     placement::{Nominee, Want, read_ms},
     policy::Mechanism,
     version_health::log_ms,
 };
 
+/// Ended requests over a lane's expected time by this factor count as slow.
+pub const SLOW_FACTOR: u64 = 4;
+/// Part of a chain's reading by which a first piece must be late to tell that the chain was read again.
+const MISSED_PART: f64 = 0.8;
+
 impl Proxy {
     /// What a caller by host and path may send, and how long it may take or rest.
     pub fn limits(&self) -> Option<&DownstreamLimits> {
--- a/coordination/src/proxy/place.rs
+++ b/coordination/src/proxy/place.rs
@@ -6,12 +6,12 @@
 use wire_messages::Node;
 
 use super::{Admit, Placed, Proxy, Seen};
-use crate::{
-    Ms, claims,
-    edge_agent::REJECT_ALL,
-    limits::{PREFIX_KEPT, PREFIXES, RETRY_AFTER},
-    rendezvous::rendezvous_weight,
-};
+use crate::{Ms, claims, edge_agent::REJECT_ALL, placement::kept::PREFIX_KEPT, rendezvous::rendezvous_weight};
+
+/// ms. Least and most of Retry-After; the spread keeps rejected callers from returning together.
+const RETRY_AFTER: (Ms, Ms) = (500, 4_000);
+/// Prefixes remembered; the oldest go first.
+const PREFIXES: usize = 20_000;
 
 impl Proxy {
     fn lane<'a>(
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -8,11 +8,26 @@
 use crate::{
     Ms,
     edge_agent::SERVE_ALL,
-    limits::{AFFINITY_BUSY, COLD_PLACES, KV_FULL, PREFIX_KEPT, PRESS_EBB, PRESS_MOST, PRESS_STEP, REPORT_OLD, WAITING, WARM_UP},
+    placement::kept::PREFIX_KEPT,
     policy::Mechanism,
+    proxy::buffer::WAITING,
     rendezvous::rendezvous_weight,
+    timing::{REPORT_MAX_AGE, SLOW_START_DURATION},
 };
 
+/// Places a cold replica starts with.
+const COLD_PLACES: u32 = 1;
+/// Percent of a replica's places that a prefix's first pick may hold before others are tried.
+const AFFINITY_BUSY: u32 = 75;
+/// Percent. KV cache fuller than this takes a replica out for requests without a prefix there.
+const KV_FULL: u32 = 95;
+/// Percent of a replica's places that tiers behind lose each time a request ahead of them finds none.
+const PRESS_STEP: u32 = 5;
+/// Percent they lose at most: all of them.
+const PRESS_MOST: u32 = 100;
+/// Percent they get back a second.
+const PRESS_EBB: u64 = 20;
+
 impl Proxy {
     /// Replicas to ask for their reports: id and address.
     pub fn replicas(&self) -> Vec<(String, String)> {
@@ -26,7 +41,7 @@
         let old = self.seen.remove(&r.replica);
         let mut ready = match old {
             // Another life of the replica, or one that went dark for long, starts cold again.
-            Some(o) if o.report.born == r.born && now.saturating_sub(o.at) < 5 * REPORT_OLD => o.ready,
+            Some(o) if o.report.born == r.born && now.saturating_sub(o.at) < 5 * REPORT_MAX_AGE => o.ready,
             Some(_) => {
                 self.warm.retain(|(id, _), _| *id != r.replica);
                 BTreeMap::new()
@@ -45,14 +60,15 @@
         let Some(t) = s.ready.get(version) else { return 0 };
         let age = now.saturating_sub(*t);
         // A cold replica starts with one place and gains the rest as it warms.
-        let ramp = COLD_PLACES as u64 + u64::from(slots.saturating_sub(COLD_PLACES)) * age.min(WARM_UP) / WARM_UP;
+        let ramp = COLD_PLACES as u64
+            + u64::from(slots.saturating_sub(COLD_PLACES)) * age.min(SLOW_START_DURATION) / SLOW_START_DURATION;
         (ramp as u32).min(slots)
     }
 
     /// Whether this proxy is one of those that may use a replica that is still warming: as many as it has
     /// places, in the agreed order of the edges of its zone. Otherwise every proxy would give it one at once.
     fn may_warm(&self, s: &Seen, version: &str, places: u32, now: Ms) -> bool {
-        if s.ready.get(version).is_none_or(|t| now.saturating_sub(*t) >= WARM_UP) {
+        if s.ready.get(version).is_none_or(|t| now.saturating_sub(*t) >= SLOW_START_DURATION) {
             return true;
         }
         let id = &s.report.replica;
@@ -94,7 +110,7 @@
     ) -> Vec<(&Seen, u32)> {
         let ok = |id: &String| {
             let s = self.seen.get(id)?;
-            let usable = now.saturating_sub(s.at) <= REPORT_OLD
+            let usable = now.saturating_sub(s.at) <= REPORT_MAX_AGE
                 && !s.report.leaving
                 && !self.leaving.contains(id)
                 && zones.contains(&s.report.zone)
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -12,7 +12,6 @@
 
 use crate::{
     Ms, Row,
-    limits::LEASE_MARGIN,
     rendezvous::rendezvous_weight,
     state_table::{SpecParser, parse_own_spec},
 };
@@ -22,6 +21,10 @@
 mod prior_writes;
 mod timers;
 mod voters;
+pub use prior_writes::REPLACED_VALUES_KEPT;
+
+/// ms. A holder stops this long before voters do, covering clock rates that differ by up to 5%.
+const LEASE_MARGIN: Ms = 200;
 
 /// Keys of duties begin with this; their owner runs the rollout of the service named behind it.
 pub const ROLLOUT_PREFIX: &str = "rollout/";
--- a/coordination/src/register/owner.rs
+++ b/coordination/src/register/owner.rs
@@ -15,9 +15,13 @@
     Effect, Effects, Ms, Row, WriteOutcome,
     effect::{log_event, send},
     events,
-    limits::{RESEND, WRITES_WAITING},
 };
 
+/// ms. Resend of prepares and accepts that were not answered.
+pub(crate) const RESEND_INTERVAL: Ms = 400;
+/// Writes that may wait for one key; operators racing are a handful.
+const MAX_PENDING_REQUESTS: usize = 32;
+
 impl InFlightWrite {
     /// A value that may stand already, and that nobody waits for.
     fn rewrite(s: &Slot, now: Ms) -> Self {
@@ -122,7 +126,7 @@
             self.acquire(key, now, out);
         }
         let Some(o) = self.ownerships.get_mut(key) else { return };
-        if o.pending.len() >= WRITES_WAITING {
+        if o.pending.len() >= MAX_PENDING_REQUESTS {
             out.push(Effect::WriteFinished { token, outcome: WriteOutcome::NotAccepted("too many writes wait for this key") });
             return;
         }
@@ -216,7 +220,7 @@
     /// Asks the voters whether a key is still this daemon's own.
     fn confirm_ownership(&mut self, key: &Name, since: Ms, now: Ms, out: &mut Effects) {
         let Some(o) = self.ownerships.get_mut(key) else { return };
-        if o.confirmation_sent_at >= since && now.saturating_sub(o.confirmation_sent_at) < RESEND {
+        if o.confirmation_sent_at >= since && now.saturating_sub(o.confirmation_sent_at) < RESEND_INTERVAL {
             return;
         }
         o.confirmation_sent_at = now;
@@ -236,7 +240,7 @@
         let OwnershipPhase::Preparing { promises, best, .. } = &mut o.phase else { return };
         if m.granted == 0 {
             o.superseded |= m.slot.promised_epoch > o.epoch;
-            o.not_before = o.not_before.max(now + u64::from(m.retry_after_ms).max(RESEND / 2));
+            o.not_before = o.not_before.max(now + u64::from(m.retry_after_ms).max(RESEND_INTERVAL / 2));
             return;
         }
         promises.insert(from.clone());
--- a/coordination/src/register/prior_writes.rs
+++ b/coordination/src/register/prior_writes.rs
@@ -1,13 +1,17 @@
 //! Orders that are sent again: whether one was accepted before, though something else stands by now.
 //!
-//! Each accepted value of an operator's key carries what it replaced, up to [`PAST_VALUES`] of them, under the same
+//! Each accepted value of an operator's key carries what it replaced, up to [`REPLACED_VALUES_KEPT`] of them, under the same
 //! majority as the value itself. An order that is older than that memory is neither accepted nor refused.
 
 use sha2::{Digest, Sha256};
 use wire_messages::{Blob, List, Name, ReplacedValue};
 
 use super::{Expect, Registers, keeps_history};
-use crate::limits::PAST_VALUES;
+
+/// Accepted values of an operator's key whose digests are kept beside the one that replaced them: an order that is
+/// repeated late is known to have stood. Some 18 bytes each; at the quickest storm that was met, a change each 80 ms, it
+/// reaches back twenty seconds, as long as a machine is cut off. What is older gets no clear answer.
+pub const REPLACED_VALUES_KEPT: usize = 256;
 
 /// What is known of an order that does not fit what stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +73,7 @@
         let Some(slot) = kept else { return List::default() };
         let mut past = slot.replaced.0.clone();
         past.push(ReplacedValue { release, digest: digest(&slot.value.0) });
-        past.drain(..past.len().saturating_sub(PAST_VALUES));
+        past.drain(..past.len().saturating_sub(REPLACED_VALUES_KEPT));
         List(past)
     }
 
--- a/coordination/src/register/tests.rs
+++ b/coordination/src/register/tests.rs
@@ -2,7 +2,7 @@
 use wire_messages::{Message, OwnedKey};
 
 use super::*;
-use crate::{Effect, Effects, WriteOutcome, limits::LEASE};
+use crate::{Effect, Effects, WriteOutcome, timing::LEASE_DURATION};
 
 const NODES: usize = 3;
 
@@ -61,7 +61,7 @@
     fn start(&mut self, i: usize) {
         self.lives[i] += 1;
         let rows = self.disks[i].values().cloned().collect();
-        self.nodes[i] = Some(Registers::new(name(i), rows, LEASE, self.now));
+        self.nodes[i] = Some(Registers::new(name(i), rows, LEASE_DURATION, self.now));
     }
     fn crash(&mut self, i: usize) {
         self.nodes[i] = None;
@@ -185,7 +185,7 @@
         (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
     let first = vec![Row::Members { member_epoch: 1, before: 0, voters, voting: true, left: false }];
     let mut disks = vec![first; NODES];
-    let mut n: Vec<Registers> = (0..NODES).map(|i| Registers::new(name(i), disks[i].clone(), LEASE, 0)).collect();
+    let mut n: Vec<Registers> = (0..NODES).map(|i| Registers::new(name(i), disks[i].clone(), LEASE_DURATION, 0)).collect();
     let key: Name = "k".into();
     // One message to one node, and what it sends once that is synced.
     let give = |n: &mut Vec<Registers>, disks: &mut Vec<Vec<Row>>, to: usize, from: usize, msg: &Message| {
@@ -216,7 +216,7 @@
         }
     };
     write(&mut n, &mut disks, 0, "never", [1, 2], &[1]);
-    n[0] = Registers::new(name(0), disks[0].clone(), LEASE, 1);
+    n[0] = Registers::new(name(0), disks[0].clone(), LEASE_DURATION, 1);
     write(&mut n, &mut disks, 0, "accepted", [0, 2], &[0, 2]);
     expect_that!(n[0].slots[&key].committed_version, eq(1));
     // The third takes over with the second's vote, which comes first, and its own.
@@ -248,7 +248,7 @@
 }
 fn voter(i: usize) -> Registers {
     let row = Row::Members { member_epoch: 1, before: 0, voters: voters(), voting: true, left: false };
-    Registers::new(name(i), vec![row], LEASE, 0)
+    Registers::new(name(i), vec![row], LEASE_DURATION, 0)
 }
 fn accept(key: &str, epoch: u64, version: u64, value: &str) -> wire_messages::Accept {
     wire_messages::Accept {
--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 use super::*;
-use crate::WriteOutcome;
+use crate::{WriteOutcome, timing::LEASE_DURATION};
 
 const KEY: &str = "spec";
 
@@ -266,7 +266,7 @@
         let step = self.step;
         let node = self.node(at);
         node.unsynced.clear();
-        node.regs = Registers::new(name(at), node.disk.values().cloned().collect(), LEASE, step);
+        node.regs = Registers::new(name(at), node.disk.values().cloned().collect(), LEASE_DURATION, step);
         node.regs.skip_lease_wait();
         node.regs.newly_committed.clear();
         node.seal();
--- a/coordination/src/register/tests/rules.rs
+++ b/coordination/src/register/tests/rules.rs
@@ -1,5 +1,6 @@
 //! One rule of voters and owners each: what single-line mutants of the register left alive.
 
+use crate::timing::LEASE_DURATION;
 use googletest::prelude::*;
 use wire_messages::{Message, OwnedKey, Prepare, Promise, ReleaseLeases, RenewLeases};
 
@@ -71,13 +72,13 @@
 fn a_voter_that_has_just_begun_waits_a_lease_out() {
     let key = format!("{ROLLOUT_PREFIX}s");
     let rows = vec![voter(0).members_row()];
-    let started = Registers::new(name(0), rows, LEASE, 1_000);
+    let started = Registers::new(name(0), rows, LEASE_DURATION, 1_000);
     let mut votes = voter(0);
     votes.skip_lease_wait();
     votes.start_voting(1_000);
     for n in [started, votes] {
-        expect_that!(promise(&mut n.clone(), 2, &key, 9, 1_001), some(eq((0, LEASE as u32 - 1))));
-        expect_that!(promise(&mut n.clone(), 2, &key, 9, 1_000 + LEASE), some(eq((1, 0))));
+        expect_that!(promise(&mut n.clone(), 2, &key, 9, 1_001), some(eq((0, LEASE_DURATION as u32 - 1))));
+        expect_that!(promise(&mut n.clone(), 2, &key, 9, 1_000 + LEASE_DURATION), some(eq((1, 0))));
         expect_that!(promise(&mut n.clone(), 2, KEY, 9, 1_001), some(eq((1, 0))), "no duty");
     }
 }
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -6,12 +6,14 @@
 
 use super::{Ownership, OwnershipPhase, Registers, is_leased};
 use crate::{
-    Effect, Effects, Ms, WriteOutcome,
-    effect::log_event,
-    events,
-    limits::{HEARTBEAT_EVERY, RENEW_EVERY, RESEND, WRITE_LIMIT},
+    Effect, Effects, Ms, WriteOutcome, effect::log_event, events, register::owner::RESEND_INTERVAL, timing::HEARTBEAT_INTERVAL,
 };
 
+/// ms. Duty holders renew three times within a lease's life.
+const RENEW_INTERVAL: Ms = 700;
+/// ms. An operator's write is answered by then: accepted, not accepted or unknown.
+const WRITE_TIMEOUT: Ms = 2_000;
+
 impl Registers {
     /// Takes, hands over, resends, renews and times out. `wanted`: keys that must have an owner.
     pub fn tick(&mut self, now: Ms, live: &dyn Fn(&str) -> bool, wanted: &[Name], out: &mut Effects) {
@@ -21,7 +23,7 @@
         // Whose a key is changes with the voters that live, which beats tell; what is owned here is seen to each time.
         let look = now >= self.next_ownership_check;
         let keys: BTreeSet<Name> = if look {
-            self.next_ownership_check = now + HEARTBEAT_EVERY / 2;
+            self.next_ownership_check = now + HEARTBEAT_INTERVAL / 2;
             self.slots.keys().chain(wanted).chain(self.ownerships.keys()).cloned().collect()
         } else {
             let at_work = |o: &Ownership| {
@@ -52,14 +54,14 @@
             }
         }
         if now >= self.next_renew && !renew.is_empty() {
-            self.next_renew = now + RENEW_EVERY;
+            self.next_renew = now + RENEW_INTERVAL;
             self.broadcast(RenewLeases { keys: renew, sent_at: now, member_epoch: self.member_epoch }, out);
         }
     }
 
     fn time_out(&mut self, key: &Name, now: Ms, out: &mut Effects) {
         let Some(o) = self.ownerships.get_mut(key) else { return };
-        if let Some(w) = o.in_flight.as_mut().filter(|w| now.saturating_sub(w.received_at) > WRITE_LIMIT)
+        if let Some(w) = o.in_flight.as_mut().filter(|w| now.saturating_sub(w.received_at) > WRITE_TIMEOUT)
             && let Some(token) = w.token.take()
         {
             out.push(log_event(events::WRITE_UNKNOWN, &self.name, format!("{key} version {}", w.version)));
@@ -67,7 +69,7 @@
         }
         let no = WriteOutcome::NotAccepted("no majority of disks answered in time");
         o.pending.retain(|a| {
-            let keep = now.saturating_sub(a.received_at) <= WRITE_LIMIT;
+            let keep = now.saturating_sub(a.received_at) <= WRITE_TIMEOUT;
             if !keep {
                 out.push(Effect::WriteFinished { token: a.token, outcome: no });
             }
@@ -79,7 +81,7 @@
         let member_epoch = self.member_epoch;
         let Some(o) = self.ownerships.get_mut(key) else { return };
         if let OwnershipPhase::Preparing { sent, .. } = &o.phase {
-            if now < o.not_before || now.saturating_sub(*sent) < RESEND {
+            if now < o.not_before || now.saturating_sub(*sent) < RESEND_INTERVAL {
                 return;
             }
             if o.superseded {
@@ -94,7 +96,7 @@
         if o.in_flight.is_none() && !o.pending.is_empty() {
             return self.advance(key, now, out);
         }
-        let Some(w) = o.in_flight.as_mut().filter(|w| now.saturating_sub(w.sent_at) >= RESEND) else { return };
+        let Some(w) = o.in_flight.as_mut().filter(|w| now.saturating_sub(w.sent_at) >= RESEND_INTERVAL) else { return };
         w.sent_at = now;
         let (value, past) = (w.value.clone(), w.replaced.clone());
         let m = Accept { key: key.clone(), epoch: o.epoch, version: w.version, value, replaced: past, member_epoch };
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -11,16 +11,47 @@
 use crate::{
     Ms,
     bounds::Bounds,
-    limits::{
-        CANARY_LANE, CANARY_MIN, CANARY_QUIET, CANARY_RARE, CANARY_REQUESTS, DRAIN_EXTRA, FORECAST_MOVES, HEAR_ALL, LOAD_LATE,
-        REORDER, REPORT_OLD, STEP_GUESS, STEP_MIN, STEP_PERCENT, STUCK_AFTER, UNLOAD_GUESS, WARM_UP,
-    },
+    timing::{REPORT_MAX_AGE, SLOW_START_DURATION},
     version_health::{Verdict, VersionHealth},
 };
 
 mod exposure;
 mod placed;
 
+/// ms. A new duty holder waits so long for the reports of all replicas; some may be dark.
+const REPORT_COLLECTION_TIME: Ms = 2_000;
+/// Replicas that retire in one step, at least; the source's value.
+const MIN_STEP_REPLICAS: usize = 3;
+/// Percent of a service that retires in one step when that is more; the source's value.
+const STEP_PERCENT: usize = 5;
+/// ms. A canary takes at least this long, so that slow failures show.
+const MIN_CANARY_TIME: Ms = 3_000;
+/// Requests a canary must have ended before it can pass: at 10% that is a few hundred of the service.
+const MIN_CANARY_REQUESTS: u64 = 20;
+/// Requests that it must have ended on each lane that has any: of six on a lane that mostly fails one or more fail.
+const MIN_CANARY_REQUESTS_PER_LANE: u64 = 6;
+/// ms. A canary without enough requests passes after this long, if nothing failed and no lane has traffic that
+/// the canary has not met: a quiet service must not block.
+const QUIET_CANARY_TIME: Ms = 60_000;
+/// ms. So does one that has met too little of a rare lane. The rarer lane of the smaller deployment ends nine in
+/// it; in half of it it once ended one, and a version bad there went by.
+const RARE_LANE_CANARY_TIME: Ms = 120_000;
+/// ms. One step of loading, warming and retiring, where none has been seen yet: half of what either deployment
+/// took in its first rollouts, and more than a warm-up.
+const DEFAULT_STEP_TIME: Ms = 8_000;
+/// ms. Unloading and clearing its flag.
+const DEFAULT_UNLOAD_TIME: Ms = 2_000;
+/// s. A forecast is written anew only when it has moved by more: each writing is a sync on a majority of disks.
+const FORECAST_MIN_CHANGE_S: u64 = 10;
+/// ms. A loop step that has not moved for this long raises the stuck alert.
+const STUCK_ALERT_AFTER: Ms = 60_000;
+/// ms. A loading replica that takes longer is counted late and its start is not repeated before.
+const LOAD_TIMEOUT: Ms = 15_000;
+/// ms. An evacuated or leaving place's work is let end for this long after the longest time left.
+const DRAIN_MARGIN: Ms = 2_000;
+/// ms. The same order to the same replica is not repeated before; replicas take orders at once and work on.
+const ORDER_REPEAT_INTERVAL: Ms = 1_000;
+
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     Replica { id: String, addr: String, action: OrderAction, version: String },
@@ -99,7 +130,7 @@
 impl RolloutView<'_> {
     fn report(&self, id: &str) -> Option<&ReplicaReport> {
         let (r, at) = self.inputs.reports.get(id)?;
-        (self.inputs.now.saturating_sub(*at) <= REPORT_OLD).then_some(r)
+        (self.inputs.now.saturating_sub(*at) <= REPORT_MAX_AGE).then_some(r)
     }
     fn has(&self, id: &str, version: &str) -> bool {
         let name = &self.inputs.service.name;
@@ -117,11 +148,11 @@
     }
     /// How long streams on what retires may still run: the longest lane's time and a little more.
     fn drain_limit(&self) -> Ms {
-        self.inputs.service.lanes.iter().map(|l| l.time_limit_ms).max().unwrap_or(0) + DRAIN_EXTRA
+        self.inputs.service.lanes.iter().map(|l| l.time_limit_ms).max().unwrap_or(0) + DRAIN_MARGIN
     }
     /// Replicas that one step takes.
     fn step(&self) -> usize {
-        STEP_MIN.max(self.usable.len() * STEP_PERCENT / 100)
+        MIN_STEP_REPLICAS.max(self.usable.len() * STEP_PERCENT / 100)
     }
     fn zone(&self, id: &str) -> &str {
         self.usable.iter().find(|r| r.id == id).map_or("", |r| r.zone.as_str())
@@ -185,13 +216,13 @@
     }
     fn tell(&mut self, v: &RolloutView, id: &str, action: OrderAction, version: &str, out: &mut Vec<Order>) {
         let Some(r) = v.usable.iter().find(|r| r.id == id) else { return };
-        let every = if action == OrderAction::Load { LOAD_LATE } else { REORDER };
+        let every = if action == OrderAction::Load { LOAD_TIMEOUT } else { ORDER_REPEAT_INTERVAL };
         let o = Order::Replica { id: id.into(), addr: r.addr.clone(), action, version: version.into() };
         // A replica that reports it is loading has taken the order, however late it gets ready.
         if action == OrderAction::Load && v.holds(id, version) {
             return;
         }
-        self.order(v.inputs.now, if v.report(id).is_some() { REORDER.max(every / 5) } else { every }, o, out);
+        self.order(v.inputs.now, if v.report(id).is_some() { ORDER_REPEAT_INTERVAL.max(every / 5) } else { every }, o, out);
     }
 
     /// One pass of the loop.
@@ -217,7 +248,7 @@
         let plan = i.plan.filter(|(n, p)| *n != r.failed_plan && p.target != r.stable);
         // A new holder that has not heard every replica yet would take the unheard for lost. What the edges
         // counted it knows at once.
-        if now.saturating_sub(self.lease_since) < HEAR_ALL && v.usable.iter().any(|p| v.report(&p.id).is_none()) {
+        if now.saturating_sub(self.lease_since) < REPORT_COLLECTION_TIME && v.usable.iter().any(|p| v.report(&p.id).is_none()) {
             let at_work = matches!(r.phase, RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking);
             if at_work && self.turned_back(&mut r, now) {
                 r.groups.iter_mut().filter(|g| g.version != old.stable).for_each(|g| g.share_percent = 0);
@@ -316,10 +347,10 @@
         ];
         let (age, h) = (now - began, &self.health);
         // A lane that only the stable version has met says nothing of the new one yet.
-        let met = |l: &str| h.ended_on(&t, l, now) >= CANARY_LANE || h.ended_on(&s, l, now) == 0;
+        let met = |l: &str| h.ended_on(&t, l, now) >= MIN_CANARY_REQUESTS_PER_LANE || h.ended_on(&s, l, now) == 0;
         let lanes = v.inputs.service.lanes.iter().all(|l| met(&l.name));
-        let quiet = h.failed(&t, now) == 0 && (age >= CANARY_QUIET && lanes || age >= CANARY_RARE);
-        let enough = age >= CANARY_MIN && h.ended(&t, now) >= CANARY_REQUESTS && lanes;
+        let quiet = h.failed(&t, now) == 0 && (age >= QUIET_CANARY_TIME && lanes || age >= RARE_LANE_CANARY_TIME);
+        let enough = age >= MIN_CANARY_TIME && h.ended(&t, now) >= MIN_CANARY_REQUESTS && lanes;
         if quiet || enough && !h.is_suspicious(&t, &s, now) {
             self.enter(r, RolloutPhase::Shifting, now);
         }
@@ -343,7 +374,7 @@
         r.retiring.retain(|id| v.usable.iter().any(|p| p.id == *id));
         for id in &r.retiring {
             let at = *self.retire_at.entry(id.clone()).or_insert(now);
-            if v.streams(id, &s) == 0 && now > at + REORDER || now.saturating_sub(at) > limit {
+            if v.streams(id, &s) == 0 && now > at + ORDER_REPEAT_INTERVAL || now.saturating_sub(at) > limit {
                 retired.push(id.clone());
             }
         }
@@ -371,7 +402,7 @@
             let mut left = size;
             let mut going: BTreeSet<String> = BTreeSet::new();
             for id in &pending {
-                let warm = |n: &str| self.ready_at.get(n).is_some_and(|t| now.saturating_sub(*t) >= WARM_UP);
+                let warm = |n: &str| self.ready_at.get(n).is_some_and(|t| now.saturating_sub(*t) >= SLOW_START_DURATION);
                 let z = v.zone(id);
                 let floor = v.inputs.service.zones.iter().find(|c| c.zone == z).map_or(0, |c| c.floor as usize);
                 let mut keep: BTreeSet<&String> =
@@ -440,7 +471,7 @@
         old.allow_unload = true;
         let limit = v.drain_limit();
         for id in &gone {
-            let ended = v.streams(id, &t) == 0 && now.saturating_sub(self.phase_at) > REORDER;
+            let ended = v.streams(id, &t) == 0 && now.saturating_sub(self.phase_at) > ORDER_REPEAT_INTERVAL;
             // Nothing is unloaded where the wanted version is not ready, or streams have time left.
             if (ended || now.saturating_sub(self.phase_at) > limit) && v.has(id, &s) {
                 self.tell(v, id, OrderAction::Unload, &t, out);
@@ -448,7 +479,7 @@
         }
         r.groups = vec![group(GroupRole::Stable, &s, 100, v.with(&s)), old];
         // The flag was written in an earlier record before anything could be unloaded under it.
-        if gone.is_empty() && now.saturating_sub(self.phase_at) > REORDER {
+        if gone.is_empty() && now.saturating_sub(self.phase_at) > ORDER_REPEAT_INTERVAL {
             r.target = None;
             r.groups.truncate(1);
             self.enter(r, RolloutPhase::Steady, now);
@@ -474,7 +505,7 @@
             for n in have.len()..need {
                 let o = Order::Start { zone: z.zone.clone(), version: want.clone() };
                 let k = format!("start {} {n}", z.zone);
-                if self.ordered_at.get(&k).is_none_or(|t| now.saturating_sub(*t) >= LOAD_LATE / 3) {
+                if self.ordered_at.get(&k).is_none_or(|t| now.saturating_sub(*t) >= LOAD_TIMEOUT / 3) {
                     self.ordered_at.insert(k, now);
                     out.push(o);
                 }
@@ -482,7 +513,7 @@
             if have.len() > need && r.phase == RolloutPhase::Steady {
                 // One at a time, the last by name, so that a shrunken spec never empties a zone.
                 if let Some(p) = have.iter().max_by_key(|p| &p.id) {
-                    self.order(now, LOAD_LATE / 3, Order::Drain { id: p.id.clone() }, out);
+                    self.order(now, LOAD_TIMEOUT / 3, Order::Drain { id: p.id.clone() }, out);
                 }
             }
         }
@@ -501,7 +532,7 @@
         let now = v.inputs.now;
         let (total, age) = (v.usable.len(), now.saturating_sub(self.phase_at));
         let steps = |n: usize| n.div_ceil(v.step()) as Ms;
-        let after = v.inputs.spec.bake_ms + UNLOAD_GUESS;
+        let after = v.inputs.spec.bake_ms + DEFAULT_UNLOAD_TIME;
         let left = match r.phase {
             RolloutPhase::Steady | RolloutPhase::Reverting => {
                 r.forecast = 0;
@@ -509,19 +540,19 @@
             }
             RolloutPhase::Canary => {
                 let waited = self.canary_at.map_or(0, |t| now.saturating_sub(t));
-                CANARY_QUIET.saturating_sub(waited) + steps(total) * STEP_GUESS + after
+                QUIET_CANARY_TIME.saturating_sub(waited) + steps(total) * DEFAULT_STEP_TIME + after
             }
             RolloutPhase::Shifting => {
                 let old = group_replicas(r, GroupRole::Stable, &r.stable).len() + r.retiring.len();
                 let done = steps(total.saturating_sub(old));
-                let each = age.checked_div(done).unwrap_or(STEP_GUESS.max(age));
+                let each = age.checked_div(done).unwrap_or(DEFAULT_STEP_TIME.max(age));
                 steps(old) * each + after
             }
             RolloutPhase::Baking => after.saturating_sub(age),
-            RolloutPhase::Unloading => UNLOAD_GUESS,
+            RolloutPhase::Unloading => DEFAULT_UNLOAD_TIME,
         };
         let at = if r.target.is_none() { 0 } else { v.inputs.wall_clock_s + left.div_ceil(1_000) };
-        if at.abs_diff(r.forecast) > FORECAST_MOVES {
+        if at.abs_diff(r.forecast) > FORECAST_MIN_CHANGE_S {
             r.forecast = at;
         }
     }
@@ -533,7 +564,7 @@
         if shape != self.shape || r.phase == RolloutPhase::Steady || self.canary_at.is_some() {
             (self.shape, self.progressed_at) = (shape, now);
         }
-        if now.saturating_sub(self.progressed_at) > STUCK_AFTER {
+        if now.saturating_sub(self.progressed_at) > STUCK_ALERT_AFTER {
             r.alerts.push("stuck".into());
         }
         if plan.is_some_and(|(_, p)| v.inputs.wall_clock_s > p.complete_by) {
--- a/coordination/src/rollout/exposure.rs
+++ b/coordination/src/rollout/exposure.rs
@@ -3,12 +3,16 @@
 
 use remote_calls::ReleasePlan;
 
-use crate::{
-    Ms,
-    bounds::Bounds,
-    limits::{EXPOSURE_KEPT, PACE_WINDOW, PACE_WORST, TERM_LATE},
-    version_health::VersionHealth,
-};
+use crate::{Ms, bounds::Bounds, version_health::VersionHealth};
+
+/// Part of the exposure bound that is used; the rest is for what edges do until they hear of a cut.
+const EXPOSURE_BUDGET_USED: f64 = 0.8;
+/// ms. Window over which the pace of requests is taken, and part of it that is counted on to go on.
+pub(crate) const REQUEST_RATE_WINDOW: Ms = 4_000;
+/// ms. Window over which the pace of requests is taken, and part of it that is counted on to go on.
+const PESSIMISTIC_RATE_FACTOR: f64 = 0.7;
+/// ms. A plan's time is told in whole seconds and held against another clock.
+const DEADLINE_SKEW: Ms = 1_000;
 
 /// An order as this daemon came to know it. Every daemon notes it, whoever holds the duty.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,8 +39,8 @@
     /// bound even if it was bad all along. Once its time is over nothing is counted any more.
     pub fn max_share_percent(&self, b: &Bounds, h: &VersionHealth, now: Ms) -> u32 {
         // The time comes in whole seconds, and another clock ends it.
-        let left = (self.deadline + TERM_LATE).saturating_sub(now) as f64 / 1_000.0;
-        let pace = h.request_rate(PACE_WINDOW, now);
+        let left = (self.deadline + DEADLINE_SKEW).saturating_sub(now) as f64 / 1_000.0;
+        let pace = h.request_rate(REQUEST_RATE_WINDOW, now);
         let to_come = pace * left;
         if left <= 0.0 || to_come < 1.0 {
             return 100;
@@ -44,7 +48,7 @@
         let (all, new) = h.sent(&self.target);
         let (all, new) = (all.saturating_sub(self.base.0) as f64, new.saturating_sub(self.base.1) as f64);
         // Traffic may ebb: only a part of what is to come is counted on.
-        let may = EXPOSURE_KEPT * (b.canary_share * (all + PACE_WORST * to_come) + b.canary_slack);
+        let may = EXPOSURE_BUDGET_USED * (b.canary_share * (all + PESSIMISTIC_RATE_FACTOR * to_come) + b.canary_slack);
         ((may - new) * 100.0 / to_come).clamp(0.0, 100.0) as u32
     }
 }
--- a/coordination/src/rollout/placed.rs
+++ b/coordination/src/rollout/placed.rs
@@ -2,10 +2,34 @@
 //! them, this loop moves shares and withdraws replicas. The platform's list is all it reads of replicas.
 
 use super::{exposure::AcceptedPlan, *};
-use crate::limits::{
-    CANARY_LIGHT, CANARY_MOST, DRY, FINAL_DOUBT, HOLD_PART, PACE_WINDOW, REUSE, SHIFT_GUESS, SIDE_FULL, STEP_ENDED, STEP_HOLDS,
-    STEP_QUIET, STREAMS_LEAST,
-};
+use crate::rollout::exposure::REQUEST_RATE_WINDOW;
+
+/// ms. Windows in which a version that is about to be completed may not be doubted, and for how long doubt may hold
+/// it back: what has just turned bad is condemned sooner, and an order has its time.
+const MAX_COMPLETION_DELAY: Ms = 4_000;
+/// Percent of a service that a canary may take at most where its time is short.
+const MAX_SHORT_CANARY_PERCENT: u32 = 8;
+/// Part of what may still be exposed that is spent while a good canary waits for its time to shift.
+const EXPOSURE_WHILE_WAITING: f64 = 0.25;
+/// ms. One step of shifting where the platform places versions, before any was seen: a write, edges' polls and
+/// a second of streams.
+const DEFAULT_SHIFT_TIME: Ms = 2_000;
+/// Requests that a canary must have ended where all that is to come stays inside the exposure bound.
+const MIN_LIGHT_CANARY_REQUESTS: u64 = 3;
+/// ms. A step's share must have been in force so long, and ended so many requests, before the next.
+const MIN_STEP_TIME: Ms = 900;
+/// ms. A step's share must have been in force so long, and ended so many requests, before the next.
+const MIN_STEP_REQUESTS: u64 = 6;
+/// ms. A step waits so long for requests that do not come.
+const MAX_STEP_WAIT: Ms = 5_000;
+/// ms. A withdrawn replica has ended when no edge had a stream there for so long: a poll, a hello and the way.
+const DRAINED_AFTER: Ms = 700;
+/// ms. Least time that a step waits for streams that do not end, however late the plan.
+const MIN_STREAM_WAIT: Ms = 3_000;
+/// Percent of its places that a side of a rollout may have taken before it is to carry no more.
+const MAX_SIDE_LOAD_PERCENT: u64 = 70;
+/// ms. A version that is ordered again waits so long for its former replicas to leave the list.
+const REPLICA_REMOVAL_TIME: Ms = 10_000;
 
 /// What the loop remembers of the platform's replicas, lost with its duty.
 #[derive(Clone, Debug, Default)]
@@ -60,7 +84,7 @@
         if s.seen < *by || s.open(id) > 0 {
             *at = s.i.now;
         }
-        s.i.now.saturating_sub(*at) >= DRY
+        s.i.now.saturating_sub(*at) >= DRAINED_AFTER
     }
 }
 
@@ -104,11 +128,11 @@
         let s = &self.i.service;
         let paths = self.i.spec.paths.iter().filter(|p| p.split.iter().any(|x| x.service == s.name));
         let limits = paths.map(|p| p.time_limit_ms).chain(s.lanes.iter().map(|l| l.time_limit_ms));
-        limits.max().unwrap_or(0) + DRAIN_EXTRA
+        limits.max().unwrap_or(0) + DRAIN_MARGIN
     }
     /// Replicas that one step withdraws.
     fn step(&self) -> usize {
-        STEP_MIN.max(self.old.len() * STEP_PERCENT / 100)
+        MIN_STEP_REPLICAS.max(self.old.len() * STEP_PERCENT / 100)
     }
     /// Whether a version may have a replica's place without trial: it is the one that stands.
     fn proven(&self) -> bool {
@@ -130,7 +154,7 @@
             }
             let open: u64 = old.iter().chain(&new).map(|p| self.open(&p.id)).sum();
             let able = slots(&able);
-            (able * 100 / slots(&old).max(1)).max((able * SIDE_FULL).checked_div(open).unwrap_or(100)).min(100) as u32
+            (able * 100 / slots(&old).max(1)).max((able * MAX_SIDE_LOAD_PERCENT).checked_div(open).unwrap_or(100)).min(100) as u32
         };
         zones.into_iter().map(|z| part(Some(z))).chain([part(None)]).min().unwrap_or(0)
     }
@@ -226,7 +250,7 @@
             return vec![];
         }
         let again = |v: &str| i.plan.is_some_and(|(n, p)| n != r.failed_plan && p.target == v);
-        let waited = self.placed.taken.as_ref().is_some_and(|t| i.now.saturating_sub(t.accepted_at) >= REUSE);
+        let waited = self.placed.taken.as_ref().is_some_and(|t| i.now.saturating_sub(t.accepted_at) >= REPLICA_REMOVAL_TIME);
         let mut all: Vec<GroupRecord> = r.groups.iter().filter(|g| g.allow_unload).cloned().collect();
         // Ordered again, a version's new replicas are others than those that were to go.
         all.retain(|g| !(again(&g.version) && waited));
@@ -320,7 +344,7 @@
         if self.falls(r, s) {
             return;
         }
-        let percent = s.i.spec.canary_percent.min(CANARY_MOST);
+        let percent = s.i.spec.canary_percent.min(MAX_SHORT_CANARY_PERCENT);
         let zones: BTreeSet<&str> = s.old.iter().map(|p| p.zone.as_str()).collect();
         let (mut picks, mut base) = (vec![], vec![]);
         // A canary in each zone: homes keep callers inside theirs, so one zone's canary never meets the others'.
@@ -374,24 +398,25 @@
     /// Whether a canary has shown enough, or there is nothing that it could be shown by.
     fn passed_trial(&self, t: &str, cap: u32, now: Ms) -> bool {
         let (h, age) = (&self.health, self.canary_at.map_or(0, |a| now.saturating_sub(a)));
-        let lanes = h.has_tried_all_lanes(t, CANARY_LANE, now);
-        if !h.has_sources() || age < CANARY_MIN || h.is_suspicious_placed(t, now) {
+        let lanes = h.has_tried_all_lanes(t, MIN_CANARY_REQUESTS_PER_LANE, now);
+        if !h.has_sources() || age < MIN_CANARY_TIME || h.is_suspicious_placed(t, now) {
             return false;
         }
-        let enough = h.ended(t, now) >= CANARY_REQUESTS && lanes;
+        let enough = h.ended(t, now) >= MIN_CANARY_REQUESTS && lanes;
         // Where all that is to come stays inside the bound, or the plan's time is over, less will do.
-        let light = cap == 100 && (h.ended(t, now) >= CANARY_LIGHT || h.request_rate(PACE_WINDOW, now) < 1.0);
-        enough || h.failed(t, now) == 0 && (light || age >= CANARY_QUIET && lanes || age >= CANARY_RARE)
+        let light =
+            cap == 100 && (h.ended(t, now) >= MIN_LIGHT_CANARY_REQUESTS || h.request_rate(REQUEST_RATE_WINDOW, now) < 1.0);
+        enough || h.failed(t, now) == 0 && (light || age >= QUIET_CANARY_TIME && lanes || age >= RARE_LANE_CANARY_TIME)
     }
 
     /// Whether the last step has been in force for long enough to show what it does.
     fn calm(&self, s: &Sides) -> bool {
         let age = s.i.now.saturating_sub(self.placed.step_at);
-        let shown = age >= STEP_QUIET || self.health.ended_in(&s.target, age, s.i.now) >= STEP_ENDED;
+        let shown = age >= MAX_STEP_WAIT || self.health.ended_in(&s.target, age, s.i.now) >= MIN_STEP_REQUESTS;
         // A process that has just started knows of no failures and of no requests until edges tell.
         s.seen >= self.placed.moved_by
             && self.health.has_sources()
-            && age >= STEP_HOLDS
+            && age >= MIN_STEP_TIME
             && shown
             && (s.proven() || !self.health.is_suspicious_placed(&s.target, s.i.now))
     }
@@ -411,7 +436,7 @@
         let limit = s.drain_limit();
         let spare = self.term().saturating_sub(now);
         // A plan that is late already is not hurried: nothing is to be won by it.
-        let each = if spare == 0 { limit } else { (spare / left).clamp(STREAMS_LEAST.min(limit), limit) };
+        let each = if spare == 0 { limit } else { (spare / left).clamp(MIN_STREAM_WAIT.min(limit), limit) };
         let mut waits = false;
         for id in &r.retiring {
             let at = *self.retire_at.entry(id.clone()).or_insert(now);
@@ -421,9 +446,9 @@
         // The share comes first, never more than the new side can carry or may be exposed to.
         let (cap, able) = (self.cap(s), s.carries(&warm));
         let most = cap.min(able);
-        let ramp = n.div_ceil(step) as Ms * SHIFT_GUESS;
+        let ramp = n.div_ceil(step) as Ms * DEFAULT_SHIFT_TIME;
         let begins = cap == 100 || now + ramp >= self.term();
-        let hold = ((f64::from(cap) * HOLD_PART) as u32).clamp(1, CANARY_MOST);
+        let hold = ((f64::from(cap) * EXPOSURE_WHILE_WAITING) as u32).clamp(1, MAX_SHORT_CANARY_PERCENT);
         let next = if had > cap + cap / 5 || had > able {
             // Fewer are there than were, or traffic ebbs: back to what fits.
             most
@@ -521,7 +546,7 @@
         self.placed.ripe = ripe.then(|| self.placed.ripe.unwrap_or(now));
         // The platform stops the old replicas on this word, and nothing is left to turn back to: a version that has
         // just begun to fail is looked at a little longer.
-        let waited = self.placed.ripe.is_some_and(|t| now.saturating_sub(t) >= FINAL_DOUBT);
+        let waited = self.placed.ripe.is_some_and(|t| now.saturating_sub(t) >= MAX_COMPLETION_DELAY);
         let ready = ripe && (waited || s.proven() || !self.health.just_failed(&s.target, now));
         r.groups = vec![group(GroupRole::Stable, &s.target, 100, ids(&warm))];
         for v in versions {
@@ -567,13 +592,13 @@
         if shape != self.shape || !at_work(r.phase) || self.canary_at.is_some() {
             (self.shape, self.progressed_at) = (shape, now);
         }
-        if now.saturating_sub(self.progressed_at) > STUCK_AFTER {
+        if now.saturating_sub(self.progressed_at) > STUCK_ALERT_AFTER {
             r.alerts.push("stuck".into());
         }
         let steps = s.old.len().saturating_sub(r.retiring.len()).div_ceil(s.step()) as Ms;
-        let end = now + steps * SHIFT_GUESS;
+        let end = now + steps * DEFAULT_SHIFT_TIME;
         let at = if at_work(r.phase) { s.i.wall_clock_s + (end - now) / 1_000 } else { 0 };
-        if at == 0 || at.abs_diff(r.forecast) > FORECAST_MOVES {
+        if at == 0 || at.abs_diff(r.forecast) > FORECAST_MIN_CHANGE_S {
             r.forecast = at;
         }
         if at_work(r.phase) && now > self.term() {
--- a/coordination/src/shutdown.rs
+++ b/coordination/src/shutdown.rs
@@ -3,10 +3,13 @@
 //! Callers keep lists of addresses and open connections, so a process that stops goes on serving for as long as a list
 //! may be kept. Then it refuses what is new, so that what it took has the rest of the grace to end.
 
-use crate::{
-    Ms,
-    limits::{SHUTDOWN_FAREWELL, SHUTDOWN_SERVES},
-};
+use crate::Ms;
+
+/// ms. A process that is asked to stop serves on for so long: callers keep the directory's answers for two seconds, and
+/// until the directory has left a stopping edge out some more pass. What is taken last has the rest of the grace.
+pub const SERVE_AFTER_SIGTERM: Ms = 2_800;
+/// ms before the end of the grace. What has no answer then gets one, and the process ends.
+pub const FINAL_RESPONSE_MARGIN: Ms = 600;
 
 /// What a process does at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,9 +42,9 @@
 impl Shutdown {
     /// The process is asked to stop and will be killed after the grace. A second signal changes nothing.
     pub fn begin(&mut self, grace: Ms, now: Ms) {
-        let over = grace.saturating_sub(SHUTDOWN_FAREWELL);
+        let over = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
         // Whatever the grace, no more than half of it is spent on taking what then needs the other half to end.
-        let refuses = SHUTDOWN_SERVES.min(over / 2);
+        let refuses = SERVE_AFTER_SIGTERM.min(over / 2);
         self.schedule.get_or_insert(Schedule { refuses: now + refuses, over: now + over });
     }
 
--- a/coordination/src/state_table.rs
+++ b/coordination/src/state_table.rs
@@ -6,7 +6,10 @@
 use wire_messages::{Change, Name, RangeDigest};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{compressed, limits::RANGES};
+use crate::compressed;
+
+/// Ranges that keys are split into for repair.
+const REPAIR_RANGES: u16 = 16;
 
 /// Reads the operator's document, as it is kept under its key, into a spec.
 pub type SpecParser = fn(&[u8]) -> Option<Spec>;
@@ -23,7 +26,7 @@
     (c.epoch, c.version)
 }
 fn range_of(key: &str) -> u16 {
-    (xxh3_64(key.as_bytes()) % RANGES as u64) as u16
+    (xxh3_64(key.as_bytes()) % REPAIR_RANGES as u64) as u16
 }
 
 #[derive(Clone, Default, Debug)]
@@ -63,7 +66,7 @@
     }
     /// A digest for each range of keys.
     pub fn range_digests(&self) -> Vec<RangeDigest> {
-        let mut d = vec![0u64; RANGES as usize];
+        let mut d = vec![0u64; REPAIR_RANGES as usize];
         for c in self.entries.values() {
             let x = xxh3_64(format!("{} {} {}", c.key, c.epoch, c.version).as_bytes());
             d[range_of(&c.key) as usize] ^= x;
--- a/coordination/src/version_health.rs
+++ b/coordination/src/version_health.rs
@@ -6,13 +6,24 @@
 use wire_messages::{Name, OutcomeCounters};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{
-    Ms,
-    limits::{BAD_ALONE, BAD_FAILURES, BAD_MARGIN, HEALTH_SPACING, HEALTH_WINDOWS, LOG_UNIT},
-};
+use crate::Ms;
 
 mod placed;
 
+/// Failures of a version before it may be called bad: two can be chance.
+const MIN_FAILURES: u64 = 3;
+/// Percent by which a version's failure rate must exceed the other's.
+const FAILURE_MARGIN_PERCENT: u64 = 10;
+/// Percent of ended requests that a version may fail on when there is no other to hold it against.
+const FAILURE_PERCENT_ALONE: u64 = 20;
+/// ms. Windows that failure rates are taken over: short ones show a version that has just turned, long ones
+/// a quiet service's.
+pub(crate) const HEALTH_WINDOWS: [Ms; 6] = [1_000, 2_000, 4_000, 8_000, 16_000, 30_000];
+/// Parts of a doubling in a time's logarithm: a twentieth of a time is more than any comparison needs.
+const LOG_UNITS_PER_DOUBLING: f64 = 16.0;
+/// ms. Spacing of remembered sums.
+const WINDOW_SPACING: Ms = 250;
+
 /// Version, lane, warm.
 type Cell = (Name, Name, bool);
 /// Makes a set of counts that are added and taken away field by field.
@@ -55,7 +66,7 @@
 /// A time as its logarithm, in sixteenths of a doubling. Sums of these compare versions by geometric means, which
 /// a few long prompts hardly move.
 pub fn log_ms(ms: Ms) -> u64 {
-    ((ms.max(1) as f64).log2() * LOG_UNIT).round() as u64
+    ((ms.max(1) as f64).log2() * LOG_UNITS_PER_DOUBLING).round() as u64
 }
 
 /// ms. The longest window.
@@ -152,7 +163,7 @@
         self.sources.insert(source.clone(), old);
     }
     pub fn tick(&mut self, now: Ms) {
-        if self.windows.back().is_some_and(|(t, _)| now.saturating_sub(*t) < HEALTH_SPACING) {
+        if self.windows.back().is_some_and(|(t, _)| now.saturating_sub(*t) < WINDOW_SPACING) {
             return;
         }
         self.close(now);
@@ -246,7 +257,7 @@
     }
     /// Whether a version fails by itself, over all lanes or on one, with nothing to hold it against.
     pub fn fails(&self, version: &str, now: Ms) -> bool {
-        let bad = |n: &OutcomeCounts| n.failed >= BAD_FAILURES && n.failed * 100 >= n.ended * BAD_ALONE;
+        let bad = |n: &OutcomeCounts| n.failed >= MIN_FAILURES && n.failed * 100 >= n.ended * FAILURE_PERCENT_ALONE;
         HEALTH_WINDOWS.iter().any(|w| {
             let lanes = self.by_lane(now, *w, version);
             bad(&lanes.values().fold(OutcomeCounts::default(), |sum, c| sum.plus(*c))) || lanes.values().any(bad)
@@ -257,7 +268,7 @@
         self.lanes(new).into_iter().any(|l| {
             let of = |v: &str| self.within(now, EVER, |c| &*c.0 == v && c.1 == *l);
             let (n, o) = (of(new), of(old));
-            n.failed > 0 && higher(n.failures(), o.failures(), BAD_MARGIN)
+            n.failed > 0 && higher(n.failures(), o.failures(), FAILURE_MARGIN_PERCENT)
         })
     }
     /// Judges `new` against `old`, lane by lane. Failures are compared over all caches, as a cold cache
@@ -287,7 +298,7 @@
             for warm in [true, false] {
                 let (n, o) = (of(LONG_WINDOW, new, Some(warm)), of(LONG_WINDOW, old, Some(warm)));
                 // Without a like cache on the other side nothing can be said about slowness.
-                if o.ended >= BAD_FAILURES && worse((n.ended, n.slow), (o.ended, o.slow)) {
+                if o.ended >= MIN_FAILURES && worse((n.ended, n.slow), (o.ended, o.slow)) {
                     return Verdict::Bad;
                 }
             }
@@ -298,7 +309,7 @@
 
 /// Whether `n`'s rate of bad ends exceeds `o`'s by the margin, on enough of them.
 fn worse(n: (u64, u64), o: (u64, u64)) -> bool {
-    n.1 >= BAD_FAILURES && higher(n, o, BAD_MARGIN)
+    n.1 >= MIN_FAILURES && higher(n, o, FAILURE_MARGIN_PERCENT)
 }
 fn higher(n: (u64, u64), o: (u64, u64), margin: u64) -> bool {
     n.1 * 100 * o.0.max(1) > (o.1 * 100 + margin * o.0.max(1)) * n.0
--- a/coordination/src/voter_placement.rs
+++ b/coordination/src/voter_placement.rs
@@ -7,10 +7,19 @@
 use crate::{
     Ms,
     bounds::Bounds,
-    limits::{HEARTBEAT_EVERY, PEER_GONE, REPLACE_ANYWHERE, STEP_IN, VOTERS, VOTERS_LEAST},
     regions::{self, Regions},
+    timing::{HEARTBEAT_INTERVAL, PEER_TIMEOUT},
 };
 
+/// Voters at least, where there are so many daemons: one of them may be lost.
+const MIN_VOTERS: usize = 3;
+/// Voters where there are enough daemons, unless the losses to be borne ask for more: a zone and a disk may be lost.
+const TARGET_VOTERS: usize = 5;
+/// ms. A daemon that stands by takes the place of a voter that was silent for so long; a restart takes less.
+const REPLACE_AFTER: Ms = 3_000;
+/// ms. After so long even a daemon in a place that has its share of voters does.
+const REPLACE_ANYWHERE_AFTER: Ms = 10_000;
+
 /// A daemon that could vote: as a voter, and whether its disk was blank when it started.
 pub type Candidate = (Voter, bool);
 
@@ -55,13 +64,13 @@
     // A lost disk's place goes to whoever has its name or address: the process with the old disk is no more.
     for v in &mut voters {
         let i = free.iter().position(|(c, _)| c.name == v.name || c.addr == v.addr);
-        if let Some(i) = i.filter(|_| (s.unheard_for)(v) > 2 * HEARTBEAT_EVERY) {
+        if let Some(i) = i.filter(|_| (s.unheard_for)(v) > 2 * HEARTBEAT_INTERVAL) {
             *v = free.remove(i).0;
         }
     }
     replace_lost(s, &mut voters, &mut free);
     add_voters(s, &mut voters, &mut free);
-    if s.voters.iter().all(|v| (s.is_live)(v) && (s.unheard_for)(v) <= 2 * HEARTBEAT_EVERY) {
+    if s.voters.iter().all(|v| (s.is_live)(v) && (s.unheard_for)(v) <= 2 * HEARTBEAT_INTERVAL) {
         rebalance(s, &mut voters, &mut free);
     }
     // Newcomers read a majority of the former voters: without it a change would leave them waiting for good.
@@ -77,14 +86,14 @@
     order.sort_by_key(|i| std::cmp::Reverse((s.unheard_for)(&voters[*i])));
     for i in order {
         let silent = (s.unheard_for)(&voters[i]);
-        let ready = |c: &Candidate| silent > if c.1 { PEER_GONE } else { STEP_IN };
+        let ready = |c: &Candidate| silent > if c.1 { PEER_TIMEOUT } else { REPLACE_AFTER };
         let with = |c: &Candidate| {
             let mut next = voters.to_vec();
             next[i] = c.0.clone();
             next
         };
         // After long enough a worse spread is better than a place that nobody fills.
-        let most = if silent > REPLACE_ANYWHERE { usize::MAX } else { excess_voters(voters, s.regions) };
+        let most = if silent > REPLACE_ANYWHERE_AFTER { usize::MAX } else { excess_voters(voters, s.regions) };
         let fits = (0..free.len()).filter(|n| ready(&free[*n]) && excess_voters(&with(&free[*n]), s.regions) <= most);
         let best = fits.min_by_key(|n| {
             let (c, _) = &free[*n];
@@ -100,12 +109,12 @@
 /// Adds voters: two at a time, as an even number bears no more losses than one less; one at a time below what the
 /// losses to be borne need, where one more disk still keeps what a single loss would take.
 fn add_voters(s: &VoterChange, voters: &mut Vec<Voter>, free: &mut Vec<Candidate>) {
-    let least = VOTERS_LEAST.max(2 * s.bounds.lost_disks as usize + 1);
-    while voters.len() < least.max(VOTERS) && !free.is_empty() {
+    let least = MIN_VOTERS.max(2 * s.bounds.lost_disks as usize + 1);
+    while voters.len() < least.max(TARGET_VOTERS) && !free.is_empty() {
         let mut next = voters.clone();
         let mut left = free.clone();
         let odd = voters.len() % 2 == 1;
-        let step = if odd && (voters.len() >= VOTERS_LEAST || left.len() >= 2) { 2 } else { 1 };
+        let step = if odd && (voters.len() >= MIN_VOTERS || left.len() >= 2) { 2 } else { 1 };
         if left.len() < step {
             return;
         }
--- a/coordination/tests/context_demand.rs
+++ b/coordination/tests/context_demand.rs
@@ -4,8 +4,10 @@
 
 use coordination::{
     Ms,
-    context::{Asked, Chain, Demand, Demands, Inputs, decide, homes, number},
-    limits::{DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD, STANDING_MOST},
+    context::{
+        Asked, Chain, DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD, Demand, Demands, Inputs, STANDING_MOST,
+        decide, homes, number,
+    },
     wire::{ContextDemand as DemandMsg, List, Name, encode},
 };
 use googletest::prelude::*;
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -7,10 +7,10 @@
     Effect, Effects, Ms, Row,
     control::{Control, ControlConfig, SPEC_KEY},
     edge_agent::EdgeAgent,
-    limits::TICK,
     pass::{Ask, PassEnd},
     proxy::{Admit, Placed, Proxy},
     register::Expect,
+    timing::TICK_INTERVAL,
 };
 use googletest::prelude::*;
 use remote_calls::PlatformList;
@@ -176,7 +176,7 @@
             if self.rng.u64(..1_000) < rate {
                 self.request();
             }
-            if now.is_multiple_of(TICK) {
+            if now.is_multiple_of(TICK_INTERVAL) {
                 let mut out = self.control.tick(now);
                 out.extend(self.control.run_rollouts(now, now / 1_000));
                 self.carry("c", out);
--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -5,9 +5,9 @@
 
 use coordination::{
     Effect, Effects, Ms, Row,
-    control::{Caller, Control, ControlConfig},
+    control::{Caller, Control, ControlConfig, FLEET_DISCOVERY_TIME},
     edge_agent::EdgeAgent,
-    limits::{KNOWS_FLEET, TICK},
+    timing::TICK_INTERVAL,
     wire::{Message, Name, Node, ProxyReport},
 };
 use googletest::prelude::*;
@@ -102,7 +102,7 @@
             let mut agent = EdgeAgent::new(node, seeds(), plane.rng.u64(..), plane.now);
             agent.set_regions(regions());
             agent.set_serve_when_partitioned(true);
-            let next_tick = plane.now + plane.rng.u64(..TICK);
+            let next_tick = plane.now + plane.rng.u64(..TICK_INTERVAL);
             plane.edges.insert(name, EdgeHost { agent, zone, next_tick });
         }
         plane
@@ -177,9 +177,9 @@
     fn tick_edge(&mut self, name: &Name) {
         let now = self.now;
         let Some(e) = self.edges.get_mut(name) else { return };
-        e.next_tick = now + TICK;
+        e.next_tick = now + TICK_INTERVAL;
         let mut out = vec![];
-        if now % HELLO < TICK {
+        if now % HELLO < TICK_INTERVAL {
             let hello = ProxyReport { incarnation: 1, http_addr: format!("h-{name}").as_str().into(), ..ProxyReport::default() };
             let proxy: Name = format!("p-{name}").into();
             out = e.agent.on_message(&proxy, &proxy, Message::from(hello), now);
@@ -200,7 +200,7 @@
             for name in self.edges.iter().filter(due).map(|e| e.0.clone()).collect::<Vec<_>>() {
                 self.tick_edge(&name);
             }
-            if self.now.is_multiple_of(TICK) {
+            if self.now.is_multiple_of(TICK_INTERVAL) {
                 let now = self.now;
                 for name in self.controls.keys().cloned().collect::<Vec<_>>() {
                     let brain = self.controls.get_mut(&name).and_then(|c| c.brain.as_mut());
@@ -287,7 +287,7 @@
                 if names_gone && since >= contact {
                     seen.trouble_named_for = after;
                 }
-                if since >= 2 * KNOWS_FLEET {
+                if since >= 2 * FLEET_DISCOVERY_TIME {
                     seen.trouble_left_out += left_out;
                     seen.trouble_empty += usize::from(named.is_empty());
                 }
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -6,9 +6,9 @@
 
 use coordination::{
     Ms,
-    context::{self, Demands},
+    context::{self, DEMAND_OLD, Demands},
+    control::CONTEXT_WRITE_INTERVAL,
     edge_agent::SERVE_ALL,
-    limits::{DEMAND_OLD, STANDING_EVERY},
     pass::{Ask, PassEnd, Told},
     proxy::{Admit, Placed, Proxy},
     rendezvous::rendezvous_weight_of,
@@ -284,7 +284,7 @@
         if self.record.is_some() && next == old {
             return;
         }
-        h.next = self.now + STANDING_EVERY;
+        h.next = self.now + CONTEXT_WRITE_INTERVAL;
         let stood = |p: &StandingPart| old.parts.iter().any(|o| (o.chain, &o.region) == (p.chain, &p.region));
         self.made += next.parts.iter().filter(|p| !stood(p)).count() as u64;
         let at = self.record.as_ref().map_or(0, |r| r.1) + 1;
--- a/coordination/tests/feed.rs
+++ b/coordination/tests/feed.rs
@@ -9,9 +9,9 @@
 
 use coordination::{
     Effect, Effects, Ms,
-    control::SPEC_KEY,
-    edge_agent::EdgeAgent,
-    limits::{POLL_EVERY, PUSH_TAKES, PUSHED_TO, TICK},
+    control::{PUSH_ELIGIBILITY, PUSH_TIMEOUT, SPEC_KEY},
+    edge_agent::{EdgeAgent, POLL_INTERVAL},
+    timing::TICK_INTERVAL,
     wire::{Envelope, Message, Name, Node, encode},
 };
 use fleet::Fleet;
@@ -163,7 +163,7 @@
                 .edges
                 .keys()
                 .enumerate()
-                .filter(|(i, _)| (now + *i as Ms * 7).is_multiple_of(TICK))
+                .filter(|(i, _)| (now + *i as Ms * 7).is_multiple_of(TICK_INTERVAL))
                 .map(|(_, n)| n.clone())
                 .collect();
             for n in due {
@@ -222,7 +222,7 @@
         l.deaf = [0, REGIONS].into();
         let at = l.put();
         l.run(4_000);
-        expect_that!(l.last(at), le(PUSH_TAKES + 3 * POLL_EVERY), "seed {seed}");
+        expect_that!(l.last(at), le(PUSH_TIMEOUT + 3 * POLL_INTERVAL), "seed {seed}");
     }
 }
 
@@ -231,7 +231,7 @@
     for seed in 0..3 {
         let mut l = Land::new(seed);
         l.cut.set(Some(2));
-        l.run(PUSHED_TO + 200);
+        l.run(PUSH_ELIGIBILITY + 200);
         // Two operators' changes, neither of which the region hears of.
         l.put();
         l.run(500);
@@ -253,7 +253,7 @@
         let mut l = Land::new(seed);
         // So short that daemons take the edges for followers all along.
         l.cut.set(Some(2));
-        l.run(PUSHED_TO + 100);
+        l.run(PUSH_ELIGIBILITY + 100);
         l.put();
         l.run(1_200);
         l.heal();
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -7,7 +7,7 @@
 use coordination::{
     Effect, Effects, Ms, Row, WriteOutcome,
     control::{Control, ControlConfig},
-    limits::{SYNC_LATE, TICK},
+    timing::{DISK_SYNC_TIMEOUT, TICK_INTERVAL},
 };
 use wire_messages::{Message, Name};
 
@@ -144,7 +144,7 @@
         d.life += 1;
         let rows = d.disk.values().cloned().collect();
         d.brain = Some(Control::new(d.p.clone(), d.disk_id, rows, 1_000 + now * 10 + d.life, now));
-        d.next_tick = now + 1 + self.rng.u64(..TICK);
+        d.next_tick = now + 1 + self.rng.u64(..TICK_INTERVAL);
     }
     pub fn kill(&mut self, i: usize) {
         let d = &mut self.all[i];
@@ -266,10 +266,10 @@
                 if d.next_tick > now || d.frozen > now {
                     continue;
                 }
-                d.next_tick = now + TICK;
+                d.next_tick = now + TICK_INTERVAL;
                 let Some(b) = d.brain.as_mut() else { continue };
                 // As the shell tells it.
-                b.disk_healthy = !d.working || now - d.since <= SYNC_LATE;
+                b.disk_healthy = !d.working || now - d.since <= DISK_SYNC_TIMEOUT;
                 let out = b.tick(now);
                 self.carry(i, out);
             }
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -4,8 +4,8 @@
 
 use coordination::{
     Effect, Effects, Ms,
-    limits::{GONE_A_NODE, NODE_GONE, SHUFFLE_EVERY, SHUFFLE_SLOWEST, TICK, VIEW},
-    membership::{EDGE_ROLE, Membership},
+    membership::{EDGE_ROLE, MAX_SHUFFLE_INTERVAL, Membership, NODE_TIMEOUT_PER_NODE, SHUFFLE_INTERVAL, VIEW_SIZE},
+    timing::{NODE_TIMEOUT, TICK_INTERVAL},
 };
 use googletest::prelude::*;
 use wire_messages::{Envelope, Message, Name, Node, encode};
@@ -34,7 +34,7 @@
     fn run(&mut self, ms: Ms) {
         let end = self.now + ms;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             let mut out: Vec<(Name, Effects)> = vec![];
             for (n, m) in &mut self.nodes {
                 let mut o = vec![];
@@ -77,7 +77,7 @@
         out.len()
     };
     expect_that!(asked(10), eq(2), "all but itself");
-    expect_that!((0..8).map(|i| asked(20 + (i + 1) * SHUFFLE_EVERY)).max(), some(eq(1)));
+    expect_that!((0..8).map(|i| asked(20 + (i + 1) * SHUFFLE_INTERVAL)).max(), some(eq(1)));
 }
 
 #[gtest]
@@ -94,7 +94,7 @@
     expect_that!(all, le(57));
     let gone = Name::from("n100");
     drop(b.nodes.remove(&gone));
-    b.run(2 * 120 * GONE_A_NODE);
+    b.run(2 * 120 * NODE_TIMEOUT_PER_NODE);
     expect_false!(b.nodes.values().any(|m| m.live(EDGE_ROLE).any(|n| n.name == gone)));
 }
 
@@ -107,17 +107,17 @@
         // Four of eleven go at once, the seeds among them: the others' views hold together.
         (0..4).for_each(|i| drop(b.nodes.remove(&Name::from(format!("n{i}").as_str()))));
         // Rumours of them go round for a while after they went.
-        b.run(3 * NODE_GONE);
+        b.run(3 * NODE_TIMEOUT);
         expect_that!(b.wrong(), is_empty(), "seed {seed}: gone");
         // Every machine is replaced, one after the other; each newcomer knows only those that stand.
         for i in 4..11 {
             b.nodes.remove(&Name::from(format!("n{i}").as_str()));
             let stand: Vec<String> = b.nodes.keys().take(3).map(|n| n.to_string()).collect();
             b.add(i + 100, &stand.iter().map(String::as_str).collect::<Vec<_>>());
-            b.run(3 * NODE_GONE);
+            b.run(3 * NODE_TIMEOUT);
         }
         expect_that!(b.wrong(), is_empty(), "seed {seed}: replaced");
-        expect_true!(b.nodes.values().all(|m| m.view().len() <= VIEW));
+        expect_true!(b.nodes.values().all(|m| m.view().len() <= VIEW_SIZE));
     }
 }
 
@@ -141,7 +141,7 @@
         gone.iter().for_each(|g| drop(b.nodes.remove(g)));
         let sees = |b: &Bench| b.nodes.values().any(|m| m.live(EDGE_ROLE).any(|x| gone.contains(&x.name)));
         // A beat's age rises by nothing on the way, here as long as a tick.
-        b.run(NODE_GONE.max(GONE_A_NODE * n as Ms) + 2 * SHUFFLE_SLOWEST);
+        b.run(NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * n as Ms) + 2 * MAX_SHUFFLE_INTERVAL);
         expect_false!(sees(&b), "{n}: gone ones taken for live");
         for _ in 0..20 {
             b.run(500);
@@ -169,11 +169,11 @@
     let new = |n: &str| Membership::new(node(n), vec![], 1);
     let (mut a, mut b, mut out) = (new("a"), new("b"), vec![]);
     a.on_description(&Node { heartbeat: 9, ..node("c") }, 10_000, &mut out);
-    for now in (10_000..14_000).step_by(TICK as usize) {
+    for now in (10_000..14_000).step_by(TICK_INTERVAL as usize) {
         turn(&mut a, &mut b, "a", now);
         turn(&mut b, &mut a, "b", now);
         let knows = |m: &Membership| m.live(EDGE_ROLE).any(|n| &*n.name == "c");
-        if now > 10_000 + NODE_GONE + 2 * SHUFFLE_EVERY {
+        if now > 10_000 + NODE_TIMEOUT + 2 * SHUFFLE_INTERVAL {
             expect_false!(knows(&a) || knows(&b), "{now}");
         }
     }
--- a/coordination/tests/news.rs
+++ b/coordination/tests/news.rs
@@ -2,10 +2,10 @@
 
 use coordination::{
     Effect, Ms,
-    control::{Control, ControlConfig},
-    edge_agent::{EdgeAgent, SERVE_ALL},
-    limits::{MISSED, POLL_EVERY, PUSH_TAKES, TICK},
+    control::{Control, ControlConfig, PUSH_TIMEOUT},
+    edge_agent::{EdgeAgent, MAJORITY_MISSED_AFTER, POLL_INTERVAL, SERVE_ALL},
     register::Expect,
+    timing::TICK_INTERVAL,
     wire::{
         Blob, Change, Heartbeat, Lease, List, Message, Name, Node, OutcomeCounters, Poll, Prefill, PrefillReport, ProxyReport,
         Shuffle, TableDigests, Update,
@@ -96,7 +96,7 @@
     let nodes: List<Node> = (0..87).map(|i| node(&format!("e{i}"), 2)).collect();
     a.on_message(&"e0".into(), &"e0".into(), Shuffle { nodes, step: 1, ..Shuffle::default() }.into(), 10);
     let mut asked = 0;
-    for now in (20..2 * MISSED + 3_000).step_by(TICK as usize) {
+    for now in (20..2 * MAJORITY_MISSED_AFTER + 3_000).step_by(TICK_INTERVAL as usize) {
         asked += sends(a.tick(now)).iter().filter(|(_, m)| matches!(m, Message::TableDigests(_))).count();
     }
     expect_that!(asked, le(12));
@@ -112,7 +112,7 @@
         10,
     );
     let polls = |a: &mut EdgeAgent, from: u64, to: u64| -> Vec<Poll> {
-        let out = (from..to).step_by(TICK as usize).flat_map(|t| sends(a.tick(t))).collect::<Vec<_>>();
+        let out = (from..to).step_by(TICK_INTERVAL as usize).flat_map(|t| sends(a.tick(t))).collect::<Vec<_>>();
         out.into_iter().filter_map(|(_, m)| if let Message::Poll(p) = m { Some(p) } else { None }).collect()
     };
     let first = polls(&mut a, 20, 1_500);
@@ -136,7 +136,7 @@
     let mut version = 1;
     let asked = |a: &mut EdgeAgent, from: u64, to: u64| -> [usize; 3] {
         let mut n = [0; 3];
-        for now in (from..to).step_by(TICK as usize) {
+        for now in (from..to).step_by(TICK_INTERVAL as usize) {
             for (to, m) in sends(a.tick(now)) {
                 let Message::Poll(p) = m else { continue };
                 n[usize::from(to.as_bytes()[1] - b'1')] += 1;
@@ -157,8 +157,8 @@
         version += 1;
         let start = 18_050 + t * 1_000;
         a.on_message(&"c1".into(), &"c1".into(), news(vec![change("spec", version, 10)], start - 10), start);
-        expect_that!(asked(&mut a, start, start + POLL_EVERY + TICK)[2], ge(1), "news {t}");
-        asked(&mut a, start + POLL_EVERY + TICK, start + 1_000);
+        expect_that!(asked(&mut a, start, start + POLL_INTERVAL + TICK_INTERVAL)[2], ge(1), "news {t}");
+        asked(&mut a, start + POLL_INTERVAL + TICK_INTERVAL, start + 1_000);
     }
 }
 
@@ -204,14 +204,15 @@
     };
     let polls = |out: Vec<Effect>| sends(out).into_iter().filter(|(_, m)| matches!(m, Message::Poll(_))).count();
     let mut a = EdgeAgent::new(node("a", 2), vec!["c1".into()], 7, 0);
-    a.tick(TICK);
+    a.tick(TICK_INTERVAL);
     a.on_message(&"c1".into(), &"c1".into(), shuffle(&["c1"]), 60);
-    expect_that!(polls(a.tick(2 * TICK)), eq(1));
+    expect_that!(polls(a.tick(2 * TICK_INTERVAL)), eq(1));
     a.on_message(&"c1".into(), &"c1".into(), shuffle(&["c1", "c2", "c3"]), 110);
-    expect_that!(polls(a.tick(3 * TICK)), eq(3));
+    expect_that!(polls(a.tick(3 * TICK_INTERVAL)), eq(3));
     // From then on as often as its fleet bears, until a majority has answered.
-    let often =
-        |a: &mut EdgeAgent, from: u64| (from..from + 2_000).step_by(TICK as usize).map(|t| polls(a.tick(t))).sum::<usize>();
+    let often = |a: &mut EdgeAgent, from: u64| {
+        (from..from + 2_000).step_by(TICK_INTERVAL as usize).map(|t| polls(a.tick(t))).sum::<usize>()
+    };
     expect_that!(often(&mut a, 200), all!(ge(45), le(63)));
     let many: Vec<String> = (0..60).map(|i| format!("e{i}")).collect();
     a.on_message(&"c1".into(), &"c1".into(), shuffle(&many.iter().map(String::as_str).collect::<Vec<_>>()), 2_200);
@@ -324,7 +325,7 @@
         news
     }
     fn tick(&mut self) -> Vec<Update> {
-        self.now += TICK;
+        self.now += TICK_INTERVAL;
         let out = self.c.tick(self.now);
         self.carry(out)
     }
@@ -356,7 +357,7 @@
         sent += values(&a.poll(0, 0));
         a.tick();
     }
-    let pace = 10_000 * coordination::limits::NEWS_PACE as usize;
+    let pace = 10_000 * coordination::control::ASSUMED_BYTES_PER_MS as usize;
     // One that was lost is sent again.
     expect_that!(sent, all![ge(2 * FRAME), le(pace + FRAME)]);
 }
@@ -413,7 +414,7 @@
             sent += values(&all);
         }
         expect_that!(sent, eq(LONG));
-        expect_that!(a.now - began, le(if near { 0 } else { PUSH_TAKES + TICK }));
+        expect_that!(a.now - began, le(if near { 0 } else { PUSH_TIMEOUT + TICK_INTERVAL }));
     }
 }
 
@@ -437,6 +438,6 @@
             last = a.now;
         }
     }
-    expect_that!(longest, le(3 * PUSH_TAKES));
-    expect_that!(last, ge(a.now - 3 * PUSH_TAKES));
+    expect_that!(longest, le(3 * PUSH_TIMEOUT));
+    expect_that!(last, ge(a.now - 3 * PUSH_TIMEOUT));
 }
--- a/coordination/tests/operators.rs
+++ b/coordination/tests/operators.rs
@@ -3,7 +3,11 @@
 
 mod fleet;
 
-use coordination::{Ms, WriteOutcome, control::SPEC_KEY, limits::FORWARD_LIMIT, register::Expect};
+use coordination::{
+    Ms, WriteOutcome,
+    control::{FORWARD_TIMEOUT, SPEC_KEY},
+    register::Expect,
+};
 use fleet::Fleet;
 use googletest::prelude::*;
 
@@ -275,7 +279,7 @@
             });
             expect_true!(took, "seed {seed}");
             // It lasts for longer than any daemon tries to have it accepted.
-            f.run(FORWARD_LIMIT);
+            f.run(FORWARD_TIMEOUT);
         }
         let wakes = f.all[still].frozen;
         expect_that!(wakes, gt(f.now), "seed {seed}: it woke too soon to show anything");
@@ -316,7 +320,7 @@
             expect_that!(end(&mut f, w), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
         }
         // It still tries then.
-        late += u64::from(f.now < from + FORWARD_LIMIT);
+        late += u64::from(f.now < from + FORWARD_TIMEOUT);
         f.cut.clear();
         f.run(8_000);
         for i in up(&f) {
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -4,9 +4,9 @@
 
 use coordination::{
     Effect,
-    limits::{NODE_GONE, TICK},
     membership::{EDGE_ROLE, Membership},
     regions::Regions,
+    timing::{NODE_TIMEOUT, TICK_INTERVAL},
     wire::{Message, Name, Node},
 };
 use googletest::prelude::*;
@@ -41,7 +41,7 @@
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             let mut out: Vec<(Name, Vec<Effect>)> = vec![];
             for (n, m) in &mut self.nodes {
                 let mut o = vec![];
@@ -92,7 +92,7 @@
         f.run(5_000);
         expect_that!(f.missing(), eq(0), "seed {seed}");
         f.sent = [0; 2];
-        f.run(3 * NODE_GONE);
+        f.run(3 * NODE_TIMEOUT);
         let [near, far] = f.sent;
         expect_that!(far, ge(near), "seed {seed}");
         expect_that!(f.missing(), eq(0), "seed {seed}");
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -3,7 +3,11 @@
 
 mod fleet;
 
-use coordination::{WriteOutcome, control::SPEC_KEY, limits::PAST_VALUES, register::Expect};
+use coordination::{
+    WriteOutcome,
+    control::SPEC_KEY,
+    register::{Expect, REPLACED_VALUES_KEPT},
+};
 use fleet::Fleet;
 use googletest::prelude::*;
 
@@ -101,7 +105,7 @@
 fn as_many_releases_are_remembered_as_the_bound_says_and_older_ones_get_no_clear_answer() {
     let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
     settle(f);
-    let most = PAST_VALUES as u64;
+    let most = REPLACED_VALUES_KEPT as u64;
     for r in 1..=most + 4 {
         expect_that!(clear(f, 0, r, 0), some(eq(WriteOutcome::Accepted(r))));
     }
@@ -116,7 +120,7 @@
     }
     // Edges have no use for it: what goes to them is the value alone.
     let slot = f.brain(0).unwrap().registers.slots().find(|s| &*s.key == SPEC_KEY).unwrap();
-    expect_that!(slot.replaced.len(), eq(PAST_VALUES));
+    expect_that!(slot.replaced.len(), eq(REPLACED_VALUES_KEPT));
 }
 
 /// The same for a write that names the version it replaces.
@@ -129,7 +133,7 @@
         f.until(4_000, |f| f.ends.contains_key(&w));
         f.ends.get(&w).map(|e| e.1)
     };
-    let newest = PAST_VALUES as u64 + 3;
+    let newest = REPLACED_VALUES_KEPT as u64 + 3;
     for on in 0..newest {
         expect_that!(ask(f, on, on), some(eq(WriteOutcome::Accepted(on + 1))));
     }
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use coordination::{Ms, WriteOutcome, limits::COUNTS_LEFT};
+use coordination::{Ms, WriteOutcome, control::COUNTER_RETENTION};
 use fleet::Fleet;
 use googletest::prelude::*;
 use wire_messages::Message;
@@ -467,7 +467,7 @@
         f.kill(old);
         f.until(8_000, |f| holder(f).is_some_and(|h| h != old)).unwrap();
         expect_that!(before, contains(eq(&holder(&f).unwrap())), "seed {seed}: the evidence was there before");
-        f.run(COUNTS_LEFT + 2_000);
+        f.run(COUNTER_RETENTION + 2_000);
         expect_that!(keep(&f), all!(len(le(3)), contains(eq(&holder(&f).unwrap()))), "seed {seed}");
     }
 }
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -4,10 +4,11 @@
 
 use coordination::{
     Effect, Effects, Ms,
-    control::{Caller, Control, ControlConfig, SPEC_KEY},
-    edge_agent::EdgeAgent,
-    limits::{KNOWS_FLEET, NODE_GONE, POLL_EVERY, RESOLUTION_LOGGED, RULE_LIFE, SHUFFLE_EVERY, TICK},
+    control::{Caller, Control, ControlConfig, DISTANT_LOG_INTERVAL, FLEET_DISCOVERY_TIME, SPEC_KEY},
+    edge_agent::{EdgeAgent, POLL_INTERVAL, RULE_DURATION},
+    membership::SHUFFLE_INTERVAL,
     register::Expect,
+    timing::{NODE_TIMEOUT, TICK_INTERVAL},
     wire::{Message, Name, Node, ProxyReport},
 };
 use googletest::prelude::*;
@@ -95,7 +96,7 @@
     fn run(&mut self, ms: Ms) {
         let end = self.now + ms;
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             let out = self.control.tick(self.now);
             self.deliver("c".into(), out);
             let names: Vec<Name> = self.agents.keys().filter(|n| !self.frozen.contains(*n)).cloned().collect();
@@ -143,7 +144,7 @@
 fn a_caller_is_told_of_its_zone_then_of_its_region_then_of_all() {
     let mut l = Land::new();
     expect_that!(l.near("host", "a1", "a"), none());
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.spec(&[("host", &[])]);
     expect_that!(l.told("a1", "a"), eq(&names(&["a1-0", "a1-1"])));
     expect_that!(l.told("b2", "b"), eq(&names(&["b2-0", "b2-1"])));
@@ -154,13 +155,13 @@
 #[gtest]
 fn an_edge_that_freezes_or_leaves_is_left_out_before_answers_end_and_comes_back() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.frozen.insert("a1-0".into());
-    l.run(NODE_GONE + 2 * POLL_EVERY);
+    l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     // One edge is no choice for a whole zone: its region's others are told too, the frozen one is not.
     expect_that!(l.told("a1", "a"), eq(&names(&["a1-1", "a2-0", "a2-1"])));
     l.frozen.insert("a1-1".into());
-    l.run(NODE_GONE + 2 * POLL_EVERY);
+    l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     expect_that!(l.told("a1", "a"), eq(&names(&["a2-0", "a2-1"])));
     l.frozen.clear();
     l.run(TTL);
@@ -168,7 +169,7 @@
     // One that is replaced by another of a new name.
     l.agents.remove("b1-0");
     l.add("b1-9", "b1");
-    l.run(NODE_GONE + 2 * POLL_EVERY);
+    l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     expect_that!(l.told("b1", "b"), eq(&names(&["b1-1", "b1-9"])));
 }
 
@@ -177,10 +178,10 @@
 #[gtest]
 fn a_caller_of_a_host_with_homes_is_told_of_its_own_region_and_of_those() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     let gone = |l: &mut Land, n: &[&str]| {
         l.frozen = n.iter().map(|n| Name::from(*n)).collect();
-        l.run(NODE_GONE + 2 * POLL_EVERY);
+        l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     };
     l.spec(&[("b", &["b"]), ("ab", &["a", "b"]), ("c", &["c"]), ("two", &["a"]), ("two", &["a", "b"])]);
     gone(&mut l, &["a1-0", "a2-0", "a2-1"]);
@@ -200,9 +201,9 @@
 #[gtest]
 fn an_edge_whose_proxy_is_silent_is_left_out_until_it_speaks() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.silent.insert("a1-0".into());
-    l.run(RULE_LIFE + SHUFFLE_EVERY + 2 * POLL_EVERY);
+    l.run(RULE_DURATION + SHUFFLE_INTERVAL + 2 * POLL_INTERVAL);
     expect_that!(l.told("a1", "a"), eq(&names(&["a1-1", "a2-0", "a2-1"])));
     l.silent.clear();
     l.run(TTL);
@@ -210,7 +211,7 @@
     // One that has just started is told of only once its proxy speaks.
     l.silent.insert("a1-7".into());
     l.add("a1-7", "a1");
-    l.run(KNOWS_FLEET);
+    l.run(FLEET_DISCOVERY_TIME);
     expect_that!(l.told("a1", "a"), eq(&names(&["a1-0", "a1-1"])));
     l.silent.clear();
     l.run(TTL);
@@ -220,22 +221,22 @@
 #[gtest]
 fn a_daemon_that_hears_few_edges_still_tells_of_those_it_knows() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.spec(&[("host", &[])]);
     // More than half stop asking this daemon: it is this daemon that is cut off, and callers need somebody.
     let all: Vec<Name> = l.agents.keys().cloned().collect();
     l.frozen.extend(all[..5].iter().cloned());
-    l.run(NODE_GONE / 2);
+    l.run(NODE_TIMEOUT / 2);
     expect_that!(l.told("", "").len(), ge(3));
     l.frozen.extend(all);
-    l.run(NODE_GONE / 2);
+    l.run(NODE_TIMEOUT / 2);
     expect_that!(l.told("", ""), not(is_empty()));
 }
 
 #[gtest]
 fn answers_are_counted_by_reach_and_far_ones_are_logged_now_and_then() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.spec(&[("host", &[])]);
     let far = |l: &mut Land, region: &str| {
         let (_, effects) = l.control.resolve(Caller { host: "host", zone: "", region }, l.now);
@@ -243,10 +244,10 @@
     };
     expect_that!(far(&mut l, "a"), eq(0));
     l.frozen.extend(names(&["a1-0", "a2-0", "a2-1"]).iter().map(|n| Name::from(n.as_str())));
-    l.run(NODE_GONE + 2 * POLL_EVERY);
+    l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     expect_that!(far(&mut l, "a"), eq(1));
     expect_that!(far(&mut l, "a"), eq(0));
-    l.run(RESOLUTION_LOGGED);
+    l.run(DISTANT_LOG_INTERVAL);
     expect_that!(far(&mut l, "a"), eq(1));
     // Whatever a caller calls its region, it fills no memory and no log.
     expect_that!(far(&mut l, "nowhere"), eq(0));
@@ -259,14 +260,14 @@
 /// Leaves the named edges of eight alone to serve.
 fn leave_only(l: &mut Land, serving: &[&str]) {
     l.frozen = l.agents.keys().filter(|n| !serving.contains(&&***n)).cloned().collect();
-    l.run(NODE_GONE + 2 * POLL_EVERY);
+    l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
 }
 
 // All edges of the homes restart at once while those of another region are just back.
 #[gtest]
 fn a_bound_host_is_led_nowhere_while_none_of_its_homes_has_an_edge() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.spec(&[("bound", &["a"]), ("free", &[])]);
     leave_only(&mut l, &["b1-0", "b1-1", "b2-0"]);
     expect_that!(l.near("bound", "a1", "a"), none());
@@ -282,7 +283,7 @@
 #[gtest]
 fn a_host_whose_routes_have_no_home_in_common_is_led_no_further_than_the_callers_region() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     l.spec(&[("apart", &["a"]), ("apart", &["b"]), ("apart", &[])]);
     leave_only(&mut l, &["a1-1", "b1-0", "b1-1", "b2-0", "b2-1"]);
     expect_that!(l.told_for("apart", "a1", "a"), eq(&names(&["a1-1"])));
@@ -293,7 +294,7 @@
 #[gtest]
 fn a_daemon_without_a_spec_leads_nobody_out_of_his_region() {
     let mut l = Land::new();
-    l.run(2 * KNOWS_FLEET);
+    l.run(2 * FLEET_DISCOVERY_TIME);
     leave_only(&mut l, &["a1-1", "b1-0", "b1-1", "b2-0", "b2-1"]);
     expect_that!(l.told_for("bound", "a1", "a"), eq(&names(&["a1-1"])));
     expect_that!(l.told_for("bound", "b1", "b"), eq(&names(&["b1-0", "b1-1"])));
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use actix::prelude::*;
-use coordination::{Effect, Effects, edge_agent::EdgeAgent, events, limits::TICK};
+use coordination::{Effect, Effects, edge_agent::EdgeAgent, events, timing::TICK_INTERVAL};
 use daemon_parts::{
     channels::{self, Channels, Incoming},
     clock,
@@ -46,7 +46,7 @@
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
         self.ch = Some(Channels::new(&self.name, &self.listen, ctx.address().recipient()));
-        ctx.run_interval(Duration::from_millis(TICK), |me, _| {
+        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, _| {
             let out = me.brain.tick(clock::now());
             me.carry(out);
         });
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -1,19 +1,18 @@
 //! The one owner of a proxy's brain.
 
-use daemon_parts::limits::HELLO_EVERY;
 use std::{collections::HashMap, time::Duration};
 
 use actix::prelude::*;
 use awc::Client;
 use coordination::{
     Ms,
-    limits::{REPORT_EVERY, TICK},
     proxy::{Admit, Ended, Placed},
+    timing::{REPORT_INTERVAL, TICK_INTERVAL},
 };
 use daemon_parts::{
     channels::{Channels, Incoming},
     clock, http,
-    limits::{CALL_LIMIT, MAILBOX},
+    limits::{CALL_LIMIT, HELLO_EVERY, MAILBOX},
     logging::event,
     look::Look,
 };
@@ -100,7 +99,7 @@
         if now < self.next_report {
             return;
         }
-        self.next_report = now + REPORT_EVERY;
+        self.next_report = now + REPORT_INTERVAL;
         let all = hold(&self.brain).replicas();
         for (_, addr) in all {
             let c = self.client.clone();
@@ -157,7 +156,7 @@
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
         self.ch = Some(Channels::new(&self.name, &self.listen, ctx.address().recipient()));
-        ctx.run_interval(Duration::from_millis(TICK), |me, ctx| {
+        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, ctx| {
             let now = clock::now();
             me.say_hello(now);
             me.tell_readings(now);
@@ -222,7 +221,7 @@
             ch.send(&self.agent, ask.into());
         }
         // An agent that has died answers nothing: no majority was heard.
-        let limit = Duration::from_millis(2 * coordination::limits::CLAIM_LIMIT);
+        let limit = Duration::from_millis(2 * coordination::claims::CLAIM_TIMEOUT);
         Box::pin(async move {
             match tokio::time::timeout(limit, r).await {
                 Ok(Ok(state)) => state,
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -1,7 +1,6 @@
 //! Callers' calls. A request passes stages: checked, claimed, placed, run, passed on piece by piece
 //! through a bounded buffer.
 
-use daemon_parts::limits::LINES;
 use std::cell::OnceCell;
 
 use actix::Addr;
@@ -15,14 +14,14 @@
 use awc::Client;
 use coordination::{
     Ms, claims, events,
-    limits::SLOW_FACTOR,
-    proxy::{Ended, Placed},
+    proxy::{Ended, Placed, SLOW_FACTOR},
     request::{Got, NotBegun, Request, Step},
     stream::Next,
 };
 use daemon_parts::{
     clock,
     http::{Answer, json_config, no_such_path},
+    limits::LINES,
     logging::event,
     look::Look,
 };
--- a/edge-proxy/src/round.rs
+++ b/edge-proxy/src/round.rs
@@ -1,6 +1,5 @@
 //! One round's transport: a request's call to a replica and the lines that come back.
 
-use daemon_parts::limits::{LINE_MAX, OPEN_LIMIT};
 use std::{pin::Pin, time::Duration};
 
 use actix_web::web::Bytes;
@@ -11,7 +10,10 @@
     request::NotBegun,
     stream::{Lines, Next},
 };
-use daemon_parts::clock;
+use daemon_parts::{
+    clock,
+    limits::{LINE_MAX, OPEN_LIMIT},
+};
 use futures_util::{Stream, StreamExt};
 use remote_calls::{Fault, GenerateRequest, Outcome, RunRequest, StreamLine, calls};
 
--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -7,7 +7,7 @@
 use coordination::{
     bounds::Bounds,
     edge_agent::{REJECT_ALL, SERVE_ALL},
-    limits::SHUTDOWN_SERVES,
+    shutdown::SERVE_AFTER_SIGTERM,
     wire::TableUpdate,
 };
 use daemon_parts::{
@@ -635,7 +635,7 @@
     run(async {
         let go = Arc::new(Notify::new());
         let (e, r, mut open) = open_stream(&go).await;
-        e.stopping.begin(LONG, clock::now() - SHUTDOWN_SERVES);
+        e.stopping.begin(LONG, clock::now() - SERVE_AFTER_SIGTERM);
         expect_that!(readiness(&e).await, eq(503));
         // Nothing new is taken; what is open goes on.
         let a = ask(&e, request("c", "q")).await;
@@ -681,7 +681,7 @@
         );
         let before = ask(&e, q.as_str()).await;
         expect_that!(before.body, not(contains_substring("stopping")));
-        e.stopping.begin(LONG, clock::now() - SHUTDOWN_SERVES);
+        e.stopping.begin(LONG, clock::now() - SERVE_AFTER_SIGTERM);
         let a = ask(&e, q.as_str()).await;
         expect_that!((a.status, a.header("connection")), eq((503, Some("close"))), "{a:?}");
         expect_that!(a.header("retry-after"), some(anything()));
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -7,7 +7,6 @@
     Effect, Effects, Row, WriteOutcome, claims,
     control::{Control, ControlConfig, DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY, ZONE_PREFIX},
     edge_agent::EdgeAgent,
-    limits::{CLAIM_LIMIT, REPORT_EVERY, SLOW_FACTOR, TICK, WARM_UP},
     policy::Policy,
     proxy::{Admit, Ended, Placed, Proxy},
     register::ROLLOUT_PREFIX,
--- a/fleet-simulator/src/world/callers.rs
+++ b/fleet-simulator/src/world/callers.rs
@@ -1,6 +1,7 @@
 //! Callers: who comes, where they are sent, and each request's way through a proxy.
 
 use super::*;
+use coordination::{claims::CLAIM_TIMEOUT, proxy::SLOW_FACTOR};
 
 /// With the guard off a replica's failures are not held against it.
 fn spared(off: Option<Guard>, e: Ended) -> Ended {
@@ -232,7 +233,7 @@
                     let token = m.token;
                     self.seq += 1;
                     self.post_agent(edge, m.into());
-                    return self.after(2 * CLAIM_LIMIT, Ev::ClaimLate { flow: id, token });
+                    return self.after(2 * CLAIM_TIMEOUT, Ev::ClaimLate { flow: id, token });
                 }
                 Step::Place => {
                     if let Some(at) = &f.q.resume {
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -1,6 +1,9 @@
 //! Starting, ticking and stopping the daemons, and carrying out what their brains ask, disks included.
 
-use coordination::bounds::Bounds;
+use coordination::{
+    bounds::Bounds,
+    timing::{REPORT_INTERVAL, TICK_INTERVAL},
+};
 
 use super::*;
 
@@ -15,7 +18,7 @@
                 self.addrs.insert(p.addr.clone(), t);
                 self.say(&p.name, "starts");
                 self.open(i);
-                self.after(TICK, Ev::Tick(t));
+                self.after(TICK_INTERVAL, Ev::Tick(t));
             }
             To::Agent(i) => {
                 let e = &mut self.edges[i];
@@ -37,7 +40,7 @@
                 a.set_regions(self.d.regions.clone());
                 self.edges[i].agent = Some(a);
                 self.addrs.insert(me.addr, t);
-                self.after(TICK, Ev::Tick(t));
+                self.after(TICK_INTERVAL, Ev::Tick(t));
             }
             To::Proxy(i) => {
                 let seed = self.rng.u64(..);
@@ -53,7 +56,7 @@
                 e.proxy = Some(p);
                 let addr = e.addr('x');
                 self.addrs.insert(addr, t);
-                self.after(TICK, Ev::Tick(t));
+                self.after(TICK_INTERVAL, Ev::Tick(t));
             }
         }
     }
@@ -68,7 +71,7 @@
                 let duty = b.holds_any_role(now);
                 self.carry(i, out);
                 if duty && now >= self.ctl[i].next_report {
-                    self.ctl[i].next_report = now + REPORT_EVERY;
+                    self.ctl[i].next_report = now + REPORT_INTERVAL;
                     self.after(6, Ev::List { at: i });
                     let Some(b) = &self.ctl[i].brain else { return };
                     for r in b.replicas_to_poll() {
@@ -97,7 +100,7 @@
                     self.post_agent(i, hello.into());
                 }
                 if now >= self.edges[i].next_report {
-                    self.edges[i].next_report = now + REPORT_EVERY;
+                    self.edges[i].next_report = now + REPORT_INTERVAL;
                     for r in replicas {
                         self.ask_report(t, r);
                     }
@@ -105,7 +108,7 @@
                 self.wake(i);
             }
         }
-        self.after(TICK, Ev::Tick(t));
+        self.after(TICK_INTERVAL, Ev::Tick(t));
     }
 
     pub(super) fn carry_agent(&mut self, i: usize, out: Effects) {
@@ -225,7 +228,7 @@
         let born = 1_000_000 + now * 10 + c.life;
         c.brain = Some(Control::new(c.p.clone(), c.disk.id, rows, born, at));
         if c.life > 2 || now > 0 {
-            self.after(TICK, Ev::Tick(To::Control(i)));
+            self.after(TICK_INTERVAL, Ev::Tick(To::Control(i)));
         }
     }
 }
--- a/fleet-simulator/src/world/engine.rs
+++ b/fleet-simulator/src/world/engine.rs
@@ -5,9 +5,8 @@
 use std::sync::Arc;
 
 use coordination::{
-    limits::{CHANNEL_RESTS, OPENING_MS},
     pass::{Ask, PassEnd, Told as Heard},
-    placement::shared,
+    placement::{CHANNEL_RESTS, OPENING_MS, shared},
 };
 use remote_calls::PathSpec;
 
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -1,6 +1,7 @@
 //! The network between machines, and what each process does when a message reaches it.
 
 use super::*;
+use coordination::timing::SLOW_START_DURATION;
 
 impl World {
     pub(super) fn machine(&self, t: To) -> (String, String) {
@@ -111,7 +112,7 @@
             To::Proxy(i) => {
                 if let Some(p) = &mut self.edges[i].proxy {
                     if self.off == Some(Guard::Ramp) {
-                        p.on_report(report.clone(), asked.saturating_sub(WARM_UP));
+                        p.on_report(report.clone(), asked.saturating_sub(SLOW_START_DURATION));
                     }
                     p.on_report(report, asked);
                     self.wake(i);
--- a/fleet-simulator/src/world/placing.rs
+++ b/fleet-simulator/src/world/placing.rs
@@ -1,6 +1,9 @@
 //! A platform that places versions: what it lists, and what it starts and stops at an order.
 
-use coordination::rollout_status::{RolloutStatus, rollout_status};
+use coordination::{
+    rollout_status::{RolloutStatus, rollout_status},
+    timing::SLOW_START_DURATION,
+};
 
 use super::*;
 
@@ -13,7 +16,8 @@
             }
             let ready = r.loaded.get(&r.r.version).copied().unwrap_or(Ms::MAX);
             // What was there when the day began is warm.
-            let cold_ms = if ready > TRAFFIC_FROM { (ready.saturating_add(WARM_UP)).saturating_sub(self.now) } else { 0 };
+            let cold_ms =
+                if ready > TRAFFIC_FROM { (ready.saturating_add(SLOW_START_DURATION)).saturating_sub(self.now) } else { 0 };
             // It tells an engine's places too.
             let slots = self.d.engine.as_ref().map_or(r.r.slots, |e| e.params.slots);
             PlatformReplica { loaded: ready <= self.now, cold_ms, slots, ..r.r.clone() }
--- a/fleet-tools/src/bin/fleet-runner.rs
+++ b/fleet-tools/src/bin/fleet-runner.rs
@@ -3,8 +3,7 @@
 use std::{collections::BTreeSet, path::PathBuf, time::Duration};
 
 use clap::{Arg, ArgAction, Command};
-use daemon_parts::stop::StopSignals;
-use daemon_parts::{clock, params::EXIT_PARAMS};
+use daemon_parts::{clock, params::EXIT_PARAMS, stop::StopSignals};
 use fleet_simulator::{
     checkers,
     history::{Bad, History, Loss, Told, ZoneWord},
--- a/runbook-runner/src/main.rs
+++ b/runbook-runner/src/main.rs
@@ -2,13 +2,14 @@
 
 mod runbook;
 
-use daemon_parts::limits::{EDGE_HEARD, LOOK_EVERY};
 use std::{collections::BTreeMap, process::exit};
 
 use clap::{Arg, ArgAction, Command};
 use coordination::events;
 use daemon_parts::{
-    clock, logging,
+    clock,
+    limits::{EDGE_HEARD, LOOK_EVERY},
+    logging,
     operator::Operator,
     params::{EXIT_FAILED, EXIT_PARAMS},
 };
