--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -25,7 +25,8 @@
     look::Look,
 };
 use remote_calls::{
-    Fault, OrderAnswer, PlatformDrain, PlatformList, PlatformStart, PlatformStarted, ReplicaOrder, ReplicaReport, calls,
+    Fault, OrderAnswer, PlatformDrain, PlatformList, PlatformStart, PlatformStarted, ReplicaOrder,
+    ReplicaReport, calls,
 };
 use tokio::sync::oneshot;
 
@@ -100,7 +101,11 @@
     }
 
     /// Carries out what was asked for and awaits its answer.
-    fn answer(&mut self, (token, out): (u64, Effects), ctx: &mut Context<Self>) -> ResponseFuture<WriteOutcome> {
+    fn answer(
+        &mut self,
+        (token, out): (u64, Effects),
+        ctx: &mut Context<Self>,
+    ) -> ResponseFuture<WriteOutcome> {
         let (s, r) = oneshot::channel();
         self.waiting.insert(token, s);
         self.carry(out, ctx);
@@ -121,8 +126,17 @@
                         let _ = s.send(outcome);
                     }
                 }
-                Effect::Order { service, epoch, until, order } => self.order(service, epoch, until, order, ctx),
-                Effect::Log { event: e, peer, text } => event(e, &peer, &text),
+                Effect::Order {
+                    service,
+                    epoch,
+                    until,
+                    order,
+                } => self.order(service, epoch, until, order, ctx),
+                Effect::Log {
+                    event: e,
+                    peer,
+                    text,
+                } => event(e, &peer, &text),
             }
         }
     }
@@ -131,15 +145,19 @@
         self.syncs += 1;
         let (n, life) = (self.syncs, self.life);
         self.syncing.insert(n, clock::now());
-        let f = self.disk.sync(rows).into_actor(self).map(move |r, me, ctx| {
-            me.syncing.remove(&n);
-            match r {
-                // What an earlier life waited for is not this one's to say.
-                Ok(()) if me.life == life => me.carry(then, ctx),
-                Ok(()) => {}
-                Err(e) => me.disk_failed(&format!("{e:?}")),
-            }
-        });
+        let f = self
+            .disk
+            .sync(rows)
+            .into_actor(self)
+            .map(move |r, me, ctx| {
+                me.syncing.remove(&n);
+                match r {
+                    // What an earlier life waited for is not this one's to say.
+                    Ok(()) if me.life == life => me.carry(then, ctx),
+                    Ok(()) => {}
+                    Err(e) => me.disk_failed(&format!("{e:?}")),
+                }
+            });
         ctx.spawn(f);
     }
 
@@ -165,7 +183,11 @@
             match r {
                 Ok(held) => me.begin(held),
                 Err(e) => {
-                    event(events::DISK_FAILED, &me.p.name, &format!("{e:?}").replace('\n', " "));
+                    event(
+                        events::DISK_FAILED,
+                        &me.p.name,
+                        &format!("{e:?}").replace('\n', " "),
+                    );
                     me.next_open = clock::now() + DISK_AGAIN;
                 }
             }
@@ -177,13 +199,30 @@
         if blank {
             event(events::DISK_BLANK, &self.p.name, "");
         } else {
-            event(events::DISK_BACK, &self.p.name, &format!("{} rows", rows.len()));
+            event(
+                events::DISK_BACK,
+                &self.p.name,
+                &format!("{} rows", rows.len()),
+            );
         }
         self.life += 1;
-        self.c = Some(Control::new(self.p.clone(), id, rows, clock::born(), clock::now()));
+        self.c = Some(Control::new(
+            self.p.clone(),
+            id,
+            rows,
+            clock::born(),
+            clock::now(),
+        ));
     }
 
-    fn order(&mut self, service: String, epoch: u64, until: Ms, order: Order, ctx: &mut Context<Self>) {
+    fn order(
+        &mut self,
+        service: String,
+        epoch: u64,
+        until: Ms,
+        order: Order,
+        ctx: &mut Context<Self>,
+    ) {
         // The process may have slept between the decision and here.
         if clock::now() >= until {
             event(events::LEASE_LAPSED, &service, "an order was dropped");
@@ -194,17 +233,54 @@
         let (c, platform) = (self.client.clone(), self.platform.clone());
         let f = async move {
             let r = match order {
-                Order::Replica { addr, action, version, .. } => {
-                    let b = ReplicaOrder { service: service.clone(), epoch, action, version };
-                    http::call::<_, OrderAnswer>(&c, &addr, calls::ORDER, Some(&b), CALL_LIMIT).await.map(drop)
+                Order::Replica {
+                    addr,
+                    action,
+                    version,
+                    ..
+                } => {
+                    let b = ReplicaOrder {
+                        service: service.clone(),
+                        epoch,
+                        action,
+                        version,
+                    };
+                    http::call::<_, OrderAnswer>(&c, &addr, calls::ORDER, Some(&b), CALL_LIMIT)
+                        .await
+                        .map(drop)
                 }
                 Order::Start { zone, version } => {
-                    let b = PlatformStart { service: service.clone(), zone, version, epoch };
-                    http::call::<_, PlatformStarted>(&c, &platform, calls::PLATFORM_START, Some(&b), CALL_LIMIT).await.map(drop)
+                    let b = PlatformStart {
+                        service: service.clone(),
+                        zone,
+                        version,
+                        epoch,
+                    };
+                    http::call::<_, PlatformStarted>(
+                        &c,
+                        &platform,
+                        calls::PLATFORM_START,
+                        Some(&b),
+                        CALL_LIMIT,
+                    )
+                    .await
+                    .map(drop)
                 }
                 Order::Drain { id } => {
-                    let b = PlatformDrain { service: service.clone(), replica: id, epoch };
-                    http::call::<_, OrderAnswer>(&c, &platform, calls::PLATFORM_DRAIN, Some(&b), CALL_LIMIT).await.map(drop)
+                    let b = PlatformDrain {
+                        service: service.clone(),
+                        replica: id,
+                        epoch,
+                    };
+                    http::call::<_, OrderAnswer>(
+                        &c,
+                        &platform,
+                        calls::PLATFORM_DRAIN,
+                        Some(&b),
+                        CALL_LIMIT,
+                    )
+                    .await
+                    .map(drop)
                 }
             };
             if let Err(e) = r {
@@ -220,15 +296,27 @@
         if now < self.next_report || !brain.holds_any_role(now) {
             return;
         }
-        if let Replicas::Listed { call, every, calm, rate } = self.replicas {
+        if let Replicas::Listed {
+            call,
+            every,
+            calm,
+            rate,
+        } = self.replicas
+        {
             // Calls are priced, and most of the time the list stays as it is.
-            let every = if brain.is_list_stable(now) { calm } else { every };
+            let every = if brain.is_list_stable(now) {
+                calm
+            } else {
+                every
+            };
             self.pace.set_rate(brain.call_rate_share(rate));
             return self.ask_list(call, now, every, ctx);
         }
         self.next_report = now + REPORT_INTERVAL;
         let (c, a) = (self.client.clone(), self.platform.clone());
-        let f = async move { http::call::<(), PlatformList>(&c, &a, calls::PLATFORM_LIST, None, CALL_LIMIT).await };
+        let f = async move {
+            http::call::<(), PlatformList>(&c, &a, calls::PLATFORM_LIST, None, CALL_LIMIT).await
+        };
         ctx.spawn(f.into_actor(self).map(move |r, me, _| {
             if let (Ok(l), Some(c)) = (r, &mut me.c) {
                 c.on_replica_list(l, now);
@@ -236,7 +324,9 @@
         }));
         for (_, addr) in brain.replicas_to_poll() {
             let c = self.client.clone();
-            let f = async move { http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await };
+            let f = async move {
+                http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await
+            };
             ctx.spawn(f.into_actor(self).map(move |r, me, _| {
                 if let (Ok(r), Some(c)) = (r, &mut me.c) {
                     // Stamped with the asking: an answer that took long is old.
@@ -252,7 +342,13 @@
             return;
         }
         (self.listing, self.next_report) = (true, now + every.as_millis() as Ms);
-        let f = call(self.client.clone(), self.platform.clone(), self.pace.clone()).into_actor(self).map(move |r, me, _| {
+        let f = call(
+            self.client.clone(),
+            self.platform.clone(),
+            self.pace.clone(),
+        )
+        .into_actor(self)
+        .map(move |r, me, _| {
             me.listing = false;
             match (r, &mut me.c) {
                 (Ok(l), Some(c)) => c.on_replica_list(l, now),
@@ -265,14 +361,32 @@
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let now = clock::now();
-        let Some(c) = &mut self.c else { return self.reopen(ctx) };
+        let Some(c) = &mut self.c else {
+            return self.reopen(ctx);
+        };
         c.stopping = self.stopping;
         // A disk that hangs says nothing; others must not wait for it, and take over what is owned here.
-        let ok = self.syncing.values().next().is_none_or(|t| now.saturating_sub(*t) <= DISK_SYNC_TIMEOUT);
+        let ok = self
+            .syncing
+            .values()
+            .next()
+            .is_none_or(|t| now.saturating_sub(*t) <= DISK_SYNC_TIMEOUT);
         if c.disk_healthy != ok {
             c.disk_healthy = ok;
-            let e = if ok { events::DISK_BACK } else { events::DISK_FAILED };
-            event(e, &self.p.name, if ok { "it syncs again" } else { "a sync takes too long" });
+            let e = if ok {
+                events::DISK_BACK
+            } else {
+                events::DISK_FAILED
+            };
+            event(
+                e,
+                &self.p.name,
+                if ok {
+                    "it syncs again"
+                } else {
+                    "a sync takes too long"
+                },
+            );
         }
         let mut out = c.tick(now);
         out.extend(c.run_rollouts(now, clock::wall_s()));
@@ -285,7 +399,11 @@
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
-        self.ch = Some(Channels::new(&self.p.name, &self.p.addr, ctx.address().recipient()));
+        self.ch = Some(Channels::new(
+            &self.p.name,
+            &self.p.addr,
+            ctx.address().recipient(),
+        ));
         self.reopen(ctx);
         ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, ctx| me.tick(ctx));
     }
@@ -304,7 +422,9 @@
     type Result = ResponseFuture<WriteOutcome>;
     fn handle(&mut self, m: Write, ctx: &mut Self::Context) -> Self::Result {
         let Some(c) = &mut self.c else {
-            return Box::pin(async { WriteOutcome::NotAccepted("this daemon's disk does not work") });
+            return Box::pin(async {
+                WriteOutcome::NotAccepted("this daemon's disk does not work")
+            });
         };
         let asked = c.write(&m.key, m.expect, m.value, clock::now());
         self.answer(asked, ctx)
@@ -315,7 +435,9 @@
     type Result = ResponseFuture<WriteOutcome>;
     fn handle(&mut self, m: Newest, ctx: &mut Self::Context) -> Self::Result {
         let Some(c) = &mut self.c else {
-            return Box::pin(async { WriteOutcome::NotAccepted("this daemon's disk does not work") });
+            return Box::pin(async {
+                WriteOutcome::NotAccepted("this daemon's disk does not work")
+            });
         };
         let asked = c.read_newest(&m.0, clock::now());
         self.answer(asked, ctx)
@@ -346,5 +468,10 @@
 
 /// Why the brain could not be looked at.
 pub fn no_disk() -> Fault {
-    Fault::new("disk_failed", "look", "this daemon's disk does not take writes").retry(DISK_AGAIN)
+    Fault::new(
+        "disk_failed",
+        "look",
+        "this daemon's disk does not take writes",
+    )
+    .retry(DISK_AGAIN)
 }
--- a/control-daemon/src/disk.rs
+++ b/control-daemon/src/disk.rs
@@ -66,15 +66,27 @@
 
 impl Default for Storage {
     fn default() -> Self {
-        Storage { vfs: None, make, sync_names, write_anew }
+        Storage {
+            vfs: None,
+            make,
+            sync_names,
+            write_anew,
+        }
     }
 }
 
 fn make(folder: &Path) -> io::Result<()> {
-    let missing: Vec<&Path> = folder.ancestors().take_while(|p| !p.as_os_str().is_empty() && !p.exists()).collect();
+    let missing: Vec<&Path> = folder
+        .ancestors()
+        .take_while(|p| !p.as_os_str().is_empty() && !p.exists())
+        .collect();
     fs::create_dir_all(folder)?;
     // A new folder's name is kept by the one above it.
-    missing.iter().filter_map(|p| p.parent()).filter(|p| !p.as_os_str().is_empty()).try_for_each(sync_names)
+    missing
+        .iter()
+        .filter_map(|p| p.parent())
+        .filter(|p| !p.as_os_str().is_empty())
+        .try_for_each(sync_names)
 }
 fn sync_names(folder: &Path) -> io::Result<()> {
     fs::File::open(folder)?.sync_all()
@@ -121,7 +133,10 @@
     pub fn open(&self) -> impl Future<Output = Done<Held>> + use<> {
         self.ask(Command::Open)
     }
-    fn ask<T, C: FnOnce(oneshot::Sender<Done<T>>) -> Command>(&self, c: C) -> impl Future<Output = Done<T>> + use<T, C> {
+    fn ask<T, C: FnOnce(oneshot::Sender<Done<T>>) -> Command>(
+        &self,
+        c: C,
+    ) -> impl Future<Output = Done<T>> + use<T, C> {
         let (s, r) = oneshot::channel();
         // Given to the disk here and not when first awaited: a newer row of a key must not go before an older one.
         // A full buffer is a disk that does not keep up: the same as one that fails.
@@ -170,7 +185,10 @@
             db = None;
         }
         for s in told {
-            let _ = s.send(ok.clone().map_err(|e| Report::new(DiskFault("sync")).attach(e)));
+            let _ = s.send(
+                ok.clone()
+                    .map_err(|e| Report::new(DiskFault("sync")).attach(e)),
+            );
         }
     }
 }
@@ -182,7 +200,8 @@
     // sees to them. What is read here is told to others, so it must be on the disk. Files beside first: a torn database
     // is made whole from them.
     for beside in BESIDE.into_iter().chain([""]) {
-        (storage.write_anew)(&folder.join(format!("{FILE}{beside}"))).change_context(DiskFault("write a file anew"))?;
+        (storage.write_anew)(&folder.join(format!("{FILE}{beside}")))
+            .change_context(DiskFault("write a file anew"))?;
     }
     let (file, flags) = (folder.join(FILE), OpenFlags::default());
     let c = match storage.vfs {
@@ -192,15 +211,20 @@
     let c = c.change_context_lazy(step("open the database"))?;
     // Before anything is read and before the journal is named: the log's index then stays in this process and is no
     // shared memory, also where the log is there already.
-    c.execute_batch("PRAGMA locking_mode=EXCLUSIVE").change_context_lazy(step("have the database alone"))?;
-    let found: i64 = c.query_row("PRAGMA user_version", [], |r| r.get(0)).change_context_lazy(step("read the layout"))?;
+    c.execute_batch("PRAGMA locking_mode=EXCLUSIVE")
+        .change_context_lazy(step("have the database alone"))?;
+    let found: i64 = c
+        .query_row("PRAGMA user_version", [], |r| r.get(0))
+        .change_context_lazy(step("read the layout"))?;
     if found > LAYOUT {
         let m = format!("it has layout {found}, this daemon writes {LAYOUT}");
         return Err(Report::new(DiskFault("take over the data folder")).attach(m));
     }
     let journal = name_journal(&c).change_context(DiskFault("name the journal"))?;
     if journal != ["wal"] {
-        return Err(Report::new(DiskFault("keep a log")).attach(format!("it would keep {journal:?}")));
+        return Err(
+            Report::new(DiskFault("keep a log")).attach(format!("it would keep {journal:?}"))
+        );
     }
     let setup = "PRAGMA synchronous=FULL;
         PRAGMA wal_autocheckpoint=256; PRAGMA cache_size=-256; PRAGMA temp_store=MEMORY;
@@ -209,38 +233,52 @@
             before INTEGER NOT NULL DEFAULT 0);
         CREATE TABLE IF NOT EXISTS slots (key TEXT PRIMARY KEY, promised INTEGER NOT NULL, epoch INTEGER NOT NULL,
             version INTEGER NOT NULL, committed INTEGER NOT NULL, value BLOB NOT NULL, past BLOB NOT NULL DEFAULT x'') WITHOUT ROWID;";
-    c.execute_batch(setup).change_context_lazy(step("set the database up"))?;
+    c.execute_batch(setup)
+        .change_context_lazy(step("set the database up"))?;
     // What former layouts lack; each part may be there already where an earlier opening ended midway.
-    for (table, column, shape) in
-        [("members", "before", "INTEGER NOT NULL DEFAULT 0"), ("slots", "past", "BLOB NOT NULL DEFAULT x''")]
-    {
+    for (table, column, shape) in [
+        ("members", "before", "INTEGER NOT NULL DEFAULT 0"),
+        ("slots", "past", "BLOB NOT NULL DEFAULT x''"),
+    ] {
         let has = "SELECT count(*) FROM pragma_table_info(?1) WHERE name = ?2";
-        let has: i64 = c.query_row(has, [table, column], |r| r.get(0)).change_context_lazy(step("read the layout"))?;
+        let has: i64 = c
+            .query_row(has, [table, column], |r| r.get(0))
+            .change_context_lazy(step("read the layout"))?;
         if has == 0 {
             c.execute_batch(&format!("ALTER TABLE {table} ADD COLUMN {column} {shape}"))
                 .change_context_lazy(step("take a former layout over"))?;
         }
     }
     if found < LAYOUT_OF_RELEASES {
-        c.execute_batch("UPDATE slots SET past = x''").change_context_lazy(step("take a former layout over"))?;
+        c.execute_batch("UPDATE slots SET past = x''")
+            .change_context_lazy(step("take a former layout over"))?;
     }
-    c.pragma_update(None, "user_version", LAYOUT).change_context_lazy(step("write the layout"))?;
-    let sound: String = c.query_row("PRAGMA quick_check", [], |r| r.get(0)).change_context_lazy(step("check the database"))?;
+    c.pragma_update(None, "user_version", LAYOUT)
+        .change_context_lazy(step("write the layout"))?;
+    let sound: String = c
+        .query_row("PRAGMA quick_check", [], |r| r.get(0))
+        .change_context_lazy(step("check the database"))?;
     if sound != "ok" {
         return Err(Report::new(DiskFault("trust the database")).attach(sound));
     }
     if limit > 0 {
-        let size: u64 = c.query_row("PRAGMA page_size", [], |r| r.get(0)).change_context_lazy(step("read the page size"))?;
+        let size: u64 = c
+            .query_row("PRAGMA page_size", [], |r| r.get(0))
+            .change_context_lazy(step("read the page size"))?;
         c.execute_batch(&format!("PRAGMA max_page_count={}", limit / size.max(1)))
             .change_context_lazy(step("bound the database"))?;
     }
-    let id: Option<u64> =
-        c.query_row("SELECT id FROM disk", [], |r| r.get(0)).optional().change_context_lazy(step("read the disk's number"))?;
+    let id: Option<u64> = c
+        .query_row("SELECT id FROM disk", [], |r| r.get(0))
+        .optional()
+        .change_context_lazy(step("read the disk's number"))?;
     let blank = id.is_none();
     let id = id.unwrap_or_else(|| fastrand::u64(1..i64::MAX as u64));
     // Written at every opening: a disk that takes no writes is found out here.
-    c.execute_batch(&format!("BEGIN; DELETE FROM disk; INSERT INTO disk VALUES ({id}); COMMIT"))
-        .change_context_lazy(step("write the disk's number"))?;
+    c.execute_batch(&format!(
+        "BEGIN; DELETE FROM disk; INSERT INTO disk VALUES ({id}); COMMIT"
+    ))
+    .change_context_lazy(step("write the disk's number"))?;
     // The log is made anew at each opening: its name must last as long as what is written to it.
     (storage.sync_names)(folder).change_context(DiskFault("sync the data folder"))?;
     let rows = read(&c).change_context(DiskFault("read the state"))?;
@@ -251,19 +289,33 @@
 /// fault behind its answer the database would go on with a journal whose removal nobody syncs, and which may come back
 /// after a loss of power and undo what was confirmed.
 fn name_journal(c: &Connection) -> rusqlite::Result<Vec<String>> {
-    c.prepare("PRAGMA journal_mode=WAL")?.query_map([], |r| r.get(0))?.collect()
+    c.prepare("PRAGMA journal_mode=WAL")?
+        .query_map([], |r| r.get(0))?
+        .collect()
 }
 
 fn read(c: &Connection) -> rusqlite::Result<Vec<Row>> {
     let mut rows = Vec::new();
     let members = c.query_row("SELECT me, voters, voting, before FROM members", [], |r| {
-        Ok((r.get::<_, u32>(0)?, r.get::<_, String>(1)?, r.get::<_, u8>(2)?, r.get::<_, u32>(3)?))
+        Ok((
+            r.get::<_, u32>(0)?,
+            r.get::<_, String>(1)?,
+            r.get::<_, u8>(2)?,
+            r.get::<_, u32>(3)?,
+        ))
     });
     if let Some((member_epoch, voters, voting, before)) = members.optional()? {
         let (_, voters) = voter_placement::decode(voters.as_bytes()).unwrap_or_default();
-        rows.push(Row::Members { member_epoch, before, voters, voting: voting == VOTES, left: voting == LEFT });
+        rows.push(Row::Members {
+            member_epoch,
+            before,
+            voters,
+            voting: voting == VOTES,
+            left: voting == LEFT,
+        });
     }
-    let mut q = c.prepare("SELECT key, promised, epoch, version, committed, value, past FROM slots")?;
+    let mut q =
+        c.prepare("SELECT key, promised, epoch, version, committed, value, past FROM slots")?;
     let slots = q.query_map([], |r| {
         Ok(Slot {
             key: r.get::<_, String>(0)?.into(),
@@ -288,12 +340,22 @@
         let (mut release, mut digest) = ([0; 8], [0; 16]);
         release.copy_from_slice(&bytes[..8]);
         digest.copy_from_slice(&bytes[8..]);
-        ReplacedValue { release: u64::from_be_bytes(release), digest: u128::from_be_bytes(digest) }
+        ReplacedValue {
+            release: u64::from_be_bytes(release),
+            digest: u128::from_be_bytes(digest),
+        }
     };
     List(all.iter().map(one).collect())
 }
 fn replaced_to_bytes(all: &[ReplacedValue]) -> Vec<u8> {
-    all.iter().flat_map(|r| r.release.to_be_bytes().into_iter().chain(r.digest.to_be_bytes())).collect()
+    all.iter()
+        .flat_map(|r| {
+            r.release
+                .to_be_bytes()
+                .into_iter()
+                .chain(r.digest.to_be_bytes())
+        })
+        .collect()
 }
 
 fn write(c: &mut Connection, rows: &[Row]) -> rusqlite::Result<()> {
@@ -304,12 +366,31 @@
                 let sql = "INSERT OR REPLACE INTO slots (key, promised, epoch, version, committed, value, past)
                     VALUES (?1, ?2, ?3, ?4, ?5, ?6, ?7)";
                 let past = replaced_to_bytes(&s.replaced);
-                let row = params![s.key.0, s.promised_epoch, s.accepted_epoch, s.version, s.committed_version, s.value.0, past];
+                let row = params![
+                    s.key.0,
+                    s.promised_epoch,
+                    s.accepted_epoch,
+                    s.version,
+                    s.committed_version,
+                    s.value.0,
+                    past
+                ];
                 t.prepare_cached(sql)?.execute(row)?;
             }
-            Row::Members { member_epoch, before, voters, voting, left } => {
-                let voting = if *voting { VOTES } else { u8::from(*left) * LEFT };
-                let v = String::from_utf8(voter_placement::encode(*before, voters).0).unwrap_or_default();
+            Row::Members {
+                member_epoch,
+                before,
+                voters,
+                voting,
+                left,
+            } => {
+                let voting = if *voting {
+                    VOTES
+                } else {
+                    u8::from(*left) * LEFT
+                };
+                let v = String::from_utf8(voter_placement::encode(*before, voters).0)
+                    .unwrap_or_default();
                 let sql = "INSERT OR REPLACE INTO members (one, me, voters, voting, before) VALUES (1, ?1, ?2, ?3, ?4)";
                 t.execute(sql, params![member_epoch, v, voting, before])?;
             }
--- a/control-daemon/src/disk/tests.rs
+++ b/control-daemon/src/disk/tests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 fn slot(key: &str, version: u64, bytes: usize) -> Row {
-    Row::Slot(Slot { key: key.into(), version, value: Blob(vec![7; bytes]), ..Slot::default() })
+    Row::Slot(Slot {
+        key: key.into(),
+        version,
+        value: Blob(vec![7; bytes]),
+        ..Slot::default()
+    })
 }
 fn folder(name: &str) -> PathBuf {
     let d = std::env::temp_dir().join(format!("landingslip-{name}-{}", std::process::id()));
@@ -21,7 +26,10 @@
     expect_that!((again, blank), eq((id, false)));
     write(&mut c, &[slot("a", 1, 10)]).unwrap();
     // The bound on growth is met: the write fails whole and nothing of it stands.
-    expect_that!(write(&mut c, &[slot("a", 2, 10), slot("b", 1, 400_000)]), err(anything()));
+    expect_that!(
+        write(&mut c, &[slot("a", 2, 10), slot("b", 1, 400_000)]),
+        err(anything())
+    );
     drop(c);
     let (mut c, (_, _, rows)) = open(Storage::default(), &dir, 200_000).unwrap();
     expect_that!(rows, container_eq([slot("a", 1, 10)]));
@@ -37,10 +45,21 @@
 fn commits_are_synced_and_nothing_is_shared() {
     let dir = folder("setup");
     let (c, _) = open(Storage::default(), &dir, 0).unwrap();
-    let text = |p: &str| c.query_row(&format!("PRAGMA {p}"), [], |r| r.get::<_, rusqlite::types::Value>(0)).unwrap();
+    let text = |p: &str| {
+        c.query_row(&format!("PRAGMA {p}"), [], |r| {
+            r.get::<_, rusqlite::types::Value>(0)
+        })
+        .unwrap()
+    };
     expect_that!(text("synchronous"), eq(&rusqlite::types::Value::Integer(2)));
-    expect_that!(text("journal_mode"), eq(&rusqlite::types::Value::Text("wal".into())));
-    expect_that!(text("locking_mode"), eq(&rusqlite::types::Value::Text("exclusive".into())));
+    expect_that!(
+        text("journal_mode"),
+        eq(&rusqlite::types::Value::Text("wal".into()))
+    );
+    expect_that!(
+        text("locking_mode"),
+        eq(&rusqlite::types::Value::Text("exclusive".into()))
+    );
     let _ = std::fs::remove_dir_all(&dir);
 }
 
@@ -59,7 +78,10 @@
     let told = format!("{:?}", open(Storage::default(), &dir, 0).unwrap_err());
     expect_that!(told, contains_substring(format!("layout {}", LAYOUT + 1)));
     let c = Connection::open(dir.join(FILE)).unwrap();
-    expect_that!(c.query_row("SELECT count(*) FROM slots", [], |r| r.get::<_, i64>(0)), ok(eq(&1)));
+    expect_that!(
+        c.query_row("SELECT count(*) FROM slots", [], |r| r.get::<_, i64>(0)),
+        ok(eq(&1))
+    );
     let _ = std::fs::remove_dir_all(&dir);
 }
 
--- a/control-daemon/src/face.rs
+++ b/control-daemon/src/face.rs
@@ -18,7 +18,8 @@
 };
 
 /// Asks for the whole list of replicas at an address, each of its calls at its pace.
-pub type ListCall = fn(Client, String, Rc<Pace>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
+pub type ListCall =
+    fn(Client, String, Rc<Pace>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
 
 /// What this daemon may take of the calls that the platform allows all daemons together.
 pub struct Pace(RefCell<Bucket>);
@@ -50,7 +51,12 @@
     /// The list tells everything, and replicas take no orders.
     /// `rate`: calls a second that the platform takes from all daemons together. `calm`: how often a list is asked for
     /// that does not change.
-    Listed { call: ListCall, every: Duration, calm: Duration, rate: f64 },
+    Listed {
+        call: ListCall,
+        every: Duration,
+        calm: Duration,
+        rate: f64,
+    },
 }
 
 #[derive(Clone, Copy)]
@@ -65,6 +71,11 @@
 
 impl Default for Face {
     fn default() -> Self {
-        Face { reader: parse_own_spec, routes: |_| (), replicas: Replicas::Ownership, body_max: BODY_MAX }
+        Face {
+            reader: parse_own_spec,
+            routes: |_| (),
+            replicas: Replicas::Ownership,
+            body_max: BODY_MAX,
+        }
     }
 }
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -15,8 +15,8 @@
     look::Look,
 };
 use remote_calls::{
-    Accepted, Counter, Counters, Fault, KillSwitch, PlanPut, PlanState, PlatformWarning, ReleasePlan, Spec, SpecPut, SpecState,
-    WarnKind, ZoneState, calls, spec_check,
+    Accepted, Counter, Counters, Fault, KillSwitch, PlanPut, PlanState, PlatformWarning,
+    ReleasePlan, Spec, SpecPut, SpecState, WarnKind, ZoneState, calls, spec_check,
 };
 use serde::Serialize;
 
@@ -26,24 +26,37 @@
 pub type Reply = Result<HttpResponse, Answer>;
 
 fn busy<E>(_: E) -> Answer {
-    Fault::new("overload", "ask_owner", "the daemon's buffer is full").retry(1_000).into()
+    Fault::new("overload", "ask_owner", "the daemon's buffer is full")
+        .retry(1_000)
+        .into()
 }
 
 /// Looks at the brain in its own turn.
-pub async fn look<T: Send + 'static>(b: &Brain, f: impl FnOnce(&mut Control, Ms) -> T + Send + 'static) -> Result<T, Answer> {
+pub async fn look<T: Send + 'static>(
+    b: &Brain,
+    f: impl FnOnce(&mut Control, Ms) -> T + Send + 'static,
+) -> Result<T, Answer> {
     let r = b.send(Look(Box::new(f))).await.map_err(busy)?;
     r.map_err(|()| no_disk().into())
 }
 
 async fn write(b: &Brain, key: String, expect: Option<u64>, v: &impl Serialize) -> Reply {
-    let value = serde_json::to_vec(v).map_err(|e| Fault::new("bad_json", "write_value", e.to_string()))?;
+    let value =
+        serde_json::to_vec(v).map_err(|e| Fault::new("bad_json", "write_value", e.to_string()))?;
     let version = put(b, &key, expect.into(), value).await?;
     Ok(HttpResponse::Ok().json(Accepted { version }))
 }
 
 /// Has a value synced on a majority; gives its version.
 pub async fn put(b: &Brain, key: &str, expect: Expect, value: Vec<u8>) -> Result<u64, Answer> {
-    let o = b.send(Write { key: key.into(), expect, value }).await.map_err(busy)?;
+    let o = b
+        .send(Write {
+            key: key.into(),
+            expect,
+            value,
+        })
+        .await
+        .map_err(busy)?;
     outcome(key, o)
 }
 
@@ -56,13 +69,25 @@
     // The owner has told it to all others by now; one who missed that is mended.
     for _ in 0..NEWS_TURNS {
         let k = key.to_string();
-        let held = look(b, move |c, _| c.state_table().get(&k).filter(|c| c.version >= version).cloned()).await?;
+        let held = look(b, move |c, _| {
+            c.state_table()
+                .get(&k)
+                .filter(|c| c.version >= version)
+                .cloned()
+        })
+        .await?;
         if held.is_some() {
             return Ok(held);
         }
         actix_rt::time::sleep(NEWS_EVERY).await;
     }
-    Err(Fault::new("not_settled", "read_value", format!("version {version} of {key} has not come here yet")).retry(500).into())
+    Err(Fault::new(
+        "not_settled",
+        "read_value",
+        format!("version {version} of {key} has not come here yet"),
+    )
+    .retry(500)
+    .into())
 }
 
 fn outcome(key: &str, o: WriteOutcome) -> Result<u64, Answer> {
@@ -70,12 +95,21 @@
         WriteOutcome::Accepted(version) => return Ok(version),
         WriteOutcome::Conflict(v) => {
             let m = format!("another write came first; version {v} of {key} stands");
-            Fault::new("conflict", "compare_version", m).field("expect_version").version(v).into()
+            Fault::new("conflict", "compare_version", m)
+                .field("expect_version")
+                .version(v)
+                .into()
         }
-        WriteOutcome::NotAccepted(why) => Fault::new("not_accepted", "sync_majority", why).retry(1_000).into(),
+        WriteOutcome::NotAccepted(why) => Fault::new("not_accepted", "sync_majority", why)
+            .retry(1_000)
+            .into(),
         WriteOutcome::Unknown => {
-            let m = format!("no majority confirmed {key} in time; it may still stand: read it to find out");
-            Fault::new("unknown", "sync_majority", m).retry(1_000).into()
+            let m = format!(
+                "no majority confirmed {key} in time; it may still stand: read it to find out"
+            );
+            Fault::new("unknown", "sync_majority", m)
+                .retry(1_000)
+                .into()
         }
     })
 }
@@ -87,8 +121,17 @@
 
 async fn spec_get(b: Brain) -> Reply {
     newest(&b, SPEC_KEY).await?;
-    let (version, spec) = look(&b, |c, _| (c.state_table().get(SPEC_KEY).map_or(0, |c| c.version), c.spec())).await?;
-    Ok(HttpResponse::Ok().json(SpecState { version, spec: spec.map(|s| Spec::clone(&s)) }))
+    let (version, spec) = look(&b, |c, _| {
+        (
+            c.state_table().get(SPEC_KEY).map_or(0, |c| c.version),
+            c.spec(),
+        )
+    })
+    .await?;
+    Ok(HttpResponse::Ok().json(SpecState {
+        version,
+        spec: spec.map(|s| Spec::clone(&s)),
+    }))
 }
 
 /// Whether the newest spec has something of a name; none before the first spec. A daemon that may have missed the newest
@@ -107,11 +150,20 @@
     Ok(find(b, name, has).await? == Some(true))
 }
 
-async fn require(b: &Brain, what: &str, name: &str, has: fn(&Spec, &str) -> bool) -> Result<(), Answer> {
+async fn require(
+    b: &Brain,
+    what: &str,
+    name: &str,
+    has: fn(&Spec, &str) -> bool,
+) -> Result<(), Answer> {
     match find(b, name, has).await? {
         Some(true) => Ok(()),
         Some(false) => Err(unknown(what, name)),
-        None => Err(Fault::new("no_spec", "read_spec", "no spec has been accepted yet").retry(1_000).into()),
+        None => Err(
+            Fault::new("no_spec", "read_spec", "no spec has been accepted yet")
+                .retry(1_000)
+                .into(),
+        ),
     }
 }
 
@@ -125,11 +177,19 @@
 }
 
 fn unknown(what: &str, name: &str) -> Answer {
-    Fault::new("not_found", "check_request", format!("the spec has no {what} {name}")).field(what).into()
+    Fault::new(
+        "not_found",
+        "check_request",
+        format!("the spec has no {what} {name}"),
+    )
+    .field(what)
+    .into()
 }
 
 async fn plan_put(b: Brain, at: web::Path<String>, q: web::Json<PlanPut>) -> Reply {
-    let bad = |f: &str, m: &str| Answer::from(Fault::new("bad_plan", "check_plan", m).field(format!("plan.{f}")));
+    let bad = |f: &str, m: &str| {
+        Answer::from(Fault::new("bad_plan", "check_plan", m).field(format!("plan.{f}")))
+    };
     let p = &q.plan;
     require(&b, "service", &at, has_service).await?;
     if p.service != *at {
@@ -137,7 +197,10 @@
     }
     let named = |c: u8| c.is_ascii_alphanumeric() || b"-_.".contains(&c);
     if p.target.is_empty() || p.target.len() > VERSION_MAX || !p.target.bytes().all(named) {
-        return Err(bad("target", "must be 1 to 64 letters, digits, '-', '_' or '.'"));
+        return Err(bad(
+            "target",
+            "must be 1 to 64 letters, digits, '-', '_' or '.'",
+        ));
     }
     if p.complete_by <= clock::wall_s() {
         return Err(bad("complete_by", "has passed"));
@@ -149,16 +212,26 @@
     require(&b, "service", &at, has_service).await?;
     let key = format!("{PLAN_PREFIX}{at}");
     newest(&b, &key).await?;
-    let (version, plan) =
-        look(&b, move |c, _| (c.state_table().get(&key).map_or(0, |c| c.version), c.state_table().read::<ReleasePlan>(&key)))
-            .await?;
+    let (version, plan) = look(&b, move |c, _| {
+        (
+            c.state_table().get(&key).map_or(0, |c| c.version),
+            c.state_table().read::<ReleasePlan>(&key),
+        )
+    })
+    .await?;
     Ok(HttpResponse::Ok().json(PlanState { version, plan }))
 }
 
 async fn zone_put(b: Brain, at: web::Path<String>, q: web::Json<ZoneState>) -> Reply {
     require(&b, "zone", &at, has_zone).await?;
     if q.zone != *at {
-        return Err(Fault::new("bad_request", "check_request", "is not the zone in the path").field("zone").into());
+        return Err(Fault::new(
+            "bad_request",
+            "check_request",
+            "is not the zone in the path",
+        )
+        .field("zone")
+        .into());
     }
     write(&b, format!("{ZONE_PREFIX}{at}"), None, &*q).await
 }
@@ -182,7 +255,13 @@
         WarnKind::Daemon => {
             let name = look(&b, |c, _| c.membership.me().name.to_string()).await?;
             if q.id != name {
-                return Err(Fault::new("not_found", "check_request", format!("this daemon is {name}")).field("id").into());
+                return Err(Fault::new(
+                    "not_found",
+                    "check_request",
+                    format!("this daemon is {name}"),
+                )
+                .field("id")
+                .into());
             }
             b.send(Stopping).await.map_err(busy)?;
             Ok(HttpResponse::Ok().json(Accepted { version: 0 }))
@@ -196,14 +275,30 @@
 
 async fn health(b: Brain) -> Reply {
     let h = look(&b, |c, _| c.health()).await?;
-    let mut r = if h.ok { HttpResponse::Ok() } else { HttpResponse::ServiceUnavailable() };
+    let mut r = if h.ok {
+        HttpResponse::Ok()
+    } else {
+        HttpResponse::ServiceUnavailable()
+    };
     Ok(r.json(h))
 }
 
 async fn counters(b: Brain) -> Reply {
-    let c = look(&b, |c, now| (c.membership.me().name.to_string(), c.counters(now))).await?;
-    let counters = c.1.into_iter().map(|(n, value)| Counter { name: n.into(), value }).collect();
-    Ok(HttpResponse::Ok().json(Counters { process: c.0, counters }))
+    let c = look(&b, |c, now| {
+        (c.membership.me().name.to_string(), c.counters(now))
+    })
+    .await?;
+    let counters =
+        c.1.into_iter()
+            .map(|(n, value)| Counter {
+                name: n.into(),
+                value,
+            })
+            .collect();
+    Ok(HttpResponse::Ok().json(Counters {
+        process: c.0,
+        counters,
+    }))
 }
 
 pub fn routes(c: &mut web::ServiceConfig) {
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -45,19 +45,36 @@
     let b = web::Data::new(brain.clone());
     let mut server = HttpServer::new(move || {
         let limit = web::PayloadConfig::new(face.body_max);
-        App::new().app_data(b.clone()).app_data(limit).configure(face.routes).configure(http::routes)
+        App::new()
+            .app_data(b.clone())
+            .app_data(limit)
+            .configure(face.routes)
+            .configure(http::routes)
     })
     .workers(WORKERS)
     .shutdown_timeout(CONTROL_STOP.as_secs())
     .disable_signals();
-    for at in [&p.http, &p.directory].into_iter().filter(|a| !a.is_empty()) {
-        server = server.bind(at).change_context(StartFault("bind the HTTP port")).attach_with(|| at.clone())?;
+    for at in [&p.http, &p.directory]
+        .into_iter()
+        .filter(|a| !a.is_empty())
+    {
+        server = server
+            .bind(at)
+            .change_context(StartFault("bind the HTTP port"))
+            .attach_with(|| at.clone())?;
     }
     let server = server.run();
     let farewell = async {
         let _ = brain.send(actor::Stopping).await;
         tokio::time::sleep(std::time::Duration::from_millis(FAREWELL)).await;
     };
-    stop::serve(server, signals, &p.name, &format!("http {} processes {}", p.http, p.listen), farewell).await;
+    stop::serve(
+        server,
+        signals,
+        &p.name,
+        &format!("http {} processes {}", p.http, p.listen),
+        farewell,
+    )
+    .await;
     Ok(())
 }
--- a/control-daemon/tests/disk.rs
+++ b/control-daemon/tests/disk.rs
@@ -24,24 +24,40 @@
     d
 }
 fn slot(key: &str, version: u64, bytes: usize) -> Row {
-    Row::Slot(Slot { key: key.into(), version, value: Blob(vec![version as u8; bytes]), ..Slot::default() })
+    Row::Slot(Slot {
+        key: key.into(),
+        version,
+        value: Blob(vec![version as u8; bytes]),
+        ..Slot::default()
+    })
 }
 fn files(dir: &Path) -> Files {
     let all = fs::read_dir(dir).unwrap().map(|e| e.unwrap());
-    all.map(|e| (e.file_name().to_string_lossy().into_owned(), fs::read(e.path()).unwrap())).collect()
+    all.map(|e| {
+        (
+            e.file_name().to_string_lossy().into_owned(),
+            fs::read(e.path()).unwrap(),
+        )
+    })
+    .collect()
 }
 /// Opens a folder with these files and gives whether it was blank, and its rows.
 fn opened(name: &str, n: usize, files: &Files) -> (bool, Vec<Row>) {
     // Each in a folder of its own: the thread of one before may still be closing its files.
     let dir = folder(&format!("{name}-{n}"));
     fs::create_dir_all(&dir).unwrap();
-    files.iter().for_each(|(n, b)| fs::write(dir.join(n), b).unwrap());
+    files
+        .iter()
+        .for_each(|(n, b)| fs::write(dir.join(n), b).unwrap());
     let (_, blank, rows) = block(Disk::start(dir.clone(), 0).open()).unwrap();
     let _ = fs::remove_dir_all(&dir);
     (blank, rows)
 }
 fn block<T>(f: impl Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(f)
+    tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap()
+        .block_on(f)
 }
 fn versions(rows: &[Row]) -> BTreeMap<String, u64> {
     let slots = rows.iter().filter_map(|r| match r {
@@ -105,7 +121,10 @@
             expect_false!(blank);
             let held = versions(&rows);
             // Both keys of one sync, or neither.
-            let (a, b) = (held.get("a").copied().unwrap_or(0), held.get("b").copied().unwrap_or(0));
+            let (a, b) = (
+                held.get("a").copied().unwrap_or(0),
+                held.get("b").copied().unwrap_or(0),
+            );
             expect_that!(a, eq(b), "at {v}");
             expect_that!(a, any!(eq(v - 1), eq(v)), "at {v}");
             if folds {
@@ -149,7 +168,8 @@
     let left = files(&dir);
     let dir = folder("shared-again");
     fs::create_dir_all(&dir).unwrap();
-    left.iter().for_each(|(n, b)| fs::write(dir.join(n), b).unwrap());
+    left.iter()
+        .for_each(|(n, b)| fs::write(dir.join(n), b).unwrap());
     let disk = Disk::start(dir.clone(), 0);
     block(disk.open()).unwrap();
     block(disk.sync(vec![slot("a", 2, 10)])).unwrap();
@@ -191,15 +211,43 @@
     let disk = Disk::start(dir.clone(), 0);
     let (id, blank, rows) = block(disk.open()).unwrap();
     expect_that!((id, blank), eq((9, false)));
-    let voter = Voter { name: "c1".into(), disk_id: 9, addr: "127.0.0.1:1".into(), ..Voter::default() };
-    let row =
-        |before, voter: &Voter| Row::Members { member_epoch: 2, before, voters: vec![voter.clone()], voting: true, left: false };
+    let voter = Voter {
+        name: "c1".into(),
+        disk_id: 9,
+        addr: "127.0.0.1:1".into(),
+        ..Voter::default()
+    };
+    let row = |before, voter: &Voter| Row::Members {
+        member_epoch: 2,
+        before,
+        voters: vec![voter.clone()],
+        voting: true,
+        left: false,
+    };
     expect_that!(rows, container_eq([row(0, &voter), slot("a", 1, 1)]));
     // What is written now comes back whole.
-    let now = row(3, &Voter { zone: "z".into(), since_epoch: 2, ..voter });
-    let Row::Slot(s) = slot("a", 2, 1) else { return };
+    let now = row(
+        3,
+        &Voter {
+            zone: "z".into(),
+            since_epoch: 2,
+            ..voter
+        },
+    );
+    let Row::Slot(s) = slot("a", 2, 1) else {
+        return;
+    };
     let next = Row::Slot(Slot {
-        replaced: List(vec![ReplacedValue { release: 7, digest: 1 }, ReplacedValue { release: u64::MAX, digest: u128::MAX }]),
+        replaced: List(vec![
+            ReplacedValue {
+                release: 7,
+                digest: 1,
+            },
+            ReplacedValue {
+                release: u64::MAX,
+                digest: u128::MAX,
+            },
+        ]),
         ..s
     });
     block(disk.sync(vec![now.clone(), next.clone()])).unwrap();
--- a/control-daemon/tests/power.rs
+++ b/control-daemon/tests/power.rs
@@ -20,20 +20,42 @@
 type Files = BTreeMap<String, Vec<u8>>;
 
 fn slot(key: &str, version: u64, bytes: usize) -> Row {
-    let (value, past) =
-        (Blob(vec![version as u8; bytes]), List(vec![ReplacedValue { release: version, digest: version.into() }; 3]));
-    Row::Slot(Slot { key: key.into(), version, value, replaced: past, ..Slot::default() })
+    let (value, past) = (
+        Blob(vec![version as u8; bytes]),
+        List(vec![
+            ReplacedValue {
+                release: version,
+                digest: version.into()
+            };
+            3
+        ]),
+    );
+    Row::Slot(Slot {
+        key: key.into(),
+        version,
+        value,
+        replaced: past,
+        ..Slot::default()
+    })
 }
 /// Versions of the two keys; both of one sync are there, or neither.
 fn version(rows: &[Row]) -> Option<u64> {
     let of = |key: &str| {
-        let all = rows.iter().filter_map(|r| if let Row::Slot(s) = r { Some(s) } else { None });
-        all.filter(|s| &*s.key == key).map(|s| s.version).next().unwrap_or(0)
+        let all = rows
+            .iter()
+            .filter_map(|r| if let Row::Slot(s) = r { Some(s) } else { None });
+        all.filter(|s| &*s.key == key)
+            .map(|s| s.version)
+            .next()
+            .unwrap_or(0)
     };
     (of("a") == of("b")).then(|| of("a"))
 }
 fn block<T>(f: impl Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().build().unwrap().block_on(f)
+    tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap()
+        .block_on(f)
 }
 fn disk(folder: &str) -> Disk {
     Disk::start_on(storage(), PathBuf::from(folder), 0)
@@ -61,9 +83,17 @@
 
 impl Platter {
     fn of(files: &Files) -> Self {
-        let names: BTreeMap<String, usize> = files.keys().enumerate().map(|(i, n)| (n.clone(), i)).collect();
+        let names: BTreeMap<String, usize> = files
+            .keys()
+            .enumerate()
+            .map(|(i, n)| (n.clone(), i))
+            .collect();
         let files = files.values().map(|b| (b.clone(), vec![])).collect();
-        Platter { files, synced: names.clone(), names }
+        Platter {
+            files,
+            synced: names.clone(),
+            names,
+        }
     }
     fn step(&mut self, op: &Op) {
         match op {
@@ -73,15 +103,28 @@
             }
             Op::Remove(n) => drop(self.names.remove(n)),
             Op::Write(i, ..) | Op::Length(i, _) => {
-                self.files[*i].1.push(Change { op: op.clone(), synced: false, doubtful: false });
+                self.files[*i].1.push(Change {
+                    op: op.clone(),
+                    synced: false,
+                    doubtful: false,
+                });
             }
             Op::Sync(i) => {
                 let (bytes, changes) = &mut self.files[*i];
-                changes.iter_mut().filter(|c| !c.doubtful).for_each(|c| c.synced = true);
+                changes
+                    .iter_mut()
+                    .filter(|c| !c.doubtful)
+                    .for_each(|c| c.synced = true);
                 let sure = changes.iter().take_while(|c| c.synced).count();
-                changes.drain(..sure).for_each(|c| apply(bytes, &c.op, usize::MAX));
+                changes
+                    .drain(..sure)
+                    .for_each(|c| apply(bytes, &c.op, usize::MAX));
             }
-            Op::SyncLost(i) => self.files[*i].1.iter_mut().filter(|c| !c.synced).for_each(|c| c.doubtful = true),
+            Op::SyncLost(i) => self.files[*i]
+                .1
+                .iter_mut()
+                .filter(|c| !c.synced)
+                .for_each(|c| c.doubtful = true),
             Op::SyncNames => self.synced = self.names.clone(),
             Op::Told(_) => {}
         }
@@ -89,17 +132,28 @@
     /// What a loss of power leaves.
     fn lost(&self, rng: &mut fastrand::Rng) -> Files {
         // All that is not sure is gone, or there, or each by chance; and names likewise.
-        let (keep, keep_names) = ([0, 100, rng.u8(..101)][rng.usize(..3)], [0, 100, 50][rng.usize(..3)]);
+        let (keep, keep_names) = (
+            [0, 100, rng.u8(..101)][rng.usize(..3)],
+            [0, 100, 50][rng.usize(..3)],
+        );
         let mut files = Files::new();
         for n in self.names.keys().chain(self.synced.keys()) {
-            let from = if rng.u8(..100) < keep_names { &self.names } else { &self.synced };
+            let from = if rng.u8(..100) < keep_names {
+                &self.names
+            } else {
+                &self.synced
+            };
             let Some(i) = from.get(n) else { continue };
             let (bytes, changes) = &self.files[*i];
             let mut bytes = bytes.clone();
             for c in changes {
                 let there = c.synced || rng.u8(..100) < keep;
                 let torn = !c.synced && keep < 100 && rng.u8(..8) == 0;
-                let most = if torn { rng.usize(..9) * SECTOR / 2 } else { usize::MAX };
+                let most = if torn {
+                    rng.usize(..9) * SECTOR / 2
+                } else {
+                    usize::MAX
+                };
                 if there {
                     apply(&mut bytes, &c.op, most);
                 }
@@ -152,11 +206,22 @@
 
 /// Loses power at each step of a log, in some ways each; and again while the folder is opened.
 fn lose_power(name: &str, log: &[Op], id: u64, ways: usize, rng: &mut fastrand::Rng) {
-    let (mut p, mut k) = (Platter::default(), Known { id: None, told: 0, most: 1 });
+    let (mut p, mut k) = (
+        Platter::default(),
+        Known {
+            id: None,
+            told: 0,
+            most: 1,
+        },
+    );
     for (n, op) in log.iter().enumerate() {
         p.step(op);
         if let Op::Told(v) = op {
-            k = Known { id: Some(id), told: *v, most: v + 1 };
+            k = Known {
+                id: Some(id),
+                told: *v,
+                most: v + 1,
+            };
         }
         for way in 0..ways {
             let at = format!("{name}: step {n} of {} {way}", log.len());
@@ -204,7 +269,9 @@
     let d = disk(folder);
     let (mut id, mut last, mut at) = (None, 0, 0);
     let reopen = |id: &mut Option<u64>, last: u64, at: u64| {
-        let held = (0..TRIES).find_map(|_| block(d.open()).ok()).expect("it opens in the end");
+        let held = (0..TRIES)
+            .find_map(|_| block(d.open()).ok())
+            .expect("it opens in the end");
         let v = version(&held.2);
         expect_that!(v, some(all!(ge(last), le(at))), "{folder}");
         if last > 0 {
@@ -254,7 +321,15 @@
             let mut p = Platter::default();
             log.iter().for_each(|o| p.step(o));
             let (held, _) = opened(&format!("{folder}-lost"), &p.lost(&mut rng));
-            check(&held, &Known { id, told: most, most }, &folder);
+            check(
+                &held,
+                &Known {
+                    id,
+                    told: most,
+                    most,
+                },
+                &folder,
+            );
         }
     }
     // Syncs were among what failed.
--- a/control-daemon/tests/stand_in/mod.rs
+++ b/control-daemon/tests/stand_in/mod.rs
@@ -51,13 +51,23 @@
 
 impl Folder {
     pub fn of(files: &BTreeMap<String, Vec<u8>>) -> Self {
-        let names = files.keys().enumerate().map(|(i, n)| (n.clone(), i)).collect();
-        Folder { files: files.values().cloned().collect(), names, ..Folder::default() }
+        let names = files
+            .keys()
+            .enumerate()
+            .map(|(i, n)| (n.clone(), i))
+            .collect();
+        Folder {
+            files: files.values().cloned().collect(),
+            names,
+            ..Folder::default()
+        }
     }
     /// Counts a step that changes something; gives the fault that it meets.
     fn step(&mut self) -> Option<Ill> {
         self.steps += 1;
-        self.ill.filter(|i| (i.0..i.1).contains(&self.steps)).map(|i| i.2)
+        self.ill
+            .filter(|i| (i.0..i.1).contains(&self.steps))
+            .map(|i| i.2)
     }
 }
 
@@ -85,8 +95,12 @@
         Some(Ill::Refuses) => Err(code),
         Some(Ill::Full) => Err(ffi::SQLITE_FULL),
         Some(Ill::Hangs) => {
-            let hangs = |all: &mut BTreeMap<String, Folder>| all.get(folder).is_some_and(|d| d.ill.is_some());
-            let mut all = HEALED.wait_while(all, hangs).unwrap_or_else(PoisonError::into_inner);
+            let hangs = |all: &mut BTreeMap<String, Folder>| {
+                all.get(folder).is_some_and(|d| d.ill.is_some())
+            };
+            let mut all = HEALED
+                .wait_while(all, hangs)
+                .unwrap_or_else(PoisonError::into_inner);
             Ok(f(all.entry(folder.into()).or_default()))
         }
     }
@@ -96,17 +110,31 @@
 pub fn storage() -> Storage {
     static ONCE: Once = Once::new();
     ONCE.call_once(register);
-    Storage { vfs: Some(NAME), make: |_| Ok(()), sync_names, write_anew }
+    Storage {
+        vfs: Some(NAME),
+        make: |_| Ok(()),
+        sync_names,
+        write_anew,
+    }
 }
 fn sync_names(p: &Path) -> io::Result<()> {
-    let done = change(&p.to_string_lossy(), ffi::SQLITE_IOERR_DIR_FSYNC, |f| f.log.push(Op::SyncNames));
+    let done = change(&p.to_string_lossy(), ffi::SQLITE_IOERR_DIR_FSYNC, |f| {
+        f.log.push(Op::SyncNames)
+    });
     done.map_err(|c| io::Error::other(format!("code {c}")))
 }
 
 fn write_anew(p: &Path) -> io::Result<()> {
-    let (folder, file) = p.to_str().and_then(|p| p.rsplit_once('/')).unwrap_or_default();
-    let Some(i) = with(folder, |d| d.names.get(file).copied()) else { return Ok(()) };
-    let done = change(folder, ffi::SQLITE_IOERR_WRITE, |d| d.log.push(Op::Write(i, 0, d.files[i].clone())));
+    let (folder, file) = p
+        .to_str()
+        .and_then(|p| p.rsplit_once('/'))
+        .unwrap_or_default();
+    let Some(i) = with(folder, |d| d.names.get(file).copied()) else {
+        return Ok(());
+    };
+    let done = change(folder, ffi::SQLITE_IOERR_WRITE, |d| {
+        d.log.push(Op::Write(i, 0, d.files[i].clone()))
+    });
     let done = done.and_then(|()| {
         let r = change(folder, ffi::SQLITE_IOERR_FSYNC, |d| d.log.push(Op::Sync(i)));
         r.inspect_err(|_| with(folder, |d| d.log.push(Op::SyncLost(i))))
@@ -127,7 +155,9 @@
 }
 
 unsafe fn split(name: *const c_char) -> (String, String) {
-    let s = unsafe { CStr::from_ptr(name) }.to_string_lossy().into_owned();
+    let s = unsafe { CStr::from_ptr(name) }
+        .to_string_lossy()
+        .into_owned();
     let (folder, file) = s.rsplit_once('/').unwrap_or(("", &s));
     (folder.into(), file.into())
 }
@@ -151,7 +181,9 @@
     }
     let (folder, file) = unsafe { split(name) };
     let known = with(&folder, |d| d.names.get(&file).copied());
-    let beside = flags & (ffi::SQLITE_OPEN_MAIN_JOURNAL | ffi::SQLITE_OPEN_SUPER_JOURNAL | ffi::SQLITE_OPEN_WAL) != 0;
+    let beside = flags
+        & (ffi::SQLITE_OPEN_MAIN_JOURNAL | ffi::SQLITE_OPEN_SUPER_JOURNAL | ffi::SQLITE_OPEN_WAL)
+        != 0;
     let made = match known {
         Some(i) => Ok(i),
         None if flags & ffi::SQLITE_OPEN_CREATE == 0 => Err(ffi::SQLITE_CANTOPEN),
@@ -168,7 +200,11 @@
         Err(c) => return c,
     };
     with(&folder, |d| d.open += 1);
-    let at = Box::into_raw(Box::new(Open { folder, file: i, new_name: beside && known.is_none() }));
+    let at = Box::into_raw(Box::new(Open {
+        folder,
+        file: i,
+        new_name: beside && known.is_none(),
+    }));
     unsafe {
         (*f.cast::<File>()).at = at;
         (*f).pMethods = &raw const METHODS.0;
@@ -189,7 +225,12 @@
     }
     ffi::SQLITE_OK
 }
-unsafe extern "C" fn read(f: *mut ffi::sqlite3_file, to: *mut c_void, n: c_int, from: i64) -> c_int {
+unsafe extern "C" fn read(
+    f: *mut ffi::sqlite3_file,
+    to: *mut c_void,
+    n: c_int,
+    from: i64,
+) -> c_int {
     let (o, n, from) = (unsafe { open_file(f) }, n as usize, from as usize);
     let to = unsafe { std::slice::from_raw_parts_mut(to.cast::<u8>(), n) };
     with(&o.folder, |d| {
@@ -197,7 +238,11 @@
         let part = all.get(from..all.len().min(from + n)).unwrap_or(&[]);
         to.fill(0);
         to[..part.len()].copy_from_slice(part);
-        if part.len() < n { ffi::SQLITE_IOERR_SHORT_READ } else { ffi::SQLITE_OK }
+        if part.len() < n {
+            ffi::SQLITE_IOERR_SHORT_READ
+        } else {
+            ffi::SQLITE_OK
+        }
     })
 }
 pub fn put(all: &mut Vec<u8>, at: usize, b: &[u8]) {
@@ -206,7 +251,12 @@
     }
     all[at..at + b.len()].copy_from_slice(b);
 }
-unsafe extern "C" fn write(f: *mut ffi::sqlite3_file, from: *const c_void, n: c_int, at: i64) -> c_int {
+unsafe extern "C" fn write(
+    f: *mut ffi::sqlite3_file,
+    from: *const c_void,
+    n: c_int,
+    at: i64,
+) -> c_int {
     let o = unsafe { open_file(f) };
     let b = unsafe { std::slice::from_raw_parts(from.cast::<u8>(), n as usize) };
     code(change(&o.folder, ffi::SQLITE_IOERR_WRITE, |d| {
@@ -257,7 +307,11 @@
 unsafe extern "C" fn traits(_: *mut ffi::sqlite3_file) -> c_int {
     ffi::SQLITE_IOCAP_POWERSAFE_OVERWRITE
 }
-unsafe extern "C" fn remove(_: *mut ffi::sqlite3_vfs, name: *const c_char, names_too: c_int) -> c_int {
+unsafe extern "C" fn remove(
+    _: *mut ffi::sqlite3_vfs,
+    name: *const c_char,
+    names_too: c_int,
+) -> c_int {
     let (folder, file) = unsafe { split(name) };
     if with(&folder, |d| !d.names.contains_key(&file)) {
         return ffi::SQLITE_IOERR_DELETE_NOENT;
@@ -270,12 +324,22 @@
         }
     }))
 }
-unsafe extern "C" fn access(_: *mut ffi::sqlite3_vfs, name: *const c_char, _: c_int, out: *mut c_int) -> c_int {
+unsafe extern "C" fn access(
+    _: *mut ffi::sqlite3_vfs,
+    name: *const c_char,
+    _: c_int,
+    out: *mut c_int,
+) -> c_int {
     let (folder, file) = unsafe { split(name) };
     unsafe { *out = c_int::from(with(&folder, |d| d.names.contains_key(&file))) };
     ffi::SQLITE_OK
 }
-unsafe extern "C" fn full(_: *mut ffi::sqlite3_vfs, name: *const c_char, most: c_int, out: *mut c_char) -> c_int {
+unsafe extern "C" fn full(
+    _: *mut ffi::sqlite3_vfs,
+    name: *const c_char,
+    most: c_int,
+    out: *mut c_char,
+) -> c_int {
     let b = unsafe { CStr::from_ptr(name) }.to_bytes_with_nul();
     if b.len() > most as usize {
         return ffi::SQLITE_CANTOPEN;
--- a/control-daemon/tests/stored_data.rs
+++ b/control-daemon/tests/stored_data.rs
@@ -52,7 +52,9 @@
 
 fn bytes(hexadecimal: &str) -> Vec<u8> {
     let digits = hexadecimal.as_bytes().chunks(2);
-    digits.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap()).collect()
+    digits
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
+        .collect()
 }
 
 impl Expected {
@@ -61,13 +63,16 @@
     }
 
     fn rows(&self) -> Vec<Row> {
-        let voters = self.voters.iter().map(|(name, disk, addr, zone, since)| Voter {
-            name: name.as_str().into(),
-            disk_id: *disk,
-            addr: addr.as_str().into(),
-            zone: zone.as_str().into(),
-            since_epoch: *since,
-        });
+        let voters = self
+            .voters
+            .iter()
+            .map(|(name, disk, addr, zone, since)| Voter {
+                name: name.as_str().into(),
+                disk_id: *disk,
+                addr: addr.as_str().into(),
+                zone: zone.as_str().into(),
+                since_epoch: *since,
+            });
         let members = Row::Members {
             member_epoch: self.member_epoch,
             before: self.before,
@@ -100,12 +105,21 @@
 
 /// The fixture as the daemon's disk reads it, from a copy.
 fn opened(name: &str) -> (u64, bool, Vec<Row>) {
-    let folder = std::env::temp_dir().join(format!("landingslip-stored-{name}-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("landingslip-stored-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
-    fs::copy(format!("{FIXTURE}/control.sqlite"), folder.join("control.sqlite")).unwrap();
-    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
-    let stored = runtime.block_on(Disk::start(PathBuf::from(&folder), 0).open()).unwrap();
+    fs::copy(
+        format!("{FIXTURE}/control.sqlite"),
+        folder.join("control.sqlite"),
+    )
+    .unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .unwrap();
+    let stored = runtime
+        .block_on(Disk::start(PathBuf::from(&folder), 0).open())
+        .unwrap();
     let _ = fs::remove_dir_all(&folder);
     stored
 }
@@ -117,7 +131,11 @@
         addr: "127.101.86.4:46881".into(),
         http_addr: "127.101.86.5:39383".into(),
         members: vec!["control-1".into(), "control-2".into(), "control-3".into()],
-        seeds: vec!["127.101.86.2:37391".into(), "127.101.86.4:46881".into(), "127.101.86.6:40027".into()],
+        seeds: vec![
+            "127.101.86.2:37391".into(),
+            "127.101.86.4:46881".into(),
+            "127.101.86.6:40027".into(),
+        ],
         regions: Default::default(),
         spec_parser: parse_own_spec,
         bootstrap: false,
@@ -139,13 +157,26 @@
     let expected = Expected::read();
     let (disk, _, rows) = opened("served");
     let control = control(rows, disk);
-    for slot in expected.slots.iter().filter(|slot| slot.version > 0 && slot.committed == slot.version) {
+    for slot in expected
+        .slots
+        .iter()
+        .filter(|slot| slot.version > 0 && slot.committed == slot.version)
+    {
         let served = control.state_table().get(&slot.key).unwrap();
-        expect_that!((served.epoch, served.version), eq((slot.epoch, slot.version)), "{}", slot.key);
+        expect_that!(
+            (served.epoch, served.version),
+            eq((slot.epoch, slot.version)),
+            "{}",
+            slot.key
+        );
         expect_that!(served.value.0, eq(&bytes(&slot.value)), "{}", slot.key);
     }
-    let uncommitted: Vec<&str> =
-        expected.slots.iter().filter(|slot| slot.committed != slot.version).map(|slot| slot.key.as_str()).collect();
+    let uncommitted: Vec<&str> = expected
+        .slots
+        .iter()
+        .filter(|slot| slot.committed != slot.version)
+        .map(|slot| slot.key.as_str())
+        .collect();
     expect_that!(uncommitted, container_eq(["zone/bern"]));
     expect_that!(control.state_table().get("zone/bern"), none());
 }
@@ -156,10 +187,20 @@
     let control = control(rows, disk);
     expect_that!(control.spec().unwrap().canary_percent, eq(7));
     let status = control.status(1_000);
-    let voters: Vec<&str> = status.members.iter().map(|member| member.name.as_str()).collect();
-    expect_that!(voters, container_eq(["control-1", "control-2", "control-3"]));
+    let voters: Vec<&str> = status
+        .members
+        .iter()
+        .map(|member| member.name.as_str())
+        .collect();
+    expect_that!(
+        voters,
+        container_eq(["control-1", "control-2", "control-3"])
+    );
     let record: RolloutRecord = control.state_table().read("rollout/assistant").unwrap();
-    expect_that!((record.phase, record.target.as_deref()), eq((RolloutPhase::Canary, Some("v2"))));
+    expect_that!(
+        (record.phase, record.target.as_deref()),
+        eq((RolloutPhase::Canary, Some("v2")))
+    );
     let large: RolloutRecord = control.state_table().read("rollout/large").unwrap();
     expect_that!(large.replicas.len(), eq(LARGE_RECORD_REPLICAS));
     expect_that!(status.kill_switch, eq(false));
@@ -169,7 +210,11 @@
 #[gtest]
 fn counters_keep_their_names() {
     let (disk, _, rows) = opened("counters");
-    let names: Vec<&str> = control(rows, disk).counters(1_000).into_iter().map(|(name, _)| name).collect();
+    let names: Vec<&str> = control(rows, disk)
+        .counters(1_000)
+        .into_iter()
+        .map(|(name, _)| name)
+        .collect();
     let expected = [
         "context_copies",
         "feed_place",
--- a/coordination/examples/embed.rs
+++ b/coordination/examples/embed.rs
@@ -18,14 +18,22 @@
 impl Disk {
     fn keep(&mut self, rows: Vec<Row>) {
         for r in rows {
-            let k = if let Row::Slot(s) = &r { s.key.to_string() } else { "members".into() };
+            let k = if let Row::Slot(s) = &r {
+                s.key.to_string()
+            } else {
+                "members".into()
+            };
             self.0.insert(k, r);
         }
     }
 }
 
 /// Carries out effects; messages to itself wait in `inbox`. Gives what became of a write.
-fn carry(out: Effects, disk: &mut Disk, inbox: &mut VecDeque<(Name, Message)>) -> Option<WriteOutcome> {
+fn carry(
+    out: Effects,
+    disk: &mut Disk,
+    inbox: &mut VecDeque<(Name, Message)>,
+) -> Option<WriteOutcome> {
     let mut ended = None;
     for e in out {
         match e {
@@ -65,7 +73,8 @@
             written = carry(out, &mut disk, &mut inbox);
         }
         while let Some((to, msg)) = inbox.pop_front() {
-            written = carry(brain.on_message(&to, &to, msg, now), &mut disk, &mut inbox).or(written);
+            written =
+                carry(brain.on_message(&to, &to, msg, now), &mut disk, &mut inbox).or(written);
         }
         if written.is_some() {
             break;
@@ -74,7 +83,13 @@
     println!("{written:?}");
     // Another life with the same disk has it still.
     let again = Control::new(p, 7, disk.0.into_values().collect(), 2, 20_000);
-    let held = again.state_table().get("greeting").map(|c| String::from_utf8_lossy(&c.value.0).into_owned());
+    let held = again
+        .state_table()
+        .get("greeting")
+        .map(|c| String::from_utf8_lossy(&c.value.0).into_owned());
     println!("after a restart: {held:?}");
-    assert_eq!((written, held.as_deref()), (Some(WriteOutcome::Accepted(1)), Some("hello")));
+    assert_eq!(
+        (written, held.as_deref()),
+        (Some(WriteOutcome::Accepted(1)), Some("hello"))
+    );
 }
--- a/coordination/examples/nominate.rs
+++ b/coordination/examples/nominate.rs
@@ -30,7 +30,10 @@
 
 fn proxy(replicas: usize) -> (Placement, Vec<String>) {
     let zones = ["a1", "a2", "b1", "b2"];
-    let regions: BTreeMap<String, String> = zones.iter().map(|z| (z.to_string(), z[..1].to_string())).collect();
+    let regions: BTreeMap<String, String> = zones
+        .iter()
+        .map(|z| (z.to_string(), z[..1].to_string()))
+        .collect();
     let row = |i: usize| PlacedReplica {
         id: format!("i-{i:08x}"),
         zone: zones[i % zones.len()].into(),
@@ -43,15 +46,30 @@
     let names: Vec<String> = (0..EDGES).map(|i| format!("edge-{i}")).collect();
     let mut p = Placement::new("edge-0", "a1", regions, Bounds::default());
     p.set_edges(names, "edge-0", 0);
-    p.set_engine("s", &EngineSpec { slots: 16, cold_ms: 3_000, cold_rate: Some(24.0), ..EngineSpec::default() });
+    p.set_engine(
+        "s",
+        &EngineSpec {
+            slots: 16,
+            cold_ms: 3_000,
+            cold_rate: Some(24.0),
+            ..EngineSpec::default()
+        },
+    );
     p.set_service("s", &all, &BTreeSet::new(), 0);
     (p, all.into_iter().map(|r| r.id).collect())
 }
 
 fn ask(n: u64) -> Ask {
-    let parts =
-        if n.is_multiple_of(LONG) { vec![(n % SHARED, 13_300), (n << 32, 3_720)] } else { vec![(n % 16, 92), (n << 32, 291)] };
-    Ask { tokens: (parts.iter().map(|p| p.1).sum(), 45), parts, ..Ask::default() }
+    let parts = if n.is_multiple_of(LONG) {
+        vec![(n % SHARED, 13_300), (n << 32, 3_720)]
+    } else {
+        vec![(n % 16, 92), (n << 32, 291)]
+    };
+    Ask {
+        tokens: (parts.iter().map(|p| p.1).sum(), 45),
+        parts,
+        ..Ask::default()
+    }
 }
 
 fn main() {
@@ -63,7 +81,12 @@
         for n in 0..ROUNDS {
             let now = 10_000 + n * 85;
             let a = ask(n);
-            let w = Want { lane: &lane, ask: &a, tried: &[], evacuated: &BTreeSet::new() };
+            let w = Want {
+                lane: &lane,
+                ask: &a,
+                tried: &[],
+                evacuated: &BTreeSet::new(),
+            };
             let began = Instant::now();
             let to = black_box(p.nominate("s", ids.iter(), &w, now));
             spent += began.elapsed().as_secs_f64();
--- a/coordination/examples/slopes/meter.rs
+++ b/coordination/examples/slopes/meter.rs
@@ -34,7 +34,10 @@
 
 /// ns of processor time of this thread: what others do on the machine is not in it.
 pub fn cpu() -> u64 {
-    let mut t = libc::timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut t = libc::timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // SAFETY: writes to a timespec of ours.
     unsafe { libc::clock_gettime(libc::CLOCK_THREAD_CPUTIME_ID, &mut t) };
     t.tv_sec as u64 * 1_000_000_000 + t.tv_nsec as u64
@@ -84,19 +87,32 @@
     }
     /// Bytes out to other machines.
     pub fn out(&self, r: Role) -> u64 {
-        self.sent.iter().filter(|((f, _, way), _)| *f == r && *way != Way::Loopback).map(|(_, c)| c.1).sum()
+        self.sent
+            .iter()
+            .filter(|((f, _, way), _)| *f == r && *way != Way::Loopback)
+            .map(|(_, c)| c.1)
+            .sum()
     }
     /// Bytes out to other regions.
     pub fn far(&self, r: Role) -> u64 {
-        self.sent.iter().filter(|((f, _, way), _)| *f == r && *way == Way::Far).map(|(_, c)| c.1).sum()
+        self.sent
+            .iter()
+            .filter(|((f, _, way), _)| *f == r && *way == Way::Far)
+            .map(|(_, c)| c.1)
+            .sum()
     }
 }
 
 /// Slope and start of the line nearest to points, by least squares.
 pub fn line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
-    let (x, y) = (points.iter().map(|p| p.0).sum::<f64>() / n, points.iter().map(|p| p.1).sum::<f64>() / n);
-    let (xy, xx) = points.iter().fold((0.0, 0.0), |(a, b), p| (a + (p.0 - x) * (p.1 - y), b + (p.0 - x).powi(2)));
+    let (x, y) = (
+        points.iter().map(|p| p.0).sum::<f64>() / n,
+        points.iter().map(|p| p.1).sum::<f64>() / n,
+    );
+    let (xy, xx) = points.iter().fold((0.0, 0.0), |(a, b), p| {
+        (a + (p.0 - x) * (p.1 - y), b + (p.0 - x).powi(2))
+    });
     let slope = if xx > 0.0 { xy / xx } else { 0.0 };
     (slope, y - slope * x)
 }
--- a/coordination/examples/slopes/target.rs
+++ b/coordination/examples/slopes/target.rs
@@ -60,7 +60,11 @@
             self.w.start_edge(i);
             self.starting.push((now, i));
         }
-        let (ready, rest): (Vec<_>, Vec<_>) = self.starting.iter().copied().partition(|s| self.w.serves(s.1));
+        let (ready, rest): (Vec<_>, Vec<_>) = self
+            .starting
+            .iter()
+            .copied()
+            .partition(|s| self.w.serves(s.1));
         self.starting = rest;
         self.started.extend(ready.iter().map(|s| now - s.0));
         // One that has just started is not late: it serves nobody before it has the newest.
@@ -84,11 +88,23 @@
 }
 
 pub fn run(size: &Size) {
-    let mut d = Day { w: World::new(size.clone(), 7), down: vec![], spec: None, took: vec![], started: vec![], starting: vec![] };
+    let mut d = Day {
+        w: World::new(size.clone(), 7),
+        down: vec![],
+        spec: None,
+        took: vec![],
+        started: vec![],
+        starting: vec![],
+    };
     d.w.run(4_000);
     let spec = d.w.write_spec();
     d.w.run(SETTLE * 1_000 - 4_000);
-    println!("{} edges, {} paths, spec {spec} B, serving {}", size.edges, size.paths, d.w.ready());
+    println!(
+        "{} edges, {} paths, spec {spec} B, serving {}",
+        size.edges,
+        size.paths,
+        d.w.ready()
+    );
     let mut rng = fastrand::Rng::with_seed(11);
     for phase in ["quiet", "day", "rack", "zone", "region cut", "region back"] {
         let (from, before) = (d.w.now, d.w.requests);
@@ -120,7 +136,11 @@
             }
             "rack" | "zone" => {
                 let of = d.w.edges_of(if phase == "rack" { 0 } else { 4 });
-                let n = if phase == "rack" { RACK.min(of.len()) } else { of.len() };
+                let n = if phase == "rack" {
+                    RACK.min(of.len())
+                } else {
+                    of.len()
+                };
                 of[..n].iter().for_each(|i| d.end(*i, s * 500));
                 d.write();
                 d.until(end);
@@ -137,7 +157,11 @@
             "{phase}: {s} s; specs everywhere after ms {:?}{}; {} started, serving after most {} ms; {} of {} edges serve; \
              {no} of {asked} requests not admitted; longest message {:?}",
             d.took,
-            if d.spec.is_some() { ", one not yet" } else { "" },
+            if d.spec.is_some() {
+                ", one not yet"
+            } else {
+                ""
+            },
             d.started.len(),
             most(&d.started),
             d.w.ready(),
@@ -146,8 +170,16 @@
         );
         for r in ROLES {
             let n = count(r, size.edges) * s as f64;
-            let (cpu, came) = (m.cpu.get(&r).copied().unwrap_or(0) as f64 / 1_000.0, m.came.get(&r).copied().unwrap_or(0));
-            println!("  {r:?}: cpu {:.0} us/s, out {:.0} B/s, in {:.0} B/s", cpu / n, m.out(r) as f64 / n, came as f64 / n);
+            let (cpu, came) = (
+                m.cpu.get(&r).copied().unwrap_or(0) as f64 / 1_000.0,
+                m.came.get(&r).copied().unwrap_or(0),
+            );
+            println!(
+                "  {r:?}: cpu {:.0} us/s, out {:.0} B/s, in {:.0} B/s",
+                cpu / n,
+                m.out(r) as f64 / n,
+                came as f64 / n
+            );
         }
     }
     let (faults, state) = (d.w.faults, d.w.weigh().map(|b| b / 1_024));
--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -32,8 +32,18 @@
 /// Daemons for control.
 pub const CONTROLS: usize = 5;
 /// Region, edges in a hundred, replicas in a hundred, of each zone: regions are unequal.
-pub const ZONES: [(&str, usize); 10] =
-    [("r0", 16), ("r0", 16), ("r0", 16), ("r1", 11), ("r1", 11), ("r1", 10), ("r2", 7), ("r2", 7), ("r3", 3), ("r3", 3)];
+pub const ZONES: [(&str, usize); 10] = [
+    ("r0", 16),
+    ("r0", 16),
+    ("r0", 16),
+    ("r1", 11),
+    ("r1", 11),
+    ("r1", 10),
+    ("r2", 7),
+    ("r2", 7),
+    ("r3", 3),
+    ("r3", 3),
+];
 /// The zones of control daemons.
 const SEATS: [usize; CONTROLS] = [0, 3, 6, 8, 1];
 pub const SERVICES: usize = 9;
@@ -58,7 +68,9 @@
 
 impl Size {
     pub fn replicas(&self) -> usize {
-        self.each.map_or(WHOLE.1 * self.edges / WHOLE.0, |n| n * self.edges).max(self.services)
+        self.each
+            .map_or(WHOLE.1 * self.edges / WHOLE.0, |n| n * self.edges)
+            .max(self.services)
     }
     fn rate(&self) -> f64 {
         WHOLE.2 * self.edges as f64 / WHOLE.0 as f64
@@ -133,8 +145,11 @@
 
 impl World {
     pub fn new(size: Size, seed: u64) -> Self {
-        let regions: BTreeMap<String, String> =
-            ZONES.iter().enumerate().map(|(i, z)| (format!("zone-{i}"), z.0.into())).collect();
+        let regions: BTreeMap<String, String> = ZONES
+            .iter()
+            .enumerate()
+            .map(|(i, z)| (format!("zone-{i}"), z.0.into()))
+            .collect();
         let mut w = World {
             now: 0,
             controls: vec![],
@@ -157,7 +172,10 @@
         };
         let seeds: Vec<Name> = (0..3).map(|i| format!("10.1.{i}.9:7300").into()).collect();
         for (i, z) in SEATS.into_iter().enumerate() {
-            let (name, addr): (Name, Name) = (format!("core-zone-{z}-{i}").into(), format!("10.1.{i}.9:7300").into());
+            let (name, addr): (Name, Name) = (
+                format!("core-zone-{z}-{i}").into(),
+                format!("10.1.{i}.9:7300").into(),
+            );
             let p = ControlConfig {
                 name: name.clone(),
                 zone: format!("zone-{z}").into(),
@@ -172,7 +190,12 @@
             };
             let c = Control::new(p, w.rng.u64(1..1 << 60), vec![], 1_000 + i as u64, 0);
             w.addrs.insert(addr.clone(), (Role::Control, i));
-            w.controls.push(Daemon { brain: Some(c), name, addr, zone: z });
+            w.controls.push(Daemon {
+                brain: Some(c),
+                name,
+                addr,
+                zone: z,
+            });
             w.disks.push(Disk::default());
             let at = w.rng.u64(..TICK_INTERVAL);
             w.at(at, (Role::Control, i), Ev::Tick);
@@ -180,18 +203,46 @@
         }
         for i in 0..w.size.edges {
             let z = zone_of(i, w.size.edges);
-            let (name, zone): (Name, Name) = (format!("edge-zone-{z}-{i}").into(), format!("zone-{z}").into());
-            let (addr, at): (Name, Name) = (format!("10.2.{i}.1:7300").into(), format!("10.2.{i}.1:7301").into());
-            let me = Node { name: name.clone(), zone: zone.clone(), addr: addr.clone(), incarnation: 2_000, ..Node::default() };
+            let (name, zone): (Name, Name) = (
+                format!("edge-zone-{z}-{i}").into(),
+                format!("zone-{z}").into(),
+            );
+            let (addr, at): (Name, Name) = (
+                format!("10.2.{i}.1:7300").into(),
+                format!("10.2.{i}.1:7301").into(),
+            );
+            let me = Node {
+                name: name.clone(),
+                zone: zone.clone(),
+                addr: addr.clone(),
+                incarnation: 2_000,
+                ..Node::default()
+            };
             let mut a = EdgeAgent::new(me, seeds.clone(), w.rng.u64(..), 0);
             a.set_regions(regions.clone());
             w.addrs.insert(addr.clone(), (Role::Agent, i));
             w.addrs.insert(at.clone(), (Role::Proxy, i));
-            let mut p = Proxy::new(format!("{name}/proxy").into(), zone, format!("10.2.{i}.1:8263").into(), 2_000, w.rng.u64(..));
+            let mut p = Proxy::new(
+                format!("{name}/proxy").into(),
+                zone,
+                format!("10.2.{i}.1:8263").into(),
+                2_000,
+                w.rng.u64(..),
+            );
             p.set_reader(unpack);
             p.set_bounds(Bounds::default(), regions.clone());
-            w.agents.push(Daemon { brain: Some(a), name: name.clone(), addr, zone: z });
-            w.proxies.push(Daemon { brain: Some(p), name: format!("{name}/proxy").into(), addr: at, zone: z });
+            w.agents.push(Daemon {
+                brain: Some(a),
+                name: name.clone(),
+                addr,
+                zone: z,
+            });
+            w.proxies.push(Daemon {
+                brain: Some(p),
+                name: format!("{name}/proxy").into(),
+                addr: at,
+                zone: z,
+            });
             for r in [Role::Agent, Role::Proxy] {
                 let at = w.rng.u64(..TICK_INTERVAL);
                 w.at(at, (r, i), Ev::Tick);
@@ -204,7 +255,8 @@
     fn at(&mut self, ms: Ms, to: Id, ev: Ev) {
         self.seq += 1;
         self.events.insert(self.seq, ev);
-        self.queue.push(Reverse((self.now + ms, to.0, self.seq, to.1)));
+        self.queue
+            .push(Reverse((self.now + ms, to.0, self.seq, to.1)));
     }
 
     /// The platform's list without some replicas.
@@ -216,7 +268,9 @@
                 "service": format!("model-{}", i % self.size.services), "version": "v1", "state": "running", "slots": 128,
                 "loaded": true})
         });
-        self.list = json!({"replicas": all.collect::<Vec<_>>()}).to_string().into_bytes();
+        self.list = json!({"replicas": all.collect::<Vec<_>>()})
+            .to_string()
+            .into_bytes();
     }
 
     fn spec(&mut self) -> Vec<u8> {
@@ -238,18 +292,30 @@
                     "engine": {"slots": 128, "cache_tokens": 2_000_000, "channels": 400, "cold_ms": 3_000, "cold_rate": 26.0}})
             })
             .collect();
-        let zones: Vec<_> = (0..ZONES.len()).map(|i| json!({"name": format!("zone-{i}")})).collect();
+        let zones: Vec<_> = (0..ZONES.len())
+            .map(|i| json!({"name": format!("zone-{i}")}))
+            .collect();
         let v = json!({"zones": zones, "tiers": [], "services": services, "canary_percent": 8, "bake_ms": 0,
             "release": self.release, "paths": paths});
         let mut e = DeflateEncoder::new(Vec::new(), Compression::best());
-        e.write_all(v.to_string().as_bytes()).and_then(|()| e.finish()).unwrap_or_default()
+        e.write_all(v.to_string().as_bytes())
+            .and_then(|()| e.finish())
+            .unwrap_or_default()
     }
     /// Writes the next spec at a control daemon; gives its bytes as kept.
     pub fn write_spec(&mut self) -> usize {
         let v = self.spec();
         let n = v.len();
-        let (now, i) = (self.now, (0..CONTROLS).find(|i| self.controls[*i].brain.is_some()).unwrap_or(0));
-        let out = self.controls[i].brain.as_mut().map(|b| b.write(SPEC_KEY, Expect::Any, v, now).1);
+        let (now, i) = (
+            self.now,
+            (0..CONTROLS)
+                .find(|i| self.controls[*i].brain.is_some())
+                .unwrap_or(0),
+        );
+        let out = self.controls[i]
+            .brain
+            .as_mut()
+            .map(|b| b.write(SPEC_KEY, Expect::Any, v, now).1);
         self.carry((Role::Control, i), out.unwrap_or_default());
         n
     }
@@ -283,7 +349,9 @@
     }
 
     fn post(&mut self, me: Id, to: &Name, msg: Message) {
-        let Some(there) = self.addrs.get(to).copied() else { return };
+        let Some(there) = self.addrs.get(to).copied() else {
+            return;
+        };
         let kind = msg.name();
         let (from, addr) = self.label(me);
         let Ok(b) = encode(&Envelope { from, addr, msg }) else {
@@ -305,7 +373,11 @@
             return;
         }
         let ms = match () {
-            () if there == me || me.1 == there.1 && me.0 != Role::Control && there.0 != Role::Control => 0,
+            () if there == me
+                || me.1 == there.1 && me.0 != Role::Control && there.0 != Role::Control =>
+            {
+                0
+            }
             () if a == z => 1,
             () if ra == rz => 2,
             () => 35,
@@ -320,7 +392,10 @@
         }
         d.working = true;
         // Nobody starts again from these disks: only the time that they take counts.
-        let then = std::mem::take(&mut d.buffer).into_iter().flat_map(|b| b.1).collect();
+        let then = std::mem::take(&mut d.buffer)
+            .into_iter()
+            .flat_map(|b| b.1)
+            .collect();
         self.at(3, (Role::Control, i), Ev::Synced(then));
     }
 
@@ -328,12 +403,22 @@
         let now = self.now;
         match (me.0, ev) {
             (_, Ev::Deliver(b)) => {
-                let Ok(e) = decode(&b[4..]) else { return self.faults += 1 };
+                let Ok(e) = decode(&b[4..]) else {
+                    return self.faults += 1;
+                };
                 let out = match me.0 {
-                    Role::Control => self.controls[me.1].brain.as_mut().map(|c| c.on_message(&e.from, &e.addr, e.msg, now)),
-                    Role::Agent => self.agents[me.1].brain.as_mut().map(|a| a.on_message(&e.from, &e.addr, e.msg, now)),
+                    Role::Control => self.controls[me.1]
+                        .brain
+                        .as_mut()
+                        .map(|c| c.on_message(&e.from, &e.addr, e.msg, now)),
+                    Role::Agent => self.agents[me.1]
+                        .brain
+                        .as_mut()
+                        .map(|a| a.on_message(&e.from, &e.addr, e.msg, now)),
                     Role::Proxy => {
-                        if let (Message::TableUpdate(m), Some(p)) = (e.msg, &mut self.proxies[me.1].brain) {
+                        if let (Message::TableUpdate(m), Some(p)) =
+                            (e.msg, &mut self.proxies[me.1].brain)
+                        {
                             p.on_board(m, now);
                         }
                         None
@@ -349,7 +434,9 @@
                 }
             }
             (Role::Control, Ev::List) => {
-                let Some(c) = &mut self.controls[me.1].brain else { return };
+                let Some(c) = &mut self.controls[me.1].brain else {
+                    return;
+                };
                 if c.holds_any_role(now) {
                     let n = self.list.len();
                     *self.meter.came.entry(Role::Control).or_default() += n as u64;
@@ -360,7 +447,9 @@
                 self.at(LIST_EVERY, me, Ev::List);
             }
             (Role::Control, Ev::Tick) => {
-                let Some(c) = &mut self.controls[me.1].brain else { return };
+                let Some(c) = &mut self.controls[me.1].brain else {
+                    return;
+                };
                 let mut out = c.tick(now);
                 out.extend(c.run_rollouts(now, now / 1_000));
                 self.carry(me, out);
@@ -376,9 +465,12 @@
                     self.next_hello[me.1] = now + HELLO_EVERY;
                     let hello = self.proxies[me.1].brain.as_ref().map(|p| p.news(now));
                     let agent = self.agents[me.1].addr.clone();
-                    hello.into_iter().for_each(|h| self.post(me, &agent, h.into()));
+                    hello
+                        .into_iter()
+                        .for_each(|h| self.post(me, &agent, h.into()));
                 }
-                let mean = self.size.rate() / self.size.edges as f64 * TICK_INTERVAL as f64 / 1_000.0;
+                let mean =
+                    self.size.rate() / self.size.edges as f64 * TICK_INTERVAL as f64 / 1_000.0;
                 if self.size.busy > 0 && self.rng.f64() < mean {
                     self.request(me.1);
                 }
@@ -386,7 +478,14 @@
             }
             (_, Ev::First(p)) => {
                 if let Some(b) = &mut self.proxies[me.1].brain {
-                    b.heard(&p, &Told { load: Some((20, 0, 128)), ..Told::default() }, now);
+                    b.heard(
+                        &p,
+                        &Told {
+                            load: Some((20, 0, 128)),
+                            ..Told::default()
+                        },
+                        now,
+                    );
                     b.first_piece(&p, now);
                 }
                 self.at(WHOLE_ANSWER - FIRST, me, Ev::End(p));
@@ -411,9 +510,13 @@
             parts: vec![(n as u64 + 1, 1_400), (self.rng.u64(..), 600)],
             ..Ask::default()
         };
-        let Some(p) = &mut self.proxies[i].brain else { return };
+        let Some(p) = &mut self.proxies[i].brain else {
+            return;
+        };
         self.requests.0 += 1;
-        let Ok(lane) = p.path(&ask.host, &ask.path, now) else { return self.requests.2 += 1 };
+        let Ok(lane) = p.path(&ask.host, &ask.path, now) else {
+            return self.requests.2 += 1;
+        };
         match p.pass(&lane, &ask, &[], now + lane.time_limit_ms, now) {
             Admit::Go(placed) => self.at(FIRST, (Role::Proxy, i), Ev::First(placed)),
             _ => self.requests.2 += 1,
@@ -434,7 +537,9 @@
                 *self.meter.cpu.entry(role).or_default() += t - since;
                 (role, since) = (r, t);
             }
-            let Some(ev) = self.events.remove(&n) else { continue };
+            let Some(ev) = self.events.remove(&n) else {
+                continue;
+            };
             self.handle((r, i), ev);
         }
         *self.meter.cpu.entry(role).or_default() += cpu() - since;
@@ -451,28 +556,58 @@
     }
     /// Edges that serve.
     pub fn ready(&self) -> usize {
-        self.proxies.iter().flatten_brains().filter(|p| p.ready(self.now)).count()
+        self.proxies
+            .iter()
+            .flatten_brains()
+            .filter(|p| p.ready(self.now))
+            .count()
     }
     /// Percent of the other edges that an agent takes for live, on the average.
     pub fn seen_live(&self) -> f64 {
-        let all = self.agents.iter().flatten_brains().map(|a| a.membership.live(EDGE_ROLE).count()).sum::<usize>();
+        let all = self
+            .agents
+            .iter()
+            .flatten_brains()
+            .map(|a| a.membership.live(EDGE_ROLE).count())
+            .sum::<usize>();
         let n = self.size.edges;
         all as f64 * 100.0 / (n * (n - 1)).max(1) as f64
     }
     pub fn reached(&self, version: u64) -> usize {
-        self.proxies.iter().flatten_brains().filter(|p| p.spec_version() >= version).count()
+        self.proxies
+            .iter()
+            .flatten_brains()
+            .filter(|p| p.spec_version() >= version)
+            .count()
     }
     pub fn version(&self) -> u64 {
-        self.controls.iter().flatten_brains().filter_map(|c| c.state_table().get(SPEC_KEY)).map(|c| c.version).max().unwrap_or(0)
+        self.controls
+            .iter()
+            .flatten_brains()
+            .filter_map(|c| c.state_table().get(SPEC_KEY))
+            .map(|c| c.version)
+            .max()
+            .unwrap_or(0)
     }
     pub fn voters(&self) -> usize {
-        self.controls.iter().flatten_brains().filter(|c| c.registers.voting).count()
+        self.controls
+            .iter()
+            .flatten_brains()
+            .filter(|c| c.registers.voting)
+            .count()
     }
 
     /// Bytes of the longest value besides the spec's.
     pub fn longest_value(&self) -> usize {
-        let rows = self.controls.iter().flatten_brains().flat_map(|c| c.state_table().entries());
-        rows.filter(|c| &*c.key != SPEC_KEY).map(|c| c.value.0.len()).max().unwrap_or(0)
+        let rows = self
+            .controls
+            .iter()
+            .flatten_brains()
+            .flat_map(|c| c.state_table().entries());
+        rows.filter(|c| &*c.key != SPEC_KEY)
+            .map(|c| c.value.0.len())
+            .max()
+            .unwrap_or(0)
     }
 
     /// Mean bytes on the heap of one daemon of each role: what is free once it is gone.
@@ -484,9 +619,15 @@
                 sums[r] = (sums[r].0 + before - held(), sums[r].1 + 1);
             }
         };
-        self.controls.iter_mut().for_each(|d| weigh(0, &mut || d.brain.take().is_some()));
-        self.agents.iter_mut().for_each(|d| weigh(1, &mut || d.brain.take().is_some()));
-        self.proxies.iter_mut().for_each(|d| weigh(2, &mut || d.brain.take().is_some()));
+        self.controls
+            .iter_mut()
+            .for_each(|d| weigh(0, &mut || d.brain.take().is_some()));
+        self.agents
+            .iter_mut()
+            .for_each(|d| weigh(1, &mut || d.brain.take().is_some()));
+        self.proxies
+            .iter_mut()
+            .for_each(|d| weigh(2, &mut || d.brain.take().is_some()));
         debug_assert_eq!(ROLES.len(), sums.len());
         sums.map(|(b, n)| b / n.max(1))
     }
--- a/coordination/src/claims.rs
+++ b/coordination/src/claims.rs
@@ -37,14 +37,18 @@
 /// A request id: random part, then `~name.born` for each holder.
 pub fn mint_request_id(random: u64, edges: Vec<Node>) -> String {
     let key = format!("{random:016x}");
-    let group = rendezvous_order(&key, edges, |n| &n.name).into_iter().take(CLAIM_HOLDERS);
+    let group = rendezvous_order(&key, edges, |n| &n.name)
+        .into_iter()
+        .take(CLAIM_HOLDERS);
     group.fold(key, |id, n| format!("{id}~{}.{:x}", n.name, n.incarnation))
 }
 
 /// The holders an id names; none if it is no id of ours.
 pub fn holders(id: &str) -> Option<Vec<ClaimHolder>> {
     let mut parts = id.split('~');
-    let r = parts.next().filter(|r| r.len() == 16 && r.bytes().all(|b| b.is_ascii_hexdigit()))?;
+    let r = parts
+        .next()
+        .filter(|r| r.len() == 16 && r.bytes().all(|b| b.is_ascii_hexdigit()))?;
     u64::from_str_radix(r, 16).ok()?;
     let v: Option<Vec<ClaimHolder>> = parts
         .map(|p| {
@@ -66,7 +70,10 @@
 
 impl ClaimGrants {
     pub fn new(began: Ms) -> Self {
-        ClaimGrants { started_at: began, ..ClaimGrants::default() }
+        ClaimGrants {
+            started_at: began,
+            ..ClaimGrants::default()
+        }
     }
 
     /// `me`: this edge and its life.
@@ -75,28 +82,45 @@
         // whose life is shorter than that may have forgotten a grant.
         let lived = now.saturating_sub(self.started_at);
         let named = if m.request.starts_with(CALLER_KEY_PREFIX) {
-            m.key_age_ms == 0 || m.key_age_ms + KEY_AGE_MARGIN < lived && m.key_age_ms < CLAIM_RETENTION
+            m.key_age_ms == 0
+                || m.key_age_ms + KEY_AGE_MARGIN < lived && m.key_age_ms < CLAIM_RETENTION
         } else {
-            holders(&m.request).is_some_and(|h| h.iter().any(|(n, b)| *n == me.name && *b == me.incarnation))
+            holders(&m.request)
+                .is_some_and(|h| h.iter().any(|(n, b)| *n == me.name && *b == me.incarnation))
         };
         let state = if !named {
-            out.push(log_event(events::CLAIM_ABSTAINED, to, m.request.to_string()));
+            out.push(log_event(
+                events::CLAIM_ABSTAINED,
+                to,
+                m.request.to_string(),
+            ));
             ABSTAINED
         } else {
             self.grant(&m, now)
         };
-        out.push(send(to, ClaimReply { token: m.token, state }));
+        out.push(send(
+            to,
+            ClaimReply {
+                token: m.token,
+                state,
+            },
+        ));
     }
 
     fn grant(&mut self, m: &Claim, now: Ms) -> u8 {
-        while self.by_age.front().is_some_and(|(t, _)| now.saturating_sub(*t) > CLAIM_RETENTION) {
+        while self
+            .by_age
+            .front()
+            .is_some_and(|(t, _)| now.saturating_sub(*t) > CLAIM_RETENTION)
+        {
             if let Some((_, r)) = self.by_age.pop_front() {
                 self.grants.remove(&r);
             }
         }
         let void = m.void != 0;
         let Some((round, voided, _)) = self.grants.get_mut(&m.request) else {
-            self.grants.insert(m.request.clone(), (m.attempt, void, now));
+            self.grants
+                .insert(m.request.clone(), (m.attempt, void, now));
             self.by_age.push_back((now, m.request.clone()));
             return GRANTED;
         };
@@ -131,13 +155,35 @@
 impl Claimer {
     /// Asks the id's holders, or every known edge for a caller's key. `edges`: all that are known, this one
     /// among them.
-    pub fn request(&mut self, proxy: &Name, m: &ClaimRequest, edges: &[Node], now: Ms, out: &mut Effects) {
+    pub fn request(
+        &mut self,
+        proxy: &Name,
+        m: &ClaimRequest,
+        edges: &[Node],
+        now: Ms,
+        out: &mut Effects,
+    ) {
         let proxy = (proxy.clone(), m.token);
         let by_key = m.request.starts_with(CALLER_KEY_PREFIX);
-        let all = || edges.iter().map(|n| (n.name.clone(), n.incarnation)).collect();
-        let h: Option<Vec<ClaimHolder>> = if by_key { Some(all()) } else { holders(&m.request) };
+        let all = || {
+            edges
+                .iter()
+                .map(|n| (n.name.clone(), n.incarnation))
+                .collect()
+        };
+        let h: Option<Vec<ClaimHolder>> = if by_key {
+            Some(all())
+        } else {
+            holders(&m.request)
+        };
         let Some(h) = h.filter(|h| !h.is_empty()) else {
-            out.push(send(&proxy.0, ClaimResult { token: proxy.1, state: ABSTAINED }));
+            out.push(send(
+                &proxy.0,
+                ClaimResult {
+                    token: proxy.1,
+                    state: ABSTAINED,
+                },
+            ));
             return;
         };
         self.last_token += 1;
@@ -184,11 +230,18 @@
         } else {
             undecided(a)
         };
-        self.pending.remove(&m.token).map(|a| (a.requester.0, a.requester.1, state))
+        self.pending
+            .remove(&m.token)
+            .map(|a| (a.requester.0, a.requester.1, state))
     }
 
     pub fn tick(&mut self, now: Ms) -> Vec<ClaimEnded> {
-        let late: Vec<u64> = self.pending.iter().filter(|(_, a)| a.deadline <= now).map(|(t, _)| *t).collect();
+        let late: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, a)| a.deadline <= now)
+            .map(|(t, _)| *t)
+            .collect();
         late.into_iter()
             .filter_map(|t| self.pending.remove(&t))
             .map(|a| (a.requester.0.clone(), a.requester.1, undecided(&a)))
@@ -198,7 +251,11 @@
 
 /// No majority: another round's claim is told, as that one may run.
 fn undecided(a: &PendingClaim) -> u8 {
-    if a.replies.values().any(|s| *s == HELD_BY_OTHER) { HELD_BY_OTHER } else { ABSTAINED }
+    if a.replies.values().any(|s| *s == HELD_BY_OTHER) {
+        HELD_BY_OTHER
+    } else {
+        ABSTAINED
+    }
 }
 
 #[cfg(test)]
--- a/coordination/src/claims/tests.rs
+++ b/coordination/src/claims/tests.rs
@@ -3,7 +3,13 @@
 use super::*;
 
 fn edges() -> Vec<Node> {
-    (0..6).map(|i| Node { name: format!("e{i}").into(), incarnation: 10 + i, ..Node::default() }).collect()
+    (0..6)
+        .map(|i| Node {
+            name: format!("e{i}").into(),
+            incarnation: 10 + i,
+            ..Node::default()
+        })
+        .collect()
 }
 
 /// Every schedule of two rounds, a void and a holder's restart: one round at most runs, and none after
@@ -14,8 +20,10 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let id: Name = mint_request_id(rng.u64(..), edges()).into();
         let names = holders(&id).unwrap();
-        let mut nodes: BTreeMap<Name, (Node, ClaimGrants)> =
-            edges().into_iter().map(|n| (n.name.clone(), (n, ClaimGrants::default()))).collect();
+        let mut nodes: BTreeMap<Name, (Node, ClaimGrants)> = edges()
+            .into_iter()
+            .map(|n| (n.name.clone(), (n, ClaimGrants::default())))
+            .collect();
         let mut asks: Vec<(u64, u8, Name)> = Vec::new();
         for (round, void) in [(1, 0), (2, 0), (3, 1)] {
             asks.extend(names.iter().map(|(n, _)| (round, void, n.clone())));
@@ -34,7 +42,13 @@
             h.on_claim(
                 node,
                 &"p".into(),
-                Claim { token: 0, request: id.clone(), attempt: round, void, key_age_ms: 0 },
+                Claim {
+                    token: 0,
+                    request: id.clone(),
+                    attempt: round,
+                    void,
+                    key_age_ms: 0,
+                },
                 5,
                 &mut out,
             );
@@ -60,12 +74,20 @@
         for round in 1..=3u64 {
             let now = first + round * 20_000;
             // Some holders restart between the tries.
-            held.iter_mut().filter(|_| rng.u8(..) < 40).for_each(|h| *h = ClaimGrants::new(now - 1_000));
+            held.iter_mut()
+                .filter(|_| rng.u8(..) < 40)
+                .for_each(|h| *h = ClaimGrants::new(now - 1_000));
             let age = if round == 1 { 0 } else { now - first };
             let mut granted = 0;
             for (n, h) in all.iter().zip(&mut held).filter(|_| rng.u8(..) < 200) {
                 let mut out = vec![];
-                let c = Claim { token: 0, request: "k:mine".into(), attempt: round, void: 0, key_age_ms: age };
+                let c = Claim {
+                    token: 0,
+                    request: "k:mine".into(),
+                    attempt: round,
+                    void: 0,
+                    key_age_ms: age,
+                };
                 h.on_claim(n, &"p".into(), c, now, &mut out);
                 granted += usize::from(out.iter().any(
                     |e| matches!(e, crate::Effect::Send { msg: wire_messages::Message::ClaimReply(c), .. } if c.state == GRANTED),
@@ -90,5 +112,8 @@
     ] {
         expect_that!(holders(id), none());
     }
-    expect_that!(holders("0123456789abcdef~a.b.1f"), some(eq(&vec![("a.b".into(), 0x1f)])));
+    expect_that!(
+        holders("0123456789abcdef~a.b.1f"),
+        some(eq(&vec![("a.b".into(), 0x1f)]))
+    );
 }
--- a/coordination/src/compressed.rs
+++ b/coordination/src/compressed.rs
@@ -32,7 +32,10 @@
     }
     let mut json = Vec::new();
     // A few bytes may unpack to any number.
-    let n = DeflateDecoder::new(&b[1..]).take(DECOMPRESSED_MAX_BYTES as u64 + 1).read_to_end(&mut json).ok()?;
+    let n = DeflateDecoder::new(&b[1..])
+        .take(DECOMPRESSED_MAX_BYTES as u64 + 1)
+        .read_to_end(&mut json)
+        .ok()?;
     if n > DECOMPRESSED_MAX_BYTES {
         return None;
     }
--- a/coordination/src/compressed/tests.rs
+++ b/coordination/src/compressed/tests.rs
@@ -20,8 +20,13 @@
         })
         .collect();
     let replicas = (0..replicas).map(id).collect();
-    r.groups =
-        vec![GroupRecord { role: GroupRole::Stable, version: "v1".into(), share_percent: 100, replicas, allow_unload: false }];
+    r.groups = vec![GroupRecord {
+        role: GroupRole::Stable,
+        version: "v1".into(),
+        share_percent: 100,
+        replicas,
+        allow_unload: false,
+    }];
     r
 }
 
@@ -31,7 +36,10 @@
         let r = record(n);
         let b = encode(&r).unwrap();
         expect_that!(decode::<RolloutRecord>(&b), some(eq(&r)));
-        expect_that!(b[0] == COMPRESSED_MARK, eq(serde_json::to_vec(&r).unwrap().len() >= COMPRESSION_THRESHOLD_BYTES));
+        expect_that!(
+            b[0] == COMPRESSED_MARK,
+            eq(serde_json::to_vec(&r).unwrap().len() >= COMPRESSION_THRESHOLD_BYTES)
+        );
     }
     // What an earlier build wrote is read too.
     let long = serde_json::to_vec(&record(3_000)).unwrap();
@@ -44,7 +52,10 @@
 fn a_record_of_three_thousand_replicas_reaches_an_edge_in_a_tenth_of_the_time_that_a_frame_has() {
     // Bytes that a link of 10 Mbit/s carries in 100 ms.
     const TENTH: usize = 125_000;
-    expect_that!(serde_json::to_vec(&record(3_000)).unwrap().len(), gt(3 * TENTH));
+    expect_that!(
+        serde_json::to_vec(&record(3_000)).unwrap().len(),
+        gt(3 * TENTH)
+    );
     expect_that!(encode(&record(3_000)).unwrap().len(), lt(TENTH));
 }
 
--- a/coordination/src/context/decide.rs
+++ b/coordination/src/context/decide.rs
@@ -71,27 +71,64 @@
 
 /// The next record. It differs from the old one only where that is worth it.
 pub fn decide(old: &ContextRecord, i: &Inputs) -> ContextRecord {
-    let next = ContextRecord { service: old.service.clone(), version: i.version.into(), parts: vec![] };
+    let next = ContextRecord {
+        service: old.service.clone(),
+        version: i.version.into(),
+        parts: vec![],
+    };
     if !i.spec.on || i.version.is_empty() {
         return next;
     }
     // Copies for another version hold nothing that this one could use.
     let stood: BTreeMap<(&str, u64), &StandingPart> = match old.version == i.version {
-        true => old.parts.iter().map(|p| ((p.region.as_str(), p.chain), p)).collect(),
+        true => old
+            .parts
+            .iter()
+            .map(|p| ((p.region.as_str(), p.chain), p))
+            .collect(),
         false => BTreeMap::new(),
     };
-    let mut wanted: Vec<Wanted> = i.asked.iter().filter_map(|((r, c), a)| want(r, c, a, &stood, i)).collect();
+    let mut wanted: Vec<Wanted> = i
+        .asked
+        .iter()
+        .filter_map(|((r, c), a)| want(r, c, a, &stood, i))
+        .collect();
     let told: BTreeSet<(&str, u64)> = i.asked.keys().map(|(r, c)| (r.as_str(), c.chain)).collect();
     if i.young {
-        wanted.extend(stood.iter().filter(|(k, _)| !told.contains(*k)).map(|(k, p)| {
-            let chain = Chain { version: number(i.version), homes: p.homes, chain: p.chain, tokens: p.tokens };
-            Wanted { region: k.0, chain, asked: 0.0, worth: 1.0, old: Some(p) }
-        }));
+        wanted.extend(
+            stood
+                .iter()
+                .filter(|(k, _)| !told.contains(*k))
+                .map(|(k, p)| {
+                    let chain = Chain {
+                        version: number(i.version),
+                        homes: p.homes,
+                        chain: p.chain,
+                        tokens: p.tokens,
+                    };
+                    Wanted {
+                        region: k.0,
+                        chain,
+                        asked: 0.0,
+                        worth: 1.0,
+                        old: Some(p),
+                    }
+                }),
+        );
     }
     // The most worth first; what stands goes before what would have to be read.
     wanted.sort_by(|a, b| {
-        let by = |w: &Wanted| w.worth * if w.old.is_some() { 1.0 / GIVE_BACK_PART } else { 1.0 };
-        by(b).total_cmp(&by(a)).then_with(|| (a.chain, a.region).cmp(&(b.chain, b.region)))
+        let by = |w: &Wanted| {
+            w.worth
+                * if w.old.is_some() {
+                    1.0 / GIVE_BACK_PART
+                } else {
+                    1.0
+                }
+        };
+        by(b)
+            .total_cmp(&by(a))
+            .then_with(|| (a.chain, a.region).cmp(&(b.chain, b.region)))
     });
     let room = i.cache_tokens * u64::from(i.spec.share_percent) / 100;
     let mut used: BTreeMap<&str, u64> = BTreeMap::new();
@@ -127,29 +164,54 @@
     let old = stood.get(&(r, c.chain)).copied();
     let worth = worth(c, a);
     let least = if old.is_some() { GIVE_BACK_PART } else { 1.0 };
-    (worth >= least).then_some(Wanted { region: r, chain: *c, asked: a.asked, worth, old })
+    (worth >= least).then_some(Wanted {
+        region: r,
+        chain: *c,
+        asked: a.asked,
+        worth,
+        old,
+    })
 }
 
 /// Whether a region may have a copy: inside the homes, and not where the chain has its one place anyway.
 fn may_stand(region: &str, c: &Chain, i: &Inputs) -> bool {
-    let Some(homes) = i.homes.get(&c.homes) else { return false };
+    let Some(homes) = i.homes.get(&c.homes) else {
+        return false;
+    };
     let home = |r: &str| homes.is_empty() || homes.iter().any(|h| h == r);
     let all = i
         .replicas
         .iter()
         .filter(|r| r.version == i.version)
-        .map(|r| (rendezvous_weight_of(c.chain, number(&r.id)), (i.region)(&r.zone)))
+        .map(|r| {
+            (
+                rendezvous_weight_of(c.chain, number(&r.id)),
+                (i.region)(&r.zone),
+            )
+        })
         .filter(|r| home(&r.1));
     home(region) && all.max().is_some_and(|(_, first)| first != region)
 }
 
 /// Replicas for a copy: those it stands on first, then by the chain's agreed order, as far as there is room.
-fn place<'a>(w: &Wanted, i: &Inputs<'a>, room: u64, used: &mut BTreeMap<&'a str, u64>) -> Vec<String> {
+fn place<'a>(
+    w: &Wanted,
+    i: &Inputs<'a>,
+    room: u64,
+    used: &mut BTreeMap<&'a str, u64>,
+) -> Vec<String> {
     let copies = 1 + (w.asked / COPY_ASKS) as usize;
     let stands = |r: &PlacedReplica| w.old.is_some_and(|o| o.replicas.contains(&r.id));
-    let may = |r: &&PlacedReplica| r.version == i.version && (i.region)(&r.zone) == w.region && (!r.cold || stands(r));
+    let may = |r: &&PlacedReplica| {
+        r.version == i.version && (i.region)(&r.zone) == w.region && (!r.cold || stands(r))
+    };
     let mut all: Vec<&PlacedReplica> = i.replicas.iter().filter(may).collect();
-    all.sort_by_key(|r| std::cmp::Reverse((stands(r), rendezvous_weight_of(w.chain.chain, number(&r.id)))));
+    all.sort_by_key(|r| {
+        std::cmp::Reverse((
+            stands(r),
+            rendezvous_weight_of(w.chain.chain, number(&r.id)),
+        ))
+    });
     let tokens = u64::from(w.chain.tokens);
     let mut got = vec![];
     for r in all {
--- a/coordination/src/context/demand.rs
+++ b/coordination/src/context/demand.rs
@@ -41,7 +41,12 @@
 
 impl Default for Demand {
     fn default() -> Self {
-        Demand { asked: FilteredSpaceSaving::new(DEMAND_CHAINS), missed: BTreeMap::new(), decayed: 0, told: 0 }
+        Demand {
+            asked: FilteredSpaceSaving::new(DEMAND_CHAINS),
+            missed: BTreeMap::new(),
+            decayed: 0,
+            told: 0,
+        }
     }
 }
 
@@ -55,7 +60,11 @@
         self.decay(now);
         *self.missed.entry(c).or_default() += ASK_UNIT as f64;
         if self.missed.len() > DEMAND_CHAINS {
-            let least = self.missed.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|m| *m.0);
+            let least = self
+                .missed
+                .iter()
+                .min_by(|a, b| a.1.total_cmp(b.1))
+                .map(|m| *m.0);
             least.map(|c| self.missed.remove(&c));
         }
     }
@@ -80,8 +89,12 @@
     pub fn tell(&mut self, now: Ms) -> Vec<ChainDemand> {
         self.told = now;
         self.decay(now);
-        let mut all: Vec<(Chain, u64, u64)> =
-            self.asked.iter().map(|(c, e)| (*c, e.estimated_count(), e.associated_error())).filter(|c| c.1 > c.2).collect();
+        let mut all: Vec<(Chain, u64, u64)> = self
+            .asked
+            .iter()
+            .map(|(c, e)| (*c, e.estimated_count(), e.associated_error()))
+            .filter(|c| c.1 > c.2)
+            .collect();
         // Of as many asks the lower number first, so that telling is the same everywhere.
         all.sort_unstable_by_key(|(c, n, e)| (std::cmp::Reverse(n - e), *c));
         all.truncate(DEMAND_TOLD);
@@ -110,15 +123,25 @@
         self.by.insert(edge.clone(), (now, all));
     }
     /// Sums by region and chain. Only what is sure counts: an estimate's error never makes a copy.
-    pub fn sums(&mut self, region: &dyn Fn(&Name) -> Option<String>, now: Ms) -> BTreeMap<(String, Chain), Asked> {
+    pub fn sums(
+        &mut self,
+        region: &dyn Fn(&Name) -> Option<String>,
+        now: Ms,
+    ) -> BTreeMap<(String, Chain), Asked> {
         self.by.retain(|_, t| now.saturating_sub(t.0) < DEMAND_OLD);
         let mut sums: BTreeMap<(String, Chain), Asked> = BTreeMap::new();
         for (edge, (at, all)) in &self.by {
             let Some(r) = region(edge) else { continue };
             // What was told a while ago has decayed since.
-            let f = 0.5f64.powf(now.saturating_sub(*at) as f64 / DEMAND_HALF as f64) / ASK_UNIT as f64;
+            let f =
+                0.5f64.powf(now.saturating_sub(*at) as f64 / DEMAND_HALF as f64) / ASK_UNIT as f64;
             for p in all {
-                let c = Chain { version: p.weights_version, homes: p.homes_digest, chain: p.chain, tokens: p.tokens };
+                let c = Chain {
+                    version: p.weights_version,
+                    homes: p.homes_digest,
+                    chain: p.chain,
+                    tokens: p.tokens,
+                };
                 let s = sums.entry((r.clone(), c)).or_default();
                 s.asked += f64::from(p.requests.saturating_sub(p.overcount)) * f;
                 s.missed += f64::from(p.cache_misses) * f;
--- a/coordination/src/context/mod.rs
+++ b/coordination/src/context/mod.rs
@@ -30,5 +30,9 @@
 pub fn homes(all: &[String]) -> u64 {
     let mut all: Vec<&str> = all.iter().map(String::as_str).collect();
     all.sort_unstable();
-    if all.is_empty() { 0 } else { number(&all.join(" ")).max(1) }
+    if all.is_empty() {
+        0
+    } else {
+        number(&all.join(" ")).max(1)
+    }
 }
--- a/coordination/src/context/standing.rs
+++ b/coordination/src/context/standing.rs
@@ -21,8 +21,16 @@
 impl Standing {
     pub fn set(&mut self, r: &ContextRecord, region: &str) {
         let here = r.parts.iter().filter(|p| p.region == region);
-        let chains = here.map(|p| (p.chain, p.replicas.iter().map(|id| number(id)).collect())).collect();
-        self.services.insert(r.service.clone(), Copies { version: r.version.clone(), chains });
+        let chains = here
+            .map(|p| (p.chain, p.replicas.iter().map(|id| number(id)).collect()))
+            .collect();
+        self.services.insert(
+            r.service.clone(),
+            Copies {
+                version: r.version.clone(),
+                chains,
+            },
+        );
     }
     pub fn unset(&mut self, service: &str) {
         self.services.remove(service);
@@ -34,6 +42,8 @@
     /// Replicas here on which a chain stands ready, and for which version of weights.
     pub fn stands(&self, service: &str, chain: u64) -> Option<(&str, &[u64])> {
         let c = self.services.get(service)?;
-        c.chains.get(&chain).map(|r| (c.version.as_str(), r.as_slice()))
+        c.chains
+            .get(&chain)
+            .map(|r| (c.version.as_str(), r.as_slice()))
     }
 }
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -7,13 +7,14 @@
 };
 
 use remote_calls::{
-    ContextRecord, EdgeStatus, GroupRecord, GroupRole, Health as HealthAnswer, KeyStatus, KeyVersion, MemberStatus, OrderAction,
-    PlatformList, PlatformReplica, ReleasePlan, ReplicaReport, RolloutRecord, ServiceMode, ServiceSpec, Spec, Status, ZoneState,
-    ZoneStreams,
+    ContextRecord, EdgeStatus, GroupRecord, GroupRole, Health as HealthAnswer, KeyStatus,
+    KeyVersion, MemberStatus, OrderAction, PlatformList, PlatformReplica, ReleasePlan,
+    ReplicaReport, RolloutRecord, ServiceMode, ServiceSpec, Spec, Status, ZoneState, ZoneStreams,
 };
 use wire_messages::{
-    Blob, Bootstrap, Change, ContextDemand, ForwardOutcome, ForwardReply, ForwardRequest, Heartbeat, Lease, List, Message, Name,
-    Node, OutcomeCounters, PeerState, Poll, Precondition, SlotsReply, SlotsRequest, Update, Voter,
+    Blob, Bootstrap, Change, ContextDemand, ForwardOutcome, ForwardReply, ForwardRequest,
+    Heartbeat, Lease, List, Message, Name, Node, OutcomeCounters, PeerState, Poll, Precondition,
+    SlotsReply, SlotsRequest, Update, Voter,
 };
 
 use crate::{
@@ -229,7 +230,8 @@
         regs.set_addr(&p.name, &p.addr);
         regs.spec_parser = p.spec_parser;
         // Kept on disk: a founder that is started again is no longer told that it founds, nor with whom.
-        let marked = regs.member_epoch == 0 && regs.voters.is_empty() && p.bootstrap && p.members.is_empty();
+        let marked =
+            regs.member_epoch == 0 && regs.voters.is_empty() && p.bootstrap && p.members.is_empty();
         if marked {
             regs.bootstrap_with(&p.seeds);
         }
@@ -300,7 +302,13 @@
 
     /// Reads the operator's document: once a change, as it may be long.
     fn read_spec(&mut self) {
-        let Some(c) = self.state_table.get(SPEC_KEY).filter(|c| !c.value.0.is_empty()) else { return };
+        let Some(c) = self
+            .state_table
+            .get(SPEC_KEY)
+            .filter(|c| !c.value.0.is_empty())
+        else {
+            return;
+        };
         self.spec = (self.config.spec_parser)(&c.value.0).map(Arc::new);
     }
 
@@ -335,17 +343,24 @@
     }
 
     fn kill_switch_on(&self) -> bool {
-        self.state_table.read::<bool>(KILL_SWITCH_KEY).unwrap_or(false)
+        self.state_table
+            .read::<bool>(KILL_SWITCH_KEY)
+            .unwrap_or(false)
     }
 
     /// Reads records and plans once a change: they are looked at for every agent and every pass.
     fn parse_rollout(&mut self, c: &Change) {
         if let Some(s) = c.key.strip_prefix(ROLLOUT_PREFIX) {
             self.records.remove(s);
-            self.records.extend(compressed::decode(&c.value.0).map(|r| (s.to_string(), Arc::new(r))));
+            self.records
+                .extend(compressed::decode(&c.value.0).map(|r| (s.to_string(), Arc::new(r))));
         } else if let Some(s) = c.key.strip_prefix(PLAN_PREFIX) {
             self.plans.remove(s);
-            self.plans.extend(serde_json::from_slice(&c.value.0).ok().map(|p| (s.to_string(), (c.version, p))));
+            self.plans.extend(
+                serde_json::from_slice(&c.value.0)
+                    .ok()
+                    .map(|p| (s.to_string(), (c.version, p))),
+            );
         }
     }
 
@@ -356,7 +371,9 @@
         let mut done = Effects::new();
         for e in out {
             match e {
-                Effect::WriteFinished { token, outcome } => self.route_outcome(token, outcome, now, &mut done),
+                Effect::WriteFinished { token, outcome } => {
+                    self.route_outcome(token, outcome, now, &mut done)
+                }
                 e => done.push(e),
             }
         }
@@ -366,7 +383,8 @@
     pub fn tick(&mut self, now: Ms) -> Effects {
         let awake = !self.was_suspended(now);
         self.last_tick = now;
-        self.fleet_contact.observe(awake && self.hears_voter_majority(now), now);
+        self.fleet_contact
+            .observe(awake && self.hears_voter_majority(now), now);
         let mut out = Vec::new();
         self.tick_time = now;
         self.membership.tick(now, &mut out);
@@ -374,7 +392,10 @@
             self.registers.set_addr(&n.name, &n.addr);
         }
         if std::mem::take(&mut self.bootstrap_unsaved) {
-            out.push(Effect::Persist { rows: vec![self.registers.members_row()], then: vec![] });
+            out.push(Effect::Persist {
+                rows: vec![self.registers.members_row()],
+                then: vec![],
+            });
         }
         self.send_heartbeats(now, &mut out);
         self.introduce(now, &mut out);
@@ -386,7 +407,10 @@
                 .iter()
                 .flat_map(|v| {
                     let on = v.context.as_ref().is_some_and(|c| c.on);
-                    [Some(format!("{ROLLOUT_PREFIX}{}", v.name)), on.then(|| format!("{CONTEXT_PREFIX}{}", v.name))]
+                    [
+                        Some(format!("{ROLLOUT_PREFIX}{}", v.name)),
+                        on.then(|| format!("{CONTEXT_PREFIX}{}", v.name)),
+                    ]
                 })
                 .flatten()
                 .map(Name)
@@ -398,12 +422,15 @@
         self.select_services(now, &live);
         self.change_voters(now, &live, &mut out);
         self.detect_stalled_loops(now, &live, &mut out);
-        self.forwards_seen.retain(|_, t| now.saturating_sub(*t) < 2 * FORWARD_TIMEOUT);
+        self.forwards_seen
+            .retain(|_, t| now.saturating_sub(*t) < 2 * FORWARD_TIMEOUT);
         self.unconditional_writes.retain(|_, o| o.is_awaited(now));
         self.retry_forwarded(now, &mut out);
         let need = self.registers.voters.len() / 2;
         let was = self.is_settled;
-        self.is_settled = self.registers.voting && self.compared_with.len() >= need && self.registers.all_committed();
+        self.is_settled = self.registers.voting
+            && self.compared_with.len() >= need
+            && self.registers.all_committed();
         // Once compared, a write under way does not unsettle: it is this life's own news.
         self.is_settled |= was && self.registers.voting;
         if self.is_settled && !was {
@@ -427,8 +454,14 @@
                 continue;
             }
             let at = *self.loop_ran_at.entry(s.name.clone()).or_insert(now);
-            if now.saturating_sub(at) > ROLLOUT_STALLED_AFTER && self.stalled_loops.insert(s.name.clone()) {
-                out.push(log_event(events::LOOP_RESTS, &s.name, format!("{} ms", now - at)));
+            if now.saturating_sub(at) > ROLLOUT_STALLED_AFTER
+                && self.stalled_loops.insert(s.name.clone())
+            {
+                out.push(log_event(
+                    events::LOOP_RESTS,
+                    &s.name,
+                    format!("{} ms", now - at),
+                ));
             }
         }
     }
@@ -444,7 +477,9 @@
             (0, _) => PeerState::Blank,
             (_, true) if self.disk_healthy => PeerState::Voter,
             _ if self.is_listed_voter() => PeerState::CatchingUp,
-            _ if self.started_blank && now.saturating_sub(self.started_at) < JOINER_WINDOW => PeerState::Joiner,
+            _ if self.started_blank && now.saturating_sub(self.started_at) < JOINER_WINDOW => {
+                PeerState::Joiner
+            }
             _ => PeerState::Learner,
         };
         let zone = self.config.zone.clone();
@@ -455,9 +490,18 @@
             state,
             committed_digest: self.registers.committed_digest(),
         };
-        let fresh = || self.peers.iter().filter(|(_, p)| now.saturating_sub(p.heard_at) <= NODE_TIMEOUT);
+        let fresh = || {
+            self.peers
+                .iter()
+                .filter(|(_, p)| now.saturating_sub(p.heard_at) <= NODE_TIMEOUT)
+        };
         let votes = |n: &Name| self.registers.voters.iter().any(|v| v.name == *n);
-        let mut to: BTreeSet<Name> = self.registers.voters.iter().map(|v| self.registers.addr(v)).collect();
+        let mut to: BTreeSet<Name> = self
+            .registers
+            .voters
+            .iter()
+            .map(|v| self.registers.addr(v))
+            .collect();
         // Daemons that stand by have nothing to tell each other.
         if self.registers.voting || self.registers.member_epoch == 0 {
             to.extend(self.membership.live(CONTROL_ROLE).map(|n| n.addr.clone()));
@@ -469,11 +513,15 @@
         }
         to.remove(&self.config.addr);
         out.extend(to.iter().map(|a| send(a, b.clone())));
-        self.registers.followers = fresh().filter(|(n, _)| !votes(n)).map(|(_, p)| p.addr.clone()).collect();
+        self.registers.followers = fresh()
+            .filter(|(n, _)| !votes(n))
+            .map(|(_, p)| p.addr.clone())
+            .collect();
     }
 }
 
 /// Whether a zone is evacuated, by a board.
 pub fn evacuated(b: &StateTable, zone: &str) -> bool {
-    b.read::<ZoneState>(&format!("{ZONE_PREFIX}{zone}")).is_some_and(|z| z.evacuated)
+    b.read::<ZoneState>(&format!("{ZONE_PREFIX}{zone}"))
+        .is_some_and(|z| z.evacuated)
 }
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -29,37 +29,57 @@
             let stands = self.state_table.get(&key).filter(|c| !c.value.0.is_empty());
             let on = s.context.as_ref().filter(|c| c.on);
             let held = self.registers.held_until(&key, now).is_some()
-                && self.registers.held_until(&format!("{ROLLOUT_PREFIX}{}", s.name), now).is_some();
+                && self
+                    .registers
+                    .held_until(&format!("{ROLLOUT_PREFIX}{}", s.name), now)
+                    .is_some();
             let (Some(on), true) = (on, held) else {
                 self.context_roles.remove(&s.name);
                 // Switched off: nothing stands any more.
-                if let Some(c) = stands.filter(|_| held && !self.registers.has_pending_writes(&key)) {
+                if let Some(c) = stands.filter(|_| held && !self.registers.has_pending_writes(&key))
+                {
                     let e = Expect::Version(c.version);
-                    self.registers.propose(NO_CALLER, &key, e, Blob::default(), now, out);
+                    self.registers
+                        .propose(NO_CALLER, &key, e, Blob::default(), now, out);
                     out.push(log_event(events::CONTEXT_OFF, &s.name, ""));
                 }
                 continue;
             };
             let d = self.context_roles.entry(s.name.clone()).or_insert_with(|| {
                 out.push(log_event(events::CONTEXT_DUTY, &s.name, ""));
-                ContextRole { held_since: now, written_at: 0, demand: Demands::default() }
+                ContextRole {
+                    held_since: now,
+                    written_at: 0,
+                    demand: Demands::default(),
+                }
             });
-            if now < d.written_at + CONTEXT_WRITE_INTERVAL || self.registers.has_pending_writes(&key) {
+            if now < d.written_at + CONTEXT_WRITE_INTERVAL
+                || self.registers.has_pending_writes(&key)
+            {
                 continue;
             }
-            let Some(r) = self.records.get(&s.name) else { continue };
+            let Some(r) = self.records.get(&s.name) else {
+                continue;
+            };
             let region_of = |z: &str| regions::region_of(&self.config.regions, z).to_string();
             let edge = |n: &Name| self.followers.get(n).map(|a| region_of(&a.node.zone));
             let asked = d.demand.sums(&edge, now);
             let used: BTreeSet<&String> = r.groups.iter().flat_map(|g| &g.replicas).collect();
             let may = |p: &&remote_calls::PlacedReplica| {
                 used.contains(&p.id)
-                    && self.state_table.get(&format!("{DRAINING_PREFIX}{}", p.id)).is_none_or(|c| c.value.0.is_empty())
+                    && self
+                        .state_table
+                        .get(&format!("{DRAINING_PREFIX}{}", p.id))
+                        .is_none_or(|c| c.value.0.is_empty())
                     && !evacuated(&self.state_table, &p.zone)
             };
             let replicas: Vec<_> = r.replicas.iter().filter(may).cloned().collect();
-            let lanes = spec.paths.iter().filter(|p| p.split.iter().any(|x| x.service == s.name));
-            let homes: BTreeMap<u64, Vec<String>> = lanes.map(|p| (homes(&p.homes), p.homes.clone())).collect();
+            let lanes = spec
+                .paths
+                .iter()
+                .filter(|p| p.split.iter().any(|x| x.service == s.name));
+            let homes: BTreeMap<u64, Vec<String>> =
+                lanes.map(|p| (homes(&p.homes), p.homes.clone())).collect();
             let i = context::Inputs {
                 spec: on,
                 cache_tokens: s.engine.as_ref().map_or(0, |e| e.cache_tokens),
@@ -71,14 +91,25 @@
                 young: now.saturating_sub(d.held_since) < DEMAND_OLD,
             };
             let old: Option<ContextRecord> = stands.and_then(|c| compressed::decode(&c.value.0));
-            let none = || ContextRecord { service: s.name.clone(), version: r.stable.clone(), parts: vec![] };
+            let none = || ContextRecord {
+                service: s.name.clone(),
+                version: r.stable.clone(),
+                parts: vec![],
+            };
             let next = context::decide(old.as_ref().unwrap_or(&none()), &i);
-            let Some(v) = compressed::encode(&next).filter(|_| old.as_ref() != Some(&next)) else { continue };
+            let Some(v) = compressed::encode(&next).filter(|_| old.as_ref() != Some(&next)) else {
+                continue;
+            };
             d.written_at = now;
             let (was, n) = (old.map_or(0, |o| o.parts.len()), next.parts.len());
-            out.push(log_event(events::CONTEXT_MOVED, &s.name, format!("{was} to {n} copies")));
+            out.push(log_event(
+                events::CONTEXT_MOVED,
+                &s.name,
+                format!("{was} to {n} copies"),
+            ));
             let e = Expect::Version(self.state_table.get(&key).map_or(0, |c| c.version));
-            self.registers.propose(NO_CALLER, &key, e, Blob(v), now, out);
+            self.registers
+                .propose(NO_CALLER, &key, e, Blob(v), now, out);
         }
     }
 }
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -80,8 +80,14 @@
 
 impl Unreachable {
     fn among(edges: &[ServingEdge]) -> Self {
-        let silent = edges.iter().filter(|e| e.unheard_for > UNREACHABLE_EDGE_AFTER).count();
-        Unreachable { edges: silent, longest_ms: edges.iter().map(|e| e.unheard_for).max().unwrap_or(0) }
+        let silent = edges
+            .iter()
+            .filter(|e| e.unheard_for > UNREACHABLE_EDGE_AFTER)
+            .count();
+        Unreachable {
+            edges: silent,
+            longest_ms: edges.iter().map(|e| e.unheard_for).max().unwrap_or(0),
+        }
     }
 }
 
@@ -147,28 +153,53 @@
 
     /// Whether it is to be logged that an answer names silent edges.
     fn unreachable_log_due(&mut self, silent: Unreachable, now: Ms) -> bool {
-        silent.edges > 0 && is_due(&mut self.unreachable_logged_at, UNREACHABLE_LOG_INTERVAL, now)
+        silent.edges > 0
+            && is_due(
+                &mut self.unreachable_logged_at,
+                UNREACHABLE_LOG_INTERVAL,
+                now,
+            )
     }
 
     /// Whether it is to be logged how far a region's callers are sent: a region with one edge is so for ever.
     fn distant_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
-        is_due(self.distant_logged_at.entry((region.into(), reach)).or_default(), DISTANT_LOG_INTERVAL, now)
+        is_due(
+            self.distant_logged_at
+                .entry((region.into(), reach))
+                .or_default(),
+            DISTANT_LOG_INTERVAL,
+            now,
+        )
     }
 }
 
 impl Control {
     /// Addresses of edges for a caller: near ones first, but never only one of many, as that one may just have gone.
     /// Beyond its region only where the host's routes may be carried, however few edges serve.
-    pub fn resolve(&mut self, caller: Caller, now: Ms) -> (Result<Resolution, Unresolved>, Effects) {
+    pub fn resolve(
+        &mut self,
+        caller: Caller,
+        now: Ms,
+    ) -> (Result<Resolution, Unresolved>, Effects) {
         let answer = self.edges_for(caller, now);
         self.resolution_counts.count(&answer);
         let reach = answer.as_ref().ok().map(|r| r.reach);
         let is_far = reach.is_none_or(|r| r > Reach::Region) && answer != Err(Unresolved::Starting);
         // A region that no zone is in is a caller's mistake, of which there may be any number.
         let is_known = self.config.regions.values().any(|r| r == caller.region);
-        let log = is_far && is_known && self.resolution_counts.distant_log_due(caller.region, reach, now);
-        let mut effects = if log { vec![self.log_distant(caller, &answer, now)] } else { vec![] };
-        let silent = answer.as_ref().map_or(Unreachable::default(), |r| r.unreachable);
+        let log = is_far
+            && is_known
+            && self
+                .resolution_counts
+                .distant_log_due(caller.region, reach, now);
+        let mut effects = if log {
+            vec![self.log_distant(caller, &answer, now)]
+        } else {
+            vec![]
+        };
+        let silent = answer
+            .as_ref()
+            .map_or(Unreachable::default(), |r| r.unreachable);
         if self.resolution_counts.unreachable_log_due(silent, now) {
             effects.push(self.log_unreachable(caller, silent, now));
         }
@@ -176,31 +207,62 @@
     }
 
     fn log_unreachable(&self, caller: Caller, silent: Unreachable, now: Ms) -> Effect {
-        let polled = self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= NODE_TIMEOUT).count();
+        let polled = self
+            .followers
+            .values()
+            .filter(|a| now.saturating_sub(a.polled_at) <= NODE_TIMEOUT)
+            .count();
         let live = self.membership.live(EDGE_ROLE).count();
-        let Unreachable { edges, longest_ms: longest } = silent;
+        let Unreachable {
+            edges,
+            longest_ms: longest,
+        } = silent;
         let text = format!("edges={edges} longest_ms={longest} polled={polled} live={live}");
         log_event(events::SILENT_EDGES_NAMED, caller.region, text)
     }
 
     /// How long ago an edge was last heard of, by its own polls or by gossip.
     fn unheard_for(&self, edge: &Node, now: Ms) -> Ms {
-        let by_poll = self.followers.get(&edge.name).map(|a| now.saturating_sub(a.polled_at));
+        let by_poll = self
+            .followers
+            .get(&edge.name)
+            .map(|a| now.saturating_sub(a.polled_at));
         let by_gossip = self.membership.unheard_for(&edge.name, now);
-        by_poll.into_iter().chain(by_gossip).min().unwrap_or(Ms::MAX)
+        by_poll
+            .into_iter()
+            .chain(by_gossip)
+            .min()
+            .unwrap_or(Ms::MAX)
     }
 
-    fn log_distant(&self, caller: Caller, answer: &Result<Resolution, Unresolved>, now: Ms) -> Effect {
+    fn log_distant(
+        &self,
+        caller: Caller,
+        answer: &Result<Resolution, Unresolved>,
+        now: Ms,
+    ) -> Effect {
         let text = match answer {
-            Ok(r) => format!("host={} reach={} edges={}", caller.host, r.reach.name(), r.addresses.len()),
+            Ok(r) => format!(
+                "host={} reach={} edges={}",
+                caller.host,
+                r.reach.name(),
+                r.addresses.len()
+            ),
             Err(_) => format!("host={} reach=none", caller.host),
         };
         let mut near: BTreeMap<&str, u32> = BTreeMap::new();
         for edge in self.serving_edges(now) {
             *near.entry(self.region_of(edge)).or_default() += 1;
         }
-        let serving: Vec<String> = near.iter().map(|(region, n)| format!("{region}:{n}")).collect();
-        log_event(events::CALLERS_SENT_FAR, caller.region, format!("{text} serving={}", serving.join(",")))
+        let serving: Vec<String> = near
+            .iter()
+            .map(|(region, n)| format!("{region}:{n}"))
+            .collect();
+        log_event(
+            events::CALLERS_SENT_FAR,
+            caller.region,
+            format!("{text} serving={}", serving.join(",")),
+        )
     }
 
     /// Edges that serve, as far as this daemon knows. All live edges poll a daemon that is in touch, so that it takes those
@@ -208,10 +270,22 @@
     /// and it goes by gossip, for no longer than it may be out of touch without a rule's leave.
     fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
         let in_touch = self.in_touch(now);
-        let most = if in_touch { NODE_TIMEOUT } else { self.config.bounds.contact };
-        let all = self.membership.known(EDGE_ROLE).filter(|n| !n.http_addr.is_empty());
+        let most = if in_touch {
+            NODE_TIMEOUT
+        } else {
+            self.config.bounds.contact
+        };
+        let all = self
+            .membership
+            .known(EDGE_ROLE)
+            .filter(|n| !n.http_addr.is_empty());
         let all = all.filter(|n| in_touch || self.membership.is_live(&n.name));
-        all.map(|node| ServingEdge { node, unheard_for: self.unheard_for(node, now) }).filter(|e| e.unheard_for <= most).collect()
+        all.map(|node| ServingEdge {
+            node,
+            unheard_for: self.unheard_for(node, now),
+        })
+        .filter(|e| e.unheard_for <= most)
+        .collect()
     }
 
     fn region_of<'a>(&'a self, edge: ServingEdge<'a>) -> &'a str {
@@ -223,39 +297,70 @@
             return Err(Unresolved::Starting);
         }
         let (edges, reach) = self.select_edges(caller, self.serving_edges(now));
-        let edges: Vec<ServingEdge> =
-            rendezvous_order(caller.host, edges, |e| &e.node.name).into_iter().take(MAX_ADDRESSES).collect();
+        let edges: Vec<ServingEdge> = rendezvous_order(caller.host, edges, |e| &e.node.name)
+            .into_iter()
+            .take(MAX_ADDRESSES)
+            .collect();
         if edges.is_empty() {
             return Err(Unresolved::NoEdge);
         }
         let silent = Unreachable::among(&edges);
         let addresses = edges.iter().map(|e| e.node.http_addr.to_string()).collect();
-        Ok(Resolution { addresses, reach, unreachable: silent })
+        Ok(Resolution {
+            addresses,
+            reach,
+            unreachable: silent,
+        })
     }
 
-    fn select_edges<'a>(&'a self, caller: Caller, all: Vec<ServingEdge<'a>>) -> (Vec<ServingEdge<'a>>, Reach) {
-        let zone: Vec<ServingEdge> = all.iter().filter(|e| &*e.node.zone == caller.zone).copied().collect();
+    fn select_edges<'a>(
+        &'a self,
+        caller: Caller,
+        all: Vec<ServingEdge<'a>>,
+    ) -> (Vec<ServingEdge<'a>>, Reach) {
+        let zone: Vec<ServingEdge> = all
+            .iter()
+            .filter(|e| &*e.node.zone == caller.zone)
+            .copied()
+            .collect();
         if zone.len() > 1 {
             return (zone, Reach::Zone);
         }
-        let (own, beyond): (Vec<ServingEdge>, Vec<ServingEdge>) =
-            all.into_iter().partition(|e| self.region_of(*e) == caller.region);
+        let (own, beyond): (Vec<ServingEdge>, Vec<ServingEdge>) = all
+            .into_iter()
+            .partition(|e| self.region_of(*e) == caller.region);
         if own.len() > 1 {
             return (own, Reach::Region);
         }
         // A body is not carried where it has no home for the sake of a choice, nor for the want of any edge.
         let homes = self.homes(caller.host);
-        let beyond = beyond.into_iter().filter(|e| homes.include(self.region_of(*e)));
-        let reach = if homes == Homes::Unbound { Reach::Fleet } else { Reach::Homes };
+        let beyond = beyond
+            .into_iter()
+            .filter(|e| homes.include(self.region_of(*e)));
+        let reach = if homes == Homes::Unbound {
+            Reach::Fleet
+        } else {
+            Reach::Homes
+        };
         (own.into_iter().chain(beyond).collect(), reach)
     }
 
     /// Regions in which all routes of a host may be carried. The directory is not asked for one route, so that each binds.
     fn homes(&self, host: &str) -> Homes<'_> {
-        let Some(spec) = &self.spec else { return Homes::Regions(BTreeSet::new()) };
+        let Some(spec) = &self.spec else {
+            return Homes::Regions(BTreeSet::new());
+        };
         let host = host_name(host);
-        let bound = spec.paths.iter().filter(|p| p.host.eq_ignore_ascii_case(host) && !p.homes.is_empty());
-        let homes = bound.map(|p| p.homes.iter().map(String::as_str).collect::<BTreeSet<&str>>());
+        let bound = spec
+            .paths
+            .iter()
+            .filter(|p| p.host.eq_ignore_ascii_case(host) && !p.homes.is_empty());
+        let homes = bound.map(|p| {
+            p.homes
+                .iter()
+                .map(String::as_str)
+                .collect::<BTreeSet<&str>>()
+        });
         let common = homes.reduce(|a, b| a.intersection(&b).copied().collect());
         common.map_or(Homes::Unbound, Homes::Regions)
     }
--- a/coordination/src/control/fleet_contact.rs
+++ b/coordination/src/control/fleet_contact.rs
@@ -21,7 +21,10 @@
 impl FleetContact {
     /// Of a daemon that starts.
     pub(super) fn new(now: Ms) -> Self {
-        FleetContact { in_touch_since: None, next_introduction: now + INTRODUCTION_INTERVAL }
+        FleetContact {
+            in_touch_since: None,
+            next_introduction: now + INTRODUCTION_INTERVAL,
+        }
     }
 
     /// Takes what was seen at a tick.
@@ -30,7 +33,8 @@
     }
 
     fn is_established(&self, now: Ms) -> bool {
-        self.in_touch_since.is_some_and(|since| now.saturating_sub(since) >= CONTACT_ESTABLISHED_AFTER)
+        self.in_touch_since
+            .is_some_and(|since| now.saturating_sub(since) >= CONTACT_ESTABLISHED_AFTER)
     }
 }
 
@@ -39,15 +43,25 @@
     /// votes it matters neither what state they are in nor which member epoch they follow.
     pub(super) fn hears_voter_majority(&self, now: Ms) -> bool {
         let hears = |name: &Name| {
-            *name == self.config.name || self.peers.get(name).is_some_and(|p| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT)
+            *name == self.config.name
+                || self
+                    .peers
+                    .get(name)
+                    .is_some_and(|p| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT)
         };
-        let heard = self.registers.voters.iter().filter(|v| hears(&v.name)).count();
+        let heard = self
+            .registers
+            .voters
+            .iter()
+            .filter(|v| hears(&v.name))
+            .count();
         self.registers.is_majority(heard)
     }
 
     /// Whether this daemon is in touch. One that has just woken is not, though it has not ticked since.
     pub(super) fn in_touch(&self, now: Ms) -> bool {
-        now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD && self.fleet_contact.is_established(now)
+        now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD
+            && self.fleet_contact.is_established(now)
     }
 
     /// Tells edges that have not polled this daemon of it: gossip would take long to bring a newcomer round a large fleet.
@@ -56,7 +70,10 @@
             return;
         }
         self.fleet_contact.next_introduction = now + INTRODUCTION_INTERVAL;
-        let strangers = self.membership.live(EDGE_ROLE).filter(|n| !self.followers.contains_key(&n.name));
+        let strangers = self
+            .membership
+            .live(EDGE_ROLE)
+            .filter(|n| !self.followers.contains_key(&n.name));
         out.extend(strangers.map(|n| send(&n.addr, self.membership.introduction())));
     }
 }
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -13,17 +13,25 @@
     pub(super) fn on_poll(&mut self, addr: &Name, m: Poll, now: Ms, out: &mut Effects) {
         let name = m.node.name.clone();
         let mut old = self.followers.remove(&name);
-        let same = old.as_ref().filter(|a| a.node.incarnation == m.node.incarnation);
+        let same = old
+            .as_ref()
+            .filter(|a| a.node.incarnation == m.node.incarnation);
         let (count, told) = same.map_or((0, (0, 0)), |a| (a.counters_through, a.in_flight));
-        let since = same.filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT).map_or(now, |a| a.in_touch_since);
-        let waited = same.is_some_and(|a| m.sent_at.saturating_sub(a.poll_sent_at) > 2 * now.saturating_sub(a.polled_at));
+        let since = same
+            .filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT)
+            .map_or(now, |a| a.in_touch_since);
+        let waited = same.is_some_and(|a| {
+            m.sent_at.saturating_sub(a.poll_sent_at) > 2 * now.saturating_sub(a.polled_at)
+        });
         // What changed since a count that an earlier life of this daemon had is not enough to know anything by; nor is
         // an agent's word before its proxy has spoken.
         let tells = m.proxy_incarnation > 0
             && (m.source_incarnation, m.selection) == (self.incarnation, self.selection)
             && m.counters_since <= count
             && count <= m.counters_through;
-        let mut opens = old.as_mut().map_or_else(OpenStreamCounts::new, |a| std::mem::take(&mut a.open_streams));
+        let mut opens = old.as_mut().map_or_else(OpenStreamCounts::new, |a| {
+            std::mem::take(&mut a.open_streams)
+        });
         if tells {
             self.take_counters(&name, m.proxy_incarnation, m.counters, now);
             if m.counters_since == 0 {
@@ -47,11 +55,17 @@
         let under_way = now < told.1 && after < told.0;
         let count = if tells { m.counters_through } else { count };
         let seen = match old {
-            Some(a) if m.has_versions == 0 && a.node.incarnation == m.node.incarnation => a.versions,
+            Some(a) if m.has_versions == 0 && a.node.incarnation == m.node.incarnation => {
+                a.versions
+            }
             _ => m.versions.0,
         };
         // Its place in the feed stays where it says that it is.
-        let (after, upto) = if under_way { (told.0, after) } else { (after, self.feed_position) };
+        let (after, upto) = if under_way {
+            (told.0, after)
+        } else {
+            (after, self.feed_position)
+        };
         let mut a = Follower {
             node: m.node,
             polled_at: now,
@@ -79,11 +93,20 @@
         for s in &spec.services {
             let key = format!("{ROLLOUT_PREFIX}{}", s.name);
             // One that stands by may step in as a voter before the duty is free to take.
-            let others = self.registers.voters.iter().filter(|v| v.name != *me && live(&v.name));
-            let next =
-                others.filter(|v| rendezvous_weight(&key, &v.name) > rendezvous_weight(&key, me)).count() < COUNTER_SUBSCRIBERS;
+            let others = self
+                .registers
+                .voters
+                .iter()
+                .filter(|v| v.name != *me && live(&v.name));
+            let next = others
+                .filter(|v| rendezvous_weight(&key, &v.name) > rendezvous_weight(&key, me))
+                .count()
+                < COUNTER_SUBSCRIBERS;
             if next || self.registers.held_until(&key, now).is_some() {
-                changed |= self.selected_services.insert(s.name.as_str().into(), now).is_none();
+                changed |= self
+                    .selected_services
+                    .insert(s.name.as_str().into(), now)
+                    .is_none();
             }
         }
         // A voter that is silent for a moment changes nothing: a choice costs every edge's every count.
@@ -92,14 +115,19 @@
             let keep = now.saturating_sub(*at) < COUNTER_RETENTION;
             if !keep {
                 // What came in the meantime would seem to have come at once.
-                loops.get_mut(&**s).into_iter().for_each(|l| l.health = VersionHealth::default());
+                loops
+                    .get_mut(&**s)
+                    .into_iter()
+                    .for_each(|l| l.health = VersionHealth::default());
             }
             changed |= !keep;
             keep
         });
         if changed {
             self.selection += 1;
-            self.followers.values_mut().for_each(|a| a.counters_through = 0);
+            self.followers
+                .values_mut()
+                .for_each(|a| a.counters_through = 0);
         }
     }
 
@@ -109,10 +137,17 @@
         for s in self.selected_services.keys() {
             by.insert(s.clone(), vec![]);
         }
-        let kept = tallies.0.into_iter().filter(|t| self.selected_services.contains_key(&t.service));
+        let kept = tallies
+            .0
+            .into_iter()
+            .filter(|t| self.selected_services.contains_key(&t.service));
         kept.for_each(|t| by.entry(t.service.clone()).or_default().push(t));
         for (s, v) in by {
-            self.loops.entry(s.to_string()).or_insert_with(|| RolloutLoop::new(now)).health.add_counters(source, life, &v);
+            self.loops
+                .entry(s.to_string())
+                .or_insert_with(|| RolloutLoop::new(now))
+                .health
+                .add_counters(source, life, &v);
         }
     }
 
@@ -123,6 +158,8 @@
 
     /// Requests sent that this daemon has counted: of a service, and of one of its versions.
     pub fn requests_counted(&self, service: &str, version: &str) -> (u64, u64) {
-        self.loops.get(service).map_or((0, 0), |l| l.health.sent(version))
+        self.loops
+            .get(service)
+            .map_or((0, 0), |l| l.health.sent(version))
     }
 }
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -20,7 +20,8 @@
             return;
         }
         self.list_requested_at = asked;
-        self.reports.retain(|id, _| l.replicas.iter().any(|r| r.id == *id));
+        self.reports
+            .retain(|id, _| l.replicas.iter().any(|r| r.id == *id));
         if self.replica_list.as_ref() != Some(&l) {
             self.list_changed_at = asked;
         }
@@ -38,21 +39,34 @@
 
     /// Replicas to ask for their reports: id and address.
     pub fn replicas_to_poll(&self) -> Vec<(String, String)> {
-        let Some(l) = &self.replica_list else { return vec![] };
+        let Some(l) = &self.replica_list else {
+            return vec![];
+        };
         let placed = |r: &PlatformReplica| {
             let services = self.spec.iter().flat_map(|s| &s.services);
-            services.into_iter().any(|s| s.name == r.service && s.mode == ServiceMode::Placed)
+            services
+                .into_iter()
+                .any(|s| s.name == r.service && s.mode == ServiceMode::Placed)
         };
         // The list tells all of a replica that the platform placed.
-        l.replicas.iter().filter(|r| !placed(r)).map(|r| (r.id.clone(), r.addr.clone())).collect()
+        l.replicas
+            .iter()
+            .filter(|r| !placed(r))
+            .map(|r| (r.id.clone(), r.addr.clone()))
+            .collect()
     }
 
     /// Whether any duty is held here, so that back ends need asking.
     pub fn holds_any_role(&self, now: Ms) -> bool {
-        self.state_table.entries().any(|c| c.key.starts_with(ROLLOUT_PREFIX) && self.registers.held_until(&c.key, now).is_some())
-            || self.spec.as_ref().is_some_and(|s| {
-                s.services.iter().any(|v| self.registers.held_until(&format!("{ROLLOUT_PREFIX}{}", v.name), now).is_some())
+        self.state_table.entries().any(|c| {
+            c.key.starts_with(ROLLOUT_PREFIX) && self.registers.held_until(&c.key, now).is_some()
+        }) || self.spec.as_ref().is_some_and(|s| {
+            s.services.iter().any(|v| {
+                self.registers
+                    .held_until(&format!("{ROLLOUT_PREFIX}{}", v.name), now)
+                    .is_some()
             })
+        })
     }
 
     /// This daemon's part of what may be called for a second by all: the holder of each duty calls, a former one may
@@ -64,9 +78,14 @@
 
     /// Whether the platform has this replica, as far as this daemon or the records tell.
     pub fn knows_replica(&self, id: &str) -> bool {
-        let listed = self.replica_list.as_ref().is_some_and(|l| l.replicas.iter().any(|r| r.id == id));
-        let mut rows =
-            self.state_table.with_prefix(ROLLOUT_PREFIX).filter_map(|(_, c)| compressed::decode::<RolloutRecord>(&c.value.0));
+        let listed = self
+            .replica_list
+            .as_ref()
+            .is_some_and(|l| l.replicas.iter().any(|r| r.id == id));
+        let mut rows = self
+            .state_table
+            .with_prefix(ROLLOUT_PREFIX)
+            .filter_map(|(_, c)| compressed::decode::<RolloutRecord>(&c.value.0));
         listed || rows.any(|r| r.replicas.iter().any(|p| p.id == id))
     }
 }
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -46,7 +46,11 @@
 /// Notes what a pass has changed in a service's record.
 fn log_changes(service: &str, old: &RolloutRecord, next: &RolloutRecord, out: &mut Effects) {
     if next.phase != old.phase {
-        out.push(log_event(events::PHASE, service, format!("{:?} to {:?}", old.phase, next.phase)));
+        out.push(log_event(
+            events::PHASE,
+            service,
+            format!("{:?} to {:?}", old.phase, next.phase),
+        ));
     }
     for alert in next.alerts.iter().filter(|a| !old.alerts.contains(a)) {
         out.push(log_event(alert_event(alert), service, alert.clone()));
@@ -55,8 +59,18 @@
 
 /// Whether an order may go: unloads go only under a flag that already stands on a majority of disks.
 fn is_permitted(order: &Order, standing: &RolloutRecord) -> bool {
-    let Order::Replica { action: OrderAction::Unload, version, .. } = order else { return true };
-    standing.groups.iter().any(|g| g.allow_unload && g.version == *version)
+    let Order::Replica {
+        action: OrderAction::Unload,
+        version,
+        ..
+    } = order
+    else {
+        return true;
+    };
+    standing
+        .groups
+        .iter()
+        .any(|g| g.allow_unload && g.version == *version)
 }
 
 impl Control {
@@ -69,11 +83,25 @@
         // Whoever is next to take a duty keeps the evidence too, and judges by it at once.
         self.loops.values_mut().for_each(|l| l.health.tick(now));
         // Taken out and put back: it is large, and nothing below replaces it.
-        let Some(spec) = self.spec() else { return vec![] };
-        let Some(platform) = self.replica_list.take() else { return vec![] };
-        let leaving: BTreeSet<String> = self.state_table.with_prefix(DRAINING_PREFIX).map(|(r, _)| r.to_string()).collect();
+        let Some(spec) = self.spec() else {
+            return vec![];
+        };
+        let Some(platform) = self.replica_list.take() else {
+            return vec![];
+        };
+        let leaving: BTreeSet<String> = self
+            .state_table
+            .with_prefix(DRAINING_PREFIX)
+            .map(|(r, _)| r.to_string())
+            .collect();
         let mut out = Vec::new();
-        let pass = RolloutPass { spec: &spec, platform: &platform, draining: &leaving, now, wall_clock_s: wall };
+        let pass = RolloutPass {
+            spec: &spec,
+            platform: &platform,
+            draining: &leaving,
+            now,
+            wall_clock_s: wall,
+        };
         for service in &spec.services {
             self.run_rollout(service, &pass, &mut out);
         }
@@ -81,7 +109,8 @@
         let gone = self.drained_and_removed(&pass);
         self.replica_list = Some(platform);
         for key in gone {
-            self.registers.propose(NO_CALLER, &key, None, Blob::default(), now, &mut out);
+            self.registers
+                .propose(NO_CALLER, &key, None, Blob::default(), now, &mut out);
         }
         self.finish(now, out)
     }
@@ -92,7 +121,10 @@
         let key = format!("{ROLLOUT_PREFIX}{name}");
         if service.mode == ServiceMode::Placed {
             let plan = self.plans.get(name).map(|(n, p)| (*n, p));
-            self.loops.entry(name.clone()).or_insert_with(|| RolloutLoop::new(now)).observe_plan(plan, now, pass.wall_clock_s);
+            self.loops
+                .entry(name.clone())
+                .or_insert_with(|| RolloutLoop::new(now))
+                .observe_plan(plan, now, pass.wall_clock_s);
         }
         let Some((epoch, until)) = self.registers.held_until(&key, now) else {
             // Timings of a duty that is not held are worth nothing when it comes back.
@@ -105,7 +137,11 @@
         if self.record_writes.values().any(|w| w == name) {
             return;
         }
-        let old = self.records.get(name).cloned().unwrap_or_else(|| Arc::new(initial_record(service)));
+        let old = self
+            .records
+            .get(name)
+            .cloned()
+            .unwrap_or_else(|| Arc::new(initial_record(service)));
         let stands = self.state_table.get(&key).map_or(0, |c| c.version);
         let (next, orders) = self.step_rollout(service, &key, (&old, stands), pass, out);
         self.loop_ran_at.insert(name.clone(), now);
@@ -117,10 +153,22 @@
             let token = self.last_token;
             self.record_writes.insert(token, name.clone());
             // Compared with the version it was computed from: another holder's record is never overwritten.
-            self.registers.propose(token, &key.as_str().into(), Some(stands), Blob(value), now, out);
+            self.registers.propose(
+                token,
+                &key.as_str().into(),
+                Some(stands),
+                Blob(value),
+                now,
+                out,
+            );
         }
         let orders = orders.into_iter().filter(|o| is_permitted(o, &old));
-        out.extend(orders.map(|order| Effect::Order { service: name.clone(), epoch, until, order }));
+        out.extend(orders.map(|order| Effect::Order {
+            service: name.clone(),
+            epoch,
+            until,
+            order,
+        }));
     }
 
     /// One step of a service's loop over the record that stands and its version.
@@ -133,14 +181,26 @@
         out: &mut Effects,
     ) -> (RolloutRecord, Vec<Order>) {
         let now = pass.now;
-        let mut l = self.loops.remove(&service.name).unwrap_or_else(|| RolloutLoop::new(now));
-        let live = || self.followers.values().filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT);
+        let mut l = self
+            .loops
+            .remove(&service.name)
+            .unwrap_or_else(|| RolloutLoop::new(now));
+        let live = || {
+            self.followers
+                .values()
+                .filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT)
+        };
         let summed = OnceCell::new();
         let open = |id: &str, version: &str| -> u64 {
             let all: &OpenStreams = summed.get_or_init(|| sum_open_streams(live()));
             all.get(&(id, version)).copied().unwrap_or(0)
         };
-        let has = |a: &Follower| a.versions.iter().find(|c| *c.key == *key).map_or(0, |c| c.version);
+        let has = |a: &Follower| {
+            a.versions
+                .iter()
+                .find(|c| *c.key == *key)
+                .map_or(0, |c| c.version)
+        };
         let seen = || live().map(has).min().unwrap_or(stands);
         let inputs = RolloutInputs {
             spec: pass.spec,
@@ -168,7 +228,12 @@
     /// Warnings of replicas that are gone: they are cleared by whoever owns them.
     fn drained_and_removed(&self, pass: &RolloutPass) -> Vec<Name> {
         let listed = |id: &String| pass.platform.replicas.iter().any(|p| p.id == *id);
-        let keys = pass.draining.iter().filter(|id| !listed(id)).map(|id| Name(format!("{DRAINING_PREFIX}{id}")));
-        keys.filter(|key| self.registers.held_until(key, pass.now).is_some()).collect()
+        let keys = pass
+            .draining
+            .iter()
+            .filter(|id| !listed(id))
+            .map(|id| Name(format!("{DRAINING_PREFIX}{id}")));
+        keys.filter(|key| self.registers.held_until(key, pass.now).is_some())
+            .collect()
     }
 }
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -93,13 +93,26 @@
 
 impl ForwardedRequest {
     fn new(token: u64, key: Name, request: OwnerRequest, now: Ms) -> Self {
-        ForwardedRequest { token, key, request, owner: Name::default(), expires_at: now + FORWARD_TIMEOUT, retry_at: None }
+        ForwardedRequest {
+            token,
+            key,
+            request,
+            owner: Name::default(),
+            expires_at: now + FORWARD_TIMEOUT,
+            retry_at: None,
+        }
     }
 }
 
 impl Control {
     /// Writes a key; an `Answer` with the returned token follows. `expect`: only if this version stands.
-    pub fn write(&mut self, key: &str, expect: impl Into<Expect>, value: Vec<u8>, now: Ms) -> (u64, Effects) {
+    pub fn write(
+        &mut self,
+        key: &str,
+        expect: impl Into<Expect>,
+        value: Vec<u8>,
+        now: Ms,
+    ) -> (u64, Effects) {
         let mut out = Vec::new();
         self.last_token += 1;
         let t = self.last_token;
@@ -113,7 +126,11 @@
         let mut out = Vec::new();
         self.last_token += 1;
         let t = self.last_token;
-        self.send_to_owner(ForwardedRequest::new(t, key.into(), OwnerRequest::Read, now), now, &mut out);
+        self.send_to_owner(
+            ForwardedRequest::new(t, key.into(), OwnerRequest::Read, now),
+            now,
+            &mut out,
+        );
         (t, self.finish(now, out))
     }
 
@@ -127,18 +144,39 @@
     }
 
     /// Takes a write to the key's owner.
-    fn submit(&mut self, token: u64, key: &Name, expect: Expect, value: Blob, now: Ms, out: &mut Effects) {
+    fn submit(
+        &mut self,
+        token: u64,
+        key: &Name,
+        expect: Expect,
+        value: Blob,
+        now: Ms,
+        out: &mut Effects,
+    ) {
         if expect == Expect::Any {
             if self.was_suspended(now) {
-                let outcome = WriteOutcome::NotAccepted("this daemon stood still until just now; ask again");
+                let outcome =
+                    WriteOutcome::NotAccepted("this daemon stood still until just now; ask again");
                 return out.push(Effect::WriteFinished { token, outcome });
             }
-            let order =
-                UnconditionalWrite { key: key.clone(), value: value.clone(), retried_until: now + UNCONDITIONAL_RETRY_TIME };
+            let order = UnconditionalWrite {
+                key: key.clone(),
+                value: value.clone(),
+                retried_until: now + UNCONDITIONAL_RETRY_TIME,
+            };
             self.unconditional_writes.insert(token, order);
         }
         let condition = WriteCondition::new(expect, self.local_version(key));
-        self.send_to_owner(ForwardedRequest::new(token, key.clone(), OwnerRequest::Write(condition, value), now), now, out);
+        self.send_to_owner(
+            ForwardedRequest::new(
+                token,
+                key.clone(),
+                OwnerRequest::Write(condition, value),
+                now,
+            ),
+            now,
+            out,
+        );
     }
 
     fn local_version(&self, key: &Name) -> u64 {
@@ -154,12 +192,19 @@
         now: Ms,
         out: &mut Effects,
     ) -> Option<WriteOutcome> {
-        let Some(order) = self.unconditional_writes.remove(&token) else { return Some(outcome) };
-        let WriteOutcome::Conflict(version) = outcome else { return Some(outcome) };
+        let Some(order) = self.unconditional_writes.remove(&token) else {
+            return Some(outcome);
+        };
+        let WriteOutcome::Conflict(version) = outcome else {
+            return Some(outcome);
+        };
         if now >= order.retried_until {
-            return Some(WriteOutcome::NotAccepted("other orders came first; ask again"));
+            return Some(WriteOutcome::NotAccepted(
+                "other orders came first; ask again",
+            ));
         }
-        let request = OwnerRequest::Write(WriteCondition::UnchangedSince(version), order.value.clone());
+        let request =
+            OwnerRequest::Write(WriteCondition::UnchangedSince(version), order.value.clone());
         let passed = ForwardedRequest::new(token, order.key.clone(), request, now);
         self.unconditional_writes.insert(token, order);
         self.send_to_owner(passed, now, out);
@@ -169,26 +214,46 @@
     fn send_to_owner(&mut self, mut p: ForwardedRequest, now: Ms, out: &mut Effects) {
         let live = self.live_voters(now);
         let Some(v) = self.registers.preferred_owner(&p.key, &live) else {
-            out.push(Effect::WriteFinished { token: p.token, outcome: WriteOutcome::NotAccepted("no voter is live") });
+            out.push(Effect::WriteFinished {
+                token: p.token,
+                outcome: WriteOutcome::NotAccepted("no voter is live"),
+            });
             return;
         };
         if v.name == self.config.name {
             return match p.request {
-                OwnerRequest::Write(condition, value) => {
-                    self.registers.propose(p.token, &p.key, Expect::from(condition), value, now, out)
-                }
+                OwnerRequest::Write(condition, value) => self.registers.propose(
+                    p.token,
+                    &p.key,
+                    Expect::from(condition),
+                    value,
+                    now,
+                    out,
+                ),
                 OwnerRequest::Read => self.registers.read(p.token, &p.key, now, out),
             };
         }
         let (compare, expect, value) = match &p.request {
-            OwnerRequest::Write(WriteCondition::Version(v), value) => (Precondition::Version, *v, value.clone()),
-            OwnerRequest::Write(WriteCondition::UnchangedSince(v), value) => (Precondition::UnchangedSince, *v, value.clone()),
-            OwnerRequest::Write(WriteCondition::Release(r), value) => (Precondition::Release, *r, value.clone()),
+            OwnerRequest::Write(WriteCondition::Version(v), value) => {
+                (Precondition::Version, *v, value.clone())
+            }
+            OwnerRequest::Write(WriteCondition::UnchangedSince(v), value) => {
+                (Precondition::UnchangedSince, *v, value.clone())
+            }
+            OwnerRequest::Write(WriteCondition::Release(r), value) => {
+                (Precondition::Release, *r, value.clone())
+            }
             OwnerRequest::Read => (Precondition::Read, 0, Blob::default()),
         };
         // Each going has its own token, as an owner takes none twice.
         self.last_token += 1;
-        let m = ForwardRequest { token: self.last_token, key: p.key.clone(), expected: expect, precondition: compare, value };
+        let m = ForwardRequest {
+            token: self.last_token,
+            key: p.key.clone(),
+            expected: expect,
+            precondition: compare,
+            value,
+        };
         out.push(send(&self.registers.addr(v), m));
         p.owner = v.name.clone();
         self.forwarded.insert(self.last_token, p);
@@ -198,28 +263,49 @@
     pub(super) fn reroute_displaced(&mut self, now: Ms, out: &mut Effects) {
         for m in std::mem::take(&mut self.registers.displaced) {
             if let Some((to, token)) = self.forwarded_here.remove(&m.token) {
-                let (end, version) = m.offered_version.map_or((ForwardOutcome::NotOwner, 0), |v| (ForwardOutcome::Deposed, v));
-                out.push(send(&to, ForwardReply { token, outcome: end, version, reason: Name::default() }));
+                let (end, version) = m
+                    .offered_version
+                    .map_or((ForwardOutcome::NotOwner, 0), |v| {
+                        (ForwardOutcome::Deposed, v)
+                    });
+                out.push(send(
+                    &to,
+                    ForwardReply {
+                        token,
+                        outcome: end,
+                        version,
+                        reason: Name::default(),
+                    },
+                ));
                 continue;
             }
             // A record is worked out anew by whoever holds its duty.
             if m.token == NO_CALLER || self.record_writes.contains_key(&m.token) {
                 let outcome = WriteOutcome::NotAccepted("the key has moved");
-                out.push(Effect::WriteFinished { token: m.token, outcome });
+                out.push(Effect::WriteFinished {
+                    token: m.token,
+                    outcome,
+                });
                 continue;
             }
             if m.offered_version.is_some() {
                 self.mark_uncertain(m.token, m.offered_version);
             }
             let request = match m.value {
-                Some(value) => OwnerRequest::Write(WriteCondition::new(m.expect, self.local_version(&m.key)), value),
+                Some(value) => OwnerRequest::Write(
+                    WriteCondition::new(m.expect, self.local_version(&m.key)),
+                    value,
+                ),
                 None => OwnerRequest::Read,
             };
             self.last_token += 1;
             let again = Some(now + HEARTBEAT_INTERVAL / 2);
             self.forwarded.insert(
                 self.last_token,
-                ForwardedRequest { retry_at: again, ..ForwardedRequest::new(m.token, m.key, request, m.received_at) },
+                ForwardedRequest {
+                    retry_at: again,
+                    ..ForwardedRequest::new(m.token, m.key, request, m.received_at)
+                },
             );
         }
     }
@@ -242,11 +328,15 @@
         let due: Vec<u64> = self
             .forwarded
             .iter()
-            .filter(|(_, p)| p.expires_at <= now || p.retry_at.map_or(!live(&p.owner), |t| t <= now))
+            .filter(|(_, p)| {
+                p.expires_at <= now || p.retry_at.map_or(!live(&p.owner), |t| t <= now)
+            })
             .map(|(t, _)| *t)
             .collect();
         for t in due {
-            let Some(mut p) = self.forwarded.remove(&t) else { continue };
+            let Some(mut p) = self.forwarded.remove(&t) else {
+                continue;
+            };
             // What a former owner took may stand, or come to stand.
             if p.retry_at.take().is_none()
                 && let OwnerRequest::Write(condition, _) = p.request
@@ -254,40 +344,74 @@
                 self.mark_uncertain(p.token, condition.offered_version());
             }
             if p.expires_at <= now {
-                out.push(Effect::WriteFinished { token: p.token, outcome: WriteOutcome::Unknown });
+                out.push(Effect::WriteFinished {
+                    token: p.token,
+                    outcome: WriteOutcome::Unknown,
+                });
                 continue;
             }
             self.send_to_owner(p, now, out);
         }
     }
 
-    pub(super) fn on_forward(&mut self, from: &Name, m: ForwardRequest, now: Ms, out: &mut Effects) {
+    pub(super) fn on_forward(
+        &mut self,
+        from: &Name,
+        m: ForwardRequest,
+        now: Ms,
+        out: &mut Effects,
+    ) {
         let not_owner = |why: &str| {
-            send(from, ForwardReply { token: m.token, outcome: ForwardOutcome::NotOwner, version: 0, reason: why.into() })
+            send(
+                from,
+                ForwardReply {
+                    token: m.token,
+                    outcome: ForwardOutcome::NotOwner,
+                    version: 0,
+                    reason: why.into(),
+                },
+            )
         };
         // The second copy would lose against the first, and its asker be told of a conflict with itself.
-        if self.forwards_seen.insert((from.clone(), m.token), now).is_some() {
+        if self
+            .forwards_seen
+            .insert((from.clone(), m.token), now)
+            .is_some()
+        {
             return;
         }
         let live = self.live_voters(now);
-        let mine = self.registers.preferred_owner(&m.key, &live).is_some_and(|v| v.name == self.config.name);
+        let mine = self
+            .registers
+            .preferred_owner(&m.key, &live)
+            .is_some_and(|v| v.name == self.config.name);
         // Passing on a second time could go in circles; the asker looks again instead.
         if !mine {
-            return out.push(not_owner("the daemon asked does not come first for this key"));
+            return out.push(not_owner(
+                "the daemon asked does not come first for this key",
+            ));
         }
         self.last_token += 1;
-        self.forwarded_here.insert(self.last_token, (from.clone(), m.token));
+        self.forwarded_here
+            .insert(self.last_token, (from.clone(), m.token));
         let e = match m.precondition {
             Precondition::Read => return self.registers.read(self.last_token, &m.key, now, out),
             Precondition::Version => Expect::Version(m.expected),
             Precondition::UnchangedSince => Expect::UnchangedSince(m.expected),
             Precondition::Release => Expect::Release(m.expected),
         };
-        self.registers.propose(self.last_token, &m.key, e, m.value, now, out);
+        self.registers
+            .propose(self.last_token, &m.key, e, m.value, now, out);
     }
 
     /// Routes answers of this daemon's own registers to whoever asked.
-    pub(super) fn route_outcome(&mut self, token: u64, outcome: WriteOutcome, now: Ms, out: &mut Effects) {
+    pub(super) fn route_outcome(
+        &mut self,
+        token: u64,
+        outcome: WriteOutcome,
+        now: Ms,
+        out: &mut Effects,
+    ) {
         self.record_writes.remove(&token);
         if token == NO_CALLER {
             return;
@@ -295,7 +419,9 @@
         let outcome = match (self.uncertain.remove(&token), outcome) {
             // Another value stands under its very version: it never will.
             (Some(Some(v)), WriteOutcome::Conflict(w)) if v == w => outcome,
-            (Some(_), WriteOutcome::Conflict(_) | WriteOutcome::NotAccepted(_)) => WriteOutcome::Unknown,
+            (Some(_), WriteOutcome::Conflict(_) | WriteOutcome::NotAccepted(_)) => {
+                WriteOutcome::Unknown
+            }
             _ => outcome,
         };
         let Some((to, theirs)) = self.forwarded_here.remove(&token) else {
@@ -309,16 +435,30 @@
             WriteOutcome::NotAccepted(w) => (ForwardOutcome::NotAccepted, 0, w),
             WriteOutcome::Unknown => (ForwardOutcome::Unknown, 0, ""),
         };
-        out.push(send(&to, ForwardReply { token: theirs, outcome: end, version, reason: why.into() }));
+        out.push(send(
+            &to,
+            ForwardReply {
+                token: theirs,
+                outcome: end,
+                version,
+                reason: why.into(),
+            },
+        ));
     }
 
     pub(super) fn on_forward_reply(&mut self, m: ForwardReply, now: Ms, out: &mut Effects) {
-        let Some(mut p) = self.forwarded.remove(&m.token) else { return };
+        let Some(mut p) = self.forwarded.remove(&m.token) else {
+            return;
+        };
         if m.outcome == ForwardOutcome::Deposed {
             self.mark_uncertain(p.token, Some(m.version));
         }
         // The two daemons do not see the same ones live yet.
-        if matches!(m.outcome, ForwardOutcome::NotOwner | ForwardOutcome::Deposed) && now + HEARTBEAT_INTERVAL < p.expires_at {
+        if matches!(
+            m.outcome,
+            ForwardOutcome::NotOwner | ForwardOutcome::Deposed
+        ) && now + HEARTBEAT_INTERVAL < p.expires_at
+        {
             p.retry_at = Some(now + HEARTBEAT_INTERVAL);
             self.forwarded.insert(m.token, p);
             return;
@@ -331,6 +471,9 @@
             }
             ForwardOutcome::Unknown => WriteOutcome::Unknown,
         };
-        out.push(Effect::WriteFinished { token: p.token, outcome });
+        out.push(Effect::WriteFinished {
+            token: p.token,
+            outcome,
+        });
     }
 }
