--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -4,8 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use wire_messages::{
-    Change, ClaimRequest, ClaimResult, ContextDemand, Lease, List, Message, Name, Node, OpenStreams, OutcomeCounters, Poll,
-    PrefillReport, ProxyLease, ProxyReport, Repair, TableDigests, TableUpdate as BoardMsg, Update,
+    Change, ClaimRequest, ClaimResult, ContextDemand, Lease, List, Message, Name, Node,
+    OpenStreams, OutcomeCounters, Poll, PrefillReport, ProxyLease, ProxyReport, Repair,
+    TableDigests, TableUpdate as BoardMsg, Update,
 };
 
 use crate::{
@@ -51,7 +52,10 @@
 
 /// A key's place without its value.
 fn without_value(c: Change) -> Change {
-    Change { value: Default::default(), ..c }
+    Change {
+        value: Default::default(),
+        ..c
+    }
 }
 
 /// One control daemon as this agent follows it.
@@ -107,27 +111,54 @@
         }
         if m.after_change == 0 {
             // What is not told any more has ended.
-            self.open_streams.values_mut().filter(|o| o.0.streams > 0).for_each(|o| (o.0.streams, o.1, o.2) = (0, change, now));
+            self.open_streams
+                .values_mut()
+                .filter(|o| o.0.streams > 0)
+                .for_each(|o| (o.0.streams, o.1, o.2) = (0, change, now));
         }
         self.counters_through = m.through_change;
         for t in m.counters.0 {
-            let k = (t.service.clone(), t.version.clone(), t.lane.clone(), t.cached, t.group);
+            let k = (
+                t.service.clone(),
+                t.version.clone(),
+                t.lane.clone(),
+                t.cached,
+                t.group,
+            );
             self.counters.insert(k, (t, change, now));
         }
         for o in m.open_streams.0 {
-            self.open_streams.insert((o.replica.clone(), o.version.clone()), (o, change, now));
+            self.open_streams
+                .insert((o.replica.clone(), o.version.clone()), (o, change, now));
         }
     }
     /// Counts after an own change, of some services; all of them after none, without those that have ended.
-    fn counters_since(&self, change: u64, of: &[Name], now: Ms) -> (List<OutcomeCounters>, List<OpenStreams>) {
+    fn counters_since(
+        &self,
+        change: u64,
+        of: &[Name],
+        now: Ms,
+    ) -> (List<OutcomeCounters>, List<OpenStreams>) {
         let old = |at: Ms| now.saturating_sub(at) > HEALTH_WINDOWS[HEALTH_WINDOWS.len() - 1];
-        let tallies =
-            self.counters.values().filter(|t| t.1 > change && of.contains(&t.0.service)).map(|(t, _, at)| match old(*at) {
+        let tallies = self
+            .counters
+            .values()
+            .filter(|t| t.1 > change && of.contains(&t.0.service))
+            .map(|(t, _, at)| match old(*at) {
                 // What was recent when it came is so no more.
-                true => OutcomeCounters { recent_ended: 0, recent_failed: 0, recent_slow: 0, ..t.clone() },
+                true => OutcomeCounters {
+                    recent_ended: 0,
+                    recent_failed: 0,
+                    recent_slow: 0,
+                    ..t.clone()
+                },
                 false => t.clone(),
             });
-        let opens = self.open_streams.values().filter(|o| o.1 > change && (change > 0 || o.0.streams > 0)).map(|o| o.0.clone());
+        let opens = self
+            .open_streams
+            .values()
+            .filter(|o| o.1 > change && (change > 0 || o.0.streams > 0))
+            .map(|o| o.0.clone());
         (tallies.collect(), opens.collect())
     }
 }
@@ -167,7 +198,14 @@
 impl EdgeAgent {
     pub fn new(me: Node, seeds: Vec<Name>, seed: u64, now: Ms) -> Self {
         EdgeAgent {
-            membership: Membership::new(Node { role: EDGE_ROLE, ..me }, seeds, seed),
+            membership: Membership::new(
+                Node {
+                    role: EDGE_ROLE,
+                    ..me
+                },
+                seeds,
+                seed,
+            ),
             state_table: StateTable::default(),
             sources: BTreeMap::new(),
             voter_count: 0,
@@ -195,7 +233,10 @@
     /// Whether the proxy beside this agent still speaks but sends callers elsewhere: the whole machine stops.
     pub fn proxy_is_draining(&self, now: Ms) -> bool {
         self.membership.me().http_addr.is_empty()
-            && self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.heard_at) < RULE_DURATION)
+            && self
+                .proxy
+                .as_ref()
+                .is_some_and(|p| now.saturating_sub(p.heard_at) < RULE_DURATION)
     }
     /// Operators who would rather serve by old news than reject, where bounds hold only for daemons in touch.
     pub fn set_serve_when_partitioned(&mut self, on: bool) {
@@ -222,7 +263,12 @@
             Message::Shuffle(m) => {
                 self.membership.on_shuffle(addr, m, now, &mut out);
                 // One that has just started asks each control daemon as soon as it knows of it.
-                if !self.is_ready && self.membership.known(CONTROL_ROLE).any(|n| !self.sources.contains_key(&n.name)) {
+                if !self.is_ready
+                    && self
+                        .membership
+                        .known(CONTROL_ROLE)
+                        .any(|n| !self.sources.contains_key(&n.name))
+                {
                     self.next_poll = now;
                 }
             }
@@ -230,15 +276,31 @@
             Message::TableDigests(m) => {
                 let ranges = self.state_table.differing_ranges(&m.ranges);
                 // Places only: values are long, and most often it is the other that lags.
-                let changes = self.state_table.entries_in(&ranges).into_iter().map(without_value).collect();
-                out.push(send(addr, Repair { request_sent_at: m.sent_at, changes, kind: REPAIR_METADATA, ranges: List(ranges) }));
+                let changes = self
+                    .state_table
+                    .entries_in(&ranges)
+                    .into_iter()
+                    .map(without_value)
+                    .collect();
+                out.push(send(
+                    addr,
+                    Repair {
+                        request_sent_at: m.sent_at,
+                        changes,
+                        kind: REPAIR_METADATA,
+                        ranges: List(ranges),
+                    },
+                ));
             }
             Message::Repair(m) => {
                 let at = self.compared_at.entry(from.clone()).or_insert(0);
                 *at = (*at).max(m.request_sent_at);
                 self.on_repair(addr, m, &mut out);
             }
-            Message::Claim(m) => self.claim_grants.on_claim(self.membership.me(), addr, m, now, &mut out),
+            Message::Claim(m) => {
+                self.claim_grants
+                    .on_claim(self.membership.me(), addr, m, now, &mut out)
+            }
             Message::ClaimReply(m) => {
                 let ended = self.claimer.on_reply(from, m);
                 self.send_claim_results(ended, &mut out);
@@ -256,17 +318,38 @@
         out
     }
 
-    fn send_claim_results(&self, ended: impl IntoIterator<Item = crate::claims::ClaimEnded>, out: &mut Effects) {
-        out.extend(ended.into_iter().map(|(to, token, state)| send(&to, ClaimResult { token, state })));
+    fn send_claim_results(
+        &self,
+        ended: impl IntoIterator<Item = crate::claims::ClaimEnded>,
+        out: &mut Effects,
+    ) {
+        out.extend(
+            ended
+                .into_iter()
+                .map(|(to, token, state)| send(&to, ClaimResult { token, state })),
+        );
     }
 
     fn on_claim_request(&mut self, proxy: &Name, m: ClaimRequest, now: Ms, out: &mut Effects) {
         // A young agent may know few edges, and a majority of few is no majority.
-        if m.request.starts_with(claims::CALLER_KEY_PREFIX) && now.saturating_sub(self.started_at) < EDGE_DISCOVERY_TIME {
-            out.push(send(proxy, ClaimResult { token: m.token, state: claims::ABSTAINED }));
+        if m.request.starts_with(claims::CALLER_KEY_PREFIX)
+            && now.saturating_sub(self.started_at) < EDGE_DISCOVERY_TIME
+        {
+            out.push(send(
+                proxy,
+                ClaimResult {
+                    token: m.token,
+                    state: claims::ABSTAINED,
+                },
+            ));
             return;
         }
-        let edges: Vec<Node> = self.membership.known(EDGE_ROLE).chain([self.membership.me()]).cloned().collect();
+        let edges: Vec<Node> = self
+            .membership
+            .known(EDGE_ROLE)
+            .chain([self.membership.me()])
+            .cloned()
+            .collect();
         self.claimer.request(proxy, &m, &edges, now, out);
     }
 
@@ -278,26 +361,43 @@
             return out.push(send(&p.addr, m));
         }
         let me = self.membership.me();
-        let near = |n: &&Node| self.membership.is_same_region(n) || region_of(&self.regions, &n.zone) == &*m.region;
-        out.extend(self.membership.live(EDGE_ROLE).filter(|n| n.name != me.name).filter(near).map(|n| send(&n.addr, m.clone())));
+        let near = |n: &&Node| {
+            self.membership.is_same_region(n) || region_of(&self.regions, &n.zone) == &*m.region
+        };
+        out.extend(
+            self.membership
+                .live(EDGE_ROLE)
+                .filter(|n| n.name != me.name)
+                .filter(near)
+                .map(|n| send(&n.addr, m.clone())),
+        );
     }
 
     /// What its proxy's callers often ask for goes to the holder of the service's duty and nobody else.
     fn on_context_demand(&self, from: &Name, m: ContextDemand, out: &mut Effects) {
         let own = self.proxy.as_ref().is_some_and(|p| p.addr == *from);
         let holder = self.lease_holders.get(&m.service).filter(|_| own);
-        out.extend(self.membership.known(CONTROL_ROLE).filter(|n| Some(&n.name) == holder).map(|n| send(&n.addr, m.clone())));
+        out.extend(
+            self.membership
+                .known(CONTROL_ROLE)
+                .filter(|n| Some(&n.name) == holder)
+                .map(|n| send(&n.addr, m.clone())),
+        );
     }
 
     fn on_proxy_report(&mut self, addr: &Name, m: ProxyReport, now: Ms) {
         self.membership.set_http_addr(&m.http_addr);
         // Another life of the proxy has nothing, however soon it came back.
-        let same =
-            |p: &LocalProxy| p.addr == *addr && p.incarnation == m.incarnation && now.saturating_sub(p.heard_at) < RULE_DURATION;
+        let same = |p: &LocalProxy| {
+            p.addr == *addr
+                && p.incarnation == m.incarnation
+                && now.saturating_sub(p.heard_at) < RULE_DURATION
+        };
         let mut p = match self.proxy.take() {
-            Some(p) if p.addr == *addr && p.incarnation == m.incarnation => {
-                LocalProxy { has_snapshot: p.has_snapshot && same(&p), ..p }
-            }
+            Some(p) if p.addr == *addr && p.incarnation == m.incarnation => LocalProxy {
+                has_snapshot: p.has_snapshot && same(&p),
+                ..p
+            },
             // Its former life's streams have ended, which whoever knew of them is told.
             old => LocalProxy {
                 addr: addr.clone(),
@@ -353,7 +453,8 @@
         }
         // Only a settled voter counts as heard: others may lack what a majority has accepted.
         if m.is_settled != 0 {
-            (s.settled_poll_sent_at, s.sent_settled_update) = (s.settled_poll_sent_at.max(m.poll_sent_at), true);
+            (s.settled_poll_sent_at, s.sent_settled_update) =
+                (s.settled_poll_sent_at.max(m.poll_sent_at), true);
         }
         for c in m.changes.0 {
             if self.state_table.merge(&c) {
@@ -365,16 +466,31 @@
         }
         for p in m.leases.0 {
             let until = m.poll_sent_at + Ms::from(p.ttl_ms);
-            let newer = self.leases.get(&p.service).is_none_or(|(o, u)| (o.epoch, *u) <= (p.epoch, until));
+            let newer = self
+                .leases
+                .get(&p.service)
+                .is_none_or(|(o, u)| (o.epoch, *u) <= (p.epoch, until));
             // A lease of a lower epoch is a former holder's: it grants nothing any more.
             if newer {
                 self.lease_holders.insert(p.service.clone(), from.clone());
                 self.leases.insert(p.service.clone(), (p, until));
             }
         }
-        if !self.is_ready && voters > 0 && self.sources.values().filter(|s| s.sent_settled_update).count() >= self.majority() {
+        if !self.is_ready
+            && voters > 0
+            && self
+                .sources
+                .values()
+                .filter(|s| s.sent_settled_update)
+                .count()
+                >= self.majority()
+        {
             self.is_ready = true;
-            out.push(log_event(events::STARTER_READY, &self.membership.me().name, ""));
+            out.push(log_event(
+                events::STARTER_READY,
+                &self.membership.me().name,
+                "",
+            ));
         }
         self.update_serving_rule(now, out);
     }
@@ -384,26 +500,65 @@
             REPAIR_METADATA => self.repair_from_metadata(addr, &m, out),
             REPAIR_VALUES => self.merge_repaired(addr, m, out),
             _ => {
-                let changes = m.changes.iter().filter_map(|c| self.state_table.get(&c.key)).cloned().collect();
-                out.push(send(addr, Repair { request_sent_at: 0, changes, kind: REPAIR_VALUES, ranges: List::default() }));
+                let changes = m
+                    .changes
+                    .iter()
+                    .filter_map(|c| self.state_table.get(&c.key))
+                    .cloned()
+                    .collect();
+                out.push(send(
+                    addr,
+                    Repair {
+                        request_sent_at: 0,
+                        changes,
+                        kind: REPAIR_VALUES,
+                        ranges: List::default(),
+                    },
+                ));
             }
         }
     }
     /// Sends what is newer here, asks for what is newer there.
     fn repair_from_metadata(&self, addr: &Name, m: &Repair, out: &mut Effects) {
         let theirs: BTreeMap<&Name, &Change> = m.changes.iter().map(|c| (&c.key, c)).collect();
-        let newer = |c: &Change| theirs.get(&c.key).is_none_or(|o| version_stamp(c) > version_stamp(o));
-        let give: Vec<Change> = self.state_table.entries_in(&m.ranges).into_iter().filter(newer).collect();
-        let lacks = |c: &&Change| self.state_table.get(&c.key).is_none_or(|o| version_stamp(o) < version_stamp(c));
+        let newer = |c: &Change| {
+            theirs
+                .get(&c.key)
+                .is_none_or(|o| version_stamp(c) > version_stamp(o))
+        };
+        let give: Vec<Change> = self
+            .state_table
+            .entries_in(&m.ranges)
+            .into_iter()
+            .filter(newer)
+            .collect();
+        let lacks = |c: &&Change| {
+            self.state_table
+                .get(&c.key)
+                .is_none_or(|o| version_stamp(o) < version_stamp(c))
+        };
         let want: List<Change> = m.changes.iter().filter(lacks).cloned().collect();
         if !give.is_empty() {
             out.push(send(
                 addr,
-                Repair { request_sent_at: 0, changes: List(give), kind: REPAIR_VALUES, ranges: List::default() },
+                Repair {
+                    request_sent_at: 0,
+                    changes: List(give),
+                    kind: REPAIR_VALUES,
+                    ranges: List::default(),
+                },
             ));
         }
         if !want.is_empty() {
-            out.push(send(addr, Repair { request_sent_at: 0, changes: want, kind: REPAIR_REQUESTS, ranges: List::default() }));
+            out.push(send(
+                addr,
+                Repair {
+                    request_sent_at: 0,
+                    changes: want,
+                    kind: REPAIR_REQUESTS,
+                    ranges: List::default(),
+                },
+            ));
         }
     }
     /// Before this life has read a majority's frames a neighbour's copy is still good news: it merges.
@@ -427,7 +582,11 @@
         let met = self
             .membership
             .known(EDGE_ROLE)
-            .filter(|n| self.compared_at.get(&n.name).is_some_and(|t| now.saturating_sub(*t) <= COMPARISON_MAX_AGE))
+            .filter(|n| {
+                self.compared_at
+                    .get(&n.name)
+                    .is_some_and(|t| now.saturating_sub(*t) <= COMPARISON_MAX_AGE)
+            })
             .count()
             + 1;
         met * 2 > all
@@ -435,7 +594,11 @@
 
     /// Works out the rule and until when it holds.
     fn update_serving_rule(&mut self, now: Ms, out: &mut Effects) -> Ms {
-        let mut sent: Vec<Ms> = self.sources.values().map(|s| s.settled_poll_sent_at).collect();
+        let mut sent: Vec<Ms> = self
+            .sources
+            .values()
+            .map(|s| s.settled_poll_sent_at)
+            .collect();
         sent.sort_unstable_by(|a, b| b.cmp(a));
         let at = sent.get(self.majority() - 1).copied().unwrap_or(0);
         let until = at + LEASE_DURATION;
@@ -445,7 +608,8 @@
         }
         // An agent that was cut off or asleep may hold old news: from then on only a control majority lets it
         // serve again. The stable rule is for those that went on hearing the others all along.
-        let awake = self.serving_rule != REJECT_ALL && now.saturating_sub(self.resumed_at) > NODE_TIMEOUT;
+        let awake =
+            self.serving_rule != REJECT_ALL && now.saturating_sub(self.resumed_at) > NODE_TIMEOUT;
         let alone = now.saturating_sub(self.majority_heard_at) > STABLE_ONLY_MAX;
         let (rule, until) = if hears {
             (SERVE_ALL, until)
@@ -458,7 +622,11 @@
             (REJECT_ALL, 0)
         };
         if rule != self.serving_rule {
-            out.push(log_event(events::RULE, &self.membership.me().name, format!("{} to {rule}", self.serving_rule)));
+            out.push(log_event(
+                events::RULE,
+                &self.membership.me().name,
+                format!("{} to {rule}", self.serving_rule),
+            ));
             self.serving_rule = rule;
             self.next_proxy_update = 0;
         }
@@ -469,17 +637,29 @@
     fn update_proxy(&mut self, now: Ms, out: &mut Effects) {
         let until = self.update_serving_rule(now, out);
         let fresh = std::mem::take(&mut self.unsent_changes);
-        let nodes = self.membership.live(EDGE_ROLE).chain([self.membership.me()]).cloned().collect();
+        let nodes = self
+            .membership
+            .live(EDGE_ROLE)
+            .chain([self.membership.me()])
+            .cloned()
+            .collect();
         let leases = self
             .leases
             .values()
             .filter(|(_, u)| *u > now)
-            .map(|(p, u)| ProxyLease { lease: p.clone(), expires_at: *u })
+            .map(|(p, u)| ProxyLease {
+                lease: p.clone(),
+                expires_at: *u,
+            })
             .collect();
         let Some(p) = self.proxy.as_mut() else { return };
         let full = !p.has_snapshot;
         p.has_snapshot = true;
-        let changes = if full { self.state_table.entries().cloned().collect() } else { List(fresh) };
+        let changes = if full {
+            self.state_table.entries().cloned().collect()
+        } else {
+            List(fresh)
+        };
         self.next_proxy_update = now + RULE_DURATION / 5;
         let (life, heard) = (p.incarnation, p.counters_through);
         out.push(send(
@@ -505,7 +685,11 @@
             self.resumed_at = now;
         }
         // A proxy that is silent serves nobody: callers are not sent there until it speaks again.
-        if self.proxy.as_ref().is_some_and(|p| now.saturating_sub(p.heard_at) >= RULE_DURATION) {
+        if self
+            .proxy
+            .as_ref()
+            .is_some_and(|p| now.saturating_sub(p.heard_at) >= RULE_DURATION)
+        {
             self.membership.set_http_addr("");
         }
         self.membership.tick(now, &mut out);
@@ -534,27 +718,56 @@
 
     /// Compares boards with one neighbour, or with every edge while no control majority is heard.
     fn repair(&mut self, now: Ms, out: &mut Effects) {
-        let ask = |n: &Node, b: &StateTable| send(&n.addr, TableDigests { sent_at: now, ranges: List(b.range_digests()) });
+        let ask = |n: &Node, b: &StateTable| {
+            send(
+                &n.addr,
+                TableDigests {
+                    sent_at: now,
+                    ranges: List(b.range_digests()),
+                },
+            )
+        };
         // One that serves on by old news all the same has no use for a majority of edges.
         if !self.serve_when_partitioned
             && now.saturating_sub(self.majority_heard_at) > MAJORITY_MISSED_AFTER
             && self.majority_heard_at > 0
         {
             self.next_repair = now + COMPARISON_MAX_AGE / 3;
-            out.extend(self.membership.known(EDGE_ROLE).map(|n| ask(n, &self.state_table)));
+            out.extend(
+                self.membership
+                    .known(EDGE_ROLE)
+                    .map(|n| ask(n, &self.state_table)),
+            );
             return;
         }
         self.next_repair = now + REPAIR_INTERVAL;
-        let near: Vec<Node> = self.membership.view().into_iter().filter(|n| n.role == EDGE_ROLE).collect();
+        let near: Vec<Node> = self
+            .membership
+            .view()
+            .into_iter()
+            .filter(|n| n.role == EDGE_ROLE)
+            .collect();
         let i = (now / REPAIR_INTERVAL) as usize;
-        out.extend(near.get(i % near.len().max(1)).map(|n| ask(n, &self.state_table)));
+        out.extend(
+            near.get(i % near.len().max(1))
+                .map(|n| ask(n, &self.state_table)),
+        );
     }
 
     fn poll_control(&mut self, now: Ms, out: &mut Effects) {
-        let seen: List<Change> = self.state_table.entries().cloned().map(without_value).collect();
+        let seen: List<Change> = self
+            .state_table
+            .entries()
+            .cloned()
+            .map(without_value)
+            .collect();
         let digest = self.state_table.digest();
         let me = self.membership.me();
-        let names: BTreeSet<Name> = self.membership.known(CONTROL_ROLE).map(|n| n.name.clone()).collect();
+        let names: BTreeSet<Name> = self
+            .membership
+            .known(CONTROL_ROLE)
+            .map(|n| n.name.clone())
+            .collect();
         self.sources.retain(|n, _| names.contains(n));
         for n in self.membership.known(CONTROL_ROLE) {
             let s = self.sources.entry(n.name.clone()).or_default();
@@ -573,11 +786,23 @@
             }
             // Of the counts it gets what it does not have. One that does not answer would be told more each time: it is
             // only asked, until it does.
-            let since = if s.counters_through < self.forgotten_through { 0 } else { s.counters_through };
-            let told = self.proxy.as_ref().filter(|_| now.saturating_sub(s.answered_poll_sent_at) <= RULE_DURATION);
+            let since = if s.counters_through < self.forgotten_through {
+                0
+            } else {
+                s.counters_through
+            };
+            let told = self
+                .proxy
+                .as_ref()
+                .filter(|_| now.saturating_sub(s.answered_poll_sent_at) <= RULE_DURATION);
             let none = || (0, since, Default::default());
-            let (life, count, (tallies, opens)) =
-                told.map_or_else(none, |p| (p.incarnation, self.last_report, p.counters_since(since, &s.selected_services, now)));
+            let (life, count, (tallies, opens)) = told.map_or_else(none, |p| {
+                (
+                    p.incarnation,
+                    self.last_report,
+                    p.counters_since(since, &s.selected_services, now),
+                )
+            });
             let m = Poll {
                 node: me.clone(),
                 proxy_incarnation: life,
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -67,8 +67,15 @@
 }
 
 pub fn send(to: &Name, msg: impl Into<Message>) -> Effect {
-    Effect::Send { to: to.clone(), msg: msg.into() }
+    Effect::Send {
+        to: to.clone(),
+        msg: msg.into(),
+    }
 }
 pub fn log_event(event: Event, peer: &str, text: impl Into<String>) -> Effect {
-    Effect::Log { event, peer: peer.into(), text: text.into() }
+    Effect::Log {
+        event,
+        peer: peer.into(),
+        text: text.into(),
+    }
 }
--- a/coordination/src/events/tests.rs
+++ b/coordination/src/events/tests.rs
@@ -5,6 +5,12 @@
     expect_true!(super::ALL.windows(2).all(|w| w[0].number < w[1].number));
     let doc = include_str!("../../../docs/events.md");
     for e in super::ALL {
-        expect_that!(doc, contains_substring(format!("| {} | {} | {:?} | {} |", e.number, e.name, e.level, e.meaning)));
+        expect_that!(
+            doc,
+            contains_substring(format!(
+                "| {} | {} | {:?} | {} |",
+                e.number, e.name, e.level, e.meaning
+            ))
+        );
     }
 }
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -58,20 +58,29 @@
 
 impl KnownNode {
     fn age(&self, now: Ms) -> u16 {
-        u16::try_from(now.saturating_sub(self.heartbeat_at).div_ceil(HEARTBEAT_AGE_UNIT)).unwrap_or(u16::MAX)
+        u16::try_from(
+            now.saturating_sub(self.heartbeat_at)
+                .div_ceil(HEARTBEAT_AGE_UNIT),
+        )
+        .unwrap_or(u16::MAX)
     }
     fn description(&self, now: Ms) -> Node {
-        Node { heartbeat_age: self.age(now), ..self.node.clone() }
+        Node {
+            heartbeat_age: self.age(now),
+            ..self.node.clone()
+        }
     }
 }
 
 /// Digest of what a node says of itself, but for its beat: who has heard it once needs only beats.
 fn description_digest(n: &Node) -> u32 {
     let mut h = Xxh3Default::new();
-    [&n.name, &n.zone, &n.addr, &n.http_addr].iter().for_each(|f| {
-        h.update(f.as_bytes());
-        h.update(&[0]);
-    });
+    [&n.name, &n.zone, &n.addr, &n.http_addr]
+        .iter()
+        .for_each(|f| {
+            h.update(f.as_bytes());
+            h.update(&[0]);
+        });
     h.update(&[n.role]);
     h.update(&n.incarnation.to_be_bytes());
     h.digest() as u32
@@ -123,13 +132,23 @@
         self.me.http_addr = http.into();
     }
     pub fn view(&self) -> Vec<Node> {
-        self.view.iter().filter_map(|n| self.known.get(n)).map(|k| k.node.clone()).collect()
+        self.view
+            .iter()
+            .filter_map(|n| self.known.get(n))
+            .map(|k| k.node.clone())
+            .collect()
     }
     pub fn live(&self, role: u8) -> impl Iterator<Item = &Node> {
-        self.known.values().filter(move |k| k.live && k.node.role == role).map(|k| &k.node)
+        self.known
+            .values()
+            .filter(move |k| k.live && k.node.role == role)
+            .map(|k| &k.node)
     }
     pub fn known(&self, role: u8) -> impl Iterator<Item = &Node> {
-        self.known.values().filter(move |k| k.node.role == role).map(|k| &k.node)
+        self.known
+            .values()
+            .filter(move |k| k.node.role == role)
+            .map(|k| &k.node)
     }
     /// Whether gossip takes a node for alive.
     pub fn is_live(&self, name: &str) -> bool {
@@ -137,7 +156,9 @@
     }
     /// How long ago a node made the newest beat that was heard of; none for a node that is not known.
     pub fn unheard_for(&self, name: &str, now: Ms) -> Option<Ms> {
-        self.known.get(name).map(|k| now.saturating_sub(k.heartbeat_at))
+        self.known
+            .get(name)
+            .map(|k| now.saturating_sub(k.heartbeat_at))
     }
     pub fn get(&self, name: &str) -> Option<&Node> {
         self.known.get(name).map(|k| &k.node)
@@ -145,7 +166,11 @@
 
     /// Tells another of this node, who need not answer.
     pub fn introduction(&self) -> Shuffle {
-        Shuffle { nodes: List(vec![self.me.clone()]), step: LAST_SHUFFLE_STEP, ..Shuffle::default() }
+        Shuffle {
+            nodes: List(vec![self.me.clone()]),
+            step: LAST_SHUFFLE_STEP,
+            ..Shuffle::default()
+        }
     }
 
     /// What a node says of itself.
@@ -157,7 +182,11 @@
     /// gives them more time; nodes that are long gone are no part of it.
     fn failure_timeout(&self, now: Ms) -> Ms {
         let most = NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * self.known.len() as Ms);
-        let lately = self.known.values().filter(|k| now.saturating_sub(k.heartbeat_at) <= most).count();
+        let lately = self
+            .known
+            .values()
+            .filter(|k| now.saturating_sub(k.heartbeat_at) <= most)
+            .count();
         NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * lately as Ms)
     }
 
@@ -177,8 +206,15 @@
         let id = description_digest(n);
         self.names_by_digest.insert(id, n.name.clone());
         let live = self.known.get(&n.name).map(|k| k.live);
-        self.known
-            .insert(n.name.clone(), KnownNode { node: n.clone(), digest: id, heartbeat_at: at, live: live.unwrap_or(false) });
+        self.known.insert(
+            n.name.clone(),
+            KnownNode {
+                node: n.clone(),
+                digest: id,
+                heartbeat_at: at,
+                live: live.unwrap_or(false),
+            },
+        );
         self.revive(&n.name, live.is_none(), now, out);
     }
 
@@ -188,17 +224,31 @@
             return;
         }
         let gone = self.failure_timeout(now);
-        let Some(k) = self.known.get_mut(name) else { return };
+        let Some(k) = self.known.get_mut(name) else {
+            return;
+        };
         if now.saturating_sub(k.heartbeat_at) <= gone {
             k.live = true;
-            out.push(log_event(events::NODE_FOUND, name, if new { k.node.addr.to_string() } else { "came back".into() }));
+            out.push(log_event(
+                events::NODE_FOUND,
+                name,
+                if new {
+                    k.node.addr.to_string()
+                } else {
+                    "came back".into()
+                },
+            ));
         }
     }
 
     /// Takes a beat; false if it is of a description that this node lacks.
     fn merge_heartbeat(&mut self, h: &NodeHeartbeat, now: Ms, out: &mut Effects) -> bool {
-        let Some(name) = self.names_by_digest.get(&h.node_digest).cloned() else { return false };
-        let Some(k) = self.known.get_mut(&name) else { return name == self.me.name };
+        let Some(name) = self.names_by_digest.get(&h.node_digest).cloned() else {
+            return false;
+        };
+        let Some(k) = self.known.get_mut(&name) else {
+            return name == self.me.name;
+        };
         if h.heartbeat <= k.node.heartbeat {
             return true;
         }
@@ -211,44 +261,87 @@
     }
 
     /// A message of an exchange: what is wanted, some beats, and what this node says of itself.
-    fn build_shuffle(&mut self, wanted: &[u32], wants: Vec<u32>, answer: u8, most: usize, now: Ms) -> Shuffle {
-        let all = wanted.iter().filter_map(|id| Some((id, self.known.get(self.names_by_digest.get(id)?)?)));
-        let mut nodes: Vec<Node> = all.filter(|(id, k)| k.digest == **id).map(|(_, k)| k.description(now)).collect();
+    fn build_shuffle(
+        &mut self,
+        wanted: &[u32],
+        wants: Vec<u32>,
+        answer: u8,
+        most: usize,
+        now: Ms,
+    ) -> Shuffle {
+        let all = wanted
+            .iter()
+            .filter_map(|id| Some((id, self.known.get(self.names_by_digest.get(id)?)?)));
+        let mut nodes: Vec<Node> = all
+            .filter(|(id, k)| k.digest == **id)
+            .map(|(_, k)| k.description(now))
+            .collect();
         nodes.truncate(MAX_SHUFFLE_NODES);
         nodes.push(self.me.clone());
         // Only beats of the live are passed on: what is said of the gone comes to an end everywhere at once.
         let live = self.known.values().filter(|k| k.live && answer < 2);
         let beats = self.rng.choose_multiple(live, most).into_iter();
         let beats = beats
-            .map(|k| NodeHeartbeat { node_digest: k.digest, heartbeat: k.node.heartbeat, heartbeat_age: k.age(now) })
+            .map(|k| NodeHeartbeat {
+                node_digest: k.digest,
+                heartbeat: k.node.heartbeat,
+                heartbeat_age: k.age(now),
+            })
             .collect();
-        Shuffle { nodes: List(nodes), heartbeats: beats, wanted: List(wants), step: answer }
+        Shuffle {
+            nodes: List(nodes),
+            heartbeats: beats,
+            wanted: List(wants),
+            step: answer,
+        }
     }
 
     /// Fills the view from live nodes; the dead leave it.
     fn refill_view(&mut self) {
         let known = &self.known;
         self.view.retain(|n| known.get(n).is_some_and(|k| k.live));
-        let more = known.values().filter(|k| k.live && !self.view.contains(&k.node.name)).map(|k| &k.node.name);
-        let more: Vec<Name> = self.rng.choose_multiple(more, VIEW_SIZE).into_iter().cloned().collect();
+        let more = known
+            .values()
+            .filter(|k| k.live && !self.view.contains(&k.node.name))
+            .map(|k| &k.node.name);
+        let more: Vec<Name> = self
+            .rng
+            .choose_multiple(more, VIEW_SIZE)
+            .into_iter()
+            .cloned()
+            .collect();
         // A random newcomer takes the oldest neighbour's place, so that views keep mixing.
         if self.view.len() >= VIEW_SIZE && !more.is_empty() {
             self.view.remove(0);
         }
-        self.view.extend(more.into_iter().take(VIEW_SIZE.saturating_sub(self.view.len())));
+        self.view.extend(
+            more.into_iter()
+                .take(VIEW_SIZE.saturating_sub(self.view.len())),
+        );
     }
 
     pub fn on_shuffle(&mut self, from: &Name, m: Shuffle, now: Ms, out: &mut Effects) {
         for n in m.nodes.iter() {
             self.merge_description(n, now, out);
         }
-        let mut lacks: Vec<u32> =
-            m.heartbeats.iter().filter(|h| !self.merge_heartbeat(h, now, out)).map(|h| h.node_digest).collect();
+        let mut lacks: Vec<u32> = m
+            .heartbeats
+            .iter()
+            .filter(|h| !self.merge_heartbeat(h, now, out))
+            .map(|h| h.node_digest)
+            .collect();
         lacks.truncate(MAX_SHUFFLE_NODES);
         if m.step == 0 || m.step < LAST_SHUFFLE_STEP && !(lacks.is_empty() && m.wanted.is_empty()) {
             // One that has just started is told of everybody: it serves nobody until it knows them.
-            let young = m.step == 0 && m.nodes.last().is_some_and(|n| n.heartbeat <= STARTUP_HEARTBEATS);
-            let most = if young { self.known.len() } else { MAX_SHUFFLE_HEARTBEATS };
+            let young = m.step == 0
+                && m.nodes
+                    .last()
+                    .is_some_and(|n| n.heartbeat <= STARTUP_HEARTBEATS);
+            let most = if young {
+                self.known.len()
+            } else {
+                MAX_SHUFFLE_HEARTBEATS
+            };
             let answer = self.build_shuffle(&m.wanted, lacks, m.step + 1, most, now);
             out.push(send(from, answer));
         }
@@ -257,7 +350,8 @@
     /// A large fleet shuffles less often: each message already says what costs most to say.
     fn shuffle_interval(&self) -> Ms {
         let live = self.known.values().filter(|k| k.live).count() as Ms;
-        (SHUFFLE_INTERVAL * live / SHUFFLE_INTERVAL_FLEET).clamp(SHUFFLE_INTERVAL, MAX_SHUFFLE_INTERVAL)
+        (SHUFFLE_INTERVAL * live / SHUFFLE_INTERVAL_FLEET)
+            .clamp(SHUFFLE_INTERVAL, MAX_SHUFFLE_INTERVAL)
     }
 
     /// The neighbour to shuffle with.
@@ -265,8 +359,16 @@
         let mut view = self.view();
         // Bytes to other regions are dear. Where this region alone has more than a view holds, beats go round inside it,
         // and every third shuffle is enough to have them cross.
-        let crowd = self.known.values().filter(|k| k.live && self.is_same_region(&k.node)).count() > VIEW_SIZE;
-        if crowd && !self.me.heartbeat.is_multiple_of(REMOTE_SHUFFLE_PERIOD) && view.iter().any(|n| self.is_same_region(n)) {
+        let crowd = self
+            .known
+            .values()
+            .filter(|k| k.live && self.is_same_region(&k.node))
+            .count()
+            > VIEW_SIZE;
+        if crowd
+            && !self.me.heartbeat.is_multiple_of(REMOTE_SHUFFLE_PERIOD)
+            && view.iter().any(|n| self.is_same_region(n))
+        {
             view.retain(|n| self.is_same_region(n));
         }
         self.rng.choice(view).map(|n| n.addr)
@@ -279,14 +381,21 @@
         self.next_shuffle = now + self.shuffle_interval();
         self.me.heartbeat += 1;
         let gone = self.failure_timeout(now);
-        for k in self.known.values_mut().filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone) {
+        for k in self
+            .known
+            .values_mut()
+            .filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone)
+        {
             k.live = false;
             out.push(log_event(events::NODE_GONE, &k.node.name, ""));
         }
-        self.known.retain(|_, k| now.saturating_sub(k.heartbeat_at) < NODE_RETENTION);
+        self.known
+            .retain(|_, k| now.saturating_sub(k.heartbeat_at) < NODE_RETENTION);
         let (known, me) = (&self.known, &self.me.name);
-        self.names_by_digest.retain(|_, n| known.contains_key(n) || n == me);
-        self.names_by_digest.insert(description_digest(&self.me), self.me.name.clone());
+        self.names_by_digest
+            .retain(|_, n| known.contains_key(n) || n == me);
+        self.names_by_digest
+            .insert(description_digest(&self.me), self.me.name.clone());
         self.refill_view();
         let mut to: Vec<Name> = Vec::new();
         to.extend(self.shuffle_partner());
@@ -294,7 +403,9 @@
         // started asks them all: it serves nobody until it has heard most control daemons.
         if self.me.heartbeat == 1 {
             to.extend(self.seeds.iter().filter(|s| **s != self.me.addr).cloned());
-        } else if (self.view.len() < 2 || self.me.heartbeat <= STARTUP_HEARTBEATS || self.me.heartbeat.is_multiple_of(16))
+        } else if (self.view.len() < 2
+            || self.me.heartbeat <= STARTUP_HEARTBEATS
+            || self.me.heartbeat.is_multiple_of(16))
             && let Some(s) = self.rng.choice(&self.seeds)
             && *s != self.me.addr
         {
@@ -302,12 +413,25 @@
         }
         // A node given up for dead is knocked at now and then: after a cut nobody else may know of it.
         if self.me.heartbeat.is_multiple_of(4) {
-            let dead: Vec<Name> = self.known.values().filter(|k| !k.live).map(|k| k.node.addr.clone()).collect();
+            let dead: Vec<Name> = self
+                .known
+                .values()
+                .filter(|k| !k.live)
+                .map(|k| k.node.addr.clone())
+                .collect();
             to.extend(self.rng.choice(&dead).cloned());
         }
         // Who was not heard of for half of the time that it is given is asked itself: rumours pass some by at times.
-        let silent = self.known.values().filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone / 2);
-        to.extend(self.rng.choose_multiple(silent, 1).into_iter().map(|k| k.node.addr.clone()));
+        let silent = self
+            .known
+            .values()
+            .filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone / 2);
+        to.extend(
+            self.rng
+                .choose_multiple(silent, 1)
+                .into_iter()
+                .map(|k| k.node.addr.clone()),
+        );
         for t in to {
             let m = self.build_shuffle(&[], Vec::new(), 0, MAX_SHUFFLE_HEARTBEATS, now);
             out.push(send(&t, m));
--- a/coordination/src/pass.rs
+++ b/coordination/src/pass.rs
@@ -68,7 +68,9 @@
 
 /// A host as lanes name it: a port in it names the edge, not the lane.
 pub fn host_name(host: &str) -> &str {
-    host.rsplit_once(':').filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit())).map_or(host, |(h, _)| h)
+    host.rsplit_once(':')
+        .filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()))
+        .map_or(host, |(h, _)| h)
 }
 
 /// Index of a spec's paths: the longest prefix that begins a path wins.
@@ -81,7 +83,10 @@
     pub fn new(all: Vec<PathSpec>) -> Self {
         let mut hosts: BTreeMap<String, Vec<std::sync::Arc<PathSpec>>> = BTreeMap::new();
         for p in all {
-            hosts.entry(p.host.to_ascii_lowercase()).or_default().push(std::sync::Arc::new(p));
+            hosts
+                .entry(p.host.to_ascii_lowercase())
+                .or_default()
+                .push(std::sync::Arc::new(p));
         }
         // Longest first: the first that fits wins.
         hosts.values_mut().for_each(|v| {
@@ -93,6 +98,8 @@
     pub fn find(&self, host: &str, path: &str) -> Option<std::sync::Arc<PathSpec>> {
         let path = path.split(['?', '#']).next().unwrap_or(path);
         let v = self.hosts.get(&host_name(host).to_ascii_lowercase())?;
-        v.iter().find(|p| path.starts_with(p.prefix.as_str())).cloned()
+        v.iter()
+            .find(|p| path.starts_with(p.prefix.as_str()))
+            .cloned()
     }
 }
--- a/coordination/src/pass_stream.rs
+++ b/coordination/src/pass_stream.rs
@@ -36,7 +36,11 @@
         }
         self.half.extend_from_slice(b);
         let all = std::mem::take(&mut self.half);
-        let n = if self.behind { all.len() - after_events(&all) } else { self.read(&all) };
+        let n = if self.behind {
+            all.len() - after_events(&all)
+        } else {
+            self.read(&all)
+        };
         self.half = all[n..].to_vec();
         let mut out = all;
         out.truncate(n);
@@ -93,7 +97,9 @@
             from += n;
             let number = |s: &str| s.parse::<u64>().ok();
             let old = match (id(e), self.last()) {
-                (Some(x), Some(l)) => x == l || number(x).zip(number(l)).is_some_and(|(x, l)| x <= l),
+                (Some(x), Some(l)) => {
+                    x == l || number(x).zip(number(l)).is_some_and(|(x, l)| x <= l)
+                }
                 _ => false,
             };
             if !old {
@@ -126,7 +132,8 @@
     None
 }
 fn lines(e: &[u8]) -> impl Iterator<Item = &[u8]> {
-    e.split(|c| *c == b'\n').map(|l| l.strip_suffix(b"\r").unwrap_or(l))
+    e.split(|c| *c == b'\n')
+        .map(|l| l.strip_suffix(b"\r").unwrap_or(l))
 }
 fn id(e: &[u8]) -> Option<&str> {
     let l = lines(e).filter_map(|l| l.strip_prefix(b"id:")).last()?;
--- a/coordination/src/pass_stream/tests.rs
+++ b/coordination/src/pass_stream/tests.rs
@@ -38,7 +38,9 @@
 #[gtest]
 fn whole_events_are_not_copied() {
     let b = events(1..=2);
-    expect_true!(matches!(Events::default().take(b.as_bytes()), Cow::Borrowed(x) if x.len() == b.len()));
+    expect_true!(
+        matches!(Events::default().take(b.as_bytes()), Cow::Borrowed(x) if x.len() == b.len())
+    );
 }
 
 #[gtest]
--- a/coordination/src/placement/bucket.rs
+++ b/coordination/src/placement/bucket.rs
@@ -14,7 +14,12 @@
 impl Bucket {
     /// Begins empty: whoever has just started does not know what was drawn before.
     pub fn new(rate: f64, depth: f64, now: Ms) -> Self {
-        Bucket { rate, depth, left: 0.0, at: now }
+        Bucket {
+            rate,
+            depth,
+            left: 0.0,
+            at: now,
+        }
     }
     pub fn set_rate(&mut self, rate: f64, now: Ms) {
         self.fill(now);
--- a/coordination/src/placement/budget.rs
+++ b/coordination/src/placement/budget.rs
@@ -20,7 +20,11 @@
     fn slot(&mut self, now: Ms, window: Ms) -> &mut (Ms, u32, u32) {
         let at = now - now % BUDGET_SLOT;
         // A slot counts until the whole of it has left the window.
-        while self.slots.front().is_some_and(|s| s.0 + window + BUDGET_SLOT < now) {
+        while self
+            .slots
+            .front()
+            .is_some_and(|s| s.0 + window + BUDGET_SLOT < now)
+        {
             self.slots.pop_front();
         }
         if self.slots.back().is_none_or(|s| s.0 < at) {
@@ -35,7 +39,10 @@
     /// Draws one second round, if the budget has one. `edges`: proxies that share what is free.
     pub fn second(&mut self, b: &Bounds, edges: usize, now: Ms) -> bool {
         self.slot(now, b.retry_window);
-        let (first, second) = self.slots.iter().fold((0, 0), |a, s| (a.0 + s.1, a.1 + s.2));
+        let (first, second) = self
+            .slots
+            .iter()
+            .fold((0, 0), |a, s| (a.0 + s.1, a.1 + s.2));
         let free = b.retry_slack / edges.max(1) as f64;
         // A part is kept back: windows slide, and a daemon that restarts has forgotten what it drew.
         let may = BUDGET_KEPT * (b.retry_share * f64::from(first) + free);
--- a/coordination/src/placement/kept.rs
+++ b/coordination/src/placement/kept.rs
@@ -17,7 +17,10 @@
 impl Kept {
     /// `site`: the replica's life, as a number. Says whether the part was not known to be there.
     pub fn put(&mut self, site: u64, part: u64, now: Ms) -> bool {
-        let new = self.at.insert((site, part), now).is_none_or(|t| now.saturating_sub(t) >= PREFIX_KEPT);
+        let new = self
+            .at
+            .insert((site, part), now)
+            .is_none_or(|t| now.saturating_sub(t) >= PREFIX_KEPT);
         if self.at.len() <= KEPT_PARTS {
             return new;
         }
@@ -29,7 +32,9 @@
         new
     }
     pub fn has(&self, site: u64, part: u64, now: Ms) -> bool {
-        self.at.get(&(site, part)).is_some_and(|t| now.saturating_sub(*t) < PREFIX_KEPT)
+        self.at
+            .get(&(site, part))
+            .is_some_and(|t| now.saturating_sub(*t) < PREFIX_KEPT)
     }
     /// One part is not there after all.
     pub fn drop_part(&mut self, site: u64, part: u64) {
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -55,7 +55,11 @@
 }
 /// What it costs to read shared parts again: the time, and the work that others wait for.
 pub fn again_ms(tokens: u32) -> f64 {
-    if tokens == 0 { 0.0 } else { SHARED_PART_MS + read_ms(tokens) * READ_AGAIN_WEIGHT }
+    if tokens == 0 {
+        0.0
+    } else {
+        SHARED_PART_MS + read_ms(tokens) * READ_AGAIN_WEIGHT
+    }
 }
 /// What it costs to carry a request to another region besides the time.
 pub fn carry_ms(ask: &Ask) -> f64 {
--- a/coordination/src/placement/needed.rs
+++ b/coordination/src/placement/needed.rs
@@ -23,8 +23,14 @@
         let mut by_service: BTreeMap<String, BTreeSet<Bound>> = BTreeMap::new();
         for p in paths.iter().filter(|p| !p.homes.is_empty()) {
             for share in p.split.iter().filter(|s| s.weight > 0) {
-                let bound = Bound { rank: p.rank, homes: p.homes.clone() };
-                by_service.entry(share.service.clone()).or_default().insert(bound);
+                let bound = Bound {
+                    rank: p.rank,
+                    homes: p.homes.clone(),
+                };
+                by_service
+                    .entry(share.service.clone())
+                    .or_default()
+                    .insert(bound);
             }
         }
         Needed { by_service }
@@ -32,6 +38,7 @@
     /// Whether requests more urgent than `rank` have only this region, and some others, to go to.
     pub fn by_more_urgent(&self, service: &str, rank: u32, region: &str) -> bool {
         let all = self.by_service.get(service).into_iter().flatten();
-        all.filter(|b| b.rank < rank).any(|b| b.homes.iter().any(|h| h == region))
+        all.filter(|b| b.rank < rank)
+            .any(|b| b.homes.iter().any(|h| h == region))
     }
 }
--- a/coordination/src/placement/nominate.rs
+++ b/coordination/src/placement/nominate.rs
@@ -6,7 +6,10 @@
 use wire_messages::{List, Name, Prefill};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Averages, Kept, Needed, Reach, Reuse, Site, Travel, again_ms, carry_ms, chain, read_ms, shared, tokens};
+use super::{
+    Averages, Kept, Needed, Reach, Reuse, Site, Travel, again_ms, carry_ms, chain, read_ms, shared,
+    tokens,
+};
 use crate::{
     Ms,
     bounds::Bounds,
@@ -87,15 +90,25 @@
 /// which it earns its worth.
 fn loss_ms(w: &Want) -> f64 {
     let again = again_ms(w.ask.tokens.0) + OPENING_MS;
-    let repeated =
-        matches!(w.lane.kind, PathKind::Repeatable | PathKind::StreamResumable) && w.tried.len() + 1 < w.lane.rounds as usize;
-    if repeated { again } else { again.max(w.lane.expected_ms as f64) }
+    let repeated = matches!(
+        w.lane.kind,
+        PathKind::Repeatable | PathKind::StreamResumable
+    ) && w.tried.len() + 1 < w.lane.rounds as usize;
+    if repeated {
+        again
+    } else {
+        again.max(w.lane.expected_ms as f64)
+    }
 }
 
 /// Any replica may turn cold unseen: what it would then bear is not exceeded while others can take it.
 fn rate_ms(s: &Site, bears: f64, now: Ms) -> f64 {
     let next = s.rate_now(now) + 1.0;
-    if bears > 0.0 && next > bears { RATE_MS * next / bears } else { 0.0 }
+    if bears > 0.0 && next > bears {
+        RATE_MS * next / bears
+    } else {
+        0.0
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -149,7 +162,11 @@
 fn agreed_order(all: &[Candidate], key: Option<u64>, regional: bool) -> Vec<usize> {
     let weight = |c: &Candidate| {
         let hash = key.map_or(0, |k| rendezvous_weight_of(k, c.row.site.number));
-        if regional || c.zone.needed { hash } else { raised(hash, NOT_NEEDED_WEIGHT) }
+        if regional || c.zone.needed {
+            hash
+        } else {
+            raised(hash, NOT_NEEDED_WEIGHT)
+        }
     };
     let rank = |c: &Candidate| (c.stands, !(regional && c.zone.far), weight(c));
     let mut order: Vec<((bool, bool, u64), usize)> = all.iter().map(rank).zip(0..).collect();
@@ -195,7 +212,12 @@
 
 impl Placement {
     pub fn new(me: &str, zone: &str, regions: BTreeMap<String, String>, bounds: Bounds) -> Self {
-        Placement { me: me.into(), travel: Travel::new(zone, regions), bounds, ..Placement::default() }
+        Placement {
+            me: me.into(),
+            travel: Travel::new(zone, regions),
+            bounds,
+            ..Placement::default()
+        }
     }
 
     // ---- what is known ----
@@ -215,8 +237,17 @@
         self.engines.insert(service.into(), e.clone());
     }
     /// Takes the replicas of a service as its record has them.
-    pub fn set_service(&mut self, service: &str, all: &[PlacedReplica], old: &BTreeSet<String>, now: Ms) {
-        let (cold_ms, slots) = self.engines.get(service).map_or((0, 0), |e| (e.cold_ms, e.slots));
+    pub fn set_service(
+        &mut self,
+        service: &str,
+        all: &[PlacedReplica],
+        old: &BTreeSet<String>,
+        now: Ms,
+    ) {
+        let (cold_ms, slots) = self
+            .engines
+            .get(service)
+            .map_or((0, 0), |e| (e.cold_ms, e.slots));
         let listed: BTreeSet<&String> = all.iter().map(|r| &r.id).collect();
         for id in old.iter().filter(|id| !listed.contains(id)) {
             self.forget(id);
@@ -257,12 +288,16 @@
     }
     /// ms by which a replica's first pieces lately come late.
     pub fn lag(&self, id: &str, now: Ms) -> f64 {
-        self.rows.get(id).map_or(0.0, |r| r.site.lag(&self.averages(&r.service), now))
+        self.rows
+            .get(id)
+            .map_or(0.0, |r| r.site.lag(&self.averages(&r.service), now))
     }
     /// A replica read shared parts that were taken for kept there: they are not, or were put out meanwhile.
     pub fn missed(&mut self, id: &str, parts: &[u64]) {
         let Some(r) = self.rows.get(id) else { return };
-        parts.iter().for_each(|p| self.kept.drop_part(r.site.number, *p));
+        parts
+            .iter()
+            .for_each(|p| self.kept.drop_part(r.site.number, *p));
     }
     fn forget(&mut self, id: &str) {
         if let Some(r) = self.rows.remove(id) {
@@ -276,34 +311,71 @@
     /// Channels that this proxy may hold to one replica: its part of what the replica accepts from all.
     pub fn channels(&self, service: &str) -> usize {
         let all = self.engines.get(service).map_or(0, |e| e.channels as usize);
-        if all == 0 { usize::MAX } else { (all * 4 / 5 / self.edges()).max(2) }
+        if all == 0 {
+            usize::MAX
+        } else {
+            (all * 4 / 5 / self.edges()).max(2)
+        }
     }
 
     /// This proxy's part of a cold replica's rate: none if others are to warm it.
     fn cold_rate(&self, service: &str, id: &str) -> f64 {
-        let told = self.engines.get(service).and_then(|e| e.cold_rate).filter(|_| self.policy.has(Mechanism::ColdRamp));
-        let Some(rate) = told.filter(|r| *r > 0.0) else { return f64::MAX };
+        let told = self
+            .engines
+            .get(service)
+            .and_then(|e| e.cold_rate)
+            .filter(|_| self.policy.has(Mechanism::ColdRamp));
+        let Some(rate) = told.filter(|r| *r > 0.0) else {
+            return f64::MAX;
+        };
         // Each of those who warm it may send one at the same moment: no more of them than what it bears besides.
         let spare = rate * (self.bounds.cold_over - 1.0).max(0.0) + self.bounds.cold_slack;
-        let all = self.edges().min((spare * COLD_BURST_PART).max(1.0) as usize).max(1);
-        let before =
-            self.edges.iter().filter(|n| **n != self.me && rendezvous_weight(id, n) > rendezvous_weight(id, &self.me)).count();
-        if before >= all { 0.0 } else { rate * COLD_PART / all as f64 }
+        let all = self
+            .edges()
+            .min((spare * COLD_BURST_PART).max(1.0) as usize)
+            .max(1);
+        let before = self
+            .edges
+            .iter()
+            .filter(|n| {
+                **n != self.me && rendezvous_weight(id, n) > rendezvous_weight(id, &self.me)
+            })
+            .count();
+        if before >= all {
+            0.0
+        } else {
+            rate * COLD_PART / all as f64
+        }
     }
 
     // ---- nominating ----
 
     /// The replica with the least expected cost, among those that may take the request.
-    pub fn nominate<'a>(&mut self, service: &str, ids: impl Iterator<Item = &'a String>, w: &Want, now: Ms) -> Option<Nominee> {
+    pub fn nominate<'a>(
+        &mut self,
+        service: &str,
+        ids: impl Iterator<Item = &'a String>,
+        w: &Want,
+        now: Ms,
+    ) -> Option<Nominee> {
         let ids: Vec<&String> = ids.filter(|id| !w.tried.contains(id)).collect();
         let held_back = self.held_back(service, &ids, w, now);
         let mut zones: Vec<ZoneView> = vec![];
         let mut all: Vec<Candidate> = vec![];
         for id in ids.into_iter().filter(|id| !held_back.contains(id)) {
-            let Some(row) = self.rows.get(id.as_str()) else { continue };
+            let Some(row) = self.rows.get(id.as_str()) else {
+                continue;
+            };
             let zone = self.view(service, &mut zones, &row.site.zone, w, now);
             if zone.allowed {
-                all.push(Candidate { id, row, zone, keeps: false, stands: false, cost: 0.0 });
+                all.push(Candidate {
+                    id,
+                    row,
+                    zone,
+                    keeps: false,
+                    stands: false,
+                    cost: 0.0,
+                });
             }
         }
         // Those that fail are left alone while there are others; where there are none they are better than nobody.
@@ -316,13 +388,27 @@
     }
 
     /// Cold replicas that have had this proxy's part of what they bear.
-    fn held_back<'a>(&mut self, service: &str, ids: &[&'a String], w: &Want, now: Ms) -> Vec<&'a String> {
+    fn held_back<'a>(
+        &mut self,
+        service: &str,
+        ids: &[&'a String],
+        w: &Want,
+        now: Ms,
+    ) -> Vec<&'a String> {
         let is_cold = |r: &Row| r.site.is_cold(now) && self.allows(&r.site.zone, w);
-        let cold: Vec<&String> = ids.iter().filter(|id| self.rows.get(id.as_str()).is_some_and(is_cold)).copied().collect();
+        let cold: Vec<&String> = ids
+            .iter()
+            .filter(|id| self.rows.get(id.as_str()).is_some_and(is_cold))
+            .copied()
+            .collect();
         let mut held = vec![];
         for id in cold {
             let rate = self.cold_rate(service, id);
-            if self.rows.get_mut(id.as_str()).is_some_and(|r| !r.site.may_warm(rate, now)) {
+            if self
+                .rows
+                .get_mut(id.as_str())
+                .is_some_and(|r| !r.site.may_warm(rate, now))
+            {
                 held.push(id);
             }
         }
@@ -337,17 +423,33 @@
     }
 
     /// What a zone is like for this request: worked out once for all its replicas.
-    fn view<'a>(&'a self, service: &str, seen: &mut Vec<ZoneView<'a>>, zone: &'a str, w: &Want, now: Ms) -> ZoneView<'a> {
+    fn view<'a>(
+        &'a self,
+        service: &str,
+        seen: &mut Vec<ZoneView<'a>>,
+        zone: &'a str,
+        w: &Want,
+        now: Ms,
+    ) -> ZoneView<'a> {
         if let Some(v) = seen.iter().find(|v| v.name == zone) {
             return *v;
         }
         let (region, far) = (self.travel.region(zone), self.travel.far(zone));
         let zone_counts = self.policy.has(Mechanism::ZoneReach);
         let region_counts = self.policy.has(Mechanism::RegionReach) && far;
-        let reached = (!zone_counts || self.reach.may_try_zone(zone, now)) && (!region_counts || self.reach.may_try(region, now));
+        let reached = (!zone_counts || self.reach.may_try_zone(zone, now))
+            && (!region_counts || self.reach.may_try(region, now));
         let allowed = self.allows(zone, w);
-        let needed = self.policy.has(Mechanism::NeededRegions) && self.needed.by_more_urgent(service, w.lane.rank, region);
-        let v = ZoneView { name: zone, way: self.travel.ms(zone), far, allowed, needed, reached };
+        let needed = self.policy.has(Mechanism::NeededRegions)
+            && self.needed.by_more_urgent(service, w.lane.rank, region);
+        let v = ZoneView {
+            name: zone,
+            way: self.travel.ms(zone),
+            far,
+            allowed,
+            needed,
+            reached,
+        };
         seen.push(v);
         v
     }
@@ -355,7 +457,11 @@
     fn weigh(&self, service: &str, all: &mut [Candidate], w: &Want, now: Ms) {
         let parts = shared(&w.ask.parts);
         let again = again_ms(tokens(parts));
-        let carry = if self.policy.has(Mechanism::CarryCost) { carry_ms(w.ask) } else { 0.0 };
+        let carry = if self.policy.has(Mechanism::CarryCost) {
+            carry_ms(w.ask)
+        } else {
+            0.0
+        };
         let key = chain(&w.ask.parts);
         let near = all.iter().map(|c| c.zone.way).fold(f64::MAX, f64::min);
         // A prompt whose shared parts are dear to read again has one place among all; of others each region has one.
@@ -364,7 +470,8 @@
         let copies = key.and_then(|k| self.standing.stands(service, k));
         for c in all.iter_mut() {
             let (version, number) = (&c.row.version, c.row.site.number);
-            c.stands = copies.is_some_and(|(v, on)| version == v && on.contains(&number) && !c.zone.far);
+            c.stands =
+                copies.is_some_and(|(v, on)| version == v && on.contains(&number) && !c.zone.far);
             c.keeps = self.keeps(number, parts, now);
         }
         let order = agreed_order(all, key, regional);
@@ -378,7 +485,9 @@
             let c = &all[i];
             let s = &c.row.site;
             let load = s.load(&averages, now);
-            let mut cost = self.wait_ms(c, &averages, now) + self.failure_ms(s, failing, now) + self.fullness_ms(s, load);
+            let mut cost = self.wait_ms(c, &averages, now)
+                + self.failure_ms(s, failing, now)
+                + self.fullness_ms(s, load);
             if c.zone.far {
                 cost += carry;
             }
@@ -401,18 +510,29 @@
     /// Where parts are asked for so often that carrying them away each time costs more than reading them once, this
     /// region has a copy of its own. Where copies are decided for all, that decision counts.
     fn wants_copy(&self, service: &str, all: &[Candidate], again: f64, carry: f64) -> bool {
-        if !self.policy.has(Mechanism::RegionCopy) || self.standing.on(service) || all.iter().any(|c| c.keeps && !c.zone.far) {
+        if !self.policy.has(Mechanism::RegionCopy)
+            || self.standing.on(service)
+            || all.iter().any(|c| c.keeps && !c.zone.far)
+        {
             return false;
         }
         let near = all.iter().map(|c| c.zone.way).fold(f64::MAX, f64::min);
-        let far = all.iter().map(|c| c.zone.way).filter(|ms| *ms > near).fold(0.0, f64::max);
+        let far = all
+            .iter()
+            .map(|c| c.zone.way)
+            .filter(|ms| *ms > near)
+            .fold(0.0, f64::max);
         again < (carry + far - near) * self.reuse.times()
     }
 
     /// ms until a first piece would come from a replica that had all its places free.
     fn wait_ms(&self, c: &Candidate, averages: &Averages, now: Ms) -> f64 {
         let s = &c.row.site;
-        let lag = if self.policy.has(Mechanism::Lag) { s.lag(averages, now) } else { 0.0 };
+        let lag = if self.policy.has(Mechanism::Lag) {
+            s.lag(averages, now)
+        } else {
+            0.0
+        };
         // Opening a channel takes the way there and back once more.
         let opens = self.policy.has(Mechanism::ChannelsAtHand) && !s.at_hand(now);
         c.zone.way + lag + s.reads(now) + if opens { c.zone.way + OPENING_MS } else { 0.0 }
@@ -420,46 +540,82 @@
 
     /// ms that failures there are expected to cost. `failing`: what one costs this request.
     fn failure_ms(&self, s: &Site, failing: f64, now: Ms) -> f64 {
-        let doubt = if self.policy.has(Mechanism::Doubt) { s.doubt(now) * DOUBT_MS } else { 0.0 };
-        let risk = if self.policy.has(Mechanism::Risk) { s.risk(now) * failing } else { 0.0 };
+        let doubt = if self.policy.has(Mechanism::Doubt) {
+            s.doubt(now) * DOUBT_MS
+        } else {
+            0.0
+        };
+        let risk = if self.policy.has(Mechanism::Risk) {
+            s.risk(now) * failing
+        } else {
+            0.0
+        };
         doubt + risk
     }
 
     /// ms that the requests there cost the next one.
     fn fullness_ms(&self, s: &Site, load: f64) -> f64 {
-        let each = if self.policy.has(Mechanism::Load) { load * LOAD_MS } else { 0.0 };
+        let each = if self.policy.has(Mechanism::Load) {
+            load * LOAD_MS
+        } else {
+            0.0
+        };
         if !self.policy.has(Mechanism::Filling) {
             return each;
         }
         // Waiting for a place begins well before all are taken: requests come in clumps, and batches slow down.
         let taken = load / f64::from(s.slots.max(1));
-        each + if taken > 1.0 { FULL_MS * taken } else { FILLING_MS * taken.powi(4) }
+        each + if taken > 1.0 {
+            FULL_MS * taken
+        } else {
+            FILLING_MS * taken.powi(4)
+        }
     }
 
     /// What a proxy may send a replica a second that might be cold; 0 where that is not bounded.
     fn borne(&self, service: &str) -> f64 {
-        let rate = self.engines.get(service).and_then(|e| e.cold_rate).filter(|_| self.policy.has(Mechanism::RateGuard));
+        let rate = self
+            .engines
+            .get(service)
+            .and_then(|e| e.cold_rate)
+            .filter(|_| self.policy.has(Mechanism::RateGuard));
         rate.unwrap_or(0.0) * self.bounds.cold_over / self.edges() as f64
     }
 
     fn keeps(&self, site: u64, parts: &[(u64, u32)], now: Ms) -> bool {
         self.policy.has(Mechanism::KeptParts)
-            && parts.iter().filter(|p| p.1 >= KEPT_TOKENS).all(|p| self.kept.has(site, p.0, now))
+            && parts
+                .iter()
+                .filter(|p| p.1 >= KEPT_TOKENS)
+                .all(|p| self.kept.has(site, p.0, now))
             && parts.iter().any(|p| p.1 >= KEPT_TOKENS)
     }
 
     fn nominee(&self, c: &Candidate, ask: &Ask, now: Ms) -> Nominee {
         let r = c.row;
-        let kept = if c.keeps { tokens(shared(&ask.parts)) } else { 0 };
+        let kept = if c.keeps {
+            tokens(shared(&ask.parts))
+        } else {
+            0
+        };
         let read = read_ms(ask.tokens.0.saturating_sub(kept));
         let expected = c.zone.way + r.site.reads(now) + read;
-        Nominee { id: c.id.into(), addr: r.addr.clone(), version: r.version.clone(), warm: c.keeps, read_ms: read, expected }
+        Nominee {
+            id: c.id.into(),
+            addr: r.addr.clone(),
+            version: r.version.clone(),
+            warm: c.keeps,
+            read_ms: read,
+            expected,
+        }
     }
 
     // ---- what becomes of it ----
 
     pub fn send(&mut self, n: &Nominee, ask: &Ask, now: Ms) {
-        let Some(r) = self.rows.get_mut(&n.id) else { return };
+        let Some(r) = self.rows.get_mut(&n.id) else {
+            return;
+        };
         r.site.send(n.read_ms, now);
         r.site.warm_one(now);
         let number = r.site.number;
@@ -467,11 +623,19 @@
         if self.travel.far(&r.site.zone) {
             self.reach.tried(self.travel.region(&r.site.zone), now);
         }
-        let parts: Vec<u64> = shared(&ask.parts).iter().filter(|p| p.1 >= KEPT_TOKENS).map(|p| p.0).collect();
+        let parts: Vec<u64> = shared(&ask.parts)
+            .iter()
+            .filter(|p| p.1 >= KEPT_TOKENS)
+            .map(|p| p.0)
+            .collect();
         self.keep(number, &parts, now);
         // What is read in no time delays nobody, and its parts are sent again soon or do not matter.
         if n.read_ms >= READING_TOLD && self.untold.len() < READINGS_MOST {
-            self.untold.push(Prefill { replica_number: number, duration_ms: n.read_ms as u32, blocks: List(parts) });
+            self.untold.push(Prefill {
+                replica_number: number,
+                duration_ms: n.read_ms as u32,
+                blocks: List(parts),
+            });
         }
     }
     /// What others are to be told, by the region of the replicas, not more often than the fleet can bear.
@@ -485,8 +649,14 @@
             self.untold.clear();
         }
         for r in std::mem::take(&mut self.untold) {
-            let zone = self.ids.get(&r.replica_number).and_then(|id| self.zone(id)).unwrap_or_default();
-            all.entry(self.travel.region(zone).into()).or_default().push(r);
+            let zone = self
+                .ids
+                .get(&r.replica_number)
+                .and_then(|id| self.zone(id))
+                .unwrap_or_default();
+            all.entry(self.travel.region(zone).into())
+                .or_default()
+                .push(r);
         }
         all
     }
@@ -513,7 +683,13 @@
     }
     /// A long prompt that another proxy sent.
     pub fn on_reading(&mut self, m: &Prefill, now: Ms) {
-        let Some(r) = self.ids.get(&m.replica_number).and_then(|id| self.rows.get_mut(id)) else { return };
+        let Some(r) = self
+            .ids
+            .get(&m.replica_number)
+            .and_then(|id| self.rows.get_mut(id))
+        else {
+            return;
+        };
         r.site.others_read(f64::from(m.duration_ms), now);
         self.keep(m.replica_number, &m.blocks, now);
     }
@@ -537,11 +713,17 @@
     }
     pub fn heard(&mut self, service: &str, id: &str, t: &Told, now: Ms) {
         let cold_ms = self.engines.get(service).map_or(0, |e| e.cold_ms);
-        let Some(r) = self.rows.get_mut(id) else { return };
+        let Some(r) = self.rows.get_mut(id) else {
+            return;
+        };
         r.site.heard(t, now);
-        self.reach.sign(self.travel.region(&r.site.zone), &r.site.zone);
+        self.reach
+            .sign(self.travel.region(&r.site.zone), &r.site.zone);
         if let Some((running, waiting, _)) = t.load {
-            self.averages.entry(service.into()).or_default().saw_load(running + waiting);
+            self.averages
+                .entry(service.into())
+                .or_default()
+                .saw_load(running + waiting);
         }
         if let Some(ms) = t.cold.filter(|m| *m > 0) {
             r.site.set_cold(now + ms, now);
@@ -555,14 +737,18 @@
         }
     }
     pub fn first_piece(&mut self, id: &str, read_ms: f64, late: f64, now: Ms) {
-        let Some(r) = self.rows.get_mut(id) else { return };
+        let Some(r) = self.rows.get_mut(id) else {
+            return;
+        };
         let averages = self.averages.entry(r.service.clone()).or_default();
         averages.saw_lag(late);
         r.site.first_piece(read_ms, late, averages, now);
     }
     /// `unheard`: ms of reading, if no first piece has come. `failed`: the replica is at fault.
     pub fn end(&mut self, id: &str, unheard: Option<f64>, failed: bool, now: Ms) {
-        let Some(r) = self.rows.get_mut(id) else { return };
+        let Some(r) = self.rows.get_mut(id) else {
+            return;
+        };
         r.site.end(unheard);
         if failed {
             r.site.fail(now);
@@ -575,7 +761,9 @@
     }
     /// It failed a request here that took so long: this proxy doubts it, and its region is told.
     pub fn doubt(&mut self, id: &str, took: Ms, now: Ms) {
-        let Some(r) = self.rows.get_mut(id) else { return };
+        let Some(r) = self.rows.get_mut(id) else {
+            return;
+        };
         if r.site.doubt(now) < DOUBT_NEWS {
             self.failing.insert(r.site.number);
         }
@@ -597,7 +785,9 @@
     }
     /// Whether it lately failed requests of the region.
     pub fn shuns(&self, id: &str, now: Ms) -> bool {
-        self.rows.get(id).is_some_and(|r| r.site.doubt(now) >= DOUBT_SHUNS)
+        self.rows
+            .get(id)
+            .is_some_and(|r| r.site.doubt(now) >= DOUBT_SHUNS)
     }
     /// Another life stands at the address: the replica is gone, whatever the record still says.
     pub fn gone(&mut self, id: &str) {
--- a/coordination/src/placement/reach.rs
+++ b/coordination/src/placement/reach.rs
@@ -80,10 +80,15 @@
     }
     /// Whether a region may be tried: it gives signs of life, or it is time to look again.
     pub fn may_try(&self, region: &str, now: Ms) -> bool {
-        let quiet = |t: &Tries| t.count >= REGION_TRIES && now.saturating_sub(t.since) > REGION_QUIET;
-        self.regions.get(region).is_none_or(|t| !quiet(t) || now.saturating_sub(t.last) > REGION_QUIET)
+        let quiet =
+            |t: &Tries| t.count >= REGION_TRIES && now.saturating_sub(t.since) > REGION_QUIET;
+        self.regions
+            .get(region)
+            .is_none_or(|t| !quiet(t) || now.saturating_sub(t.last) > REGION_QUIET)
     }
     pub fn may_try_zone(&self, zone: &str, now: Ms) -> bool {
-        self.zones.get(zone).is_none_or(|f| !f.is_quiet() || now.saturating_sub(f.last) > f.pause())
+        self.zones
+            .get(zone)
+            .is_none_or(|f| !f.is_quiet() || now.saturating_sub(f.last) > f.pause())
     }
 }
--- a/coordination/src/placement/site.rs
+++ b/coordination/src/placement/site.rs
@@ -127,13 +127,19 @@
     /// An answer came whole, and its channel rests from now on.
     pub fn rested(&mut self, now: Ms) {
         self.rests.push_back(now);
-        while self.rests.front().is_some_and(|t| now.saturating_sub(*t) > CHANNEL_RESTS) {
+        while self
+            .rests
+            .front()
+            .is_some_and(|t| now.saturating_sub(*t) > CHANNEL_RESTS)
+        {
             self.rests.pop_front();
         }
     }
     /// Whether a channel should be at hand.
     pub fn at_hand(&self, now: Ms) -> bool {
-        self.rests.back().is_some_and(|t| now.saturating_sub(*t) <= CHANNEL_RESTS)
+        self.rests
+            .back()
+            .is_some_and(|t| now.saturating_sub(*t) <= CHANNEL_RESTS)
     }
     /// Another proxy sent a prompt that takes so long to read.
     pub fn others_read(&mut self, ms: f64, now: Ms) {
@@ -198,7 +204,11 @@
     /// It failed a proxy of the region. One that says so again and again is still one: its own link may be bad.
     pub fn doubted(&mut self, by: &str, now: Ms) {
         let old = self.doubt(now);
-        self.doubt = if self.doubter == by { old.max(1.0) } else { (old + 1.0).min(DOUBT_MOST) };
+        self.doubt = if self.doubter == by {
+            old.max(1.0)
+        } else {
+            (old + 1.0).min(DOUBT_MOST)
+        };
         self.doubt_at = now;
         self.doubter = by.into();
     }
@@ -210,7 +220,10 @@
     }
     /// A failure that took long to show, as silence does, is remembered as long: by then the next would wait like it.
     pub fn doubted_for(&mut self, took: Ms) {
-        self.doubt = self.doubt.max(DOUBT_SHUNS * (took as f64 / DOUBT_FADES).exp()).min(DOUBT_MOST);
+        self.doubt = self
+            .doubt
+            .max(DOUBT_SHUNS * (took as f64 / DOUBT_FADES).exp())
+            .min(DOUBT_MOST);
     }
     /// It answered well.
     pub fn trusted(&mut self) {
@@ -235,7 +248,9 @@
 
     /// Whether it may be tried: not lately failed, and after a failure by one round at a time.
     pub fn answers(&self, now: Ms) -> bool {
-        let quiet = self.waits_since.is_some_and(|t| now.saturating_sub(t.max(self.heard_at)) > QUIET);
+        let quiet = self
+            .waits_since
+            .is_some_and(|t| now.saturating_sub(t.max(self.heard_at)) > QUIET);
         now >= self.down_until && !quiet && (self.fails == 0 || self.unheard == 0)
     }
     pub fn rate_now(&self, now: Ms) -> f64 {
@@ -244,7 +259,9 @@
     /// ms by which a first piece is likely to be late: one that has not been used lately is taken to be like the others,
     /// so that a replica that is new to all proxies draws no crowd.
     pub fn lag(&self, averages: &Averages, now: Ms) -> f64 {
-        let Some(at) = self.lag_at else { return averages.lag };
+        let Some(at) = self.lag_at else {
+            return averages.lag;
+        };
         let fresh = (-(now.saturating_sub(at) as f64) / LAG_FADES).exp();
         averages.lag + (self.lag - averages.lag) * fresh
     }
@@ -253,7 +270,9 @@
     pub fn load(&self, averages: &Averages, now: Ms) -> f64 {
         let mean = averages.load;
         let mine = f64::from(self.open);
-        let Some((running, waiting, open, at)) = self.told else { return mean + mine };
+        let Some((running, waiting, open, at)) = self.told else {
+            return mean + mine;
+        };
         let fresh = (-(now.saturating_sub(at) as f64) / LOAD_OLD as f64).exp();
         let told = f64::from(running + waiting);
         (told * fresh + mean * (1.0 - fresh) + mine - f64::from(open)).max(mine)
--- a/coordination/src/placement/travel.rs
+++ b/coordination/src/placement/travel.rs
@@ -23,7 +23,11 @@
 
 impl Travel {
     pub fn new(zone: &str, regions: Regions) -> Self {
-        Travel { zone: zone.into(), regions, took: BTreeMap::new() }
+        Travel {
+            zone: zone.into(),
+            regions,
+            took: BTreeMap::new(),
+        }
     }
     pub fn region<'a>(&'a self, zone: &'a str) -> &'a str {
         region_of(&self.regions, zone)
@@ -45,7 +49,11 @@
     pub fn took(&mut self, zone: &str, ms: f64) {
         let old = self.ms(zone);
         // A slow opening is most often the replica's, not the way's: it weighs less than a quick one.
-        let w = if ms > old { TRAVEL_WEIGHT / 4.0 } else { TRAVEL_WEIGHT };
+        let w = if ms > old {
+            TRAVEL_WEIGHT / 4.0
+        } else {
+            TRAVEL_WEIGHT
+        };
         self.took.insert(zone.into(), old + (ms - old) * w);
     }
 }
--- a/coordination/src/policy.rs
+++ b/coordination/src/policy.rs
@@ -55,7 +55,12 @@
 impl fmt::Display for UnknownMechanism {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let known: Vec<&str> = Mechanism::ALL.iter().map(|m| m.name()).collect();
-        write!(f, "{:?} is no mechanism; they are {}", self.0, known.join(", "))
+        write!(
+            f,
+            "{:?} is no mechanism; they are {}",
+            self.0,
+            known.join(", ")
+        )
     }
 }
 impl std::error::Error for UnknownMechanism {}
@@ -83,7 +88,9 @@
 
 impl Policy {
     pub fn without(left_out: impl IntoIterator<Item = Mechanism>) -> Self {
-        Policy { left_out: left_out.into_iter().fold(0, |bits, m| bits | 1 << m as u32) }
+        Policy {
+            left_out: left_out.into_iter().fold(0, |bits, m| bits | 1 << m as u32),
+        }
     }
     pub fn has(self, m: Mechanism) -> bool {
         self.left_out & (1 << m as u32) == 0
--- a/coordination/src/proxy/buffer.rs
+++ b/coordination/src/proxy/buffer.rs
@@ -36,12 +36,20 @@
     /// Lets a request wait for a place; the worst of a full buffer gives way. Gives tokens to reject.
     pub fn wait(&mut self, token: u64, rank: u32, time_left: Ms, now: Ms) -> Vec<u64> {
         let until = now + (time_left * WAIT_PERCENT / 100).min(WAIT_MAX);
-        let at = self.waiting.iter().position(|w| w.rank > rank).unwrap_or(self.waiting.len());
+        let at = self
+            .waiting
+            .iter()
+            .position(|w| w.rank > rank)
+            .unwrap_or(self.waiting.len());
         self.waiting.insert(at, Waiting { token, rank, until });
         if self.waiting.len() <= WAITING {
             return vec![];
         }
-        self.waiting.pop_back().map(|w| w.token).into_iter().collect()
+        self.waiting
+            .pop_back()
+            .map(|w| w.token)
+            .into_iter()
+            .collect()
     }
 
     pub fn unwait(&mut self, token: u64) {
@@ -50,7 +58,12 @@
 
     /// Tokens to try again, best first, and tokens whose wait is over.
     pub fn waiters(&mut self, now: Ms) -> (Vec<u64>, Vec<u64>) {
-        let late: Vec<u64> = self.waiting.iter().filter(|w| w.until <= now).map(|w| w.token).collect();
+        let late: Vec<u64> = self
+            .waiting
+            .iter()
+            .filter(|w| w.until <= now)
+            .map(|w| w.token)
+            .collect();
         self.waiting.retain(|w| w.until > now);
         (self.waiting.iter().map(|w| w.token).collect(), late)
     }
--- a/coordination/src/proxy/counts.rs
+++ b/coordination/src/proxy/counts.rs
@@ -22,7 +22,10 @@
     pub(super) fn share_out(&mut self, service: &str, role: GroupRole) {
         let canary = |r: &RolloutRecord| r.groups.iter().any(|g| g.role == GroupRole::Canary);
         let share = match self.records.get(service) {
-            Some((.., r)) if canary(r) => self.leases.get(service).map_or(0, |p| p.lease.canary_share_percent),
+            Some((.., r)) if canary(r) => self
+                .leases
+                .get(service)
+                .map_or(0, |p| p.lease.canary_share_percent),
             _ => 0,
         };
         // Each request lets the canary have its percent of one; nothing is saved up beyond one, nor from before
@@ -39,10 +42,19 @@
     }
 
     pub(super) fn add(&mut self, p: &Placed, i: usize, n: u64) {
-        let k = (p.service.clone(), p.version.clone(), p.lane.clone(), p.warm, p.role as u8);
+        let k = (
+            p.service.clone(),
+            p.version.clone(),
+            p.lane.clone(),
+            p.warm,
+            p.role as u8,
+        );
         self.change += 1;
         self.changed.insert(k.clone(), self.change);
-        self.unjudged.entry(p.service.clone()).or_default().insert(k.clone());
+        self.unjudged
+            .entry(p.service.clone())
+            .or_default()
+            .insert(k.clone());
         self.tallies.entry(k).or_default()[i] += n;
     }
 
@@ -63,7 +75,10 @@
         // What came by host and path has told its replica's row already.
         match e {
             Ended::Answered if p.flight == 0 => self.placement.trust(&p.replica),
-            Ended::Failed if p.flight == 0 => self.placement.doubt(&p.replica, now.saturating_sub(p.at), now),
+            Ended::Failed if p.flight == 0 => {
+                self.placement
+                    .doubt(&p.replica, now.saturating_sub(p.at), now)
+            }
             _ => {}
         }
         match e {
@@ -74,7 +89,13 @@
             }
             Ended::Failed => {
                 self.tally(p, 2);
-                let k = (p.service.clone(), p.version.clone(), p.lane.clone(), p.warm, p.role as u8);
+                let k = (
+                    p.service.clone(),
+                    p.version.clone(),
+                    p.lane.clone(),
+                    p.warm,
+                    p.role as u8,
+                );
                 self.tallies.entry(k).or_default()[6] |= replica_bit(&p.replica);
             }
             Ended::Dropped | Ended::Busy => {}
@@ -96,8 +117,15 @@
         }
         // Where the platform places versions few replicas have the new one: one that crashes is no version's fault.
         let placed = |s: &ServiceSpec| s.name == p.service && s.mode == ServiceMode::Placed;
-        let beside = self.spec.as_ref().is_some_and(|s| s.services.iter().any(placed));
-        let verdict = if beside { h.judge_placed(&p.version, None, now) } else { h.judge(&p.version, &stable, now) };
+        let beside = self
+            .spec
+            .as_ref()
+            .is_some_and(|s| s.services.iter().any(placed));
+        let verdict = if beside {
+            h.judge_placed(&p.version, None, now)
+        } else {
+            h.judge(&p.version, &stable, now)
+        };
         if verdict == Verdict::Fine {
             return None;
         }
--- a/coordination/src/proxy/pass.rs
+++ b/coordination/src/proxy/pass.rs
@@ -33,24 +33,46 @@
         if !self.whole || self.spec.is_none() {
             return Err(self.reject("no_spec", "check_rule", "no spec is known yet"));
         }
-        let none = || Fault::new("not_found", "find_lane", "no lane has this host and path").outcome(Outcome::NotRun);
+        let none = || {
+            Fault::new("not_found", "find_lane", "no lane has this host and path")
+                .outcome(Outcome::NotRun)
+        };
         self.paths.find(host, path).ok_or_else(none)
     }
 
     /// Nominates a replica for a request. `tried`: replicas that it went to before.
-    pub fn pass(&mut self, lane: &PathSpec, ask: &Ask, tried: &[String], until: Ms, now: Ms) -> Admit {
+    pub fn pass(
+        &mut self,
+        lane: &PathSpec,
+        ask: &Ask,
+        tried: &[String],
+        until: Ms,
+        now: Ms,
+    ) -> Admit {
         if now >= until {
-            return Admit::Reject(self.reject("no_time", "nominate", "it could not end in its time left"));
+            return Admit::Reject(self.reject(
+                "no_time",
+                "nominate",
+                "it could not end in its time left",
+            ));
         }
         for service in self.by_weight(lane) {
             if tried.is_empty() {
-                self.budgets.entry(service.clone()).or_default().first(&self.placement.bounds, now);
+                self.budgets
+                    .entry(service.clone())
+                    .or_default()
+                    .first(&self.placement.bounds, now);
             }
             for (role, version, ids) in pools(self.groups(&service, now)) {
                 let evacuated = std::mem::take(&mut self.evacuated);
                 let leaving = &self.leaving;
                 let open = ids.iter().filter(|id| !leaving.contains(*id));
-                let w = Want { lane, ask, tried, evacuated: &evacuated };
+                let w = Want {
+                    lane,
+                    ask,
+                    tried,
+                    evacuated: &evacuated,
+                };
                 let n = self.placement.nominate(&service, open, &w, now);
                 self.evacuated = evacuated;
                 if let Some(n) = n {
@@ -77,7 +99,10 @@
         names
     }
 
-    #[expect(clippy::too_many_arguments, reason = "one nomination's parts, put together in one place")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "one nomination's parts, put together in one place"
+    )]
     fn fly(
         &mut self,
         lane: &PathSpec,
@@ -94,7 +119,14 @@
         let slow = lane.expected_ms.max(1) as f64 * SLOW_FACTOR as f64;
         self.flights.insert(
             self.flight,
-            Flight { read_ms: Some(n.read_ms), expected: n.expected, at: now, slow_ms: slow, slow: false, ready },
+            Flight {
+                read_ms: Some(n.read_ms),
+                expected: n.expected,
+                at: now,
+                slow_ms: slow,
+                slow: false,
+                ready,
+            },
         );
         let p = Placed {
             service,
@@ -117,8 +149,13 @@
     pub fn second_pass(&mut self, service: &str, now: Ms) -> bool {
         let edges = self.placement.edges();
         let b = self.budgets.entry(service.into()).or_default();
-        let may = self.placement.policy.has(Mechanism::SecondRounds) && b.second(&self.placement.bounds, edges, now);
-        self.count(if may { "second_rounds" } else { "second_rounds_denied" });
+        let may = self.placement.policy.has(Mechanism::SecondRounds)
+            && b.second(&self.placement.bounds, edges, now);
+        self.count(if may {
+            "second_rounds"
+        } else {
+            "second_rounds_denied"
+        });
         may
     }
 
@@ -144,7 +181,9 @@
 
     /// The first event or bytes of an answer came.
     pub fn first_piece(&mut self, p: &Placed, now: Ms) {
-        let Some(f) = self.flights.get_mut(&p.flight) else { return };
+        let Some(f) = self.flights.get_mut(&p.flight) else {
+            return;
+        };
         let Some(read) = f.read_ms.take() else { return };
         let took = now.saturating_sub(f.at) as f64;
         f.slow = took > f.slow_ms;
@@ -153,7 +192,9 @@
         let ready = f.ready.take();
         // Others' prompts make a replica late too: it must be late by most of what reading the shared parts takes, and
         // beyond what it lately was.
-        let missed = ready.filter(|r| late - self.placement.lag(&p.replica, now) > read_ms(r.chain.tokens) * MISSED_PART);
+        let missed = ready.filter(|r| {
+            late - self.placement.lag(&p.replica, now) > read_ms(r.chain.tokens) * MISSED_PART
+        });
         self.placement.first_piece(&p.replica, read, late, now);
         if let Some(r) = missed {
             self.miss_context(p, r, now);
@@ -165,7 +206,10 @@
     /// A round ended; said once for each. Gives the version that this proxy begins to cap, if it does.
     pub fn passed(&mut self, p: &Placed, e: PassEnd, now: Ms) -> Option<String> {
         let f = self.flights.remove(&p.flight)?;
-        let failed = matches!(e, PassEnd::Failed | PassEnd::Unreachable | PassEnd::Dark | PassEnd::Silent);
+        let failed = matches!(
+            e,
+            PassEnd::Failed | PassEnd::Unreachable | PassEnd::Dark | PassEnd::Silent
+        );
         self.placement.end(&p.replica, f.read_ms, failed, now);
         if e == PassEnd::Dark {
             self.placement.dark(&p.replica, now);
--- a/coordination/src/proxy/place.rs
+++ b/coordination/src/proxy/place.rs
@@ -2,11 +2,15 @@
 
 use std::{collections::BTreeSet, sync::Arc};
 
-use remote_calls::{Fault, GroupRole, LaneSpec, NominateRequest, Nomination, Outcome, RunRequest, ServiceSpec, Spec};
+use remote_calls::{
+    Fault, GroupRole, LaneSpec, NominateRequest, Nomination, Outcome, RunRequest, ServiceSpec, Spec,
+};
 use wire_messages::Node;
 
 use super::{Admit, Placed, Proxy, Seen};
-use crate::{Ms, claims, edge_agent::REJECT_ALL, placement::kept::PREFIX_KEPT, rendezvous::rendezvous_weight};
+use crate::{
+    Ms, claims, edge_agent::REJECT_ALL, placement::kept::PREFIX_KEPT, rendezvous::rendezvous_weight,
+};
 
 /// ms. Least and most of Retry-After; the spread keeps rejected callers from returning together.
 const RETRY_AFTER: (Ms, Ms) = (500, 4_000);
@@ -20,7 +24,11 @@
         lane: &str,
         tier: &str,
     ) -> Result<(&'a ServiceSpec, &'a LaneSpec, u32, u32), Fault> {
-        let bad = |f: &str, m: String| Fault::new("bad_request", "check_request", m).field(f).outcome(Outcome::NotRun);
+        let bad = |f: &str, m: String| {
+            Fault::new("bad_request", "check_request", m)
+                .field(f)
+                .outcome(Outcome::NotRun)
+        };
         let Some(s) = spec.services.iter().find(|s| s.name == service) else {
             return Err(bad("service", format!("no service {service}")));
         };
@@ -37,12 +45,18 @@
     pub fn reject(&mut self, code: &str, step: &str, message: &str) -> Fault {
         self.count("rejected");
         let ms = self.rng.u64(RETRY_AFTER.0..RETRY_AFTER.1);
-        Fault::new(code, step, message).retry(ms).outcome(Outcome::NotRun)
+        Fault::new(code, step, message)
+            .retry(ms)
+            .outcome(Outcome::NotRun)
     }
 
     /// Home zones of a request that take requests now.
     fn homes(&mut self, s: &ServiceSpec, homes: &[String]) -> Result<BTreeSet<String>, Fault> {
-        let bad = |m: String| Fault::new("bad_request", "check_request", m).field("homes").outcome(Outcome::NotRun);
+        let bad = |m: String| {
+            Fault::new("bad_request", "check_request", m)
+                .field("homes")
+                .outcome(Outcome::NotRun)
+        };
         if homes.is_empty() {
             return Err(bad("names no home".into()));
         }
@@ -50,11 +64,21 @@
         if let Some(h) = homes.iter().find(|h| !zones.iter().any(|z| z.name == **h)) {
             return Err(bad(format!("no zone {h}")));
         }
-        let served: BTreeSet<&String> = homes.iter().filter(|h| s.zones.iter().any(|z| z.zone == **h)).collect();
+        let served: BTreeSet<&String> = homes
+            .iter()
+            .filter(|h| s.zones.iter().any(|z| z.zone == **h))
+            .collect();
         if served.is_empty() {
-            return Err(bad(format!("service {} has no replica in these homes", s.name)));
+            return Err(bad(format!(
+                "service {} has no replica in these homes",
+                s.name
+            )));
         }
-        let open: BTreeSet<String> = served.into_iter().filter(|h| !self.evacuated.contains(*h)).cloned().collect();
+        let open: BTreeSet<String> = served
+            .into_iter()
+            .filter(|h| !self.evacuated.contains(*h))
+            .cloned()
+            .collect();
         if open.is_empty() {
             return Err(self.reject("evacuated", "filter_homes", "every home is evacuated"));
         }
@@ -79,20 +103,33 @@
         let zones = self.homes(s, &q.homes)?;
         if q.time_left_ms > l.time_limit_ms {
             let m = format!("lane {} grants at most {} ms", l.name, l.time_limit_ms);
-            return Err(Fault::new("bad_request", "check_request", m).field("time_left_ms").outcome(Outcome::NotRun));
+            return Err(Fault::new("bad_request", "check_request", m)
+                .field("time_left_ms")
+                .outcome(Outcome::NotRun));
         }
         if q.time_left_ms < l.expected_ms {
             return Err(self.reject("no_time", "nominate", "it could not end in its time left"));
         }
         let mut best: Option<String> = None;
         // Near first, as in placing: callers with other second homes share a prefix's replica in their first.
-        let own: BTreeSet<String> = zones.iter().filter(|z| ***z == *self.zone).cloned().collect();
+        let own: BTreeSet<String> = zones
+            .iter()
+            .filter(|z| ***z == *self.zone)
+            .cloned()
+            .collect();
         'found: for zs in [&own, &zones] {
             for (_, v, ids) in self.groups(&q.service, now) {
                 let fit = self.fit((&q.service, &q.prefixes), (&v, &ids), zs, (rank, keep), now);
-                let edges = |z: &str| self.nodes.iter().any(|n| &*n.zone == z && !n.http_addr.is_empty());
+                let edges = |z: &str| {
+                    self.nodes
+                        .iter()
+                        .any(|n| &*n.zone == z && !n.http_addr.is_empty())
+                };
                 // Carried inside its homes: a zone without an edge cannot be gone to.
-                let fit: Vec<(&Seen, u32)> = fit.into_iter().filter(|(r, _)| edges(&r.report.zone)).collect();
+                let fit: Vec<(&Seen, u32)> = fit
+                    .into_iter()
+                    .filter(|(r, _)| edges(&r.report.zone))
+                    .collect();
                 if let Some(r) = self.pick(&fit, &q.prefixes, &v, now) {
                     best = Some(r.report.zone.clone());
                     break 'found;
@@ -104,18 +141,33 @@
             best = self.wait_zone(q, rank, &zones, now);
         }
         let Some(zone) = best else {
-            return Err(self.reject("full", "nominate", "no warm replica in these homes has a place for this tier"));
+            return Err(self.reject(
+                "full",
+                "nominate",
+                "no warm replica in these homes has a place for this tier",
+            ));
         };
         let random = self.rng.u64(..);
-        let near: Vec<&Node> = self.nodes.iter().filter(|n| *n.zone == *zone && !n.http_addr.is_empty()).collect();
+        let near: Vec<&Node> = self
+            .nodes
+            .iter()
+            .filter(|n| *n.zone == *zone && !n.http_addr.is_empty())
+            .collect();
         let edge = match near.iter().find(|n| n.name == self.name) {
             Some(n) => *n,
-            None => *near.iter().max_by_key(|n| rendezvous_weight(&format!("{random}"), &n.name)).unwrap_or(&near[0]),
+            None => *near
+                .iter()
+                .max_by_key(|n| rendezvous_weight(&format!("{random}"), &n.name))
+                .unwrap_or(&near[0]),
         };
         let (proxy, zone) = (edge.http_addr.to_string(), edge.zone.to_string());
         let request = claims::mint_request_id(random, self.nodes.clone());
         self.count("nominated");
-        Ok(Nomination { proxy, zone, request })
+        Ok(Nomination {
+            proxy,
+            zone,
+            request,
+        })
     }
 
     /// Checks a request that has come to run, before anything is claimed for it.
@@ -123,25 +175,42 @@
         let spec = self.allowed(now)?;
         let (s, l, rank, _) = Self::lane(&spec, &q.service, &q.lane, &q.tier)?;
         if claims::holders(&q.request).is_none() {
-            return Err(Fault::new("bad_request", "check_request", "is no id that nominate gave")
-                .field("request")
-                .outcome(Outcome::NotRun));
+            return Err(Fault::new(
+                "bad_request",
+                "check_request",
+                "is no id that nominate gave",
+            )
+            .field("request")
+            .outcome(Outcome::NotRun));
         }
         if q.key.is_some() && !q.run_once {
             let m = "a key is for what may run only once";
-            return Err(Fault::new("bad_request", "check_request", m).field("key").outcome(Outcome::NotRun));
+            return Err(Fault::new("bad_request", "check_request", m)
+                .field("key")
+                .outcome(Outcome::NotRun));
         }
         if !q.homes.iter().any(|h| **h == *self.zone) {
-            let m = format!("this edge is in zone {}, outside the request's homes", self.zone);
-            return Err(Fault::new("wrong_zone", "check_request", m).field("homes").outcome(Outcome::NotRun));
+            let m = format!(
+                "this edge is in zone {}, outside the request's homes",
+                self.zone
+            );
+            return Err(Fault::new("wrong_zone", "check_request", m)
+                .field("homes")
+                .outcome(Outcome::NotRun));
         }
         self.homes(s, &q.homes)?;
         if q.time_left_ms > l.time_limit_ms {
             let m = format!("lane {} grants at most {} ms", l.name, l.time_limit_ms);
-            return Err(Fault::new("bad_request", "check_request", m).field("time_left_ms").outcome(Outcome::NotRun));
+            return Err(Fault::new("bad_request", "check_request", m)
+                .field("time_left_ms")
+                .outcome(Outcome::NotRun));
         }
         if q.time_left_ms < l.expected_ms {
-            return Err(self.reject("no_time", "check_request", "it could not end in its time left"));
+            return Err(self.reject(
+                "no_time",
+                "check_request",
+                "it could not end in its time left",
+            ));
         }
         Ok(rank)
     }
@@ -161,15 +230,30 @@
             Err(f) => return Admit::Reject(f),
         };
         // Near first: the edge's own zone, then the other homes.
-        let own: BTreeSet<String> = zones.iter().filter(|z| ***z == *self.zone).cloned().collect();
+        let own: BTreeSet<String> = zones
+            .iter()
+            .filter(|z| ***z == *self.zone)
+            .cloned()
+            .collect();
         for zs in [own, zones] {
             for (role, v, mut ids) in self.groups(&q.service, now) {
                 ids.retain(|i| !tried.contains(i));
-                let fit = self.fit((&q.service, &q.prefixes), (&v, &ids), &zs, (rank, keep), now);
-                let Some(r) = self.pick(&fit, &q.prefixes, &v, now) else { continue };
+                let fit = self.fit(
+                    (&q.service, &q.prefixes),
+                    (&v, &ids),
+                    &zs,
+                    (rank, keep),
+                    now,
+                );
+                let Some(r) = self.pick(&fit, &q.prefixes, &v, now) else {
+                    continue;
+                };
                 let id = r.report.replica.clone();
-                let addr =
-                    self.records.get(&q.service).and_then(|r| r.2.replicas.iter().find(|p| p.id == id)).map(|p| p.addr.clone());
+                let addr = self
+                    .records
+                    .get(&q.service)
+                    .and_then(|r| r.2.replicas.iter().find(|p| p.id == id))
+                    .map(|p| p.addr.clone());
                 let Some(addr) = addr else { continue };
                 return Admit::Go(self.begin(q, role, v, id, addr, now));
             }
@@ -189,20 +273,40 @@
         if !q.homes.contains(&self.seen.get(id)?.report.zone) {
             return None;
         }
-        let version = r.groups.iter().find(|g| g.replicas.iter().any(|i| i == id))?.version.clone();
+        let version = r
+            .groups
+            .iter()
+            .find(|g| g.replicas.iter().any(|i| i == id))?
+            .version
+            .clone();
         Some(self.begin(q, GroupRole::Stable, version, id.into(), addr, now))
     }
 
     pub fn expected(&self, service: &str, lane: &str) -> Ms {
-        let s = self.spec.as_ref().and_then(|s| s.services.iter().find(|s| s.name == service));
-        s.and_then(|s| s.lanes.iter().find(|l| l.name == lane)).map_or(0, |l| l.expected_ms)
+        let s = self
+            .spec
+            .as_ref()
+            .and_then(|s| s.services.iter().find(|s| s.name == service));
+        s.and_then(|s| s.lanes.iter().find(|l| l.name == lane))
+            .map_or(0, |l| l.expected_ms)
     }
 
-    fn begin(&mut self, q: &RunRequest, role: GroupRole, version: String, replica: String, addr: String, now: Ms) -> Placed {
+    fn begin(
+        &mut self,
+        q: &RunRequest,
+        role: GroupRole,
+        version: String,
+        replica: String,
+        addr: String,
+        now: Ms,
+    ) -> Placed {
         let mut warm = false;
         for p in &q.prefixes {
             let k = (replica.clone(), format!("{version} {p}"));
-            warm |= self.warm.insert(k, now).is_some_and(|t| now - t < PREFIX_KEPT);
+            warm |= self
+                .warm
+                .insert(k, now)
+                .is_some_and(|t| now - t < PREFIX_KEPT);
         }
         if self.warm.len() > PREFIXES {
             let old = now.saturating_sub(PREFIX_KEPT / 2);
@@ -213,8 +317,17 @@
         }
         self.opens((replica.clone(), version.clone()));
         self.share_out(&q.service, role);
-        let p =
-            Placed { service: q.service.clone(), lane: q.lane.clone(), version, replica, addr, role, warm, at: now, flight: 0 };
+        let p = Placed {
+            service: q.service.clone(),
+            lane: q.lane.clone(),
+            version,
+            replica,
+            addr,
+            role,
+            warm,
+            at: now,
+            flight: 0,
+        };
         self.tally(&p, 0);
         p
     }
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -47,7 +47,10 @@
 
 /// The key by which the agreed order of a key's owners goes.
 fn order_key(key: &str) -> Cow<'_, str> {
-    key.strip_prefix(CONTEXT_PREFIX).map_or(Cow::Borrowed(key), |s| format!("{ROLLOUT_PREFIX}{s}").into())
+    key.strip_prefix(CONTEXT_PREFIX)
+        .map_or(Cow::Borrowed(key), |s| {
+            format!("{ROLLOUT_PREFIX}{s}").into()
+        })
 }
 
 /// What must stand for a write to count.
@@ -193,11 +196,24 @@
         };
         for row in rows {
             match row {
-                Row::Members { member_epoch, before, voters, voting, left } => {
-                    (r.member_epoch, r.previous_voter_count, r.voters, r.voting, r.retired) =
-                        (member_epoch, before, voters, voting, left);
+                Row::Members {
+                    member_epoch,
+                    before,
+                    voters,
+                    voting,
+                    left,
+                } => {
+                    (
+                        r.member_epoch,
+                        r.previous_voter_count,
+                        r.voters,
+                        r.voting,
+                        r.retired,
+                    ) = (member_epoch, before, voters, voting, left);
+                }
+                Row::Slot(s) if &*s.key == EPOCHS_KEY => {
+                    r.highest_epoch = r.highest_epoch.max(s.promised_epoch)
                 }
-                Row::Slot(s) if &*s.key == EPOCHS_KEY => r.highest_epoch = r.highest_epoch.max(s.promised_epoch),
                 Row::Slot(s) => {
                     r.highest_epoch = r.highest_epoch.max(s.promised_epoch);
                     if s.committed_version == s.version && s.version > 0 {
@@ -239,7 +255,9 @@
     }
     /// Above all known ones, and no other daemon's: under each member epoch a rank is one voter's alone.
     fn next_epoch(&mut self) -> u64 {
-        self.highest_epoch = (((self.highest_epoch >> 24) + 1) << 24) | u64::from(self.member_epoch & 0xffff) << 8 | self.rank();
+        self.highest_epoch = (((self.highest_epoch >> 24) + 1) << 24)
+            | u64::from(self.member_epoch & 0xffff) << 8
+            | self.rank();
         self.highest_epoch
     }
     pub fn slots(&self) -> impl Iterator<Item = &Slot> {
@@ -247,28 +265,53 @@
     }
     /// What is had of each key, without the values.
     pub fn slot_metadata(&self) -> List<Slot> {
-        let bare = |s: &Slot| Slot { key: s.key.clone(), value: Blob::default(), replaced: List::default(), ..*s };
+        let bare = |s: &Slot| Slot {
+            key: s.key.clone(),
+            value: Blob::default(),
+            replaced: List::default(),
+            ..*s
+        };
         self.slots.values().map(bare).collect()
     }
     /// Slots in which this daemon differs from one that has `have`.
     pub fn slots_differing_from(&self, have: &[Slot]) -> List<Slot> {
-        let stamp = |s: &Slot| (s.promised_epoch, s.accepted_epoch, s.version, s.committed_version);
+        let stamp = |s: &Slot| {
+            (
+                s.promised_epoch,
+                s.accepted_epoch,
+                s.version,
+                s.committed_version,
+            )
+        };
         let had: BTreeMap<&str, _> = have.iter().map(|s| (&*s.key, stamp(s))).collect();
-        self.slots.values().filter(|s| had.get(&*s.key) != Some(&stamp(s))).cloned().collect()
+        self.slots
+            .values()
+            .filter(|s| had.get(&*s.key) != Some(&stamp(s)))
+            .cloned()
+            .collect()
     }
     /// Whether nothing here waits to be known as committed.
     pub fn all_committed(&self) -> bool {
-        self.slots.values().all(|s| s.committed_version == s.version)
+        self.slots
+            .values()
+            .all(|s| s.committed_version == s.version)
     }
     /// Digest over what is committed, for mending between daemons.
     pub fn committed_digest(&self) -> u64 {
-        let done = self.slots.values().filter(|s| s.committed_version == s.version && s.version > 0);
-        done.fold(0, |a, s| a ^ xxh3_64(format!("{} {} {}", s.key, s.accepted_epoch, s.version).as_bytes()))
+        let done = self
+            .slots
+            .values()
+            .filter(|s| s.committed_version == s.version && s.version > 0);
+        done.fold(0, |a, s| {
+            a ^ xxh3_64(format!("{} {} {}", s.key, s.accepted_epoch, s.version).as_bytes())
+        })
     }
     /// The epoch under which this daemon owns a key, if it does; for a duty also until when.
     pub fn held_until(&self, key: &str, now: Ms) -> Option<(u64, Ms)> {
         let o = self.ownerships.get(key)?;
-        let OwnershipPhase::Owning { .. } = o.phase else { return None };
+        let OwnershipPhase::Owning { .. } = o.phase else {
+            return None;
+        };
         if !is_leased(key) {
             return Some((o.epoch, Ms::MAX));
         }
@@ -283,25 +326,39 @@
     }
     fn lease_until(&self, o: &Ownership) -> Ms {
         // A majority of voters keeps others out at least until then.
-        self.majority_confirmed_at(o).map_or(0, |t| t + self.lease_duration - LEASE_MARGIN)
+        self.majority_confirmed_at(o)
+            .map_or(0, |t| t + self.lease_duration - LEASE_MARGIN)
     }
     /// The agreed first live voter for a key.
     pub fn preferred_owner(&self, key: &str, live: &dyn Fn(&str) -> bool) -> Option<&Voter> {
         let order_key = order_key(key);
-        self.voters.iter().filter(|v| live(&v.name)).max_by_key(|v| rendezvous_weight(&order_key, &v.name))
+        self.voters
+            .iter()
+            .filter(|v| live(&v.name))
+            .max_by_key(|v| rendezvous_weight(&order_key, &v.name))
     }
     /// Whether a write to the key is under way or waits here.
     pub fn has_pending_writes(&self, key: &str) -> bool {
-        self.ownerships.get(key).is_some_and(|o| o.in_flight.is_some() || !o.pending.is_empty())
+        self.ownerships
+            .get(key)
+            .is_some_and(|o| o.in_flight.is_some() || !o.pending.is_empty())
     }
 
     fn slot_mut(&mut self, key: &Name) -> &mut Slot {
-        self.slots.entry(key.clone()).or_insert_with(|| Slot { key: key.clone(), ..Slot::default() })
+        self.slots.entry(key.clone()).or_insert_with(|| Slot {
+            key: key.clone(),
+            ..Slot::default()
+        })
     }
 }
 
 fn change(s: &Slot) -> Change {
-    Change { key: s.key.clone(), epoch: s.accepted_epoch, version: s.version, value: s.value.clone() }
+    Change {
+        key: s.key.clone(),
+        epoch: s.accepted_epoch,
+        version: s.version,
+        value: s.value.clone(),
+    }
 }
 
 #[cfg(test)]
--- a/coordination/src/register/acceptor.rs
+++ b/coordination/src/register/acceptor.rs
@@ -1,7 +1,8 @@
 //! What a voter does with a key: promises, accepts, learns what is committed, and lets a holder keep a duty.
 
 use wire_messages::{
-    Accept, Accepted, Change, LeasesRenewed, List, Name, Prepare, Promise, ReleaseLeases, RenewLeases, ReplacedValue, Slot,
+    Accept, Accepted, Change, LeasesRenewed, List, Name, Prepare, Promise, ReleaseLeases,
+    RenewLeases, ReplacedValue, Slot,
 };
 
 use super::{Registers, change, is_leased};
@@ -21,7 +22,10 @@
                         member_epoch,
                         granted: 0,
                         retry_after_ms: 0,
-                        slot: Slot { key: m.key, ..Slot::default() },
+                        slot: Slot {
+                            key: m.key,
+                            ..Slot::default()
+                        },
                     },
                 ));
             }
@@ -31,17 +35,42 @@
         let s = self.slot_mut(&m.key);
         if wait > 0 || m.epoch < s.promised_epoch {
             let slot = s.clone();
-            out.push(send(to, Promise { epoch: m.epoch, member_epoch, granted: 0, retry_after_ms: wait as u32, slot }));
+            out.push(send(
+                to,
+                Promise {
+                    epoch: m.epoch,
+                    member_epoch,
+                    granted: 0,
+                    retry_after_ms: wait as u32,
+                    slot,
+                },
+            ));
             return;
         }
         s.promised_epoch = m.epoch;
         let slot = s.clone();
         // Its own promise tells this daemon that the key is no longer its own.
-        if self.ownerships.get(&m.key).is_some_and(|o| o.epoch < m.epoch) {
+        if self
+            .ownerships
+            .get(&m.key)
+            .is_some_and(|o| o.epoch < m.epoch)
+        {
             self.relinquish(&m.key, out);
         }
-        let then = vec![send(to, Promise { epoch: m.epoch, member_epoch, granted: 1, retry_after_ms: 0, slot: slot.clone() })];
-        out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then });
+        let then = vec![send(
+            to,
+            Promise {
+                epoch: m.epoch,
+                member_epoch,
+                granted: 1,
+                retry_after_ms: 0,
+                slot: slot.clone(),
+            },
+        )];
+        out.push(Effect::Persist {
+            rows: vec![Row::Slot(slot)],
+            then,
+        });
     }
 
     /// ms. For how long nobody but the holder may take the key, as this voter let it keep a duty or may have.
@@ -49,7 +78,11 @@
         if !is_leased(key) {
             return 0;
         }
-        let granted = self.grants.get(key).filter(|g| g.0 != *from).map_or(0, |g| g.2);
+        let granted = self
+            .grants
+            .get(key)
+            .filter(|g| g.0 != *from)
+            .map_or(0, |g| g.2);
         granted.max(self.abstain_until).saturating_sub(now)
     }
 
@@ -77,15 +110,23 @@
         a.accepted = 1;
         // A delayed copy of an older write of the same owner must not put the newer one back.
         if (m.epoch, m.version) >= (s.accepted_epoch, s.version) {
-            (s.promised_epoch, s.accepted_epoch, s.version, s.value, s.replaced) =
-                (m.epoch, m.epoch, m.version, m.value, m.replaced);
+            (
+                s.promised_epoch,
+                s.accepted_epoch,
+                s.version,
+                s.value,
+                s.replaced,
+            ) = (m.epoch, m.epoch, m.version, m.value, m.replaced);
         }
         let slot = s.clone();
         // This version was known to be committed before something newer, which no majority took, stood in its place.
         if slot.committed_version == slot.version && slot.accepted_epoch == m.epoch {
             self.newly_committed.push(change(&slot));
         }
-        out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then: vec![send(to, a)] });
+        out.push(Effect::Persist {
+            rows: vec![Row::Slot(slot)],
+            then: vec![send(to, a)],
+        });
     }
 
     /// Learns a committed value.
@@ -97,10 +138,14 @@
         {
             return;
         }
-        (s.accepted_epoch, s.version, s.committed_version, s.value) = (c.epoch, c.version, c.version, c.value.clone());
+        (s.accepted_epoch, s.version, s.committed_version, s.value) =
+            (c.epoch, c.version, c.version, c.value.clone());
         s.replaced = List(past.to_vec());
         let slot = s.clone();
-        out.push(Effect::Persist { rows: vec![Row::Slot(slot)], then: vec![] });
+        out.push(Effect::Persist {
+            rows: vec![Row::Slot(slot)],
+            then: vec![],
+        });
         self.newly_committed.push(c.clone());
     }
 
@@ -132,28 +177,49 @@
                     continue;
                 }
                 self.highest_epoch = self.highest_epoch.max(h.epoch);
-                if self.ownerships.get(&h.key).is_some_and(|o| o.epoch < h.epoch) {
+                if self
+                    .ownerships
+                    .get(&h.key)
+                    .is_some_and(|o| o.epoch < h.epoch)
+                {
                     self.relinquish(&h.key, out);
                 }
                 let s = self.slot_mut(&h.key);
                 s.promised_epoch = h.epoch;
                 rows.push(Row::Slot(s.clone()));
             }
-            self.grants.insert(h.key.clone(), (to.clone(), h.epoch, now + self.lease_duration));
+            self.grants.insert(
+                h.key.clone(),
+                (to.clone(), h.epoch, now + self.lease_duration),
+            );
             keys.0.push(h);
         }
-        let told = send(to, LeasesRenewed { keys, request_sent_at: m.sent_at, member_epoch: self.member_epoch });
+        let told = send(
+            to,
+            LeasesRenewed {
+                keys,
+                request_sent_at: m.sent_at,
+                member_epoch: self.member_epoch,
+            },
+        );
         if rows.is_empty() {
             return out.push(told);
         }
-        out.push(Effect::Persist { rows, then: vec![told] });
+        out.push(Effect::Persist {
+            rows,
+            then: vec![told],
+        });
     }
 
     /// A holder has given its duties up: nobody need wait its leases out.
     pub fn on_release(&mut self, from: &Name, m: ReleaseLeases) {
         for h in m.keys {
             // A renewal of a later ownership stands.
-            if self.grants.get(&h.key).is_some_and(|g| g.0 == *from && g.1 <= h.epoch) {
+            if self
+                .grants
+                .get(&h.key)
+                .is_some_and(|g| g.0 == *from && g.1 <= h.epoch)
+            {
                 self.grants.remove(&h.key);
             }
         }
--- a/coordination/src/register/prior_writes.rs
+++ b/coordination/src/register/prior_writes.rs
@@ -34,19 +34,29 @@
 
 impl Registers {
     /// Whether an order was accepted before. It has lost no race then: whoever sends it again did not hear of it.
-    pub(super) fn prior_outcome(&self, key: &Name, version: u64, expect: Expect, value: &Blob) -> PriorOutcome {
+    pub(super) fn prior_outcome(
+        &self,
+        key: &Name,
+        version: u64,
+        expect: Expect,
+        value: &Blob,
+    ) -> PriorOutcome {
         if version == 0 {
             return PriorOutcome::Never;
         }
         // The slot is a later owner's already: nothing is told from it.
-        let Some(slot) = self.slots.get(key).filter(|s| s.version == version) else { return PriorOutcome::Forgotten };
+        let Some(slot) = self.slots.get(key).filter(|s| s.version == version) else {
+            return PriorOutcome::Forgotten;
+        };
         let oldest = version - slot.replaced.len() as u64;
         match expect {
             Expect::Any | Expect::UnchangedSince(_) => PriorOutcome::Never,
             Expect::Version(on) => match on + 1 {
                 was if was >= version => PriorOutcome::Never,
                 was if was < oldest => PriorOutcome::Forgotten,
-                was if slot.replaced[(was - oldest) as usize].digest == digest(&value.0) => PriorOutcome::Accepted(was),
+                was if slot.replaced[(was - oldest) as usize].digest == digest(&value.0) => {
+                    PriorOutcome::Accepted(was)
+                }
                 _ => PriorOutcome::Never,
             },
             Expect::Release(_) => {
@@ -56,7 +66,10 @@
                 }
                 // Releases rise with each accepted document: what was forgotten is below all that is remembered.
                 let release = |value: &Blob| (self.spec_parser)(&value.0).map_or(0, |s| s.release);
-                let lowest = slot.replaced.first().map_or_else(|| release(&slot.value), |p| p.release);
+                let lowest = slot
+                    .replaced
+                    .first()
+                    .map_or_else(|| release(&slot.value), |p| p.release);
                 match oldest > 1 && release(value) < lowest {
                     true => PriorOutcome::Forgotten,
                     false => PriorOutcome::Never,
@@ -69,10 +82,18 @@
     /// a record of its own could be there without the value, or lack it.
     pub(super) fn replaced_by_next(&mut self, key: &Name, version: u64) -> List<ReplacedValue> {
         let release = self.release(key, version).unwrap_or(0);
-        let kept = self.slots.get(key).filter(|s| keeps_history(key) && s.version == version && version > 0);
-        let Some(slot) = kept else { return List::default() };
+        let kept = self
+            .slots
+            .get(key)
+            .filter(|s| keeps_history(key) && s.version == version && version > 0);
+        let Some(slot) = kept else {
+            return List::default();
+        };
         let mut past = slot.replaced.0.clone();
-        past.push(ReplacedValue { release, digest: digest(&slot.value.0) });
+        past.push(ReplacedValue {
+            release,
+            digest: digest(&slot.value.0),
+        });
         past.drain(..past.len().saturating_sub(REPLACED_VALUES_KEPT));
         List(past)
     }
--- a/coordination/src/register/tests.rs
+++ b/coordination/src/register/tests.rs
@@ -8,9 +8,20 @@
 
 /// What is under way.
 enum Ev {
-    Msg { to: usize, from: usize, msg: Message },
-    Synced { at: usize, life: u64, rows: Vec<Row>, then: Effects },
-    Start { at: usize },
+    Msg {
+        to: usize,
+        from: usize,
+        msg: Message,
+    },
+    Synced {
+        at: usize,
+        life: u64,
+        rows: Vec<Row>,
+        then: Effects,
+    },
+    Start {
+        at: usize,
+    },
 }
 
 /// Three voters over a network that delays and loses, disks that are slow, and crashes that drop what
@@ -36,9 +47,21 @@
 
 impl Bench {
     fn new(seed: u64) -> Self {
-        let voters: Vec<Voter> =
-            (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
-        let row = Row::Members { member_epoch: 1, before: 0, voters, voting: true, left: false };
+        let voters: Vec<Voter> = (0..NODES)
+            .map(|i| Voter {
+                name: name(i),
+                disk_id: i as u64 + 1,
+                addr: name(i),
+                ..Voter::default()
+            })
+            .collect();
+        let row = Row::Members {
+            member_epoch: 1,
+            before: 0,
+            voters,
+            voting: true,
+            left: false,
+        };
         let mut b = Bench {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -76,23 +99,43 @@
                     let t = (0..NODES).find(|t| name(*t) == to).unwrap();
                     let ms = if t == i { 0 } else { self.rng.u64(1..40) };
                     if t == i || self.rng.u8(..) > 12 {
-                        self.at(ms, Ev::Msg { to: t, from: i, msg });
+                        self.at(
+                            ms,
+                            Ev::Msg {
+                                to: t,
+                                from: i,
+                                msg,
+                            },
+                        );
                     }
                 }
                 Effect::Persist { rows, then } => {
                     let ms = self.rng.u64(1..90);
                     self.busy[i] = self.busy[i].max(self.now) + ms;
                     let (life, wait) = (self.lives[i], self.busy[i] - self.now);
-                    self.at(wait, Ev::Synced { at: i, life, rows, then });
+                    self.at(
+                        wait,
+                        Ev::Synced {
+                            at: i,
+                            life,
+                            rows,
+                            then,
+                        },
+                    );
                 }
-                Effect::WriteFinished { token, outcome: WriteOutcome::Accepted(v) } => {
+                Effect::WriteFinished {
+                    token,
+                    outcome: WriteOutcome::Accepted(v),
+                } => {
                     let value = self.asked[&token].clone();
                     self.told.entry(v).or_default().insert(value);
                 }
                 _ => {}
             }
         }
-        let Some(n) = self.nodes[i].as_mut() else { return };
+        let Some(n) = self.nodes[i].as_mut() else {
+            return;
+        };
         for c in std::mem::take(&mut n.newly_committed) {
             self.told.entry(c.version).or_default().insert(c.value.0);
         }
@@ -100,19 +143,30 @@
     fn handle(&mut self, ev: Ev) {
         match ev {
             Ev::Start { at } => self.start(at),
-            Ev::Synced { at, life, rows, then } => {
+            Ev::Synced {
+                at,
+                life,
+                rows,
+                then,
+            } => {
                 if self.lives[at] != life {
                     return;
                 }
                 for r in rows {
-                    let k = if let Row::Slot(s) = &r { s.key.to_string() } else { "members".into() };
+                    let k = if let Row::Slot(s) = &r {
+                        s.key.to_string()
+                    } else {
+                        "members".into()
+                    };
                     self.disks[at].insert(k, r);
                 }
                 self.carry(at, then);
             }
             Ev::Msg { to, from, msg } => {
                 let (mut out, now, addr) = (vec![], self.now, name(from));
-                let Some(n) = self.nodes[to].as_mut() else { return };
+                let Some(n) = self.nodes[to].as_mut() else {
+                    return;
+                };
                 match msg {
                     Message::Prepare(m) => n.on_prepare(&addr, m, now, &mut out),
                     Message::Promise(m) => n.on_promise(&addr, m, now, &mut out),
@@ -136,13 +190,28 @@
                 if wild && self.rng.u32(..700) == 0 && self.nodes[i].is_some() {
                     self.crash(i);
                 }
-                let up: BTreeSet<Name> = (0..NODES).filter(|j| self.nodes[*j].is_some()).map(name).collect();
+                let up: BTreeSet<Name> = (0..NODES)
+                    .filter(|j| self.nodes[*j].is_some())
+                    .map(name)
+                    .collect();
                 // Whom each takes for live is now and then wrong, so that two take a key at once.
                 let wrong = wild && self.rng.u8(..) < 20;
-                let live = |n: &str| if wrong { *n == *name(i) } else { up.contains(n) };
+                let live = |n: &str| {
+                    if wrong {
+                        *n == *name(i)
+                    } else {
+                        up.contains(n)
+                    }
+                };
                 let (mut out, now) = (vec![], self.now);
-                let Some(n) = self.nodes[i].as_mut() else { continue };
-                if wild && self.rng.u8(..) < 6 && n.preferred_owner("k", &live).is_some_and(|v| v.name == name(i)) {
+                let Some(n) = self.nodes[i].as_mut() else {
+                    continue;
+                };
+                if wild
+                    && self.rng.u8(..) < 6
+                    && n.preferred_owner("k", &live)
+                        .is_some_and(|v| v.name == name(i))
+                {
                     let token = self.seq + 1_000_000 * (i as u64 + 1);
                     let value = format!("{token}").into_bytes();
                     self.asked.insert(token, value.clone());
@@ -181,14 +250,32 @@
 /// not pass for its first, or a value that was accepted could lose against one that never was.
 #[gtest]
 fn an_owner_that_crashed_never_takes_the_same_epoch_again() {
-    let voters: Vec<Voter> =
-        (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect();
-    let first = vec![Row::Members { member_epoch: 1, before: 0, voters, voting: true, left: false }];
+    let voters: Vec<Voter> = (0..NODES)
+        .map(|i| Voter {
+            name: name(i),
+            disk_id: i as u64 + 1,
+            addr: name(i),
+            ..Voter::default()
+        })
+        .collect();
+    let first = vec![Row::Members {
+        member_epoch: 1,
+        before: 0,
+        voters,
+        voting: true,
+        left: false,
+    }];
     let mut disks = vec![first; NODES];
-    let mut n: Vec<Registers> = (0..NODES).map(|i| Registers::new(name(i), disks[i].clone(), LEASE_DURATION, 0)).collect();
+    let mut n: Vec<Registers> = (0..NODES)
+        .map(|i| Registers::new(name(i), disks[i].clone(), LEASE_DURATION, 0))
+        .collect();
     let key: Name = "k".into();
     // One message to one node, and what it sends once that is synced.
-    let give = |n: &mut Vec<Registers>, disks: &mut Vec<Vec<Row>>, to: usize, from: usize, msg: &Message| {
+    let give = |n: &mut Vec<Registers>,
+                disks: &mut Vec<Vec<Row>>,
+                to: usize,
+                from: usize,
+                msg: &Message| {
         let mut out = vec![];
         match msg.clone() {
             Message::Prepare(m) => n[to].on_prepare(&name(from), m, 1, &mut out),
@@ -199,9 +286,19 @@
         }
         synced(&mut disks[to], out)
     };
-    let to = |s: &Sends, i: usize| s.iter().find(|x| x.0 == name(i)).map(|x| x.1.clone()).unwrap();
+    let to = |s: &Sends, i: usize| {
+        s.iter()
+            .find(|x| x.0 == name(i))
+            .map(|x| x.1.clone())
+            .unwrap()
+    };
     // Takes the key at `a` with the votes of `by`, and writes; the write reaches `reach` only.
-    let write = |n: &mut Vec<Registers>, disks: &mut Vec<Vec<Row>>, a: usize, v: &str, by: [usize; 2], reach: &[usize]| {
+    let write = |n: &mut Vec<Registers>,
+                 disks: &mut Vec<Vec<Row>>,
+                 a: usize,
+                 v: &str,
+                 by: [usize; 2],
+                 reach: &[usize]| {
         let mut out = vec![];
         n[a].propose(7, &key, None, Blob(v.into()), 1, &mut out);
         let prepare = synced(&mut disks[a], out);
@@ -221,7 +318,10 @@
     expect_that!(n[0].slots[&key].committed_version, eq(1));
     // The third takes over with the second's vote, which comes first, and its own.
     write(&mut n, &mut disks, 2, "next", [1, 2], &[1, 2]);
-    expect_that!(String::from_utf8_lossy(&n[2].slots[&key].value.0), eq("accepted"));
+    expect_that!(
+        String::from_utf8_lossy(&n[2].slots[&key].value.0),
+        eq("accepted")
+    );
 }
 
 /// Whatever crashes, is late or is lost: a version has one value for good, and in the end all hold the newest.
@@ -237,17 +337,36 @@
         let newest = b.told.keys().max().copied().unwrap_or(0);
         wrote += newest;
         // Who missed the news of it is mended by digests, which are not part of this.
-        let held = b.nodes.iter().flatten().filter_map(|n| n.slots.get(&Name::from("k"))).map(|s| s.version).max();
+        let held = b
+            .nodes
+            .iter()
+            .flatten()
+            .filter_map(|n| n.slots.get(&Name::from("k")))
+            .map(|s| s.version)
+            .max();
         expect_that!(held, ge(Some(newest)), "seed {seed}");
     }
     expect_that!(wrote, gt(1_000));
 }
 
 fn voters() -> Vec<Voter> {
-    (0..NODES).map(|i| Voter { name: name(i), disk_id: i as u64 + 1, addr: name(i), ..Voter::default() }).collect()
+    (0..NODES)
+        .map(|i| Voter {
+            name: name(i),
+            disk_id: i as u64 + 1,
+            addr: name(i),
+            ..Voter::default()
+        })
+        .collect()
 }
 fn voter(i: usize) -> Registers {
-    let row = Row::Members { member_epoch: 1, before: 0, voters: voters(), voting: true, left: false };
+    let row = Row::Members {
+        member_epoch: 1,
+        before: 0,
+        voters: voters(),
+        voting: true,
+        left: false,
+    };
     Registers::new(name(i), vec![row], LEASE_DURATION, 0)
 }
 fn accept(key: &str, epoch: u64, version: u64, value: &str) -> wire_messages::Accept {
@@ -262,7 +381,13 @@
 }
 fn accepted(out: &Effects) -> Option<wire_messages::Accepted> {
     let sends = synced(&mut vec![], out.clone());
-    sends.into_iter().find_map(|(_, m)| if let Message::Accepted(a) = m { Some(a) } else { None })
+    sends.into_iter().find_map(|(_, m)| {
+        if let Message::Accepted(a) = m {
+            Some(a)
+        } else {
+            None
+        }
+    })
 }
 
 /// A voter that heard of a commit without having promised its epoch holds a value of an epoch above its promise: what an
@@ -271,11 +396,23 @@
 fn what_a_voter_does_not_store_it_does_not_acknowledge() {
     let mut n = voter(0);
     let mut out = vec![];
-    n.on_commit(&Change { key: "k".into(), epoch: 9, version: 3, value: Blob("newer".into()) }, &[], &mut out);
+    n.on_commit(
+        &Change {
+            key: "k".into(),
+            epoch: 9,
+            version: 3,
+            value: Blob("newer".into()),
+        },
+        &[],
+        &mut out,
+    );
     let mut out = vec![];
     n.on_accept(&name(1), accept("k", 5, 4, "older"), &mut out);
     let told = accepted(&out);
-    expect_that!(told.as_ref().map(|a| (a.accepted, a.promised_epoch)), some(eq((0, 9))));
+    expect_that!(
+        told.as_ref().map(|a| (a.accepted, a.promised_epoch)),
+        some(eq((0, 9)))
+    );
     expect_that!(n.slots[&Name::from("k")].value.0, eq(b"newer"));
     // Its own epoch and later ones are stored.
     for (epoch, version) in [(9, 4), (11, 5)] {
@@ -293,7 +430,10 @@
     for (version, value) in [(1, "a"), (2, "b"), (1, "a")] {
         let mut out = vec![];
         n.on_accept(&name(1), accept("k", 5, version, value), &mut out);
-        expect_that!(accepted(&out).map(|a| (a.accepted, a.version)), some(eq((1, version))));
+        expect_that!(
+            accepted(&out).map(|a| (a.accepted, a.version)),
+            some(eq((1, version)))
+        );
     }
     expect_that!(n.slots[&Name::from("k")].value.0, eq(b"b"));
 }
@@ -302,7 +442,10 @@
 /// accepted value whether or not it is known to be committed, and what it replaced.
 #[gtest]
 fn a_newcomer_takes_over_promises_values_and_what_they_replaced() {
-    let past = List(vec![ReplacedValue { release: 1, digest: 2 }]);
+    let past = List(vec![ReplacedValue {
+        release: 1,
+        digest: 2,
+    }]);
     let slot = |promised, epoch, version, committed, value: &str| Slot {
         key: "k".into(),
         promised_epoch: promised,
@@ -315,27 +458,60 @@
     let of = |n: &Registers| n.slots[&Name::from("k")].clone();
     let mut n = voter(0);
     // The highest promise and the newest value stand with different voters, in either order.
-    let rows = n.catch_up(&[slot(8, 7, 2, 1, "accepted"), slot(12, 6, 3, 3, "older epoch")]);
+    let rows = n.catch_up(&[
+        slot(8, 7, 2, 1, "accepted"),
+        slot(12, 6, 3, 3, "older epoch"),
+    ]);
     let taken = slot(12, 7, 2, 1, "accepted");
     expect_that!(of(&n), eq(&taken));
-    expect_that!(rows, contains(eq(&Row::Slot(taken.clone()))), "it is on its disk before it votes");
-    expect_that!(n.newly_committed, is_empty(), "what no majority is known to have taken is told to nobody");
-    expect_that!(n.highest_epoch, eq(12), "its own epochs are above all that it read of");
+    expect_that!(
+        rows,
+        contains(eq(&Row::Slot(taken.clone()))),
+        "it is on its disk before it votes"
+    );
+    expect_that!(
+        n.newly_committed,
+        is_empty(),
+        "what no majority is known to have taken is told to nobody"
+    );
+    expect_that!(
+        n.highest_epoch,
+        eq(12),
+        "its own epochs are above all that it read of"
+    );
     // What is older changes nothing, and what is newer and committed goes to the feed.
     n.catch_up(&[slot(3, 7, 1, 1, "old")]);
     expect_that!(of(&n), eq(&taken));
     n.catch_up(&[slot(9, 8, 3, 3, "newest")]);
     expect_that!(of(&n), eq(&slot(12, 8, 3, 3, "newest")));
-    expect_that!(n.newly_committed.iter().map(|c| c.version).collect::<Vec<_>>(), elements_are![eq(&3)]);
+    expect_that!(
+        n.newly_committed
+            .iter()
+            .map(|c| c.version)
+            .collect::<Vec<_>>(),
+        elements_are![eq(&3)]
+    );
     // It promises nothing below what any of them promised.
     let mut out = vec![];
-    n.on_prepare(&name(1), wire_messages::Prepare { key: "k".into(), epoch: 11, member_epoch: 1 }, 10_000, &mut out);
+    n.on_prepare(
+        &name(1),
+        wire_messages::Prepare {
+            key: "k".into(),
+            epoch: 11,
+            member_epoch: 1,
+        },
+        10_000,
+        &mut out,
+    );
     let told = synced(&mut vec![], out);
     expect_that!(
         told,
         elements_are![(
             eq(&name(1)),
-            matches_pattern!(Message::Promise(matches_pattern!(wire_messages::Promise { granted: &0, .. })))
+            matches_pattern!(Message::Promise(matches_pattern!(wire_messages::Promise {
+                granted: &0,
+                ..
+            })))
         )]
     );
 }
@@ -345,22 +521,43 @@
 #[gtest]
 fn a_release_is_read_from_the_value_that_stands() {
     let document = |release: u64| {
-        let s =
-            serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": 1, "release": release});
+        let s = serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": 1, "release": release});
         Blob(serde_json::to_vec(&s).unwrap())
     };
     let mut n = voter(0);
     let put = |n: &mut Registers, key: &str, epoch, version, release| {
-        n.on_commit(&Change { key: key.into(), epoch, version, value: document(release) }, &[], &mut vec![]);
+        n.on_commit(
+            &Change {
+                key: key.into(),
+                epoch,
+                version,
+                value: document(release),
+            },
+            &[],
+            &mut vec![],
+        );
     };
     put(&mut n, "a", 5, 1, 10);
     put(&mut n, "b", 5, 1, 20);
-    expect_that!([n.release(&"a".into(), 1), n.release(&"b".into(), 1), n.release(&"a".into(), 0)], each(some(anything())));
-    expect_that!((n.release(&"a".into(), 1), n.release(&"b".into(), 1)), eq((Some(10), Some(20))));
+    expect_that!(
+        [
+            n.release(&"a".into(), 1),
+            n.release(&"b".into(), 1),
+            n.release(&"a".into(), 0)
+        ],
+        each(some(anything()))
+    );
+    expect_that!(
+        (n.release(&"a".into(), 1), n.release(&"b".into(), 1)),
+        eq((Some(10), Some(20)))
+    );
     put(&mut n, "a", 6, 1, 11);
     expect_that!(n.release(&"a".into(), 1), some(eq(11)));
     put(&mut n, "a", 6, 2, 12);
-    expect_that!((n.release(&"a".into(), 1), n.release(&"a".into(), 2)), eq((None, Some(12))));
+    expect_that!(
+        (n.release(&"a".into(), 1), n.release(&"a".into(), 2)),
+        eq((None, Some(12)))
+    );
 }
 
 /// A vote that was given on a disk which has been lost since must not be counted with those of the voters of now: the
@@ -379,21 +576,53 @@
         if let Message::Prepare(m) = own {
             n.on_prepare(&name(0), m, 1, &mut out);
         }
-        let Message::Promise(promise) = synced(&mut vec![], out)[0].1.clone() else { unreachable!() };
+        let Message::Promise(promise) = synced(&mut vec![], out)[0].1.clone() else {
+            unreachable!()
+        };
         n.on_promise(&name(0), promise.clone(), 1, &mut vec![]);
         (n, promise)
     };
-    let holds = |n: &Registers| matches!(n.ownerships.get(&key).map(|o| &o.phase), Some(OwnershipPhase::Owning { .. }));
+    let holds = |n: &Registers| {
+        matches!(
+            n.ownerships.get(&key).map(|o| &o.phase),
+            Some(OwnershipPhase::Owning { .. })
+        )
+    };
     let (n, promise) = owner();
-    for (member_epoch, from, counts) in [(1, 1, true), (0, 1, false), (2, 1, false), (1, 0, false), (1, 9, false)] {
+    for (member_epoch, from, counts) in [
+        (1, 1, true),
+        (0, 1, false),
+        (2, 1, false),
+        (1, 0, false),
+        (1, 9, false),
+    ] {
         let mut n = n.clone();
-        n.on_promise(&name(from), wire_messages::Promise { member_epoch, ..promise.clone() }, 1, &mut vec![]);
-        expect_that!(holds(&n), eq(counts), "a promise of member epoch {member_epoch} by {from}");
+        n.on_promise(
+            &name(from),
+            wire_messages::Promise {
+                member_epoch,
+                ..promise.clone()
+            },
+            1,
+            &mut vec![],
+        );
+        expect_that!(
+            holds(&n),
+            eq(counts),
+            "a promise of member epoch {member_epoch} by {from}"
+        );
     }
     let mut older = n.clone();
-    let late = wire_messages::Promise { epoch: promise.epoch - 1, ..promise.clone() };
+    let late = wire_messages::Promise {
+        epoch: promise.epoch - 1,
+        ..promise.clone()
+    };
     older.on_promise(&name(1), late, 1, &mut vec![]);
-    expect_that!(holds(&older), eq(false), "a promise of an earlier ownership");
+    expect_that!(
+        holds(&older),
+        eq(false),
+        "a promise of an earlier ownership"
+    );
     let (mut n, promise) = owner();
     n.on_promise(&name(1), promise.clone(), 1, &mut vec![]);
     let ack = |member_epoch, epoch, version| wire_messages::Accepted {
@@ -405,27 +634,75 @@
         accepted: 1,
     };
     n.on_accepted(&name(0), ack(1, promise.epoch, 1), 1, &mut vec![]);
-    let all = [(1, promise.epoch, 1, 1, true), (0, promise.epoch, 1, 1, false), (2, promise.epoch, 1, 1, false)];
-    let rest = [(1, promise.epoch - 1, 1, 1, false), (1, promise.epoch, 2, 1, false), (1, promise.epoch, 1, 9, false)];
+    let all = [
+        (1, promise.epoch, 1, 1, true),
+        (0, promise.epoch, 1, 1, false),
+        (2, promise.epoch, 1, 1, false),
+    ];
+    let rest = [
+        (1, promise.epoch - 1, 1, 1, false),
+        (1, promise.epoch, 2, 1, false),
+        (1, promise.epoch, 1, 9, false),
+    ];
     for (member_epoch, epoch, version, from, counts) in all.into_iter().chain(rest) {
         let (mut n, mut out) = (n.clone(), vec![]);
         n.on_accepted(&name(from), ack(member_epoch, epoch, version), 1, &mut out);
-        let told = out.iter().any(|e| matches!(e, Effect::WriteFinished { outcome: WriteOutcome::Accepted(1), .. }));
-        expect_that!(told, eq(counts), "version {version} under {epoch} in member epoch {member_epoch} by {from}");
+        let told = out.iter().any(|e| {
+            matches!(
+                e,
+                Effect::WriteFinished {
+                    outcome: WriteOutcome::Accepted(1),
+                    ..
+                }
+            )
+        });
+        expect_that!(
+            told,
+            eq(counts),
+            "version {version} under {epoch} in member epoch {member_epoch} by {from}"
+        );
     }
     // Nor does a voter take part in another member epoch than its own.
     for member_epoch in [0, 2] {
         let (mut n, mut out) = (voter(1), vec![]);
-        n.on_accept(&name(0), wire_messages::Accept { member_epoch, ..accept("k", 5, 1, "value") }, &mut out);
+        n.on_accept(
+            &name(0),
+            wire_messages::Accept {
+                member_epoch,
+                ..accept("k", 5, 1, "value")
+            },
+            &mut out,
+        );
         n.on_renew(
             &name(0),
-            wire_messages::RenewLeases { keys: List(vec![OwnedKey { key: key.clone(), epoch: 5 }]), sent_at: 1, member_epoch },
+            wire_messages::RenewLeases {
+                keys: List(vec![OwnedKey {
+                    key: key.clone(),
+                    epoch: 5,
+                }]),
+                sent_at: 1,
+                member_epoch,
+            },
+            1,
+            &mut out,
+        );
+        n.on_prepare(
+            &name(0),
+            wire_messages::Prepare {
+                key: key.clone(),
+                epoch: 5,
+                member_epoch,
+            },
             1,
             &mut out,
         );
-        n.on_prepare(&name(0), wire_messages::Prepare { key: key.clone(), epoch: 5, member_epoch }, 1, &mut out);
         let sends = synced(&mut vec![], out);
-        let taken = sends.iter().any(|(_, m)| !matches!(m, Message::Promise(wire_messages::Promise { granted: 0, .. })));
+        let taken = sends.iter().any(|(_, m)| {
+            !matches!(
+                m,
+                Message::Promise(wire_messages::Promise { granted: 0, .. })
+            )
+        });
         expect_that!(taken, eq(false), "member epoch {member_epoch}");
         expect_that!(n.slots.get(&key).map_or(0, |s| s.accepted_epoch), eq(0));
     }
@@ -437,7 +714,16 @@
 fn a_reading_waits_for_a_majority_that_was_asked_since() {
     let key: Name = "k".into();
     let mut n = voter(0);
-    n.on_commit(&Change { key: key.clone(), epoch: 5, version: 3, value: Blob("value".into()) }, &[], &mut vec![]);
+    n.on_commit(
+        &Change {
+            key: key.clone(),
+            epoch: 5,
+            version: 3,
+            value: Blob("value".into()),
+        },
+        &[],
+        &mut vec![],
+    );
     let phase = OwnershipPhase::Owning { version: 3 };
     let own = Ownership {
         epoch: 7,
@@ -454,17 +740,33 @@
     n.read(9, &key, 100, &mut out);
     let renewed = |n: &mut Registers, from: usize, epoch, sent, member_epoch| {
         let m = wire_messages::LeasesRenewed {
-            keys: List(vec![OwnedKey { key: key.clone(), epoch }]),
+            keys: List(vec![OwnedKey {
+                key: key.clone(),
+                epoch,
+            }]),
             request_sent_at: sent,
             member_epoch,
         };
         let mut out = vec![];
         n.on_renewed(&name(from), m, 101, &mut out);
-        out.iter().any(|e| matches!(e, Effect::WriteFinished { token: 9, outcome: WriteOutcome::Accepted(3) }))
+        out.iter().any(|e| {
+            matches!(
+                e,
+                Effect::WriteFinished {
+                    token: 9,
+                    outcome: WriteOutcome::Accepted(3)
+                }
+            )
+        })
     };
-    let mut told = |from, epoch, sent, member_epoch| renewed(&mut n, from, epoch, sent, member_epoch);
+    let mut told =
+        |from, epoch, sent, member_epoch| renewed(&mut n, from, epoch, sent, member_epoch);
     expect_that!(told(0, 7, 100, 1), eq(false), "one is no majority");
-    expect_that!(told(1, 7, 99, 1), eq(false), "asked before the reading came");
+    expect_that!(
+        told(1, 7, 99, 1),
+        eq(false),
+        "asked before the reading came"
+    );
     expect_that!(told(1, 6, 100, 1), eq(false), "another ownership");
     expect_that!(told(1, 7, 100, 2), eq(false), "another member epoch");
     expect_that!(told(9, 7, 100, 1), eq(false), "no voter");
@@ -475,13 +777,24 @@
     let mut out = vec![];
     v.on_renew(
         &name(0),
-        wire_messages::RenewLeases { keys: List(vec![OwnedKey { key: key.clone(), epoch: 7 }]), sent_at: 100, member_epoch: 1 },
+        wire_messages::RenewLeases {
+            keys: List(vec![OwnedKey {
+                key: key.clone(),
+                epoch: 7,
+            }]),
+            sent_at: 100,
+            member_epoch: 1,
+        },
         1,
         &mut out,
     );
     let sends = synced(&mut vec![], out);
-    let denied = sends.iter().any(|(_, m)| matches!(m, Message::Accepted(a) if a.accepted == 0 && a.promised_epoch == 8));
-    let confirmed = sends.iter().any(|(_, m)| matches!(m, Message::LeasesRenewed(r) if !r.keys.is_empty()));
+    let denied = sends.iter().any(
+        |(_, m)| matches!(m, Message::Accepted(a) if a.accepted == 0 && a.promised_epoch == 8),
+    );
+    let confirmed = sends
+        .iter()
+        .any(|(_, m)| matches!(m, Message::LeasesRenewed(r) if !r.keys.is_empty()));
     expect_that!((denied, confirmed), eq((true, false)));
 }
 
--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -68,8 +68,14 @@
 impl Node {
     fn seal(&mut self) {
         let (r, key) = (&self.regs, KEY);
-        let text =
-            format!("{:?} {:?} {} {:?} {:?}", r.slots.get(key), r.ownerships.get(key), r.highest_epoch, self.disk, self.unsynced);
+        let text = format!(
+            "{:?} {:?} {} {:?} {:?}",
+            r.slots.get(key),
+            r.ownerships.get(key),
+            r.highest_epoch,
+            self.disk,
+            self.unsynced
+        );
         self.digest = xxh3_128(text.as_bytes());
     }
 }
@@ -116,21 +122,53 @@
                 regs.voters.retain(|v| v.name == name(i));
             }
             let row = regs.members_row();
-            Arc::new(Node { regs, disk: [("members".to_string(), row)].into(), unsynced: VecDeque::new(), digest: 0 })
+            Arc::new(Node {
+                regs,
+                disk: [("members".to_string(), row)].into(),
+                unsynced: VecDeque::new(),
+                digest: 0,
+            })
+        };
+        let call = |(at, request): &(usize, Request)| Call {
+            at: *at,
+            request: *request,
+            began: None,
+            ended: None,
         };
-        let call = |(at, request): &(usize, Request)| Call { at: *at, request: *request, began: None, ended: None };
         let calls = calls.iter().map(call).collect();
-        World { without, step: 1, nodes: (0..NODES).map(node).collect(), wire: vec![], calls, crashes, copies }
+        World {
+            without,
+            step: 1,
+            nodes: (0..NODES).map(node).collect(),
+            wire: vec![],
+            calls,
+            crashes,
+            copies,
+        }
     }
 
     fn actions(&self) -> Vec<Action> {
         // A call that is the same as one before it and has not begun is the same choice.
-        let calls = (0..self.calls.len()).filter(|i| self.calls[*i].began.is_none()).map(Action::Call).take(1);
-        let messages = (0..self.wire.len()).filter(|i| *i == 0 || self.wire[*i].digest != self.wire[*i - 1].digest);
-        let syncs = (0..NODES).filter(|i| !self.nodes[*i].unsynced.is_empty()).map(Action::Sync);
+        let calls = (0..self.calls.len())
+            .filter(|i| self.calls[*i].began.is_none())
+            .map(Action::Call)
+            .take(1);
+        let messages = (0..self.wire.len())
+            .filter(|i| *i == 0 || self.wire[*i].digest != self.wire[*i - 1].digest);
+        let syncs = (0..NODES)
+            .filter(|i| !self.nodes[*i].unsynced.is_empty())
+            .map(Action::Sync);
         let crashes = (0..NODES).filter(|_| self.crashes > 0).map(Action::Crash);
-        let copies = messages.clone().filter(|_| self.copies > 0).map(Action::DeliverCopy);
-        calls.chain(messages.map(Action::Deliver)).chain(syncs).chain(crashes).chain(copies).collect()
+        let copies = messages
+            .clone()
+            .filter(|_| self.copies > 0)
+            .map(Action::DeliverCopy);
+        calls
+            .chain(messages.map(Action::Deliver))
+            .chain(syncs)
+            .chain(crashes)
+            .chain(copies)
+            .collect()
     }
 
     fn take(&mut self, a: Action) {
@@ -157,7 +195,15 @@
     fn send(&mut self, from: usize, to: usize, msg: Message) {
         let digest = xxh3_128(format!("{from} {to} {msg:?}").as_bytes());
         let at = self.wire.partition_point(|s| s.digest < digest);
-        self.wire.insert(at, Sent { digest, from, to, msg: Arc::new(msg) });
+        self.wire.insert(
+            at,
+            Sent {
+                digest,
+                from,
+                to,
+                msg: Arc::new(msg),
+            },
+        );
     }
 
     fn call(&mut self, i: usize) {
@@ -167,7 +213,14 @@
         let mut out = vec![];
         let regs = &mut self.node(at).regs;
         match request {
-            Put { value, on } => regs.propose(i as u64 + 1, &KEY.into(), Some(on), Blob(vec![value]), step, &mut out),
+            Put { value, on } => regs.propose(
+                i as u64 + 1,
+                &KEY.into(),
+                Some(on),
+                Blob(vec![value]),
+                step,
+                &mut out,
+            ),
             Read => regs.read(i as u64 + 1, &KEY.into(), step, &mut out),
         }
         self.carry(at, out);
@@ -181,15 +234,21 @@
             Message::Prepare(m) => regs.on_prepare(&from, m, step, &mut out),
             Message::Promise(mut m) => {
                 if without == Without::AcceptedInPromise && from != name(to) {
-                    m.slot = Slot { key: m.slot.key, promised_epoch: m.slot.promised_epoch, ..Slot::default() };
+                    m.slot = Slot {
+                        key: m.slot.key,
+                        promised_epoch: m.slot.promised_epoch,
+                        ..Slot::default()
+                    };
                 }
                 regs.on_promise(&from, m, step, &mut out);
             }
             Message::Accept(m) => {
                 if without == Without::PromiseKept {
                     let slot = regs.slot_mut(&m.key);
-                    (slot.promised_epoch, slot.accepted_epoch) =
-                        (slot.promised_epoch.min(m.epoch), slot.accepted_epoch.min(m.epoch));
+                    (slot.promised_epoch, slot.accepted_epoch) = (
+                        slot.promised_epoch.min(m.epoch),
+                        slot.accepted_epoch.min(m.epoch),
+                    );
                 }
                 regs.on_accept(&from, m, &mut out);
             }
@@ -229,9 +288,17 @@
     fn leave_out(&mut self, at: usize) {
         let without = self.without;
         let regs = &mut self.node(at).regs;
-        match (without, regs.ownerships.get_mut(KEY), regs.slots.get_mut(KEY)) {
-            (Without::ConfirmedRead, Some(own), _) => own.confirmed_by = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect(),
-            (Without::Memory, _, Some(slot)) => slot.replaced.0.iter_mut().for_each(|p| p.digest = 0),
+        match (
+            without,
+            regs.ownerships.get_mut(KEY),
+            regs.slots.get_mut(KEY),
+        ) {
+            (Without::ConfirmedRead, Some(own), _) => {
+                own.confirmed_by = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect()
+            }
+            (Without::Memory, _, Some(slot)) => {
+                slot.replaced.0.iter_mut().for_each(|p| p.digest = 0)
+            }
             _ => {}
         }
     }
@@ -252,9 +319,15 @@
 
     fn sync(&mut self, at: usize) {
         let node = self.node(at);
-        let Some((rows, then)) = node.unsynced.pop_front() else { return };
+        let Some((rows, then)) = node.unsynced.pop_front() else {
+            return;
+        };
         for r in rows {
-            let k = if let Row::Slot(s) = &r { s.key.to_string() } else { "members".into() };
+            let k = if let Row::Slot(s) = &r {
+                s.key.to_string()
+            } else {
+                "members".into()
+            };
             node.disk.insert(k, r);
         }
         self.carry(at, then);
@@ -266,7 +339,12 @@
         let step = self.step;
         let node = self.node(at);
         node.unsynced.clear();
-        node.regs = Registers::new(name(at), node.disk.values().cloned().collect(), LEASE_DURATION, step);
+        node.regs = Registers::new(
+            name(at),
+            node.disk.values().cloned().collect(),
+            LEASE_DURATION,
+            step,
+        );
         node.regs.skip_lease_wait();
         node.regs.newly_committed.clear();
         node.seal();
@@ -279,8 +357,15 @@
 
     /// What the history says that no register could: none if it is linearizable as far as told.
     fn wrong(&self) -> Option<String> {
-        let told = |c: &Call| c.ended.filter(|e| !matches!(e.1, WriteOutcome::Unknown | WriteOutcome::NotAccepted(_)));
-        let done: Vec<(&Call, u64, WriteOutcome)> = self.calls.iter().filter_map(|c| told(c).map(|e| (c, e.0, e.1))).collect();
+        let told = |c: &Call| {
+            c.ended
+                .filter(|e| !matches!(e.1, WriteOutcome::Unknown | WriteOutcome::NotAccepted(_)))
+        };
+        let done: Vec<(&Call, u64, WriteOutcome)> = self
+            .calls
+            .iter()
+            .filter_map(|c| told(c).map(|e| (c, e.0, e.1)))
+            .collect();
         let version = |o: &WriteOutcome| match o {
             WriteOutcome::Accepted(v) | WriteOutcome::Conflict(v) => *v,
             _ => 0,
@@ -295,8 +380,9 @@
                     return Some(format!("{c:?} and {:?} are both accepted", d.0));
                 }
                 // The same order again is never refused once it was accepted.
-                let again =
-                    |d: &&(&Call, u64, WriteOutcome)| d.0.request == c.request && matches!(d.2, WriteOutcome::Conflict(_));
+                let again = |d: &&(&Call, u64, WriteOutcome)| {
+                    d.0.request == c.request && matches!(d.2, WriteOutcome::Conflict(_))
+                };
                 if let Some(d) = done.iter().find(again) {
                     return Some(format!("{c:?} is accepted and {:?} is refused", d.0));
                 }
@@ -309,8 +395,12 @@
         }
         // What ended before another call began is seen by that one. An order that is told again keeps its version.
         for (a, ended, told) in &done {
-            for (b, _, later) in done.iter().filter(|(b, ..)| b.began.is_some_and(|t| t > *ended)) {
-                let repeats = a.request != Read && matches!((b.request, later), (Put { .. }, WriteOutcome::Accepted(_)));
+            for (b, _, later) in done
+                .iter()
+                .filter(|(b, ..)| b.began.is_some_and(|t| t > *ended))
+            {
+                let repeats = a.request != Read
+                    && matches!((b.request, later), (Put { .. }, WriteOutcome::Accepted(_)));
                 if version(later) < version(told) && !repeats {
                     return Some(format!("{a:?} ended before {b:?} began"));
                 }
@@ -322,23 +412,41 @@
     /// A version that is known to be committed has one value, wherever it is known, and never that of a write which was
     /// refused.
     fn two_values(&self) -> Option<String> {
-        let known = |n: &Arc<Node>| n.regs.slots.get(KEY).filter(|s| s.version > 0 && s.committed_version == s.version).cloned();
+        let known = |n: &Arc<Node>| {
+            n.regs
+                .slots
+                .get(KEY)
+                .filter(|s| s.version > 0 && s.committed_version == s.version)
+                .cloned()
+        };
         let all: Vec<Slot> = self.nodes.iter().filter_map(known).collect();
-        if let Some(two) = all.iter().find(|a| all.iter().any(|b| a.version == b.version && a.value != b.value)) {
+        if let Some(two) = all.iter().find(|a| {
+            all.iter()
+                .any(|b| a.version == b.version && a.value != b.value)
+        }) {
             return Some(format!("version {} has two values", two.version));
         }
         let stands = |c: &&Call| match (c.request, c.ended) {
-            (Put { value, on }, Some((_, WriteOutcome::Conflict(_)))) => {
-                all.iter().any(|s| s.version == on + 1 && s.value.0 == [value])
-            }
+            (Put { value, on }, Some((_, WriteOutcome::Conflict(_)))) => all
+                .iter()
+                .any(|s| s.version == on + 1 && s.value.0 == [value]),
             _ => false,
         };
-        self.calls.iter().find(stands).map(|c| format!("{c:?} was refused and stands"))
+        self.calls
+            .iter()
+            .find(stands)
+            .map(|c| format!("{c:?} was refused and stands"))
     }
 
     fn digest(&self) -> u128 {
-        let history = xxh3_128(format!("{:?} {} {}", self.calls, self.crashes, self.copies).as_bytes());
-        let all = self.nodes.iter().map(|n| n.digest).chain(self.wire.iter().map(|s| s.digest)).chain([history]);
+        let history =
+            xxh3_128(format!("{:?} {} {}", self.calls, self.crashes, self.copies).as_bytes());
+        let all = self
+            .nodes
+            .iter()
+            .map(|n| n.digest)
+            .chain(self.wire.iter().map(|s| s.digest))
+            .chain([history]);
         xxh3_128(&all.flat_map(u128::to_be_bytes).collect::<Vec<u8>>())
     }
 
@@ -389,10 +497,17 @@
                 if after.idles_after(w) || !seen.insert(after.digest()) {
                     continue;
                 }
-                let trace = Some(Arc::new(Step { action, before: trace.clone() }));
+                let trace = Some(Arc::new(Step {
+                    action,
+                    before: trace.clone(),
+                }));
                 if let Some(wrong) = after.wrong() {
                     let wrong = Some(format!("{wrong}\n{:#?}\n{:#?}", steps(&trace), after.calls));
-                    return Explored { depth: depth + 1, states: seen.len(), wrong };
+                    return Explored {
+                        depth: depth + 1,
+                        states: seen.len(),
+                        wrong,
+                    };
                 }
                 // Nothing more can be told once all calls have ended.
                 if after.calls.iter().any(|c| c.ended.is_none()) {
@@ -400,12 +515,20 @@
                 }
             }
             if seen.len() >= most_states {
-                return Explored { depth, states: seen.len(), wrong: None };
+                return Explored {
+                    depth,
+                    states: seen.len(),
+                    wrong: None,
+                };
             }
         }
         states = next;
     }
-    Explored { depth: most_depth, states: seen.len(), wrong: None }
+    Explored {
+        depth: most_depth,
+        states: seen.len(),
+        wrong: None,
+    }
 }
 
 /// States that a run in CI goes through at most, for each scenario: some ten seconds.
@@ -418,12 +541,42 @@
 /// What is gone through: a name, crashes, messages that come twice, and calls in the order in which they begin.
 type Scenario = (&'static str, u32, u32, &'static [(usize, Request)]);
 const SCENARIOS: [Scenario; 6] = [
-    ("two owners write on one version, and one reads", 0, 0, &[(0, A), (1, B), (2, Read)]),
-    ("an owner writes, is replaced, and both read", 0, 0, &[(0, A), (1, Read), (0, Read)]),
-    ("a write is repeated elsewhere after another replaced it", 0, 0, &[(0, A), (0, NEXT), (1, A)]),
-    ("one crashes while two owners write", 1, 0, &[(0, A), (1, B)]),
-    ("one crashes around a write and a reading", 1, 0, &[(0, A), (1, Read)]),
-    ("a message comes twice while two owners write", 0, 1, &[(0, A), (1, B)]),
+    (
+        "two owners write on one version, and one reads",
+        0,
+        0,
+        &[(0, A), (1, B), (2, Read)],
+    ),
+    (
+        "an owner writes, is replaced, and both read",
+        0,
+        0,
+        &[(0, A), (1, Read), (0, Read)],
+    ),
+    (
+        "a write is repeated elsewhere after another replaced it",
+        0,
+        0,
+        &[(0, A), (0, NEXT), (1, A)],
+    ),
+    (
+        "one crashes while two owners write",
+        1,
+        0,
+        &[(0, A), (1, B)],
+    ),
+    (
+        "one crashes around a write and a reading",
+        1,
+        0,
+        &[(0, A), (1, Read)],
+    ),
+    (
+        "a message comes twice while two owners write",
+        0,
+        1,
+        &[(0, A), (1, B)],
+    ),
 ];
 
 /// No order of events is longer: each scenario ends before.
@@ -431,11 +584,23 @@
 
 #[gtest]
 fn no_order_of_messages_syncs_and_crashes_breaks_a_register() {
-    let states = std::env::var("EXPLORE_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(STATES);
+    let states = std::env::var("EXPLORE_STATES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(STATES);
     let run = |(name, crashes, copies, calls): Scenario| {
         let from = std::time::Instant::now();
-        let e = explore(World::new(Without::Nothing, crashes, copies, calls), DEPTH, states);
-        println!("{name}: all orders of {} steps, {} states, {:.1} s", e.depth, e.states, from.elapsed().as_secs_f64());
+        let e = explore(
+            World::new(Without::Nothing, crashes, copies, calls),
+            DEPTH,
+            states,
+        );
+        println!(
+            "{name}: all orders of {} steps, {} states, {:.1} s",
+            e.depth,
+            e.states,
+            from.elapsed().as_secs_f64()
+        );
         (name, e.wrong)
     };
     let told: Vec<_> = std::thread::scope(|s| {
@@ -460,13 +625,25 @@
         (Without::Majority, 0, &[(0, A), (1, B)]),
     ];
     let told: Vec<_> = std::thread::scope(|s| {
-        let run =
-            |(without, crashes, calls): Case| (without, explore(World::new(without, crashes, 0, calls), DEPTH, 10 * STATES));
+        let run = |(without, crashes, calls): Case| {
+            (
+                without,
+                explore(World::new(without, crashes, 0, calls), DEPTH, 10 * STATES),
+            )
+        };
         let all = cases.map(|one| s.spawn(move || run(one)));
         all.into_iter().map(|t| t.join().unwrap()).collect()
     });
     for (without, e) in told {
-        println!("{without:?}: broken after {} steps, {} states", e.depth, e.states);
-        expect_that!(e.wrong, some(anything()), "{without:?} is not seen to be needed in {} steps", e.depth);
+        println!(
+            "{without:?}: broken after {} steps, {} states",
+            e.depth, e.states
+        );
+        expect_that!(
+            e.wrong,
+            some(anything()),
+            "{without:?} is not seen to be needed in {} steps",
+            e.depth
+        );
     }
 }
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -6,7 +6,8 @@
 
 use super::{Ownership, OwnershipPhase, Registers, is_leased};
 use crate::{
-    Effect, Effects, Ms, WriteOutcome, effect::log_event, events, register::owner::RESEND_INTERVAL, timing::HEARTBEAT_INTERVAL,
+    Effect, Effects, Ms, WriteOutcome, effect::log_event, events, register::owner::RESEND_INTERVAL,
+    timing::HEARTBEAT_INTERVAL,
 };
 
 /// ms. Duty holders renew three times within a lease's life.
@@ -16,7 +17,13 @@
 
 impl Registers {
     /// Takes, hands over, resends, renews and times out. `wanted`: keys that must have an owner.
-    pub fn tick(&mut self, now: Ms, live: &dyn Fn(&str) -> bool, wanted: &[Name], out: &mut Effects) {
+    pub fn tick(
+        &mut self,
+        now: Ms,
+        live: &dyn Fn(&str) -> bool,
+        wanted: &[Name],
+        out: &mut Effects,
+    ) {
         if !self.voting {
             return;
         }
@@ -24,16 +31,29 @@
         let look = now >= self.next_ownership_check;
         let keys: BTreeSet<Name> = if look {
             self.next_ownership_check = now + HEARTBEAT_INTERVAL / 2;
-            self.slots.keys().chain(wanted).chain(self.ownerships.keys()).cloned().collect()
+            self.slots
+                .keys()
+                .chain(wanted)
+                .chain(self.ownerships.keys())
+                .cloned()
+                .collect()
         } else {
             let at_work = |o: &Ownership| {
-                o.in_flight.is_some() || !o.pending.is_empty() || matches!(o.phase, OwnershipPhase::Preparing { .. })
+                o.in_flight.is_some()
+                    || !o.pending.is_empty()
+                    || matches!(o.phase, OwnershipPhase::Preparing { .. })
             };
-            self.ownerships.iter().filter(|(k, o)| is_leased(k) || at_work(o)).map(|(k, _)| k.clone()).collect()
+            self.ownerships
+                .iter()
+                .filter(|(k, o)| is_leased(k) || at_work(o))
+                .map(|(k, _)| k.clone())
+                .collect()
         };
         let mut renew = List::default();
         for key in keys {
-            let mine = self.preferred_owner(&key, live).is_some_and(|v| v.name == self.name);
+            let mine = self
+                .preferred_owner(&key, live)
+                .is_some_and(|v| v.name == self.name);
             let Some(o) = self.ownerships.get_mut(&key) else {
                 if mine {
                     self.acquire(&key, now, out);
@@ -50,28 +70,53 @@
                 && let OwnershipPhase::Owning { .. } = o.phase
                 && is_leased(&key)
             {
-                renew.0.push(OwnedKey { key, epoch: o.epoch });
+                renew.0.push(OwnedKey {
+                    key,
+                    epoch: o.epoch,
+                });
             }
         }
         if now >= self.next_renew && !renew.is_empty() {
             self.next_renew = now + RENEW_INTERVAL;
-            self.broadcast(RenewLeases { keys: renew, sent_at: now, member_epoch: self.member_epoch }, out);
+            self.broadcast(
+                RenewLeases {
+                    keys: renew,
+                    sent_at: now,
+                    member_epoch: self.member_epoch,
+                },
+                out,
+            );
         }
     }
 
     fn time_out(&mut self, key: &Name, now: Ms, out: &mut Effects) {
-        let Some(o) = self.ownerships.get_mut(key) else { return };
-        if let Some(w) = o.in_flight.as_mut().filter(|w| now.saturating_sub(w.received_at) > WRITE_TIMEOUT)
+        let Some(o) = self.ownerships.get_mut(key) else {
+            return;
+        };
+        if let Some(w) = o
+            .in_flight
+            .as_mut()
+            .filter(|w| now.saturating_sub(w.received_at) > WRITE_TIMEOUT)
             && let Some(token) = w.token.take()
         {
-            out.push(log_event(events::WRITE_UNKNOWN, &self.name, format!("{key} version {}", w.version)));
-            out.push(Effect::WriteFinished { token, outcome: WriteOutcome::Unknown });
+            out.push(log_event(
+                events::WRITE_UNKNOWN,
+                &self.name,
+                format!("{key} version {}", w.version),
+            ));
+            out.push(Effect::WriteFinished {
+                token,
+                outcome: WriteOutcome::Unknown,
+            });
         }
         let no = WriteOutcome::NotAccepted("no majority of disks answered in time");
         o.pending.retain(|a| {
             let keep = now.saturating_sub(a.received_at) <= WRITE_TIMEOUT;
             if !keep {
-                out.push(Effect::WriteFinished { token: a.token, outcome: no });
+                out.push(Effect::WriteFinished {
+                    token: a.token,
+                    outcome: no,
+                });
             }
             keep
         });
@@ -79,7 +124,9 @@
 
     fn resend(&mut self, key: &Name, now: Ms, out: &mut Effects) {
         let member_epoch = self.member_epoch;
-        let Some(o) = self.ownerships.get_mut(key) else { return };
+        let Some(o) = self.ownerships.get_mut(key) else {
+            return;
+        };
         if let OwnershipPhase::Preparing { sent, .. } = &o.phase {
             if now < o.not_before || now.saturating_sub(*sent) < RESEND_INTERVAL {
                 return;
@@ -96,10 +143,23 @@
         if o.in_flight.is_none() && !o.pending.is_empty() {
             return self.advance(key, now, out);
         }
-        let Some(w) = o.in_flight.as_mut().filter(|w| now.saturating_sub(w.sent_at) >= RESEND_INTERVAL) else { return };
+        let Some(w) = o
+            .in_flight
+            .as_mut()
+            .filter(|w| now.saturating_sub(w.sent_at) >= RESEND_INTERVAL)
+        else {
+            return;
+        };
         w.sent_at = now;
         let (value, past) = (w.value.clone(), w.replaced.clone());
-        let m = Accept { key: key.clone(), epoch: o.epoch, version: w.version, value, replaced: past, member_epoch };
+        let m = Accept {
+            key: key.clone(),
+            epoch: o.epoch,
+            version: w.version,
+            value,
+            replaced: past,
+            member_epoch,
+        };
         self.broadcast(m, out);
     }
 }
--- a/coordination/src/register/voters.rs
+++ b/coordination/src/register/voters.rs
@@ -12,18 +12,35 @@
         let mut places = places.to_vec();
         places.sort();
         places.dedup();
-        self.voters = places.into_iter().map(|addr| Voter { addr, ..Voter::default() }).collect();
+        self.voters = places
+            .into_iter()
+            .map(|addr| Voter {
+                addr,
+                ..Voter::default()
+            })
+            .collect();
     }
 
     /// Follows a member epoch. Everything owned is given up: its votes were counted over other voters.
-    pub fn adopt_members(&mut self, member_epoch: u32, before: u32, voters: Vec<Voter>, out: &mut Effects) {
+    pub fn adopt_members(
+        &mut self,
+        member_epoch: u32,
+        before: u32,
+        voters: Vec<Voter>,
+        out: &mut Effects,
+    ) {
         if member_epoch <= self.member_epoch {
             return;
         }
         let keys: Vec<Name> = self.ownerships.keys().cloned().collect();
         keys.iter().for_each(|k| self.relinquish(k, out));
-        (self.member_epoch, self.previous_voter_count, self.voters) = (member_epoch, before, voters);
-        out.push(log_event(events::MEMBERS, &self.name, format!("epoch {member_epoch}")));
+        (self.member_epoch, self.previous_voter_count, self.voters) =
+            (member_epoch, before, voters);
+        out.push(log_event(
+            events::MEMBERS,
+            &self.name,
+            format!("epoch {member_epoch}"),
+        ));
     }
     pub fn members_row(&self) -> Row {
         Row::Members {
@@ -41,8 +58,12 @@
             let m = self.slot_mut(&s.key);
             m.promised_epoch = m.promised_epoch.max(s.promised_epoch);
             if (s.accepted_epoch, s.version) > (m.accepted_epoch, m.version) {
-                (m.accepted_epoch, m.version, m.value, m.committed_version) =
-                    (s.accepted_epoch, s.version, s.value.clone(), s.committed_version);
+                (m.accepted_epoch, m.version, m.value, m.committed_version) = (
+                    s.accepted_epoch,
+                    s.version,
+                    s.value.clone(),
+                    s.committed_version,
+                );
                 m.replaced = s.replaced.clone();
                 if s.committed_version == s.version {
                     let c = change(s);
@@ -54,7 +75,10 @@
     }
     /// Learns what another daemon knows to be committed.
     pub fn repair(&mut self, slots: &[Slot], out: &mut Effects) {
-        for s in slots.iter().filter(|s| s.committed_version == s.version && s.version > 0) {
+        for s in slots
+            .iter()
+            .filter(|s| s.committed_version == s.version && s.version > 0)
+        {
             self.on_commit(&change(s), &s.replaced, out);
         }
     }
--- a/coordination/src/request.rs
+++ b/coordination/src/request.rs
@@ -82,13 +82,24 @@
 
 impl Request {
     pub fn new(q: RunRequest, round: u64) -> Self {
-        Request { q, round, rank: 0, tried: vec![], placed: None, pending: None, perhaps: false }
+        Request {
+            q,
+            round,
+            rank: 0,
+            tried: vec![],
+            placed: None,
+            pending: None,
+            perhaps: false,
+        }
     }
 
     /// What a claim is made on, and how long ago it was first used: the caller's own key, or the id.
     pub fn claimed_name(&self) -> (String, u64) {
         match &self.q.key {
-            Some(k) => (format!("{}{}", claims::CALLER_KEY_PREFIX, k.value.as_str()), k.first_used_ms_ago),
+            Some(k) => (
+                format!("{}{}", claims::CALLER_KEY_PREFIX, k.value.as_str()),
+                k.first_used_ms_ago,
+            ),
             None => (self.q.request.clone(), 0),
         }
     }
@@ -116,7 +127,11 @@
         match got {
             Got::Checked(Ok(rank)) => {
                 self.rank = rank;
-                if self.claims() { Step::Claim { void: false } } else { Step::Place }
+                if self.claims() {
+                    Step::Claim { void: false }
+                } else {
+                    Step::Place
+                }
             }
             Got::Checked(Err(f)) => self.give_up(f),
             Got::Claimed(state) => self.claimed(state),
@@ -138,7 +153,9 @@
                 self.again()
             }
             Got::Begun(Err(NotBegun::Stale)) => Step::Place,
-            Got::Begun(Err(NotBegun::NotRun(f))) if self.q.resume.is_some() => Step::Reply(f.outcome(Outcome::Unknown)),
+            Got::Begun(Err(NotBegun::NotRun(f))) if self.q.resume.is_some() => {
+                Step::Reply(f.outcome(Outcome::Unknown))
+            }
             Got::Begun(Err(NotBegun::NotRun(_))) => self.again(),
             Got::Budget(Ok(())) => Step::Place,
             Got::Budget(Err(f)) => self.give_up(f),
@@ -153,16 +170,28 @@
     fn claimed(&mut self, state: u8) -> Step {
         if let Some(f) = self.pending.take() {
             let known = state == GRANTED || state == VOIDED;
-            return Step::Reply(f.outcome(if known { Outcome::NotRun } else { Outcome::Unknown }));
+            return Step::Reply(f.outcome(if known {
+                Outcome::NotRun
+            } else {
+                Outcome::Unknown
+            }));
         }
         let f = |code: &str, m: &str| Fault::new(code, "claim", m);
         match state {
             GRANTED => Step::Place,
-            VOIDED => Step::Reply(f("voided", "the request was given up before and never runs").outcome(Outcome::NotRun)),
+            VOIDED => Step::Reply(
+                f("voided", "the request was given up before and never runs")
+                    .outcome(Outcome::NotRun),
+            ),
             HELD_BY_OTHER => Step::Reply(
-                f("claimed", "another round of this request may have run or may be running").outcome(Outcome::Unknown),
+                f(
+                    "claimed",
+                    "another round of this request may have run or may be running",
+                )
+                .outcome(Outcome::Unknown),
             ),
-            _ => self.give_up(f("no_claim", "no majority of the claim's holders answered").retry(1_000)),
+            _ => self
+                .give_up(f("no_claim", "no majority of the claim's holders answered").retry(1_000)),
         }
     }
 }
--- a/coordination/src/request/tests.rs
+++ b/coordination/src/request/tests.rs
@@ -34,22 +34,37 @@
     r.next(Got::Checked(Ok(0)));
     r.next(Got::Claimed(GRANTED));
     r.next(Got::Placed(Ok(placed())));
-    expect_that!(outcome(r.next(Got::Begun(Err(NotBegun::Unknown(fault()))))), eq(Some(Outcome::Unknown)));
+    expect_that!(
+        outcome(r.next(Got::Begun(Err(NotBegun::Unknown(fault()))))),
+        eq(Some(Outcome::Unknown))
+    );
     // The same for what may run often ends in a second round, but never in "not run".
     let mut r = request(false);
     r.next(Got::Checked(Ok(0)));
     r.next(Got::Placed(Ok(placed())));
-    expect_that!(r.next(Got::Begun(Err(NotBegun::Unknown(fault())))), eq(&Step::Budget));
-    expect_that!(outcome(r.next(Got::Budget(Err(fault())))), eq(Some(Outcome::Unknown)));
+    expect_that!(
+        r.next(Got::Begun(Err(NotBegun::Unknown(fault())))),
+        eq(&Step::Budget)
+    );
+    expect_that!(
+        outcome(r.next(Got::Budget(Err(fault())))),
+        eq(Some(Outcome::Unknown))
+    );
 }
 
 #[gtest]
 fn not_run_is_said_only_once_a_majority_has_voided_the_id() {
-    for (state, said) in
-        [(GRANTED, Outcome::NotRun), (VOIDED, Outcome::NotRun), (HELD_BY_OTHER, Outcome::Unknown), (3, Outcome::Unknown)]
-    {
+    for (state, said) in [
+        (GRANTED, Outcome::NotRun),
+        (VOIDED, Outcome::NotRun),
+        (HELD_BY_OTHER, Outcome::Unknown),
+        (3, Outcome::Unknown),
+    ] {
         let mut r = request(true);
-        expect_that!(r.next(Got::Checked(Err(fault()))), eq(&Step::Claim { void: true }));
+        expect_that!(
+            r.next(Got::Checked(Err(fault()))),
+            eq(&Step::Claim { void: true })
+        );
         expect_that!(outcome(r.next(Got::Claimed(state))), eq(Some(said)));
     }
 }
