--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use remote_calls::{
-    GroupRecord, GroupRole, OrderAction, PlacedReplica, PlatformReplica, PlatformReplicaState, ReleasePlan, ReplicaReport,
-    RolloutPhase, RolloutRecord, ServiceMode, ServiceSpec, Spec,
+    GroupRecord, GroupRole, OrderAction, PlacedReplica, PlatformReplica, PlatformReplicaState,
+    ReleasePlan, ReplicaReport, RolloutPhase, RolloutRecord, ServiceMode, ServiceSpec, Spec,
 };
 
 use crate::{
@@ -54,9 +54,19 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    Replica { id: String, addr: String, action: OrderAction, version: String },
-    Start { zone: String, version: String },
-    Drain { id: String },
+    Replica {
+        id: String,
+        addr: String,
+        action: OrderAction,
+        version: String,
+    },
+    Start {
+        zone: String,
+        version: String,
+    },
+    Drain {
+        id: String,
+    },
 }
 
 /// What the loop reads.
@@ -134,38 +144,69 @@
     }
     fn has(&self, id: &str, version: &str) -> bool {
         let name = &self.inputs.service.name;
-        self.report(id).is_some_and(|r| r.loaded.iter().any(|l| l.ready && l.version == version && l.service == *name))
+        self.report(id).is_some_and(|r| {
+            r.loaded
+                .iter()
+                .any(|l| l.ready && l.version == version && l.service == *name)
+        })
     }
     fn holds(&self, id: &str, version: &str) -> bool {
-        self.report(id).is_some_and(|r| r.loaded.iter().any(|l| l.version == version))
+        self.report(id)
+            .is_some_and(|r| r.loaded.iter().any(|l| l.version == version))
     }
     fn streams(&self, id: &str, version: &str) -> u64 {
-        let own = self.report(id).and_then(|r| r.loaded.iter().find(|l| l.version == version)).map_or(0, |l| l.streams as u64);
+        let own = self
+            .report(id)
+            .and_then(|r| r.loaded.iter().find(|l| l.version == version))
+            .map_or(0, |l| l.streams as u64);
         own.max((self.inputs.open_streams)(id, version))
     }
     fn with(&self, version: &str) -> Vec<String> {
-        self.usable.iter().filter(|r| self.has(&r.id, version)).map(|r| r.id.clone()).collect()
+        self.usable
+            .iter()
+            .filter(|r| self.has(&r.id, version))
+            .map(|r| r.id.clone())
+            .collect()
     }
     /// How long streams on what retires may still run: the longest lane's time and a little more.
     fn drain_limit(&self) -> Ms {
-        self.inputs.service.lanes.iter().map(|l| l.time_limit_ms).max().unwrap_or(0) + DRAIN_MARGIN
+        self.inputs
+            .service
+            .lanes
+            .iter()
+            .map(|l| l.time_limit_ms)
+            .max()
+            .unwrap_or(0)
+            + DRAIN_MARGIN
     }
     /// Replicas that one step takes.
     fn step(&self) -> usize {
         MIN_STEP_REPLICAS.max(self.usable.len() * STEP_PERCENT / 100)
     }
     fn zone(&self, id: &str) -> &str {
-        self.usable.iter().find(|r| r.id == id).map_or("", |r| r.zone.as_str())
+        self.usable
+            .iter()
+            .find(|r| r.id == id)
+            .map_or("", |r| r.zone.as_str())
     }
 }
 
 fn group(role: GroupRole, version: &str, share: u32, replicas: Vec<String>) -> GroupRecord {
-    GroupRecord { role, version: version.into(), share_percent: share, replicas, allow_unload: false }
+    GroupRecord {
+        role,
+        version: version.into(),
+        share_percent: share,
+        replicas,
+        allow_unload: false,
+    }
 }
 
 /// Replicas of the group with this role and version.
 pub fn group_replicas<'a>(r: &'a RolloutRecord, role: GroupRole, version: &str) -> &'a [String] {
-    r.groups.iter().find(|g| g.role == role && g.version == version).map_or(&[], |g| &g.replicas)
+    r.groups
+        .iter()
+        .find(|g| g.role == role && g.version == version)
+        .map_or(&[], |g| &g.replicas)
 }
 
 /// A replica as edges are told of it.
@@ -182,7 +223,12 @@
 
 impl RolloutLoop {
     pub fn new(now: Ms) -> Self {
-        let mut l = RolloutLoop { lease_since: now, phase_at: now, progressed_at: now, ..RolloutLoop::default() };
+        let mut l = RolloutLoop {
+            lease_since: now,
+            phase_at: now,
+            progressed_at: now,
+            ..RolloutLoop::default()
+        };
         l.health.restart(now);
         l
     }
@@ -191,7 +237,14 @@
     pub fn on_lease_lost(&mut self, now: Ms) {
         let placed = self.placed.without_duty();
         let health = std::mem::take(&mut self.health);
-        *self = RolloutLoop { health, placed, lease_since: now, phase_at: now, progressed_at: now, ..RolloutLoop::default() };
+        *self = RolloutLoop {
+            health,
+            placed,
+            lease_since: now,
+            phase_at: now,
+            progressed_at: now,
+            ..RolloutLoop::default()
+        };
     }
 
     fn enter(&mut self, r: &mut RolloutRecord, p: RolloutPhase, now: Ms) {
@@ -208,21 +261,52 @@
     /// Orders once, then again only when it has gone without effect for a while.
     fn order(&mut self, now: Ms, every: Ms, o: Order, out: &mut Vec<Order>) {
         let k = format!("{o:?}");
-        if self.ordered_at.get(&k).is_some_and(|t| now.saturating_sub(*t) < every) {
+        if self
+            .ordered_at
+            .get(&k)
+            .is_some_and(|t| now.saturating_sub(*t) < every)
+        {
             return;
         }
         self.ordered_at.insert(k, now);
         out.push(o);
     }
-    fn tell(&mut self, v: &RolloutView, id: &str, action: OrderAction, version: &str, out: &mut Vec<Order>) {
-        let Some(r) = v.usable.iter().find(|r| r.id == id) else { return };
-        let every = if action == OrderAction::Load { LOAD_TIMEOUT } else { ORDER_REPEAT_INTERVAL };
-        let o = Order::Replica { id: id.into(), addr: r.addr.clone(), action, version: version.into() };
+    fn tell(
+        &mut self,
+        v: &RolloutView,
+        id: &str,
+        action: OrderAction,
+        version: &str,
+        out: &mut Vec<Order>,
+    ) {
+        let Some(r) = v.usable.iter().find(|r| r.id == id) else {
+            return;
+        };
+        let every = if action == OrderAction::Load {
+            LOAD_TIMEOUT
+        } else {
+            ORDER_REPEAT_INTERVAL
+        };
+        let o = Order::Replica {
+            id: id.into(),
+            addr: r.addr.clone(),
+            action,
+            version: version.into(),
+        };
         // A replica that reports it is loading has taken the order, however late it gets ready.
         if action == OrderAction::Load && v.holds(id, version) {
             return;
         }
-        self.order(v.inputs.now, if v.report(id).is_some() { ORDER_REPEAT_INTERVAL.max(every / 5) } else { every }, o, out);
+        self.order(
+            v.inputs.now,
+            if v.report(id).is_some() {
+                ORDER_REPEAT_INTERVAL.max(every / 5)
+            } else {
+                every
+            },
+            o,
+            out,
+        );
     }
 
     /// One pass of the loop.
@@ -244,14 +328,27 @@
             .filter(mine)
             .filter(|p| p.state == PlatformReplicaState::Running && !i.draining.contains(&p.id))
             .collect();
-        let v = RolloutView { inputs: i, usable: up };
-        let plan = i.plan.filter(|(n, p)| *n != r.failed_plan && p.target != r.stable);
+        let v = RolloutView {
+            inputs: i,
+            usable: up,
+        };
+        let plan = i
+            .plan
+            .filter(|(n, p)| *n != r.failed_plan && p.target != r.stable);
         // A new holder that has not heard every replica yet would take the unheard for lost. What the edges
         // counted it knows at once.
-        if now.saturating_sub(self.lease_since) < REPORT_COLLECTION_TIME && v.usable.iter().any(|p| v.report(&p.id).is_none()) {
-            let at_work = matches!(r.phase, RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking);
+        if now.saturating_sub(self.lease_since) < REPORT_COLLECTION_TIME
+            && v.usable.iter().any(|p| v.report(&p.id).is_none())
+        {
+            let at_work = matches!(
+                r.phase,
+                RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking
+            );
             if at_work && self.turned_back(&mut r, now) {
-                r.groups.iter_mut().filter(|g| g.version != old.stable).for_each(|g| g.share_percent = 0);
+                r.groups
+                    .iter_mut()
+                    .filter(|g| g.version != old.stable)
+                    .for_each(|g| g.share_percent = 0);
             }
             return (r, out);
         }
@@ -279,7 +376,10 @@
 
     /// Takes up a new plan, or turns back from one that was replaced.
     fn replan(&mut self, r: &mut RolloutRecord, plan: Option<(u64, &ReleasePlan)>, now: Ms) {
-        let at_work = matches!(r.phase, RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking);
+        let at_work = matches!(
+            r.phase,
+            RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking
+        );
         let same = plan.is_some_and(|(_, p)| Some(&p.target) == r.target.as_ref());
         // Two plans for one service: the accepted one stands, and what the other began is taken back first.
         if at_work && !same {
@@ -299,7 +399,9 @@
 
     /// Turns back at once if the new version is the worse one.
     fn turned_back(&mut self, r: &mut RolloutRecord, now: Ms) -> bool {
-        let Some(t) = r.target.clone() else { return true };
+        let Some(t) = r.target.clone() else {
+            return true;
+        };
         if self.health.judge_all(&t, &r.stable, now) == Verdict::Fine {
             return false;
         }
@@ -319,19 +421,23 @@
         // A canary in each zone: homes keep callers inside theirs, so one zone's canary never meets the others'.
         // Those already on the new version stay it.
         let mut by_zone: BTreeMap<&str, Vec<&String>> = BTreeMap::new();
-        old.iter().for_each(|id| by_zone.entry(v.zone(id)).or_default().push(id));
+        old.iter()
+            .for_each(|id| by_zone.entry(v.zone(id)).or_default().push(id));
         if by_zone.is_empty() {
             return self.steady(r, v);
         }
         let (mut picks, mut base) = (vec![], vec![]);
         for ids in by_zone.into_values() {
             let n = (ids.len() * v.inputs.spec.canary_percent as usize / 100).max(1);
-            let (new, rest): (Vec<&String>, Vec<&String>) = ids.into_iter().partition(|id| v.holds(id, &t));
+            let (new, rest): (Vec<&String>, Vec<&String>) =
+                ids.into_iter().partition(|id| v.holds(id, &t));
             let mut all = new.into_iter().chain(rest).cloned();
             picks.extend(all.by_ref().take(n));
             base.extend(all.take(n));
         }
-        picks.iter().for_each(|id| self.tell(v, id, OrderAction::Load, &t, out));
+        picks
+            .iter()
+            .for_each(|id| self.tell(v, id, OrderAction::Load, &t, out));
         if !picks.iter().all(|id| v.has(id, &t)) {
             (self.canary_at, r.groups) = (None, vec![group(GroupRole::Stable, &s, 100, old)]);
             return;
@@ -339,7 +445,11 @@
         // Canary and baseline start in the same record, so that they meet the same traffic.
         let began = *self.canary_at.get_or_insert(now);
         let c = v.inputs.spec.canary_percent;
-        let rest = old.iter().filter(|id| !base.contains(id)).cloned().collect();
+        let rest = old
+            .iter()
+            .filter(|id| !base.contains(id))
+            .cloned()
+            .collect();
         r.groups = vec![
             group(GroupRole::Canary, &t, c, picks),
             group(GroupRole::Baseline, &s, c, base),
@@ -347,9 +457,12 @@
         ];
         let (age, h) = (now - began, &self.health);
         // A lane that only the stable version has met says nothing of the new one yet.
-        let met = |l: &str| h.ended_on(&t, l, now) >= MIN_CANARY_REQUESTS_PER_LANE || h.ended_on(&s, l, now) == 0;
+        let met = |l: &str| {
+            h.ended_on(&t, l, now) >= MIN_CANARY_REQUESTS_PER_LANE || h.ended_on(&s, l, now) == 0
+        };
         let lanes = v.inputs.service.lanes.iter().all(|l| met(&l.name));
-        let quiet = h.failed(&t, now) == 0 && (age >= QUIET_CANARY_TIME && lanes || age >= RARE_LANE_CANARY_TIME);
+        let quiet = h.failed(&t, now) == 0
+            && (age >= QUIET_CANARY_TIME && lanes || age >= RARE_LANE_CANARY_TIME);
         let enough = age >= MIN_CANARY_TIME && h.ended(&t, now) >= MIN_CANARY_REQUESTS && lanes;
         if quiet || enough && !h.is_suspicious(&t, &s, now) {
             self.enter(r, RolloutPhase::Shifting, now);
@@ -374,27 +487,51 @@
         r.retiring.retain(|id| v.usable.iter().any(|p| p.id == *id));
         for id in &r.retiring {
             let at = *self.retire_at.entry(id.clone()).or_insert(now);
-            if v.streams(id, &s) == 0 && now > at + ORDER_REPEAT_INTERVAL || now.saturating_sub(at) > limit {
+            if v.streams(id, &s) == 0 && now > at + ORDER_REPEAT_INTERVAL
+                || now.saturating_sub(at) > limit
+            {
                 retired.push(id.clone());
             }
         }
         let waits = r.retiring.len() - retired.len();
-        let serving: Vec<String> = v.with(&s).into_iter().filter(|id| !r.retiring.contains(id)).collect();
+        let serving: Vec<String> = v
+            .with(&s)
+            .into_iter()
+            .filter(|id| !r.retiring.contains(id))
+            .collect();
         // The next step: load beside the old version first, on replicas chosen evenly over the zones.
-        let loading: Vec<String> =
-            v.usable.iter().filter(|p| v.holds(&p.id, &t) && !new.contains(&p.id)).map(|p| p.id.clone()).collect();
-        let pending: Vec<String> = new.iter().filter(|id| serving.contains(id)).cloned().collect();
+        let loading: Vec<String> = v
+            .usable
+            .iter()
+            .filter(|p| v.holds(&p.id, &t) && !new.contains(&p.id))
+            .map(|p| p.id.clone())
+            .collect();
+        let pending: Vec<String> = new
+            .iter()
+            .filter(|id| serving.contains(id))
+            .cloned()
+            .collect();
         let room = size.saturating_sub(loading.len() + pending.len() + waits);
         let mut next: Vec<&String> = serving.iter().filter(|id| !v.holds(id, &t)).collect();
         next.sort_by_key(|id| {
             let z = v.zone(id);
-            (new.iter().chain(&loading).filter(|n| v.zone(n) == z).count(), id.to_string())
+            (
+                new.iter()
+                    .chain(&loading)
+                    .filter(|n| v.zone(n) == z)
+                    .count(),
+                id.to_string(),
+            )
         });
         for id in next.into_iter().take(room) {
             self.tell(v, id, OrderAction::Load, &t, out);
         }
         // Replicas that came back with nothing get the new version only.
-        for p in v.usable.iter().filter(|p| !v.holds(&p.id, &t) && !v.holds(&p.id, &s) && v.report(&p.id).is_some()) {
+        for p in v
+            .usable
+            .iter()
+            .filter(|p| !v.holds(&p.id, &t) && !v.holds(&p.id, &s) && v.report(&p.id).is_some())
+        {
             self.tell(v, &p.id, OrderAction::Load, &t, out);
         }
         // Then retire, at most a step at a time and never below a zone's floor of warm replicas.
@@ -402,11 +539,23 @@
             let mut left = size;
             let mut going: BTreeSet<String> = BTreeSet::new();
             for id in &pending {
-                let warm = |n: &str| self.ready_at.get(n).is_some_and(|t| now.saturating_sub(*t) >= SLOW_START_DURATION);
+                let warm = |n: &str| {
+                    self.ready_at
+                        .get(n)
+                        .is_some_and(|t| now.saturating_sub(*t) >= SLOW_START_DURATION)
+                };
                 let z = v.zone(id);
-                let floor = v.inputs.service.zones.iter().find(|c| c.zone == z).map_or(0, |c| c.floor as usize);
-                let mut keep: BTreeSet<&String> =
-                    serving.iter().filter(|n| *n != id && !going.contains(*n) && v.zone(n) == z).collect();
+                let floor = v
+                    .inputs
+                    .service
+                    .zones
+                    .iter()
+                    .find(|c| c.zone == z)
+                    .map_or(0, |c| c.floor as usize);
+                let mut keep: BTreeSet<&String> = serving
+                    .iter()
+                    .filter(|n| *n != id && !going.contains(*n) && v.zone(n) == z)
+                    .collect();
                 keep.extend(new.iter().filter(|n| v.zone(n) == z && warm(n)));
                 if left > 0 && warm(id) && keep.len() >= floor.max(1) {
                     going.insert(id.clone());
@@ -416,11 +565,17 @@
                 }
             }
         }
-        let serving: Vec<String> = serving.into_iter().filter(|id| !r.retiring.contains(id)).collect();
+        let serving: Vec<String> = serving
+            .into_iter()
+            .filter(|id| !r.retiring.contains(id))
+            .collect();
         let all = (serving.len() + new.len()).max(1);
         let share = (new.len() * 100 / all) as u32;
         let done = serving.is_empty() && waits == 0 && !new.is_empty() && new.len() == total;
-        r.groups = vec![group(GroupRole::Stable, &s, 100 - share, serving), group(GroupRole::Stable, &t, share, new)];
+        r.groups = vec![
+            group(GroupRole::Stable, &s, 100 - share, serving),
+            group(GroupRole::Stable, &t, share, new),
+        ];
         if done {
             self.enter(r, RolloutPhase::Baking, now);
         }
@@ -434,7 +589,10 @@
         let Some(t) = r.target.clone() else { return };
         r.retiring.clear();
         // The old version stays loaded without a share: turning back needs no load.
-        r.groups = vec![group(GroupRole::Stable, &t, 100, v.with(&t)), group(GroupRole::Stable, &s, 0, v.with(&s))];
+        r.groups = vec![
+            group(GroupRole::Stable, &t, 100, v.with(&t)),
+            group(GroupRole::Stable, &s, 0, v.with(&s)),
+        ];
         if now.saturating_sub(self.phase_at) >= v.inputs.spec.bake_ms {
             r.stable = t;
             r.target = Some(s);
@@ -445,12 +603,20 @@
     /// A completed version that turns bad while the old one can still carry every zone is taken back.
     fn undo(&mut self, r: &mut RolloutRecord, v: &RolloutView) {
         let (now, bad) = (v.inputs.now, r.stable.clone());
-        let Some(old) = r.target.clone().filter(|_| r.phase == RolloutPhase::Unloading) else { return };
+        let Some(old) = r
+            .target
+            .clone()
+            .filter(|_| r.phase == RolloutPhase::Unloading)
+        else {
+            return;
+        };
         if !self.health.fails(&bad, now) {
             return;
         }
         let left = v.with(&old);
-        let carries = |z: &remote_calls::ZoneCount| left.iter().filter(|id| v.zone(id) == z.zone).count() >= z.floor as usize;
+        let carries = |z: &remote_calls::ZoneCount| {
+            left.iter().filter(|id| v.zone(id) == z.zone).count() >= z.floor as usize
+        };
         if !v.inputs.service.zones.iter().all(carries) {
             return;
         }
@@ -464,14 +630,22 @@
     fn unload(&mut self, r: &mut RolloutRecord, v: &RolloutView, out: &mut Vec<Order>) {
         let now = v.inputs.now;
         self.undo(r, v);
-        let (s, Some(t)) = (r.stable.clone(), r.target.clone()) else { return };
+        let (s, Some(t)) = (r.stable.clone(), r.target.clone()) else {
+            return;
+        };
         r.retiring.clear();
-        let gone: Vec<String> = v.usable.iter().filter(|p| v.holds(&p.id, &t)).map(|p| p.id.clone()).collect();
+        let gone: Vec<String> = v
+            .usable
+            .iter()
+            .filter(|p| v.holds(&p.id, &t))
+            .map(|p| p.id.clone())
+            .collect();
         let mut old = group(GroupRole::Stable, &t, 0, gone.clone());
         old.allow_unload = true;
         let limit = v.drain_limit();
         for id in &gone {
-            let ended = v.streams(id, &t) == 0 && now.saturating_sub(self.phase_at) > ORDER_REPEAT_INTERVAL;
+            let ended =
+                v.streams(id, &t) == 0 && now.saturating_sub(self.phase_at) > ORDER_REPEAT_INTERVAL;
             // Nothing is unloaded where the wanted version is not ready, or streams have time left.
             if (ended || now.saturating_sub(self.phase_at) > limit) && v.has(id, &s) {
                 self.tell(v, id, OrderAction::Unload, &t, out);
@@ -490,22 +664,31 @@
     fn fill(&mut self, r: &RolloutRecord, v: &RolloutView, out: &mut Vec<Order>) {
         let now = v.inputs.now;
         let new = matches!(r.phase, RolloutPhase::Shifting | RolloutPhase::Baking);
-        let want = if new { r.target.as_ref().unwrap_or(&r.stable) } else { &r.stable };
+        let want = if new {
+            r.target.as_ref().unwrap_or(&r.stable)
+        } else {
+            &r.stable
+        };
         for z in &v.inputs.service.zones {
-            let here = |p: &&PlatformReplica| p.zone == z.zone && p.service == v.inputs.service.name;
+            let here =
+                |p: &&PlatformReplica| p.zone == z.zone && p.service == v.inputs.service.name;
             // Started ones count though they have not reported yet: a late load is not a missing replica.
-            let have = v
-                .inputs
-                .replica_list
-                .iter()
-                .filter(here)
-                .filter(|p| p.state != PlatformReplicaState::Draining && !v.inputs.draining.contains(&p.id));
+            let have = v.inputs.replica_list.iter().filter(here).filter(|p| {
+                p.state != PlatformReplicaState::Draining && !v.inputs.draining.contains(&p.id)
+            });
             let have: Vec<_> = have.collect();
             let need = z.replicas as usize;
             for n in have.len()..need {
-                let o = Order::Start { zone: z.zone.clone(), version: want.clone() };
+                let o = Order::Start {
+                    zone: z.zone.clone(),
+                    version: want.clone(),
+                };
                 let k = format!("start {} {n}", z.zone);
-                if self.ordered_at.get(&k).is_none_or(|t| now.saturating_sub(*t) >= LOAD_TIMEOUT / 3) {
+                if self
+                    .ordered_at
+                    .get(&k)
+                    .is_none_or(|t| now.saturating_sub(*t) >= LOAD_TIMEOUT / 3)
+                {
                     self.ordered_at.insert(k, now);
                     out.push(o);
                 }
@@ -513,7 +696,12 @@
             if have.len() > need && r.phase == RolloutPhase::Steady {
                 // One at a time, the last by name, so that a shrunken spec never empties a zone.
                 if let Some(p) = have.iter().max_by_key(|p| &p.id) {
-                    self.order(now, LOAD_TIMEOUT / 3, Order::Drain { id: p.id.clone() }, out);
+                    self.order(
+                        now,
+                        LOAD_TIMEOUT / 3,
+                        Order::Drain { id: p.id.clone() },
+                        out,
+                    );
                 }
             }
         }
@@ -551,15 +739,28 @@
             RolloutPhase::Baking => after.saturating_sub(age),
             RolloutPhase::Unloading => DEFAULT_UNLOAD_TIME,
         };
-        let at = if r.target.is_none() { 0 } else { v.inputs.wall_clock_s + left.div_ceil(1_000) };
+        let at = if r.target.is_none() {
+            0
+        } else {
+            v.inputs.wall_clock_s + left.div_ceil(1_000)
+        };
         if at.abs_diff(r.forecast) > FORECAST_MIN_CHANGE_S {
             r.forecast = at;
         }
     }
 
-    fn alerts(&mut self, r: &mut RolloutRecord, plan: Option<(u64, &ReleasePlan)>, v: &RolloutView) {
+    fn alerts(
+        &mut self,
+        r: &mut RolloutRecord,
+        plan: Option<(u64, &ReleasePlan)>,
+        v: &RolloutView,
+    ) {
         let now = v.inputs.now;
-        let shape = Some((r.phase, r.retiring.len(), r.groups.last().map_or(0, |g| g.replicas.len())));
+        let shape = Some((
+            r.phase,
+            r.retiring.len(),
+            r.groups.last().map_or(0, |g| g.replicas.len()),
+        ));
         // A canary that waits for requests is not stuck; one that waits for its weights is.
         if shape != self.shape || r.phase == RolloutPhase::Steady || self.canary_at.is_some() {
             (self.shape, self.progressed_at) = (shape, now);
@@ -579,7 +780,12 @@
         }
         // A version nobody wants and no rollout accounts for: it stays until a flag leases its unload.
         let wanted = |x: &str| x == r.stable || Some(x) == r.target.as_deref();
-        let stray = v.usable.iter().filter_map(|p| v.report(&p.id)).flat_map(|p| &p.loaded).any(|l| !wanted(&l.version));
+        let stray = v
+            .usable
+            .iter()
+            .filter_map(|p| v.report(&p.id))
+            .flat_map(|p| &p.loaded)
+            .any(|l| !wanted(&l.version));
         if stray {
             r.alerts.push("unload_waits".into());
         }
--- a/coordination/src/rollout/exposure.rs
+++ b/coordination/src/rollout/exposure.rs
@@ -28,11 +28,24 @@
 
 impl AcceptedPlan {
     /// `fresh`: the order has only just come, so that what was left then is left now, whatever the wall's clock says.
-    pub fn new(plan: u64, p: &ReleasePlan, h: &VersionHealth, fresh: bool, now: Ms, wall: u64) -> Self {
+    pub fn new(
+        plan: u64,
+        p: &ReleasePlan,
+        h: &VersionHealth,
+        fresh: bool,
+        now: Ms,
+        wall: u64,
+    ) -> Self {
         let by_wall = p.complete_by.saturating_sub(wall);
         let left = p.within_s.filter(|_| fresh).unwrap_or(by_wall);
         let term = now + left * 1_000;
-        AcceptedPlan { plan, target: p.target.clone(), accepted_at: now, deadline: term, base: h.sent(&p.target) }
+        AcceptedPlan {
+            plan,
+            target: p.target.clone(),
+            accepted_at: now,
+            deadline: term,
+            base: h.sent(&p.target),
+        }
     }
 
     /// Percent of the requests that the target may have from now to its time, so that the whole stays inside the
@@ -46,9 +59,13 @@
             return 100;
         }
         let (all, new) = h.sent(&self.target);
-        let (all, new) = (all.saturating_sub(self.base.0) as f64, new.saturating_sub(self.base.1) as f64);
+        let (all, new) = (
+            all.saturating_sub(self.base.0) as f64,
+            new.saturating_sub(self.base.1) as f64,
+        );
         // Traffic may ebb: only a part of what is to come is counted on.
-        let may = EXPOSURE_BUDGET_USED * (b.canary_share * (all + PESSIMISTIC_RATE_FACTOR * to_come) + b.canary_slack);
+        let may = EXPOSURE_BUDGET_USED
+            * (b.canary_share * (all + PESSIMISTIC_RATE_FACTOR * to_come) + b.canary_slack);
         ((may - new) * 100.0 / to_come).clamp(0.0, 100.0) as u32
     }
 }
--- a/coordination/src/rollout/placed.rs
+++ b/coordination/src/rollout/placed.rs
@@ -57,7 +57,11 @@
 impl Memory {
     /// What is kept when the duty goes: the order, whose time and counts no other can tell.
     pub(super) fn without_duty(&mut self) -> Memory {
-        Memory { taken: self.taken.take(), heeds: self.heeds, ..Memory::default() }
+        Memory {
+            taken: self.taken.take(),
+            heeds: self.heeds,
+            ..Memory::default()
+        }
     }
     /// Notes who came and who went. A replica that went dark and came back begins anew: what it kept is gone.
     fn note(&mut self, listed: &[&PlatformReplica], old: &RolloutRecord, now: Ms) {
@@ -71,7 +75,15 @@
                 _ => now,
             }
         };
-        self.came = listed.iter().map(|p| (p.id.clone(), self.came.get(&p.id).copied().unwrap_or_else(|| came(p)))).collect();
+        self.came = listed
+            .iter()
+            .map(|p| {
+                (
+                    p.id.clone(),
+                    self.came.get(&p.id).copied().unwrap_or_else(|| came(p)),
+                )
+            })
+            .collect();
     }
     fn cold(&self, p: &PlatformReplica, cold_ms: Ms, now: Ms) -> bool {
         let came = self.came.get(&p.id).copied().unwrap_or(now);
@@ -79,7 +91,10 @@
     }
     /// Whether a replica without a share has had no stream for long enough, by what edges tell.
     fn dry(&mut self, id: &str, s: &Sides) -> bool {
-        let (at, by) = self.busy.entry(id.into()).or_insert((s.i.now, self.moved_by));
+        let (at, by) = self
+            .busy
+            .entry(id.into())
+            .or_insert((s.i.now, self.moved_by));
         // An edge that has not seen the withdrawal yet may still begin one there.
         if s.seen < *by || s.open(id) > 0 {
             *at = s.i.now;
@@ -95,13 +110,22 @@
     of.iter().map(|p| u64::from(p.slots.max(1))).sum()
 }
 fn flags<'a>(r: &'a RolloutRecord, v: &'a str) -> impl Iterator<Item = &'a GroupRecord> {
-    r.groups.iter().filter(move |g| g.allow_unload && g.version == v)
+    r.groups
+        .iter()
+        .filter(move |g| g.allow_unload && g.version == v)
 }
 fn share(r: &RolloutRecord, v: &str) -> u32 {
-    r.groups.iter().filter(|g| g.version == v).map(|g| g.share_percent).sum()
+    r.groups
+        .iter()
+        .filter(|g| g.version == v)
+        .map(|g| g.share_percent)
+        .sum()
 }
 fn at_work(p: RolloutPhase) -> bool {
-    matches!(p, RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking)
+    matches!(
+        p,
+        RolloutPhase::Canary | RolloutPhase::Shifting | RolloutPhase::Baking
+    )
 }
 
 /// Both sides of a rollout, and the record that it starts from.
@@ -121,13 +145,24 @@
         (self.i.open_streams)(id, "")
     }
     fn warm(&self) -> Vec<&'a PlatformReplica> {
-        self.new.iter().filter(|p| p.loaded && !self.cold.contains(p.id.as_str())).copied().collect()
+        self.new
+            .iter()
+            .filter(|p| p.loaded && !self.cold.contains(p.id.as_str()))
+            .copied()
+            .collect()
     }
     /// How long streams on what retires may still run: the longest lane's time and a little more.
     fn drain_limit(&self) -> Ms {
         let s = &self.i.service;
-        let paths = self.i.spec.paths.iter().filter(|p| p.split.iter().any(|x| x.service == s.name));
-        let limits = paths.map(|p| p.time_limit_ms).chain(s.lanes.iter().map(|l| l.time_limit_ms));
+        let paths = self
+            .i
+            .spec
+            .paths
+            .iter()
+            .filter(|p| p.split.iter().any(|x| x.service == s.name));
+        let limits = paths
+            .map(|p| p.time_limit_ms)
+            .chain(s.lanes.iter().map(|l| l.time_limit_ms));
         limits.max().unwrap_or(0) + DRAIN_MARGIN
     }
     /// Replicas that one step withdraws.
@@ -142,21 +177,42 @@
     fn carries(&self, warm: &[&PlatformReplica]) -> u32 {
         let zones: BTreeSet<&str> = self.old.iter().map(|p| p.zone.as_str()).collect();
         // Zone by zone: homes may keep a zone's requests in it. One where none is started is served by others.
-        let zones: Vec<&str> = zones.into_iter().filter(|z| self.new.iter().any(|p| p.zone == *z)).collect();
+        let zones: Vec<&str> = zones
+            .into_iter()
+            .filter(|z| self.new.iter().any(|p| p.zone == *z))
+            .collect();
         let part = |zone: Option<&str>| {
             let of = |all: &[&'a PlatformReplica]| -> Vec<&'a PlatformReplica> {
-                all.iter().filter(|p| zone.is_none_or(|z| p.zone == z)).copied().collect()
+                all.iter()
+                    .filter(|p| zone.is_none_or(|z| p.zone == z))
+                    .copied()
+                    .collect()
             };
             let (old, new) = (of(&self.old), of(&self.new));
-            let able = warm.iter().filter(|w| new.iter().any(|n| n.id == w.id)).copied().collect::<Vec<_>>();
+            let able = warm
+                .iter()
+                .filter(|w| new.iter().any(|n| n.id == w.id))
+                .copied()
+                .collect::<Vec<_>>();
             if able.is_empty() {
                 return 0;
             }
             let open: u64 = old.iter().chain(&new).map(|p| self.open(&p.id)).sum();
             let able = slots(&able);
-            (able * 100 / slots(&old).max(1)).max((able * MAX_SIDE_LOAD_PERCENT).checked_div(open).unwrap_or(100)).min(100) as u32
+            (able * 100 / slots(&old).max(1))
+                .max(
+                    (able * MAX_SIDE_LOAD_PERCENT)
+                        .checked_div(open)
+                        .unwrap_or(100),
+                )
+                .min(100) as u32
         };
-        zones.into_iter().map(|z| part(Some(z))).chain([part(None)]).min().unwrap_or(0)
+        zones
+            .into_iter()
+            .map(|z| part(Some(z)))
+            .chain([part(None)])
+            .min()
+            .unwrap_or(0)
     }
 }
 
@@ -167,7 +223,9 @@
         // What is there at the first look may have been ordered long ago.
         let fresh = std::mem::replace(&mut self.placed.heeds, true);
         let old = self.placed.taken.as_ref();
-        let Some((n, p)) = plan else { return self.placed.taken = None };
+        let Some((n, p)) = plan else {
+            return self.placed.taken = None;
+        };
         if old.is_some_and(|o| o.plan == n) {
             return;
         }
@@ -181,7 +239,11 @@
     /// Percent that the target may have: none without an order, all if it is no trial.
     fn cap(&self, s: &Sides) -> u32 {
         let cap = |t: &AcceptedPlan| t.max_share_percent(s.i.bounds, &self.health, s.i.now);
-        if s.proven() { 100 } else { self.placed.taken.as_ref().map_or(0, cap) }
+        if s.proven() {
+            100
+        } else {
+            self.placed.taken.as_ref().map_or(0, cap)
+        }
     }
     fn term(&self) -> Ms {
         self.placed.taken.as_ref().map_or(0, |t| t.deadline)
@@ -197,7 +259,11 @@
         }
         // The list alone tells all there is to hear.
         self.has_all_reports = true;
-        let mine: Vec<&PlatformReplica> = i.replica_list.iter().filter(|p| p.service == i.service.name).collect();
+        let mine: Vec<&PlatformReplica> = i
+            .replica_list
+            .iter()
+            .filter(|p| p.service == i.service.name)
+            .collect();
         if self.placed.came.is_empty() {
             // The record does not tell when the last step began: for a new holder it began with the duty.
             (self.placed.moved_by, self.placed.step_at) = (i.record_version, self.lease_since);
@@ -214,28 +280,53 @@
         };
         let up: Vec<&PlatformReplica> = mine.into_iter().filter(stays).collect();
         let cold_ms = i.service.engine.as_ref().map_or(0, |e| e.cold_ms);
-        let cold: BTreeSet<&str> = up.iter().filter(|p| self.placed.cold(p, cold_ms, now)).map(|p| p.id.as_str()).collect();
+        let cold: BTreeSet<&str> = up
+            .iter()
+            .filter(|p| self.placed.cold(p, cold_ms, now))
+            .map(|p| p.id.as_str())
+            .collect();
         self.take_up(&mut r, old, &up, &retired, i);
         let target = r.target.clone().unwrap_or_default();
         // What an order names is on trial until it is completed, before it is taken up and after it failed too.
-        let waits = i.plan.filter(|(n, _)| !at_work(r.phase) && (*n != r.plan_version || *n == r.failed_plan));
+        let waits = i
+            .plan
+            .filter(|(n, _)| !at_work(r.phase) && (*n != r.plan_version || *n == r.failed_plan));
         let trial = |p: &&PlatformReplica| {
             (r.target.is_some() && p.version == target)
                 || waits.is_some_and(|(_, w)| p.version == w.target && p.version != r.stable)
         };
         let (new, rest): (Vec<_>, Vec<_>) = up.into_iter().partition(trial);
         let new = new.into_iter().filter(|p| p.version == target).collect();
-        let seen = if r.phase == RolloutPhase::Steady { 0 } else { (i.oldest_seen_record)() };
-        let s = Sides { i, before: old, target, new, old: rest, cold, seen };
+        let seen = if r.phase == RolloutPhase::Steady {
+            0
+        } else {
+            (i.oldest_seen_record)()
+        };
+        let s = Sides {
+            i,
+            before: old,
+            target,
+            new,
+            old: rest,
+            cold,
+            seen,
+        };
         match r.phase {
-            RolloutPhase::Steady | RolloutPhase::Unloading => self.stand(&mut r, &s, retired.is_empty()),
+            RolloutPhase::Steady | RolloutPhase::Unloading => {
+                self.stand(&mut r, &s, retired.is_empty())
+            }
             RolloutPhase::Canary => self.try_out(&mut r, &s),
             RolloutPhase::Shifting => self.shift(&mut r, &s),
             RolloutPhase::Baking => self.bake(&mut r, &s),
             RolloutPhase::Reverting => self.turn_back(&mut r, &s),
         }
         let all = s.old.iter().chain(&s.new);
-        r.replicas = all.map(|p| PlacedReplica { cold: s.cold.contains(p.id.as_str()), ..told(p) }).collect();
+        r.replicas = all
+            .map(|p| PlacedReplica {
+                cold: s.cold.contains(p.id.as_str()),
+                ..told(p)
+            })
+            .collect();
         // Kept in the list's order, so that a replica's change of side alone is no change here.
         r.replicas.sort_by(|a, b| a.id.cmp(&b.id));
         r.groups.extend(retired);
@@ -244,21 +335,42 @@
     }
 
     /// Flagged groups whose replicas are still listed; they stay out whatever comes.
-    fn retired(&self, r: &RolloutRecord, mine: &[&PlatformReplica], i: &RolloutInputs) -> Vec<GroupRecord> {
+    fn retired(
+        &self,
+        r: &RolloutRecord,
+        mine: &[&PlatformReplica],
+        i: &RolloutInputs,
+    ) -> Vec<GroupRecord> {
         // A flag of a rollout that is not completed yet may have to be taken back.
         if r.phase == RolloutPhase::Baking {
             return vec![];
         }
-        let again = |v: &str| i.plan.is_some_and(|(n, p)| n != r.failed_plan && p.target == v);
-        let waited = self.placed.taken.as_ref().is_some_and(|t| i.now.saturating_sub(t.accepted_at) >= REPLICA_REMOVAL_TIME);
-        let mut all: Vec<GroupRecord> = r.groups.iter().filter(|g| g.allow_unload).cloned().collect();
+        let again = |v: &str| {
+            i.plan
+                .is_some_and(|(n, p)| n != r.failed_plan && p.target == v)
+        };
+        let waited = self
+            .placed
+            .taken
+            .as_ref()
+            .is_some_and(|t| i.now.saturating_sub(t.accepted_at) >= REPLICA_REMOVAL_TIME);
+        let mut all: Vec<GroupRecord> = r
+            .groups
+            .iter()
+            .filter(|g| g.allow_unload)
+            .cloned()
+            .collect();
         // Ordered again, a version's new replicas are others than those that were to go.
         all.retain(|g| !(again(&g.version) && waited));
         for g in &mut all {
             if again(&g.version) {
                 g.replicas.retain(|id| mine.iter().any(|p| p.id == *id));
             } else {
-                g.replicas = mine.iter().filter(|p| p.version == g.version).map(|p| p.id.clone()).collect();
+                g.replicas = mine
+                    .iter()
+                    .filter(|p| p.version == g.version)
+                    .map(|p| p.id.clone())
+                    .collect();
             }
         }
         all.retain(|g| !g.replicas.is_empty());
@@ -287,22 +399,38 @@
             }
             return;
         }
-        let Some((n, p)) = i.plan.filter(|(n, _)| *n != r.plan_version) else { return };
-        let back = r.phase != RolloutPhase::Reverting || r.target.as_ref().is_none_or(|t| flags(old, t).next().is_some());
+        let Some((n, p)) = i.plan.filter(|(n, _)| *n != r.plan_version) else {
+            return;
+        };
+        let back = r.phase != RolloutPhase::Reverting
+            || r.target
+                .as_ref()
+                .is_none_or(|t| flags(old, t).next().is_some());
         // Replicas that were to go for good must not pass for those of the new order.
         if !back || up.is_empty() || retired.iter().any(|g| g.version == p.target) {
             return;
         }
         (r.target, r.plan_version) = (Some(p.target.clone()), n);
         self.placed.busy.clear();
-        let there = up.iter().filter(|u| u.version == p.target && u.loaded).count();
+        let there = up
+            .iter()
+            .filter(|u| u.version == p.target && u.loaded)
+            .count();
         if there == up.len() {
             // Everything is on it already: there is nothing to move.
             (r.stable, r.target) = (p.target.clone(), None);
             return self.enter(r, RolloutPhase::Steady, now);
         }
         let proven = r.stable == p.target && there > 0;
-        self.enter(r, if proven { RolloutPhase::Shifting } else { RolloutPhase::Canary }, now);
+        self.enter(
+            r,
+            if proven {
+                RolloutPhase::Shifting
+            } else {
+                RolloutPhase::Canary
+            },
+            now,
+        );
         if proven {
             let part = (there * 100 / up.len()) as u32;
             r.groups = vec![group(GroupRole::Stable, &p.target, part, vec![])];
@@ -314,7 +442,9 @@
     fn stand(&mut self, r: &mut RolloutRecord, s: &Sides, clear: bool) {
         if !s.old.iter().any(|p| p.version == r.stable) {
             let mut n: BTreeMap<&str, usize> = BTreeMap::new();
-            s.old.iter().for_each(|p| *n.entry(&p.version).or_default() += 1);
+            s.old
+                .iter()
+                .for_each(|p| *n.entry(&p.version).or_default() += 1);
             if let Some((v, _)) = n.into_iter().max_by_key(|(_, n)| *n) {
                 r.stable = v.into();
             }
@@ -328,7 +458,12 @@
 
     /// Turns back at once if the target is the worse one.
     fn falls(&mut self, r: &mut RolloutRecord, s: &Sides) -> bool {
-        if s.proven() || self.health.judge_placed(&s.target, self.placed.even, s.i.now) == Verdict::Fine {
+        if s.proven()
+            || self
+                .health
+                .judge_placed(&s.target, self.placed.even, s.i.now)
+                == Verdict::Fine
+        {
             return false;
         }
         self.bad_version = Some(s.target.clone());
@@ -351,14 +486,29 @@
         for z in zones {
             let old: Vec<_> = s.old.iter().filter(|p| p.zone == z).copied().collect();
             let n = (old.len() * percent as usize / 100).max(1);
-            let pick = |from: Vec<&'_ PlatformReplica>, role: GroupRole, v: &str, n: usize| -> Vec<String> {
+            let pick = |from: Vec<&'_ PlatformReplica>,
+                        role: GroupRole,
+                        v: &str,
+                        n: usize|
+             -> Vec<String> {
                 let stood = group_replicas(s.before, role, v);
                 let mut from = from;
                 // Those that are it stay it; then warm ones, so that caches say little.
-                from.sort_by_key(|p| (!stood.contains(&p.id), s.cold.contains(p.id.as_str()), p.id.clone()));
+                from.sort_by_key(|p| {
+                    (
+                        !stood.contains(&p.id),
+                        s.cold.contains(p.id.as_str()),
+                        p.id.clone(),
+                    )
+                });
                 from.into_iter().take(n).map(|p| p.id.clone()).collect()
             };
-            let new = s.new.iter().filter(|p| p.zone == z && p.loaded).copied().collect();
+            let new = s
+                .new
+                .iter()
+                .filter(|p| p.zone == z && p.loaded)
+                .copied()
+                .collect();
             let found = pick(new, GroupRole::Canary, &s.target, n);
             base.extend(pick(old, GroupRole::Baseline, &r.stable, found.len()));
             picks.extend(found);
@@ -380,10 +530,22 @@
         let warm = !picks.iter().any(|id| s.cold.contains(id.as_str()));
         self.placed.even = warm.then(|| self.placed.even.unwrap_or(now));
         let (cap, had) = (self.cap(s), share(s.before, &s.target));
-        let c = if had > 0 && had <= cap + cap / 5 { had } else { cap }.min(percent);
-        let rest: Vec<String> = ids(&s.old).into_iter().filter(|id| !base.contains(id)).collect();
+        let c = if had > 0 && had <= cap + cap / 5 {
+            had
+        } else {
+            cap
+        }
+        .min(percent);
+        let rest: Vec<String> = ids(&s.old)
+            .into_iter()
+            .filter(|id| !base.contains(id))
+            .collect();
         // The baseline keeps its replicas' part of what the old version has: their caches stay in use.
-        let b = if rest.is_empty() { 100 - c } else { (100 - c) * base.len() as u32 / s.old.len().max(1) as u32 };
+        let b = if rest.is_empty() {
+            100 - c
+        } else {
+            (100 - c) * base.len() as u32 / s.old.len().max(1) as u32
+        };
         r.groups = vec![
             group(GroupRole::Canary, &s.target, c, picks),
             group(GroupRole::Baseline, &r.stable, b, base),
@@ -397,22 +559,29 @@
 
     /// Whether a canary has shown enough, or there is nothing that it could be shown by.
     fn passed_trial(&self, t: &str, cap: u32, now: Ms) -> bool {
-        let (h, age) = (&self.health, self.canary_at.map_or(0, |a| now.saturating_sub(a)));
+        let (h, age) = (
+            &self.health,
+            self.canary_at.map_or(0, |a| now.saturating_sub(a)),
+        );
         let lanes = h.has_tried_all_lanes(t, MIN_CANARY_REQUESTS_PER_LANE, now);
         if !h.has_sources() || age < MIN_CANARY_TIME || h.is_suspicious_placed(t, now) {
             return false;
         }
         let enough = h.ended(t, now) >= MIN_CANARY_REQUESTS && lanes;
         // Where all that is to come stays inside the bound, or the plan's time is over, less will do.
-        let light =
-            cap == 100 && (h.ended(t, now) >= MIN_LIGHT_CANARY_REQUESTS || h.request_rate(REQUEST_RATE_WINDOW, now) < 1.0);
-        enough || h.failed(t, now) == 0 && (light || age >= QUIET_CANARY_TIME && lanes || age >= RARE_LANE_CANARY_TIME)
+        let light = cap == 100
+            && (h.ended(t, now) >= MIN_LIGHT_CANARY_REQUESTS
+                || h.request_rate(REQUEST_RATE_WINDOW, now) < 1.0);
+        enough
+            || h.failed(t, now) == 0
+                && (light || age >= QUIET_CANARY_TIME && lanes || age >= RARE_LANE_CANARY_TIME)
     }
 
     /// Whether the last step has been in force for long enough to show what it does.
     fn calm(&self, s: &Sides) -> bool {
         let age = s.i.now.saturating_sub(self.placed.step_at);
-        let shown = age >= MAX_STEP_WAIT || self.health.ended_in(&s.target, age, s.i.now) >= MIN_STEP_REQUESTS;
+        let shown = age >= MAX_STEP_WAIT
+            || self.health.ended_in(&s.target, age, s.i.now) >= MIN_STEP_REQUESTS;
         // A process that has just started knows of no failures and of no requests until edges tell.
         s.seen >= self.placed.moved_by
             && self.health.has_sources()
@@ -436,7 +605,11 @@
         let limit = s.drain_limit();
         let spare = self.term().saturating_sub(now);
         // A plan that is late already is not hurried: nothing is to be won by it.
-        let each = if spare == 0 { limit } else { (spare / left).clamp(MIN_STREAM_WAIT.min(limit), limit) };
+        let each = if spare == 0 {
+            limit
+        } else {
+            (spare / left).clamp(MIN_STREAM_WAIT.min(limit), limit)
+        };
         let mut waits = false;
         for id in &r.retiring {
             let at = *self.retire_at.entry(id.clone()).or_insert(now);
@@ -448,7 +621,8 @@
         let most = cap.min(able);
         let ramp = n.div_ceil(step) as Ms * DEFAULT_SHIFT_TIME;
         let begins = cap == 100 || now + ramp >= self.term();
-        let hold = ((f64::from(cap) * EXPOSURE_WHILE_WAITING) as u32).clamp(1, MAX_SHORT_CANARY_PERCENT);
+        let hold =
+            ((f64::from(cap) * EXPOSURE_WHILE_WAITING) as u32).clamp(1, MAX_SHORT_CANARY_PERCENT);
         let next = if had > cap + cap / 5 || had > able {
             // Fewer are there than were, or traffic ebbs: back to what fits.
             most
@@ -457,7 +631,9 @@
             self.progressed_at = now;
             had.min(hold + 1)
         } else if !waits && self.calm(s) {
-            let to = (had + (100 * step).div_ceil(n.max(1)) as u32).min(most).min(100);
+            let to = (had + (100 * step).div_ceil(n.max(1)) as u32)
+                .min(most)
+                .min(100);
             if to > had + 1 || to == 100 { to } else { had }
         } else {
             had
@@ -477,7 +653,12 @@
         if seen && !waits {
             self.withdraw(r, s, keep, had == 100);
         }
-        let serving: Vec<_> = s.old.iter().filter(|p| !r.retiring.contains(&p.id)).copied().collect();
+        let serving: Vec<_> = s
+            .old
+            .iter()
+            .filter(|p| !r.retiring.contains(&p.id))
+            .copied()
+            .collect();
         let done = had == 100 && next == 100 && seen && !waits && serving.is_empty();
         r.groups = vec![
             group(GroupRole::Stable, &r.stable, 100 - next, ids(&serving)),
@@ -503,11 +684,16 @@
                 }
             }
             by.retain(|_, z| z.1.len() > usize::from(!last));
-            let Some((_, (_, of))) = by.into_iter().max_by_key(|(_, z)| z.1.len() * 1_000 / z.0) else { return };
+            let Some((_, (_, of))) = by.into_iter().max_by_key(|(_, z)| z.1.len() * 1_000 / z.0)
+            else {
+                return;
+            };
             let Some(id) = of.last() else { return };
             r.retiring.push(id.to_string());
             self.retire_at.insert(id.to_string(), s.i.now);
-            self.placed.busy.insert(id.to_string(), (s.i.now, s.i.record_version + 1));
+            self.placed
+                .busy
+                .insert(id.to_string(), (s.i.now, s.i.record_version + 1));
             left -= 1;
         }
     }
@@ -528,7 +714,8 @@
         }
         let limit = s.drain_limit();
         let versions: BTreeSet<&str> = s.old.iter().map(|p| p.version.as_str()).collect();
-        let flagged = s.before.phase == RolloutPhase::Baking && versions.iter().all(|v| flags(s.before, v).next().is_some());
+        let flagged = s.before.phase == RolloutPhase::Baking
+            && versions.iter().all(|v| flags(s.before, v).next().is_some());
         let first = flagged && self.placed.flagged_at.is_none();
         self.placed.flagged_at = flagged.then(|| self.placed.flagged_at.unwrap_or(now));
         let mut dry = true;
@@ -538,15 +725,21 @@
             // An edge that suspects the target sends to the old side until it sees the flag: streams there end from
             // when all have seen it.
             if first && !of {
-                self.placed.busy.insert(p.id.clone(), (now, s.i.record_version));
+                self.placed
+                    .busy
+                    .insert(p.id.clone(), (now, s.i.record_version));
             }
         }
         let late = |t: Ms| now.saturating_sub(t) > limit;
-        let ripe = (flagged || dry || late(self.phase_at)) && now.saturating_sub(self.phase_at) >= s.i.spec.bake_ms;
+        let ripe = (flagged || dry || late(self.phase_at))
+            && now.saturating_sub(self.phase_at) >= s.i.spec.bake_ms;
         self.placed.ripe = ripe.then(|| self.placed.ripe.unwrap_or(now));
         // The platform stops the old replicas on this word, and nothing is left to turn back to: a version that has
         // just begun to fail is looked at a little longer.
-        let waited = self.placed.ripe.is_some_and(|t| now.saturating_sub(t) >= MAX_COMPLETION_DELAY);
+        let waited = self
+            .placed
+            .ripe
+            .is_some_and(|t| now.saturating_sub(t) >= MAX_COMPLETION_DELAY);
         let ready = ripe && (waited || s.proven() || !self.health.just_failed(&s.target, now));
         r.groups = vec![group(GroupRole::Stable, &s.target, 100, ids(&warm))];
         for v in versions {
@@ -595,9 +788,17 @@
         if now.saturating_sub(self.progressed_at) > STUCK_ALERT_AFTER {
             r.alerts.push("stuck".into());
         }
-        let steps = s.old.len().saturating_sub(r.retiring.len()).div_ceil(s.step()) as Ms;
+        let steps = s
+            .old
+            .len()
+            .saturating_sub(r.retiring.len())
+            .div_ceil(s.step()) as Ms;
         let end = now + steps * DEFAULT_SHIFT_TIME;
-        let at = if at_work(r.phase) { s.i.wall_clock_s + (end - now) / 1_000 } else { 0 };
+        let at = if at_work(r.phase) {
+            s.i.wall_clock_s + (end - now) / 1_000
+        } else {
+            0
+        };
         if at == 0 || at.abs_diff(r.forecast) > FORECAST_MIN_CHANGE_S {
             r.forecast = at;
         }
--- a/coordination/src/rollout/tests.rs
+++ b/coordination/src/rollout/tests.rs
@@ -23,7 +23,14 @@
         {"id": "a-2", "zone": "a", "addr": "y", "service": "s", "version": "v1", "state": "running"}]))
     .unwrap();
     let r = initial_record(&spec.services[0]);
-    let mut b = Bench { spec, platform, reports: BTreeMap::new(), l: RolloutLoop::new(0), r, now: 0 };
+    let mut b = Bench {
+        spec,
+        platform,
+        reports: BTreeMap::new(),
+        l: RolloutLoop::new(0),
+        r,
+        now: 0,
+    };
     b.load("a-1", &["v1"]);
     b.load("a-2", &["v1"]);
     b
@@ -31,10 +38,13 @@
 
 impl Bench {
     fn load(&mut self, id: &str, versions: &[&str]) {
-        let loaded: Vec<_> =
-            versions.iter().map(|v| json!({"service": "s", "version": v, "ready": true, "streams": 0})).collect();
+        let loaded: Vec<_> = versions
+            .iter()
+            .map(|v| json!({"service": "s", "version": v, "ready": true, "streams": 0}))
+            .collect();
         let r = json!({"replica": id, "zone": "a", "born": 1, "loaded": loaded, "busy": 0, "slots": 8, "kv_fill": 0.0, "leaving": false});
-        self.reports.insert(id.into(), (serde_json::from_value(r).unwrap(), self.now));
+        self.reports
+            .insert(id.into(), (serde_json::from_value(r).unwrap(), self.now));
     }
     /// Passes of the loop until `ms` have gone by; replicas obey at once if `obey`. Gives all orders.
     fn run(&mut self, ms: Ms, plan: Option<&ReleasePlan>, obey: bool) -> Vec<Order> {
@@ -60,11 +70,30 @@
             };
             let (r, orders) = self.l.step(&self.r, &i);
             self.r = r;
-            let serving = |r: &RolloutRecord| r.groups.iter().filter(|g| g.share_percent > 0).any(|g| !g.replicas.is_empty());
+            let serving = |r: &RolloutRecord| {
+                r.groups
+                    .iter()
+                    .filter(|g| g.share_percent > 0)
+                    .any(|g| !g.replicas.is_empty())
+            };
             assert!(serving(&self.r), "nobody serves: {:?}", self.r);
             for o in &orders {
-                if let (Order::Replica { id, action, version, .. }, true) = (o, obey) {
-                    let mut v: Vec<String> = self.reports[id].0.loaded.iter().map(|l| l.version.clone()).collect();
+                if let (
+                    Order::Replica {
+                        id,
+                        action,
+                        version,
+                        ..
+                    },
+                    true,
+                ) = (o, obey)
+                {
+                    let mut v: Vec<String> = self.reports[id]
+                        .0
+                        .loaded
+                        .iter()
+                        .map(|l| l.version.clone())
+                        .collect();
                     v.retain(|x| x != version);
                     v.extend((*action == OrderAction::Load).then(|| version.clone()));
                     self.load(id, &v.iter().map(|s| s.as_str()).collect::<Vec<_>>());
@@ -77,7 +106,12 @@
 }
 
 fn plan(by: u64) -> ReleasePlan {
-    ReleasePlan { service: "s".into(), target: "v2".into(), complete_by: by, within_s: None }
+    ReleasePlan {
+        service: "s".into(),
+        target: "v2".into(),
+        complete_by: by,
+        within_s: None,
+    }
 }
 
 /// A region with two replicas: the whole way, load before retire, never both retired at once before the new is warm.
@@ -85,10 +119,22 @@
 fn a_plan_is_carried_through_in_a_zone_of_two() {
     let mut b = bench("reconcile");
     let orders = b.run(120_000, Some(&plan(600)), true);
-    expect_that!((b.r.phase, b.r.stable.as_str()), eq((RolloutPhase::Steady, "v2")));
-    let of = |a: OrderAction| orders.iter().filter(|o| matches!(o, Order::Replica { action, .. } if *action == a)).count();
+    expect_that!(
+        (b.r.phase, b.r.stable.as_str()),
+        eq((RolloutPhase::Steady, "v2"))
+    );
+    let of = |a: OrderAction| {
+        orders
+            .iter()
+            .filter(|o| matches!(o, Order::Replica { action, .. } if *action == a))
+            .count()
+    };
     expect_that!((of(OrderAction::Load), of(OrderAction::Unload)), eq((2, 2)));
-    let first = |a: OrderAction| orders.iter().position(|o| matches!(o, Order::Replica { action, .. } if *action == a));
+    let first = |a: OrderAction| {
+        orders
+            .iter()
+            .position(|o| matches!(o, Order::Replica { action, .. } if *action == a))
+    };
     expect_that!(first(OrderAction::Load), lt(first(OrderAction::Unload)));
     expect_that!(b.r.alerts, is_empty());
 }
@@ -111,7 +157,10 @@
     // Replicas never load the new version: the loop is stuck, and the plan's time passes.
     let mut b = bench("reconcile");
     b.run(70_000, Some(&plan(30)), false);
-    expect_that!(b.r.alerts, container_eq(["stuck".to_string(), "plan_late".to_string()]));
+    expect_that!(
+        b.r.alerts,
+        container_eq(["stuck".to_string(), "plan_late".to_string()])
+    );
     // A version nobody asked for waits for a flag: it is told, not unloaded.
     let mut b = bench("reconcile");
     b.load("a-1", &["v0", "v1"]);
--- a/coordination/src/shutdown.rs
+++ b/coordination/src/shutdown.rs
@@ -45,7 +45,10 @@
         let over = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
         // Whatever the grace, no more than half of it is spent on taking what then needs the other half to end.
         let refuses = SERVE_AFTER_SIGTERM.min(over / 2);
-        self.schedule.get_or_insert(Schedule { refuses: now + refuses, over: now + over });
+        self.schedule.get_or_insert(Schedule {
+            refuses: now + refuses,
+            over: now + over,
+        });
     }
 
     pub fn phase(&self, now: Ms) -> Phase {
--- a/coordination/src/state_table.rs
+++ b/coordination/src/state_table.rs
@@ -58,7 +58,11 @@
     /// Takes a value if it is newer; says whether it was.
     pub fn merge(&mut self, c: &Change) -> bool {
         // An equal or older stamp is never taken: that is how no copy ever goes back.
-        if self.entries.get(&c.key).is_some_and(|o| version_stamp(o) >= version_stamp(c)) {
+        if self
+            .entries
+            .get(&c.key)
+            .is_some_and(|o| version_stamp(o) >= version_stamp(c))
+        {
             return false;
         }
         self.entries.insert(c.key.clone(), c.clone());
@@ -71,20 +75,39 @@
             let x = xxh3_64(format!("{} {} {}", c.key, c.epoch, c.version).as_bytes());
             d[range_of(&c.key) as usize] ^= x;
         }
-        d.into_iter().enumerate().map(|(i, digest)| RangeDigest { index: i as u16, digest }).collect()
+        d.into_iter()
+            .enumerate()
+            .map(|(i, digest)| RangeDigest {
+                index: i as u16,
+                digest,
+            })
+            .collect()
     }
     /// Ranges in which another's digests differ.
     pub fn differing_ranges(&self, other: &[RangeDigest]) -> Vec<RangeDigest> {
         let mine = self.range_digests();
-        other.iter().filter(|r| mine.get(r.index as usize).is_some_and(|m| m.digest != r.digest)).cloned().collect()
+        other
+            .iter()
+            .filter(|r| {
+                mine.get(r.index as usize)
+                    .is_some_and(|m| m.digest != r.digest)
+            })
+            .cloned()
+            .collect()
     }
     /// All values in the ranges.
     pub fn entries_in(&self, ranges: &[RangeDigest]) -> Vec<Change> {
-        self.entries.values().filter(|c| ranges.iter().any(|r| r.index == range_of(&c.key))).cloned().collect()
+        self.entries
+            .values()
+            .filter(|c| ranges.iter().any(|r| r.index == range_of(&c.key)))
+            .cloned()
+            .collect()
     }
     /// One digest over everything.
     pub fn digest(&self) -> u64 {
-        self.range_digests().iter().fold(0, |a, r| a ^ r.digest.rotate_left(r.index as u32))
+        self.range_digests()
+            .iter()
+            .fold(0, |a, r| a ^ r.digest.rotate_left(r.index as u32))
     }
 }
 
--- a/coordination/src/state_table/tests.rs
+++ b/coordination/src/state_table/tests.rs
@@ -4,12 +4,19 @@
 use super::*;
 
 fn change(k: &str, epoch: u64, version: u64) -> Change {
-    Change { key: k.into(), epoch, version, value: Blob(vec![epoch as u8, version as u8]) }
+    Change {
+        key: k.into(),
+        epoch,
+        version,
+        value: Blob(vec![epoch as u8, version as u8]),
+    }
 }
 
 #[gtest]
 fn copies_meet_whatever_the_order_and_never_go_back() {
-    let all: Vec<_> = (0..40).map(|i| change(&format!("k{}", i % 7), i / 9, i)).collect();
+    let all: Vec<_> = (0..40)
+        .map(|i| change(&format!("k{}", i % 7), i / 9, i))
+        .collect();
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut a, mut b) = (StateTable::default(), StateTable::default());
--- a/coordination/src/stream.rs
+++ b/coordination/src/stream.rs
@@ -46,7 +46,9 @@
 
     pub fn broken(&mut self, code: &str, m: impl Into<String>) -> Next {
         self.over = true;
-        let f = Fault::new(code, "read_stream", m).peer(self.replica.clone()).outcome(Outcome::Unknown);
+        let f = Fault::new(code, "read_stream", m)
+            .peer(self.replica.clone())
+            .outcome(Outcome::Unknown);
         self.unknown(f)
     }
     /// Whether the replica's digest tells of another text. Of a resumed stream only the caller has all.
@@ -54,14 +56,25 @@
         matches!((&self.text, &e.digest), (Some(t), Some(d)) if *d != text_digest(t))
     }
     fn unknown(&self, f: Fault) -> Next {
-        let end = StreamEnd { outcome: Outcome::Unknown, pieces: self.next - 1, digest: None, fault: Some(f) };
-        Next::Broken(StreamLine { start: None, piece: None, end: Some(end) })
+        let end = StreamEnd {
+            outcome: Outcome::Unknown,
+            pieces: self.next - 1,
+            digest: None,
+            fault: Some(f),
+        };
+        Next::Broken(StreamLine {
+            start: None,
+            piece: None,
+            end: Some(end),
+        })
     }
 
     pub fn take(&mut self, l: StreamLine) -> Next {
         match (&l.start, &l.piece, &l.end) {
             _ if self.over => self.broken("over", "the round has ended"),
-            (Some(_), None, None) if self.begun => self.broken("bad_stream", "another answer began within this one"),
+            (Some(_), None, None) if self.begun => {
+                self.broken("bad_stream", "another answer began within this one")
+            }
             (Some(s), None, None) if s.request != self.request || s.replica != self.replica => {
                 self.broken("bad_stream", "the answer is to another request")
             }
@@ -85,16 +98,22 @@
                 let m = format!("piece {} came where {} was due", p.n, self.next);
                 self.broken("bad_stream", m)
             }
-            (None, None, Some(e)) if e.outcome == Outcome::Answered && self.differs(e) => {
-                self.broken("bad_stream", "what came is not what the replica says it sent")
-            }
-            (None, None, Some(e)) if e.outcome == Outcome::Answered && e.pieces + 1 == self.next => {
+            (None, None, Some(e)) if e.outcome == Outcome::Answered && self.differs(e) => self
+                .broken(
+                    "bad_stream",
+                    "what came is not what the replica says it sent",
+                ),
+            (None, None, Some(e))
+                if e.outcome == Outcome::Answered && e.pieces + 1 == self.next =>
+            {
                 self.over = true;
                 Next::End(l)
             }
             (None, None, Some(e)) if e.outcome != Outcome::Answered => {
                 self.over = true;
-                let f = e.fault.clone().unwrap_or_else(|| Fault::new("replica_failed", "read_stream", "the replica gave up"));
+                let f = e.fault.clone().unwrap_or_else(|| {
+                    Fault::new("replica_failed", "read_stream", "the replica gave up")
+                });
                 self.unknown(f.peer(self.replica.clone()).outcome(Outcome::Unknown))
             }
             _ => self.broken("bad_stream", "the end mark does not count what came"),
--- a/coordination/src/stream/tests.rs
+++ b/coordination/src/stream/tests.rs
@@ -7,22 +7,48 @@
     start_of(request, "u")
 }
 fn start_of(request: &str, run: &str) -> StreamLine {
-    let s = StreamStart { request: request.into(), run: run.into(), replica: "r".into(), version: "v".into(), warm: true };
-    StreamLine { start: Some(s), piece: None, end: None }
+    let s = StreamStart {
+        request: request.into(),
+        run: run.into(),
+        replica: "r".into(),
+        version: "v".into(),
+        warm: true,
+    };
+    StreamLine {
+        start: Some(s),
+        piece: None,
+        end: None,
+    }
 }
 fn piece(n: u64) -> StreamLine {
-    StreamLine { start: None, piece: Some(StreamPiece { n, text: "x".into() }), end: None }
+    StreamLine {
+        start: None,
+        piece: Some(StreamPiece {
+            n,
+            text: "x".into(),
+        }),
+        end: None,
+    }
 }
 fn end(pieces: u64) -> StreamLine {
     StreamLine {
         start: None,
         piece: None,
-        end: Some(StreamEnd { outcome: Outcome::Answered, pieces, digest: None, fault: None }),
+        end: Some(StreamEnd {
+            outcome: Outcome::Answered,
+            pieces,
+            digest: None,
+            fault: None,
+        }),
     }
 }
 /// Whether a stream is passed on as a whole answer.
 fn whole(after: u64, lines: Vec<StreamLine>) -> bool {
-    let at = ResumePoint { run: "u".into(), replica: "r".into(), after };
+    let at = ResumePoint {
+        run: "u".into(),
+        replica: "r".into(),
+        after,
+    };
     let mut l = Lines::new("q", "r", (after > 0).then_some(&at));
     let mut ok = false;
     for x in lines {
--- a/coordination/src/version_health.rs
+++ b/coordination/src/version_health.rs
@@ -128,12 +128,17 @@
         // Of what a source counted before it was first heard only its last half minute is evidence; a later
         // life of it counts from nought.
         let first = !self.sources.contains_key(source);
-        let mut old = self.sources.remove(source).filter(|o| o.incarnation == life).unwrap_or_default();
+        let mut old = self
+            .sources
+            .remove(source)
+            .filter(|o| o.incarnation == life)
+            .unwrap_or_default();
         old.incarnation = life;
         for t in tallies {
             let n = self.number((t.version.clone(), t.lane.clone(), t.cached != 0));
             let ended = t.succeeded + t.failed;
-            let (failed, slow, firsts, first_log) = (t.failed, t.slow, t.first_chunks, t.first_chunk_log_sum);
+            let (failed, slow, firsts, first_log) =
+                (t.failed, t.slow, t.first_chunks, t.first_chunk_log_sum);
             let c = OutcomeCounts {
                 sent: t.sent,
                 ended,
@@ -152,28 +157,47 @@
             let (ended, failed, slow) = (t.recent_ended, t.recent_failed, t.recent_slow);
             // Which replicas failed is told since the edge's start only; without them what comes in one word is one crash.
             let failed_on = if failed > 0 { t.failed_replicas } else { 0 };
-            let recent =
-                OutcomeCounts { sent: ended, ended, failed, slow, failed_replicas: failed_on, ..OutcomeCounts::default() };
+            let recent = OutcomeCounts {
+                sent: ended,
+                ended,
+                failed,
+                slow,
+                failed_replicas: failed_on,
+                ..OutcomeCounts::default()
+            };
             let d = if first { recent } else { c.minus(before) };
             if d != OutcomeCounts::default() {
-                let (s, f) = (&mut self.sums[n as usize], self.current_window.entry(n).or_default());
+                let (s, f) = (
+                    &mut self.sums[n as usize],
+                    self.current_window.entry(n).or_default(),
+                );
                 (*s, *f) = (s.plus(d), f.plus(d));
             }
         }
         self.sources.insert(source.clone(), old);
     }
     pub fn tick(&mut self, now: Ms) {
-        if self.windows.back().is_some_and(|(t, _)| now.saturating_sub(*t) < WINDOW_SPACING) {
+        if self
+            .windows
+            .back()
+            .is_some_and(|(t, _)| now.saturating_sub(*t) < WINDOW_SPACING)
+        {
             return;
         }
         self.close(now);
         // One that is older than the longest window stays: it is that window's beginning.
-        while self.windows.get(1).is_some_and(|(t, _)| now.saturating_sub(*t) > LONG_WINDOW) {
+        while self
+            .windows
+            .get(1)
+            .is_some_and(|(t, _)| now.saturating_sub(*t) > LONG_WINDOW)
+        {
             self.windows.pop_front();
         }
     }
     fn close(&mut self, now: Ms) {
-        let fresh = std::mem::take(&mut self.current_window).into_iter().collect();
+        let fresh = std::mem::take(&mut self.current_window)
+            .into_iter()
+            .collect();
         self.windows.push_back((now, fresh));
     }
     /// Forgets the past, so that a new phase is judged by what happens in it.
@@ -185,7 +209,9 @@
     /// Counts within the last `w` ms, of cells that `f` picks.
     fn within(&self, now: Ms, w: Ms, f: impl Fn(&Cell) -> bool) -> OutcomeCounts {
         let mut picked = vec![false; self.sums.len()];
-        self.cells.iter().for_each(|(c, n)| picked[*n as usize] = f(c));
+        self.cells
+            .iter()
+            .for_each(|(c, n)| picked[*n as usize] = f(c));
         let mut sum = OutcomeCounts::default();
         self.rows(now, w, |n, c| {
             if picked[n as usize] {
@@ -197,24 +223,46 @@
     /// Gives all that was counted within the last `w` ms.
     fn rows(&self, now: Ms, w: Ms, mut take: impl FnMut(u32, OutcomeCounts)) {
         // The last spell that had ended when the window began: what came after it lies in the window.
-        if let Some(i) = self.windows.iter().rposition(|(t, _)| now.saturating_sub(*t) >= w) {
-            self.windows.iter().skip(i + 1).flat_map(|(_, rows)| rows).for_each(|(n, c)| take(*n, *c));
+        if let Some(i) = self
+            .windows
+            .iter()
+            .rposition(|(t, _)| now.saturating_sub(*t) >= w)
+        {
+            self.windows
+                .iter()
+                .skip(i + 1)
+                .flat_map(|(_, rows)| rows)
+                .for_each(|(n, c)| take(*n, *c));
             return self.current_window.iter().for_each(|(n, c)| take(*n, *c));
         }
         let floor = |n: usize| self.baseline.get(n).copied().unwrap_or_default();
-        self.sums.iter().enumerate().for_each(|(n, v)| take(n as u32, v.minus(floor(n))));
+        self.sums
+            .iter()
+            .enumerate()
+            .for_each(|(n, v)| take(n as u32, v.minus(floor(n))));
     }
     /// What one cell counted in the longest window: ended, failed, slow.
     pub fn recent(&self, version: &str, lane: &str, warm: bool, now: Ms) -> (u64, u64, u64) {
         let cell = (Name::from(version), Name::from(lane), warm);
-        let Some(n) = self.cells.get(&cell).copied() else { return (0, 0, 0) };
-        let c = match self.windows.iter().rposition(|(t, _)| now.saturating_sub(*t) >= LONG_WINDOW) {
+        let Some(n) = self.cells.get(&cell).copied() else {
+            return (0, 0, 0);
+        };
+        let c = match self
+            .windows
+            .iter()
+            .rposition(|(t, _)| now.saturating_sub(*t) >= LONG_WINDOW)
+        {
             Some(i) => {
-                let at = |rows: &Vec<Row>| rows.binary_search_by_key(&n, |r| r.0).map_or(OutcomeCounts::default(), |i| rows[i].1);
+                let at = |rows: &Vec<Row>| {
+                    rows.binary_search_by_key(&n, |r| r.0)
+                        .map_or(OutcomeCounts::default(), |i| rows[i].1)
+                };
                 let all = self.windows.iter().skip(i + 1).map(|(_, rows)| at(rows));
-                all.chain(self.current_window.get(&n).copied()).fold(OutcomeCounts::default(), OutcomeCounts::plus)
+                all.chain(self.current_window.get(&n).copied())
+                    .fold(OutcomeCounts::default(), OutcomeCounts::plus)
             }
-            None => self.sums[n as usize].minus(self.baseline.get(n as usize).copied().unwrap_or_default()),
+            None => self.sums[n as usize]
+                .minus(self.baseline.get(n as usize).copied().unwrap_or_default()),
         };
         (c.ended, c.failed, c.slow)
     }
@@ -235,17 +283,26 @@
     }
     /// Requests of a version that ended on a lane since the last restart.
     pub fn ended_on(&self, version: &str, lane: &str, now: Ms) -> u64 {
-        self.within(now, EVER, |c| &*c.0 == version && &*c.1 == lane).ended
+        self.within(now, EVER, |c| &*c.0 == version && &*c.1 == lane)
+            .ended
     }
     fn lanes(&self, version: &str) -> Vec<&Name> {
-        let mut v: Vec<&Name> = self.cells.keys().filter(|c| &*c.0 == version).map(|c| &c.1).collect();
+        let mut v: Vec<&Name> = self
+            .cells
+            .keys()
+            .filter(|c| &*c.0 == version)
+            .map(|c| &c.1)
+            .collect();
         v.dedup();
         v
     }
     /// What a version counted on each lane within the last `w` ms, in one go over all that was counted: lanes are many.
     fn by_lane(&self, now: Ms, w: Ms, version: &str) -> BTreeMap<&Name, OutcomeCounts> {
         let mut lane: Vec<Option<&Name>> = vec![None; self.sums.len()];
-        self.cells.iter().filter(|(c, _)| &*c.0 == version).for_each(|(c, n)| lane[*n as usize] = Some(&c.1));
+        self.cells
+            .iter()
+            .filter(|(c, _)| &*c.0 == version)
+            .for_each(|(c, n)| lane[*n as usize] = Some(&c.1));
         let mut all: BTreeMap<&Name, OutcomeCounts> = BTreeMap::new();
         self.rows(now, w, |n, c| {
             if let Some(l) = lane[n as usize] {
@@ -257,10 +314,15 @@
     }
     /// Whether a version fails by itself, over all lanes or on one, with nothing to hold it against.
     pub fn fails(&self, version: &str, now: Ms) -> bool {
-        let bad = |n: &OutcomeCounts| n.failed >= MIN_FAILURES && n.failed * 100 >= n.ended * FAILURE_PERCENT_ALONE;
+        let bad = |n: &OutcomeCounts| {
+            n.failed >= MIN_FAILURES && n.failed * 100 >= n.ended * FAILURE_PERCENT_ALONE
+        };
         HEALTH_WINDOWS.iter().any(|w| {
             let lanes = self.by_lane(now, *w, version);
-            bad(&lanes.values().fold(OutcomeCounts::default(), |sum, c| sum.plus(*c))) || lanes.values().any(bad)
+            bad(&lanes
+                .values()
+                .fold(OutcomeCounts::default(), |sum, c| sum.plus(*c)))
+                || lanes.values().any(bad)
         })
     }
     /// Whether what failed of `new` since the last restart is too little to judge it by and too much to trust it.
@@ -285,7 +347,9 @@
         let cells = std::iter::once(None).chain(self.lanes(new).into_iter().map(Some));
         for l in cells {
             let of = |w: Ms, v: &str, warm: Option<bool>| {
-                self.within(now, w, |c| &*c.0 == v && l.is_none_or(|l| c.1 == *l) && warm.is_none_or(|x| x == c.2))
+                self.within(now, w, |c| {
+                    &*c.0 == v && l.is_none_or(|l| c.1 == *l) && warm.is_none_or(|x| x == c.2)
+                })
             };
             let long = of(LONG_WINDOW, old, None);
             for w in HEALTH_WINDOWS.into_iter().chain(ever.then_some(EVER)) {
@@ -296,7 +360,10 @@
                 }
             }
             for warm in [true, false] {
-                let (n, o) = (of(LONG_WINDOW, new, Some(warm)), of(LONG_WINDOW, old, Some(warm)));
+                let (n, o) = (
+                    of(LONG_WINDOW, new, Some(warm)),
+                    of(LONG_WINDOW, old, Some(warm)),
+                );
                 // Without a like cache on the other side nothing can be said about slowness.
                 if o.ended >= MIN_FAILURES && worse((n.ended, n.slow), (o.ended, o.slow)) {
                     return Verdict::Bad;
--- a/coordination/src/version_health/placed.rs
+++ b/coordination/src/version_health/placed.rs
@@ -32,7 +32,8 @@
     let p = o.1 as f64 / o.0.max(1) as f64;
     let all = n.0 as f64;
     // The one in the root lets no single end decide where nothing ever failed.
-    (n.1 as f64 - all * p) / (all * p * (1.0 - p) + 1.0).sqrt() >= sigma && higher(n, o, PLACED_MARGIN_PERCENT)
+    (n.1 as f64 - all * p) / (all * p * (1.0 - p) + 1.0).sqrt() >= sigma
+        && higher(n, o, PLACED_MARGIN_PERCENT)
 }
 fn unlike(n: Rate, o: Rate) -> bool {
     // Where some fail always, chance has more ways and is looked at more often.
@@ -46,25 +47,47 @@
 impl VersionHealth {
     /// Bad ends in the worst burst of the last `w` ms: a crash is one burst.
     fn burst(&self, now: Ms, w: Ms, f: impl Fn(&Cell) -> bool) -> u64 {
-        let picked: std::collections::BTreeSet<u32> = self.cells.iter().filter(|(c, _)| f(c)).map(|(_, n)| *n).collect();
+        let picked: std::collections::BTreeSet<u32> = self
+            .cells
+            .iter()
+            .filter(|(c, _)| f(c))
+            .map(|(_, n)| *n)
+            .collect();
         let failed = |rows: &mut dyn Iterator<Item = (&u32, &super::OutcomeCounts)>| -> u64 {
-            rows.filter(|(n, _)| picked.contains(n)).map(|(_, c)| c.failed).sum()
+            rows.filter(|(n, _)| picked.contains(n))
+                .map(|(_, c)| c.failed)
+                .sum()
         };
         // From where the window's counts begin, which is the last spell that ended before it.
-        let from = self.windows.iter().rposition(|(t, _)| now.saturating_sub(*t) >= w).unwrap_or(0);
+        let from = self
+            .windows
+            .iter()
+            .rposition(|(t, _)| now.saturating_sub(*t) >= w)
+            .unwrap_or(0);
         let mut sum = 0;
         let mut sums: Vec<(Ms, u64)> = vec![];
         for (t, rows) in self.windows.iter().skip(from) {
             // What the first spell brought lies before all that is compared.
-            sum += if sums.is_empty() { 0 } else { failed(&mut rows.iter().map(|(n, c)| (n, c))) };
+            sum += if sums.is_empty() {
+                0
+            } else {
+                failed(&mut rows.iter().map(|(n, c)| (n, c)))
+            };
             sums.push((*t, sum));
         }
         sums.push((now, sum + failed(&mut self.current_window.iter())));
         let bursts = sums.iter().enumerate().map(|(i, (t, n))| {
-            let end = sums[i..].iter().take_while(|(u, _)| u - t <= FAILURE_BURST).last().map_or(*n, |l| l.1);
+            let end = sums[i..]
+                .iter()
+                .take_while(|(u, _)| u - t <= FAILURE_BURST)
+                .last()
+                .map_or(*n, |l| l.1);
             end - n
         });
-        bursts.max().filter(|n| *n >= MIN_BURST_FAILURES).unwrap_or(0)
+        bursts
+            .max()
+            .filter(|n| *n >= MIN_BURST_FAILURES)
+            .unwrap_or(0)
     }
 
     /// Judges `new` against all other versions, over all lanes and on each. `even`: since when its replicas are
@@ -88,7 +111,11 @@
                 // Nor is one crash, which ends all of a replica's streams together. Others that fail beside it tell,
                 // or what failed at other times.
                 let few = chance(n, long).max(chance(n, o));
-                let more = if few > RARE_FAILURES { few + 2.0 * few.sqrt() + 2.0 } else { 0.0 };
+                let more = if few > RARE_FAILURES {
+                    few + 2.0 * few.sqrt() + 2.0
+                } else {
+                    0.0
+                };
                 if f64::from(all.failed_replicas.count_ones()) - 1.0 > more {
                     return Verdict::Bad;
                 }
@@ -98,7 +125,9 @@
                     return Verdict::Bad;
                 }
             }
-            let Some(w) = even.map(|t| now.saturating_sub(t).min(LONG_WINDOW)) else { continue };
+            let Some(w) = even.map(|t| now.saturating_sub(t).min(LONG_WINDOW)) else {
+                continue;
+            };
             for warm in [true, false] {
                 let of = |mine| self.within(now, w, |c| on(c, mine) && c.2 == warm);
                 let (n, o) = (of(true), of(false));
@@ -108,7 +137,13 @@
             }
         }
         match even.map(|t| now.saturating_sub(t).min(LONG_WINDOW)) {
-            Some(w) if [true, false].into_iter().any(|warm| self.late(new, warm, w, now)) => Verdict::Bad,
+            Some(w)
+                if [true, false]
+                    .into_iter()
+                    .any(|warm| self.late(new, warm, w, now)) =>
+            {
+                Verdict::Bad
+            }
             _ => Verdict::Fine,
         }
     }
@@ -116,10 +151,16 @@
     /// Whether `new`'s first pieces come late on a lane, or over all lanes. Each time is held against those of its own
     /// lane: caches that are new are cold for other prompts than those that are old, so that mixes of lanes differ.
     fn late(&self, new: &str, warm: bool, w: Ms, now: Ms) -> bool {
-        let late = |(firsts, over): (u64, f64)| firsts >= MIN_FIRST_CHUNKS && over >= SLOW_DOUBLINGS * firsts as f64;
+        let late = |(firsts, over): (u64, f64)| {
+            firsts >= MIN_FIRST_CHUNKS && over >= SLOW_DOUBLINGS * firsts as f64
+        };
         let (mut firsts, mut over) = (0, 0.0);
         for l in self.lanes(new) {
-            let of = |mine: bool| self.within(now, w, |c| (&*c.0 == new) == mine && c.1 == *l && c.2 == warm);
+            let of = |mine: bool| {
+                self.within(now, w, |c| {
+                    (&*c.0 == new) == mine && c.1 == *l && c.2 == warm
+                })
+            };
             let (n, o) = (of(true), of(false));
             // Without a like cache on the other side nothing can be said about slowness.
             if n.first_chunks == 0 || o.first_chunks < MIN_FIRST_CHUNKS.min(n.first_chunks) {
@@ -141,7 +182,11 @@
             let on = |c: &Cell, mine: bool| (&*c.0 == new) == mine && c.1 == *l;
             let of = |mine: bool| self.within(now, LONG_WINDOW, |c| on(c, mine)).failures();
             let (n, o) = (of(true), of(false));
-            let crash = if n.1 > 0 { self.burst(now, LONG_WINDOW, |c| on(c, true)).min(n.1) } else { 0 };
+            let crash = if n.1 > 0 {
+                self.burst(now, LONG_WINDOW, |c| on(c, true)).min(n.1)
+            } else {
+                0
+            };
             over((n.0 - crash, n.1 - crash), o, SUSPICION_SIGMA)
         })
     }
@@ -150,9 +195,14 @@
     /// has just turned bad looks like one.
     pub fn just_failed(&self, new: &str, now: Ms) -> bool {
         self.lanes(new).into_iter().any(|l| {
-            let of = |w: Ms, mine: bool| self.within(now, w, |c| (&*c.0 == new) == mine && c.1 == *l).failures();
+            let of = |w: Ms, mine: bool| {
+                self.within(now, w, |c| (&*c.0 == new) == mine && c.1 == *l)
+                    .failures()
+            };
             let others = of(LONG_WINDOW, false);
-            COMPLETION_WINDOWS.into_iter().any(|w| over(of(w, true), others, SUSPICION_SIGMA))
+            COMPLETION_WINDOWS
+                .into_iter()
+                .any(|w| over(of(w, true), others, SUSPICION_SIGMA))
         })
     }
 
@@ -167,7 +217,11 @@
 
     /// Requests a second that were lately sent to all versions.
     pub fn request_rate(&self, w: Ms, now: Ms) -> f64 {
-        let seen = self.windows.front().map_or(0, |(t, _)| now.saturating_sub(*t)).min(w);
+        let seen = self
+            .windows
+            .front()
+            .map_or(0, |(t, _)| now.saturating_sub(*t))
+            .min(w);
         if seen == 0 {
             return 0.0;
         }
@@ -180,7 +234,10 @@
         lanes.sort_unstable();
         lanes.dedup();
         lanes.into_iter().all(|l| {
-            let of = |mine: bool| self.within(now, EVER, |c| (&*c.0 == new) == mine && c.1 == *l).ended;
+            let of = |mine: bool| {
+                self.within(now, EVER, |c| (&*c.0 == new) == mine && c.1 == *l)
+                    .ended
+            };
             of(true) >= enough || of(false) == 0
         })
     }
--- a/coordination/src/version_health/tests.rs
+++ b/coordination/src/version_health/tests.rs
@@ -27,7 +27,10 @@
 
 #[gtest]
 fn one_bad_lane_is_enough_and_a_cold_cache_alone_is_not() {
-    let fine = [tally("v1", "a", true, 100, 1, 0), tally("v2", "a", true, 10, 0, 0)];
+    let fine = [
+        tally("v1", "a", true, 100, 1, 0),
+        tally("v2", "a", true, 10, 0, 0),
+    ];
     expect_that!(verdict(&fine), eq(Verdict::Fine));
     let lane = [
         tally("v1", "a", true, 500, 0, 0),
@@ -37,9 +40,16 @@
     ];
     expect_that!(verdict(&lane), eq(Verdict::Bad));
     // The canary is slow only where its cache is cold, as the baseline's cold requests are too.
-    let cold = [tally("v1", "a", true, 90, 0, 0), tally("v1", "a", false, 10, 0, 9), tally("v2", "a", false, 10, 0, 9)];
+    let cold = [
+        tally("v1", "a", true, 90, 0, 0),
+        tally("v1", "a", false, 10, 0, 9),
+        tally("v2", "a", false, 10, 0, 9),
+    ];
     expect_that!(verdict(&cold), eq(Verdict::Fine));
-    let slow = [tally("v1", "a", true, 90, 0, 1), tally("v2", "a", true, 10, 0, 6)];
+    let slow = [
+        tally("v1", "a", true, 90, 0, 1),
+        tally("v2", "a", true, 10, 0, 6),
+    ];
     expect_that!(verdict(&slow), eq(Verdict::Bad));
 }
 
@@ -59,7 +69,11 @@
 
 /// First pieces on a lane, each after so many ms.
 fn firsts(v: &str, lane: &str, warm: bool, n: u64, ms: Ms) -> OutcomeCounters {
-    OutcomeCounters { first_chunks: n, first_chunk_log_sum: n * log_ms(ms), ..tally(v, lane, warm, n, 0, 0) }
+    OutcomeCounters {
+        first_chunks: n,
+        first_chunk_log_sum: n * log_ms(ms),
+        ..tally(v, lane, warm, n, 0, 0)
+    }
 }
 
 fn beside(rows: &[OutcomeCounters]) -> Verdict {
@@ -82,12 +96,20 @@
     ];
     expect_that!(beside(&mix), eq(Verdict::Fine));
     // One lane is slow.
-    let lane = [mix[1].clone(), mix[2].clone(), firsts("v2", "long", false, 9, 400), firsts("v2", "short", false, 14, 270)];
+    let lane = [
+        mix[1].clone(),
+        mix[2].clone(),
+        firsts("v2", "long", false, 9, 400),
+        firsts("v2", "short", false, 14, 270),
+    ];
     expect_that!(beside(&lane), eq(Verdict::Bad));
     // All are, each with too few to tell by itself.
     let each = (0..6).flat_map(|l| {
         let ms = 50 << l;
-        [firsts("v1", &format!("l{l}"), false, 12, ms), firsts("v2", &format!("l{l}"), false, 3, 4 * ms)]
+        [
+            firsts("v1", &format!("l{l}"), false, 12, ms),
+            firsts("v2", &format!("l{l}"), false, 3, 4 * ms),
+        ]
     });
     expect_that!(beside(&each.collect::<Vec<_>>()), eq(Verdict::Bad));
 }
--- a/coordination/src/voter_placement.rs
+++ b/coordination/src/voter_placement.rs
@@ -40,7 +40,9 @@
     let spare = voters.len() - (voters.len() / 2 + 1).min(voters.len());
     let most = |group: &dyn Fn(&Voter) -> String| {
         let mut n: BTreeMap<String, usize> = BTreeMap::new();
-        voters.iter().for_each(|v| *n.entry(group(v)).or_default() += 1);
+        voters
+            .iter()
+            .for_each(|v| *n.entry(group(v)).or_default() += 1);
         n.values().map(|n| n.saturating_sub(spare)).sum::<usize>()
     };
     most(&|v| v.zone.to_string()) + most(&|v| region(v, regions).to_string())
@@ -53,7 +55,13 @@
 /// How crowded a place is: voters in its region, and in its zone.
 fn crowding(v: &Voter, voters: &[Voter], regions: &Regions) -> (usize, usize) {
     let there = region(v, regions);
-    (voters.iter().filter(|o| region(o, regions) == there).count(), voters.iter().filter(|o| o.zone == v.zone).count())
+    (
+        voters
+            .iter()
+            .filter(|o| region(o, regions) == there)
+            .count(),
+        voters.iter().filter(|o| o.zone == v.zone).count(),
+    )
 }
 
 /// The next voters, if the present ones are to change. A change keeps at least as many voters, so that a majority of
@@ -63,18 +71,26 @@
     let mut free = s.candidates.clone();
     // A lost disk's place goes to whoever has its name or address: the process with the old disk is no more.
     for v in &mut voters {
-        let i = free.iter().position(|(c, _)| c.name == v.name || c.addr == v.addr);
+        let i = free
+            .iter()
+            .position(|(c, _)| c.name == v.name || c.addr == v.addr);
         if let Some(i) = i.filter(|_| (s.unheard_for)(v) > 2 * HEARTBEAT_INTERVAL) {
             *v = free.remove(i).0;
         }
     }
     replace_lost(s, &mut voters, &mut free);
     add_voters(s, &mut voters, &mut free);
-    if s.voters.iter().all(|v| (s.is_live)(v) && (s.unheard_for)(v) <= 2 * HEARTBEAT_INTERVAL) {
+    if s.voters
+        .iter()
+        .all(|v| (s.is_live)(v) && (s.unheard_for)(v) <= 2 * HEARTBEAT_INTERVAL)
+    {
         rebalance(s, &mut voters, &mut free);
     }
     // Newcomers read a majority of the former voters: without it a change would leave them waiting for good.
-    let read = voters.iter().filter(|v| s.voters.contains(v) && (s.is_live)(v)).count();
+    let read = voters
+        .iter()
+        .filter(|v| s.voters.contains(v) && (s.is_live)(v))
+        .count();
     (voters != s.voters && read > s.voters.len() / 2).then_some(voters)
 }
 
@@ -93,12 +109,26 @@
             next
         };
         // After long enough a worse spread is better than a place that nobody fills.
-        let most = if silent > REPLACE_ANYWHERE_AFTER { usize::MAX } else { excess_voters(voters, s.regions) };
-        let fits = (0..free.len()).filter(|n| ready(&free[*n]) && excess_voters(&with(&free[*n]), s.regions) <= most);
+        let most = if silent > REPLACE_ANYWHERE_AFTER {
+            usize::MAX
+        } else {
+            excess_voters(voters, s.regions)
+        };
+        let fits = (0..free.len())
+            .filter(|n| ready(&free[*n]) && excess_voters(&with(&free[*n]), s.regions) <= most);
         let best = fits.min_by_key(|n| {
             let (c, _) = &free[*n];
-            let (far, out) = (region(c, s.regions) != region(&voters[i], s.regions), c.zone != voters[i].zone);
-            (excess_voters(&with(&free[*n]), s.regions), out, far, crowding(c, voters, s.regions), c.name.clone())
+            let (far, out) = (
+                region(c, s.regions) != region(&voters[i], s.regions),
+                c.zone != voters[i].zone,
+            );
+            (
+                excess_voters(&with(&free[*n]), s.regions),
+                out,
+                far,
+                crowding(c, voters, s.regions),
+                c.name.clone(),
+            )
         });
         if let Some(n) = best {
             voters[i] = free.remove(n).0;
@@ -114,15 +144,26 @@
         let mut next = voters.clone();
         let mut left = free.clone();
         let odd = voters.len() % 2 == 1;
-        let step = if odd && (voters.len() >= MIN_VOTERS || left.len() >= 2) { 2 } else { 1 };
+        let step = if odd && (voters.len() >= MIN_VOTERS || left.len() >= 2) {
+            2
+        } else {
+            1
+        };
         if left.len() < step {
             return;
         }
         for _ in 0..step {
-            let best = (0..left.len()).min_by_key(|n| (crowding(&left[*n].0, &next, s.regions), left[*n].0.name.clone()));
+            let best = (0..left.len()).min_by_key(|n| {
+                (
+                    crowding(&left[*n].0, &next, s.regions),
+                    left[*n].0.name.clone(),
+                )
+            });
             next.extend(best.map(|n| left.remove(n).0));
         }
-        if voters.len() >= least && excess_voters(&next, s.regions) > excess_voters(voters, s.regions) {
+        if voters.len() >= least
+            && excess_voters(&next, s.regions) > excess_voters(voters, s.regions)
+        {
             return;
         }
         (*voters, *free) = (next, left);
@@ -136,13 +177,17 @@
         return;
     }
     // A machine that has just come may be in the stead of a voter that has just gone.
-    let swaps = (0..voters.len()).flat_map(|i| (0..free.len()).map(move |n| (i, n))).filter(|(_, n)| !free[*n].1);
+    let swaps = (0..voters.len())
+        .flat_map(|i| (0..free.len()).map(move |n| (i, n)))
+        .filter(|(_, n)| !free[*n].1);
     let after = |(i, n): &(usize, usize)| {
         let mut next = voters.to_vec();
         next[*i] = free[*n].0.clone();
         excess_voters(&next, s.regions)
     };
-    let Some(best) = swaps.min_by_key(after).filter(|b| after(b) < now) else { return };
+    let Some(best) = swaps.min_by_key(after).filter(|b| after(b) < now) else {
+        return;
+    };
     voters[best.0] = free.remove(best.1).0;
 }
 
@@ -150,7 +195,18 @@
 type StoredVoters = (u32, Vec<(Name, u64, Name, Name, u32)>);
 
 pub fn encode(before: u32, v: &[Voter]) -> Blob {
-    let rows = v.iter().map(|v| (v.name.clone(), v.disk_id, v.addr.clone(), v.zone.clone(), v.since_epoch)).collect();
+    let rows = v
+        .iter()
+        .map(|v| {
+            (
+                v.name.clone(),
+                v.disk_id,
+                v.addr.clone(),
+                v.zone.clone(),
+                v.since_epoch,
+            )
+        })
+        .collect();
     let stored: StoredVoters = (before, rows);
     Blob(serde_json::to_vec(&stored).unwrap_or_default())
 }
@@ -158,10 +214,21 @@
 /// Reads what stands under the members' key; also as it was written before voters had zones.
 pub fn decode(b: &[u8]) -> Option<(u32, Vec<Voter>)> {
     if let Ok((before, rows)) = serde_json::from_slice::<StoredVoters>(b) {
-        let voter = |(name, disk, addr, zone, since)| Voter { name, disk_id: disk, addr, zone, since_epoch: since };
+        let voter = |(name, disk, addr, zone, since)| Voter {
+            name,
+            disk_id: disk,
+            addr,
+            zone,
+            since_epoch: since,
+        };
         return Some((before, rows.into_iter().map(voter).collect()));
     }
     let rows: Vec<(Name, u64, Name)> = serde_json::from_slice(b).ok()?;
-    let voter = |(name, disk, addr)| Voter { name, disk_id: disk, addr, ..Voter::default() };
+    let voter = |(name, disk, addr)| Voter {
+        name,
+        disk_id: disk,
+        addr,
+        ..Voter::default()
+    };
     Some((0, rows.into_iter().map(voter).collect()))
 }
--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -12,7 +12,10 @@
     }
     at.sort_unstable();
     assert!(rate > 0.0 && !at.is_empty());
-    (0..at.len()).map(|i| at[i..].iter().take_while(|t| **t < at[i] + 1_000).count()).max().unwrap()
+    (0..at.len())
+        .map(|i| at[i..].iter().take_while(|t| **t < at[i] + 1_000).count())
+        .max()
+        .unwrap()
 }
 
 #[gtest]
@@ -23,8 +26,15 @@
             let share = call_rate_share(rate, voters, duties);
             // Each duty has a holder and one that has not noticed yet that it lost it.
             let holders = voters.min(2 * duties);
-            let callers: Vec<(Ms, Ms)> =
-                (0..holders as Ms).map(|i| if i % 2 == 0 { (i * 37, 8_000 + i * 11) } else { (5_000 + i * 53, END) }).collect();
+            let callers: Vec<(Ms, Ms)> = (0..holders as Ms)
+                .map(|i| {
+                    if i % 2 == 0 {
+                        (i * 37, 8_000 + i * 11)
+                    } else {
+                        (5_000 + i * 53, END)
+                    }
+                })
+                .collect();
             expect_that!(
                 most(rate, &callers, share) as f64,
                 le(rate.max(holders as f64)),
--- a/coordination/tests/catching_up.rs
+++ b/coordination/tests/catching_up.rs
@@ -14,7 +14,10 @@
 
 fn settled(seed: u64, n: usize) -> Fleet {
     let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))).expect("the fleet settles");
+    f.until(10_000, |f| {
+        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
+    })
+    .expect("the fleet settles");
     f
 }
 /// Changes the spec every so often for a while; gives how many changes were accepted.
@@ -37,7 +40,12 @@
 fn what_a_member_missed_comes_though_other_keys_keep_changing() {
     for seed in 0..20 {
         let f = &mut settled(seed, 3);
-        let owner = |f: &Fleet, key| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(key, f.now).is_some()));
+        let owner = |f: &Fleet, key| {
+            (0..3).find(|i| {
+                f.brain(*i)
+                    .is_some_and(|b| b.registers.held_until(key, f.now).is_some())
+            })
+        };
         f.put(ZONE, b"before", 5_000).expect("it is accepted");
         f.run(1_000);
         let (zones, specs) = (owner(f, ZONE).unwrap(), owner(f, SPEC_KEY).unwrap_or(0));
@@ -53,7 +61,11 @@
         });
         f.put(ZONE, b"after", 5_000).expect("it is accepted");
         let value = |f: &Fleet| f.held(behind, ZONE).map(|h| h.1);
-        expect_that!(value(f), some(eq(b"before")), "seed {seed}: it missed nothing");
+        expect_that!(
+            value(f),
+            some(eq(b"before")),
+            "seed {seed}: it missed nothing"
+        );
         let changes = storm(f, specs, 4_000, |_| ());
         expect_that!(changes, gt(20), "seed {seed}: a storm");
         expect_that!(value(f), some(eq(b"after")), "seed {seed}, daemon {behind}");
@@ -91,10 +103,15 @@
             told.set(has);
             // With daemons to spare another has its vote by then, and it stands by.
             let votes = f.voters(behind).contains(&format!("c{behind}"));
-            let is_whole = has >= newest && (!votes || f.brain(behind).is_some_and(|b| b.is_settled()));
+            let is_whole =
+                has >= newest && (!votes || f.brain(behind).is_some_and(|b| b.is_settled()));
             whole.set(whole.get().or(is_whole.then_some(f.now - back)));
         });
-        expect_that!(whole.get(), some(le(3_000)), "seed {seed}, {n} daemons, {behind} was away");
+        expect_that!(
+            whole.get(),
+            some(le(3_000)),
+            "seed {seed}, {n} daemons, {behind} was away"
+        );
     }
 }
 
@@ -123,7 +140,11 @@
         f.start(behind);
         f.run(4_000);
         let newest = f.held(at, SPEC_KEY).unwrap().0;
-        expect_that!(f.held(behind, SPEC_KEY).map(|h| h.0), some(eq(newest)), "seed {seed}");
+        expect_that!(
+            f.held(behind, SPEC_KEY).map(|h| h.0),
+            some(eq(newest)),
+            "seed {seed}"
+        );
         expect_true!(f.brain(behind).is_some_and(|b| b.is_settled()));
     }
 }
@@ -134,11 +155,20 @@
     let f = &mut settled(1, 3);
     f.run(2_000);
     let told = |f: &Fleet, i: usize| f.brain(i).unwrap().status(f.now);
-    let counter = |f: &Fleet, i: usize, name| f.brain(i).unwrap().counters(f.now).into_iter().find(|c| c.0 == name).map(|c| c.1);
+    let counter = |f: &Fleet, i: usize, name| {
+        f.brain(i)
+            .unwrap()
+            .counters(f.now)
+            .into_iter()
+            .find(|c| c.0 == name)
+            .map(|c| c.1)
+    };
     let whole = |f: &Fleet, i: usize| {
         let s = told(f, i);
         s.quorum == Some(true)
-            && s.members.iter().all(|m| m.live && m.same == Some(true) && m.member_epoch == Some(s.member_epoch))
+            && s.members
+                .iter()
+                .all(|m| m.live && m.same == Some(true) && m.member_epoch == Some(s.member_epoch))
     };
     expect_that!((0..3).filter(|i| whole(f, *i)).count(), eq(3));
     f.cut.insert(fleet::addr(2));
@@ -147,19 +177,40 @@
         let s = told(f, i);
         expect_that!(s.quorum, some(eq(i != 2)), "daemon {i}");
         expect_that!(counter(f, i, "quorum"), some(eq(u64::from(i != 2))));
-        expect_that!(counter(f, i, "voters_live"), some(eq(if i == 2 { 1 } else { 2 })));
-        let silent: Vec<&str> =
-            s.members.iter().filter(|m| m.heard_ms_ago.is_some_and(|ms| ms >= 2_500)).map(|m| m.name.as_str()).collect();
-        expect_that!(silent, eq(&if i == 2 { vec!["c0", "c1"] } else { vec!["c2"] }), "daemon {i}");
+        expect_that!(
+            counter(f, i, "voters_live"),
+            some(eq(if i == 2 { 1 } else { 2 }))
+        );
+        let silent: Vec<&str> = s
+            .members
+            .iter()
+            .filter(|m| m.heard_ms_ago.is_some_and(|ms| ms >= 2_500))
+            .map(|m| m.name.as_str())
+            .collect();
+        expect_that!(
+            silent,
+            eq(&if i == 2 { vec!["c0", "c1"] } else { vec!["c2"] }),
+            "daemon {i}"
+        );
     }
     // It is heard again and what it holds is older, until it has caught up.
     f.cut.clear();
     f.sieve = Box::new(|_, to, m| {
-        *to != fleet::addr(2) || !matches!(m, Message::SlotsReply(_) | Message::Commit(_) | Message::Accept(_))
+        *to != fleet::addr(2)
+            || !matches!(
+                m,
+                Message::SlotsReply(_) | Message::Commit(_) | Message::Accept(_)
+            )
     });
     f.run(2_000);
-    let behind =
-        |f: &Fleet| told(f, 0).members.iter().filter(|m| m.same == Some(false)).map(|m| m.name.clone()).collect::<Vec<_>>();
+    let behind = |f: &Fleet| {
+        told(f, 0)
+            .members
+            .iter()
+            .filter(|m| m.same == Some(false))
+            .map(|m| m.name.clone())
+            .collect::<Vec<_>>()
+    };
     expect_that!(behind(f), elements_are![eq("c2")]);
     expect_that!(counter(f, 0, "voters_behind"), some(eq(1)));
     f.sieve = Box::new(|_, _, _| true);
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -30,7 +30,8 @@
             if let Some((_, WriteOutcome::Accepted(v))) = self.f.ends.get(w) {
                 let old = self.accepted.insert(*v, value.clone());
                 if *v != expect + 1 || old.is_some_and(|o| o != *value) {
-                    self.faults.push(format!("{w:?} accepted as {v} over {expect} at {now}"));
+                    self.faults
+                        .push(format!("{w:?} accepted as {v} over {expect} at {now}"));
                 }
             }
         }
@@ -40,10 +41,15 @@
             }
         }
         let holders: Vec<usize> = (0..self.f.all.len())
-            .filter(|i| self.f.brain(*i).is_some_and(|b| b.registers.held_until("rollout/s", now).is_some()))
+            .filter(|i| {
+                self.f
+                    .brain(*i)
+                    .is_some_and(|b| b.registers.held_until("rollout/s", now).is_some())
+            })
             .collect();
         if holders.len() > 1 {
-            self.faults.push(format!("{holders:?} hold one duty at {now}"));
+            self.faults
+                .push(format!("{holders:?} hold one duty at {now}"));
         }
     }
     fn run(&mut self, ms: Ms) {
@@ -55,20 +61,29 @@
     /// All voters are up and vote: the losses before are made up for.
     fn whole(&self) -> bool {
         let voting = self.f.voting();
-        let member_epoch = voting.iter().filter_map(|i| self.f.brain(*i)).map(|b| b.registers.member_epoch).max();
+        let member_epoch = voting
+            .iter()
+            .filter_map(|i| self.f.brain(*i))
+            .map(|b| b.registers.member_epoch)
+            .max();
         let all = |i: &usize| {
-            self.f
-                .brain(*i)
-                .is_some_and(|b| Some(b.registers.member_epoch) == member_epoch && b.registers.voters.len() == voting.len())
+            self.f.brain(*i).is_some_and(|b| {
+                Some(b.registers.member_epoch) == member_epoch
+                    && b.registers.voters.len() == voting.len()
+            })
         };
         !voting.is_empty() && voting.iter().all(all)
     }
     fn up(&self) -> Vec<usize> {
-        (0..self.f.all.len()).filter(|i| self.f.brain(*i).is_some()).collect()
+        (0..self.f.all.len())
+            .filter(|i| self.f.brain(*i).is_some())
+            .collect()
     }
     fn write(&mut self, n: u64) {
         let up = self.up();
-        let Some(&i) = self.f.rng.choice(&up) else { return };
+        let Some(&i) = self.f.rng.choice(&up) else {
+            return;
+        };
         let expect = self.f.held(i, "spec").map_or(0, |h| h.0);
         let value = format!("value {n}").into_bytes();
         if let Some(w) = self.f.write(i, "spec", Some(expect), &value) {
@@ -83,7 +98,9 @@
             let w = self.f.write(i, "spec", Some(version - 1), value)?;
             self.f.until(4_000, |f| f.ends.contains_key(&w));
             match self.f.ends.get(&w) {
-                Some((_, e @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_)))) => return Some(*e),
+                Some((_, e @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_)))) => {
+                    return Some(*e);
+                }
                 _ => self.f.run(200),
             }
         }
@@ -94,7 +111,9 @@
         match self.f.rng.u8(..10) {
             0 | 1 => {
                 // Killed, with its disk kept.
-                let Some(&i) = self.f.rng.choice(&up) else { return };
+                let Some(&i) = self.f.rng.choice(&up) else {
+                    return;
+                };
                 self.f.kill(i);
                 let ms = self.f.rng.u64(50..2_000);
                 self.write(n);
@@ -137,7 +156,9 @@
             }
             5 | 6 => {
                 // Cut off.
-                let Some(&i) = self.f.rng.choice(&up) else { return };
+                let Some(&i) = self.f.rng.choice(&up) else {
+                    return;
+                };
                 let a = self.f.all[i].p.addr.clone();
                 self.f.cut.insert(a.clone());
                 let ms = self.f.rng.u64(200..4_000);
@@ -148,7 +169,9 @@
                 self.f.cut.remove(&a);
             }
             7 => {
-                let Some(&i) = self.f.rng.choice(&up) else { return };
+                let Some(&i) = self.f.rng.choice(&up) else {
+                    return;
+                };
                 self.f.all[i].sync = self.f.rng.u64(1..400);
             }
             8 => {
@@ -157,7 +180,12 @@
                 let count = std::cell::Cell::new(seed);
                 // Some in a hundred are lost.
                 self.f.sieve = Box::new(move |_, _, _| {
-                    count.set(count.get().wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1));
+                    count.set(
+                        count
+                            .get()
+                            .wrapping_mul(6_364_136_223_846_793_005)
+                            .wrapping_add(1),
+                    );
                     (count.get() >> 33) % 100 >= lost
                 });
             }
@@ -173,12 +201,24 @@
     let (mut accepted, mut longest) = (0, 0);
     // More of them, for a sweep: `CHAOS_SEEDS=1000-4000`.
     let asked = std::env::var("CHAOS_SEEDS").ok();
-    let asked = asked.as_deref().and_then(|s| s.split_once('-')).and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
+    let asked = asked
+        .as_deref()
+        .and_then(|s| s.split_once('-'))
+        .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
     for seed in asked.unwrap_or(seeds).chain(once_failed.iter().copied()) {
-        let regions: BTreeMap<String, String> = (0..200).map(|i| (format!("z{i}"), format!("r{}", i % 3))).collect();
+        let regions: BTreeMap<String, String> = (0..200)
+            .map(|i| (format!("z{i}"), format!("r{}", i % 3)))
+            .collect();
         let f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
         let (asked, seen, faults) = Default::default();
-        let mut r = Run { f, asked, accepted: BTreeMap::new(), seen, faults, regions };
+        let mut r = Run {
+            f,
+            asked,
+            accepted: BTreeMap::new(),
+            seen,
+            faults,
+            regions,
+        };
         r.run(8_000);
         r.f.put("rollout/s", b"duty", 5_000);
         for k in 0..25 {
@@ -196,18 +236,34 @@
         expect_that!(two, is_empty(), "seed {seed}");
         for (v, value) in &r.accepted {
             let other = r.seen.get(v).is_some_and(|s| !s.contains(value));
-            expect_that!(other, eq(false), "seed {seed}: version {v} has another value than was accepted");
+            expect_that!(
+                other,
+                eq(false),
+                "seed {seed}: version {v} has another value than was accepted"
+            );
         }
         for i in r.up() {
-            expect_that!(r.f.held(i, "spec").map_or(0, |h| h.0), ge(newest), "seed {seed}: daemon {i} lacks the newest");
+            expect_that!(
+                r.f.held(i, "spec").map_or(0, |h| h.0),
+                ge(newest),
+                "seed {seed}: daemon {i} lacks the newest"
+            );
         }
         // It still takes writes.
         let took = r.f.put("spec", b"last", 8_000);
-        expect_that!(took, some(anything()), "seed {seed}: no write is taken any more");
+        expect_that!(
+            took,
+            some(anything()),
+            "seed {seed}: no write is taken any more"
+        );
         // Whoever sends again what was accepted is told so, whatever has replaced it and whoever remembers it.
         for (v, value) in r.accepted.clone() {
             let again = r.again(v, &value);
-            expect_that!(again, some(eq(WriteOutcome::Accepted(v))), "seed {seed}: version {v} sent again");
+            expect_that!(
+                again,
+                some(eq(WriteOutcome::Accepted(v))),
+                "seed {seed}: version {v} sent again"
+            );
         }
         longest = longest.max(took.unwrap_or(0));
         accepted += newest;
--- a/coordination/tests/context_demand.rs
+++ b/coordination/tests/context_demand.rs
@@ -5,8 +5,8 @@
 use coordination::{
     Ms,
     context::{
-        Asked, Chain, DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD, Demand, Demands, Inputs, STANDING_MOST,
-        decide, homes, number,
+        Asked, Chain, DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD, Demand,
+        Demands, Inputs, STANDING_MOST, decide, homes, number,
     },
     wire::{ContextDemand as DemandMsg, List, Name, encode},
 };
@@ -14,7 +14,12 @@
 use remote_calls::{ContextRecord, ContextSpec, PlacedReplica};
 
 fn chain(c: u64) -> Chain {
-    Chain { version: number("v1"), homes: 0, chain: c, tokens: 13_300 }
+    Chain {
+        version: number("v1"),
+        homes: 0,
+        chain: c,
+        tokens: 13_300,
+    }
 }
 fn zipf(rng: &mut fastrand::Rng, sums: &[f64]) -> u64 {
     let x = rng.f64() * sums[sums.len() - 1];
@@ -30,7 +35,9 @@
         self.0.insert(c, (n + 1.0, now));
     }
     fn count(&self, c: u64, now: Ms) -> f64 {
-        self.0.get(&c).map_or(0.0, |(n, at)| n * 0.5f64.powf((now - at) as f64 / DEMAND_HALF as f64))
+        self.0.get(&c).map_or(0.0, |(n, at)| {
+            n * 0.5f64.powf((now - at) as f64 / DEMAND_HALF as f64)
+        })
     }
 }
 
@@ -44,7 +51,11 @@
             })
             .collect();
         let mut rng = fastrand::Rng::with_seed(3);
-        let (mut all, mut sum, mut truth) = (vec![Demand::default(); edges], Demands::default(), Truth::default());
+        let (mut all, mut sum, mut truth) = (
+            vec![Demand::default(); edges],
+            Demands::default(),
+            Truth::default(),
+        );
         let (mut bytes, mut now) = (0, 0);
         while now < 90_000 {
             now += (1_000.0 / rate) as Ms;
@@ -60,15 +71,24 @@
             }
         }
         let told = sum.sums(&|_| Some("r".into()), now);
-        let count = |c: u64| told.get(&("r".to_string(), chain(c))).map_or(0.0, |a| a.asked);
+        let count = |c: u64| {
+            told.get(&("r".to_string(), chain(c)))
+                .map_or(0.0, |a| a.asked)
+        };
         // Never more than was asked, but for decay in steps of a second.
-        let over = (0..chains as u64).map(|c| count(c) - truth.count(c, now) * 1.05).fold(0.0, f64::max);
+        let over = (0..chains as u64)
+            .map(|c| count(c) - truth.count(c, now) * 1.05)
+            .fold(0.0, f64::max);
         expect_that!(over, le(0.5), "{edges} edges");
         // Too low by what the summaries err by, what was cut off, and what has not been told yet.
         let lately: f64 = rate * DEMAND_HALF as f64 / 1_000.0 / std::f64::consts::LN_2;
         let most = lately / DEMAND_CHAINS as f64 + lately * 0.15;
-        let under = (0..20).map(|c| truth.count(c, now) - count(c)).fold(0.0, f64::max);
-        let rel: Vec<f64> = (0..10).map(|c| 1.0 - count(c) / truth.count(c, now)).collect();
+        let under = (0..20)
+            .map(|c| truth.count(c, now) - count(c))
+            .fold(0.0, f64::max);
+        let rel: Vec<f64> = (0..10)
+            .map(|c| 1.0 - count(c) / truth.count(c, now))
+            .collect();
         println!(
             "{edges} edges, {rate}/s, {chains} chains: most under {under:.1} of {lately:.0}; ten most popular low by {rel:.2?}; {} B/s to the holder",
             bytes / 90
@@ -81,8 +101,16 @@
 }
 
 fn envelope(parts: &[coordination::wire::ChainDemand]) -> coordination::wire::Envelope {
-    let msg = DemandMsg { service: "s".into(), chains: List(parts.to_vec()) }.into();
-    coordination::wire::Envelope { from: "edge-1".into(), addr: "10.0.0.1:4000".into(), msg }
+    let msg = DemandMsg {
+        service: "s".into(),
+        chains: List(parts.to_vec()),
+    }
+    .into();
+    coordination::wire::Envelope {
+        from: "edge-1".into(),
+        addr: "10.0.0.1:4000".into(),
+        msg,
+    }
 }
 
 #[gtest]
@@ -91,7 +119,10 @@
     (0..100).for_each(|i| d.ask(chain(1), i * 10));
     let count = |p: &[coordination::wire::ChainDemand]| p.first().map_or(0, |p| p.requests / 256);
     expect_that!(count(&d.tell(1_000)), ge(90));
-    expect_that!(count(&d.tell(1_000 + 2 * DEMAND_HALF)), all![ge(20), le(26)]);
+    expect_that!(
+        count(&d.tell(1_000 + 2 * DEMAND_HALF)),
+        all![ge(20), le(26)]
+    );
     expect_that!(d.tell(1_000 + 20 * DEMAND_HALF), is_empty());
     let mut all = Demands::default();
     let mut d = Demand::default();
@@ -99,7 +130,12 @@
     all.tell(&"e".into(), d.tell(0), 0);
     // Told twice it counts once.
     all.tell(&"e".into(), d.tell(0), 0);
-    let sum = |all: &mut Demands, now| all.sums(&|_| Some("r".into()), now).values().map(|a| a.asked).sum::<f64>();
+    let sum = |all: &mut Demands, now| {
+        all.sums(&|_| Some("r".into()), now)
+            .values()
+            .map(|a| a.asked)
+            .sum::<f64>()
+    };
     expect_that!(sum(&mut all, 0), near(100.0, 1.0));
     expect_that!(sum(&mut all, DEMAND_HALF), near(50.0, 1.0));
     expect_that!(sum(&mut all, DEMAND_OLD), eq(0.0));
@@ -117,16 +153,28 @@
     let all = d.tell(20_000);
     expect_that!(all.first().map(|p| p.chain), some(eq(1)));
     let sure = |p: &coordination::wire::ChainDemand| p.requests - p.overcount;
-    expect_that!(all.iter().skip(1).map(sure).max().unwrap_or(0), lt(sure(&all[0]) / 20));
+    expect_that!(
+        all.iter().skip(1).map(sure).max().unwrap_or(0),
+        lt(sure(&all[0]) / 20)
+    );
 }
 
 // ---- deciding ----
 
 fn replica(id: &str, zone: &str) -> PlacedReplica {
-    PlacedReplica { id: id.into(), zone: zone.into(), addr: id.into(), version: "v1".into(), slots: 64, cold: false }
+    PlacedReplica {
+        id: id.into(),
+        zone: zone.into(),
+        addr: id.into(),
+        version: "v1".into(),
+        slots: 64,
+        cold: false,
+    }
 }
 fn replicas() -> Vec<PlacedReplica> {
-    (0..9).map(|i| replica(&format!("r{i}"), ["a", "b", "c"][i % 3])).collect()
+    (0..9)
+        .map(|i| replica(&format!("r{i}"), ["a", "b", "c"][i % 3]))
+        .collect()
 }
 struct Case {
     on: bool,
@@ -138,17 +186,31 @@
 }
 impl Case {
     fn new() -> Self {
-        Case { on: true, share: 20, replicas: replicas(), homes: vec![], young: false, asked: BTreeMap::new() }
+        Case {
+            on: true,
+            share: 20,
+            replicas: replicas(),
+            homes: vec![],
+            young: false,
+            asked: BTreeMap::new(),
+        }
     }
     fn ask(&mut self, zone: &str, c: u64, asked: f64) {
-        let c = Chain { homes: homes(&self.homes), ..chain(c) };
-        self.asked.insert((format!("r{zone}"), c), Asked { asked, missed: 0.0 });
+        let c = Chain {
+            homes: homes(&self.homes),
+            ..chain(c)
+        };
+        self.asked
+            .insert((format!("r{zone}"), c), Asked { asked, missed: 0.0 });
     }
     fn decide(&self, old: &ContextRecord) -> ContextRecord {
         decide(
             old,
             &Inputs {
-                spec: &ContextSpec { on: self.on, share_percent: self.share },
+                spec: &ContextSpec {
+                    on: self.on,
+                    share_percent: self.share,
+                },
                 cache_tokens: 300_000,
                 version: "v1",
                 replicas: &self.replicas,
@@ -161,7 +223,11 @@
     }
 }
 fn none() -> ContextRecord {
-    ContextRecord { service: "s".into(), version: "v1".into(), parts: vec![] }
+    ContextRecord {
+        service: "s".into(),
+        version: "v1".into(),
+        parts: vec![],
+    }
 }
 
 #[gtest]
@@ -193,18 +259,29 @@
 #[gtest]
 fn the_bound_on_each_replica_and_on_the_record_holds() {
     let mut k = Case::new();
-    k.replicas = (0..300).map(|i| replica(&format!("r{i}"), ["a", "b", "c"][i % 3])).collect();
+    k.replicas = (0..300)
+        .map(|i| replica(&format!("r{i}"), ["a", "b", "c"][i % 3]))
+        .collect();
     for c in 0..500 {
-        ["a", "b", "c"].iter().for_each(|z| k.ask(z, c, 30.0 + c as f64));
+        ["a", "b", "c"]
+            .iter()
+            .for_each(|z| k.ask(z, c, 30.0 + c as f64));
     }
     let r = k.decide(&none());
     expect_that!(r.parts.len(), eq(STANDING_MOST));
     // The most popular ones go first.
     expect_that!(r.parts.iter().map(|p| p.chain).min(), some(ge(400)));
-    expect_that!(serde_json::to_vec(&r).map(|v| v.len()).unwrap_or(usize::MAX), le(24_000));
+    expect_that!(
+        serde_json::to_vec(&r)
+            .map(|v| v.len())
+            .unwrap_or(usize::MAX),
+        le(24_000)
+    );
     let mut used: BTreeMap<&str, u64> = BTreeMap::new();
     for p in &r.parts {
-        p.replicas.iter().for_each(|i| *used.entry(i).or_default() += u64::from(p.tokens));
+        p.replicas
+            .iter()
+            .for_each(|i| *used.entry(i).or_default() += u64::from(p.tokens));
     }
     expect_that!(used.values().max().copied().unwrap_or(0), le(60_000));
 }
@@ -224,9 +301,17 @@
     // A replica that is gone stands for nothing, and its copies go to another one of the region.
     let gone = r.parts[0].replicas[0].clone();
     k.replicas.retain(|x| x.id != gone);
-    expect_true!(k.decide(&r).parts.iter().all(|p| !p.replicas.contains(&gone) && !p.replicas.is_empty()));
+    expect_true!(
+        k.decide(&r)
+            .parts
+            .iter()
+            .all(|p| !p.replicas.contains(&gone) && !p.replicas.is_empty())
+    );
     // A version that has just turned has none of the other's.
-    let other = ContextRecord { version: "v0".into(), ..r.clone() };
+    let other = ContextRecord {
+        version: "v0".into(),
+        ..r.clone()
+    };
     k.asked.clear();
     k.young = true;
     expect_that!(k.decide(&other).parts, is_empty());
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -18,8 +18,12 @@
 /// A service whose keys would have different owners if each went by its own name.
 fn service() -> String {
     let first = |key: String| (0..3).max_by_key(|i| rendezvous_weight(&key, &format!("c{i}")));
-    let differ = |s: &String| first(format!("{ROLLOUT_PREFIX}{s}")) != first(format!("{CONTEXT_PREFIX}{s}"));
-    (0..).map(|i| format!("s{i}")).find(differ).unwrap_or_default()
+    let differ =
+        |s: &String| first(format!("{ROLLOUT_PREFIX}{s}")) != first(format!("{CONTEXT_PREFIX}{s}"));
+    (0..)
+        .map(|i| format!("s{i}"))
+        .find(differ)
+        .unwrap_or_default()
 }
 fn key() -> String {
     format!("{CONTEXT_PREFIX}{}", service())
@@ -65,18 +69,28 @@
     fn new(seed: u64) -> Self {
         let mut f = Fleet::founded(seed, 3, |i| format!("reg{i}"));
         f.run(8_000);
-        let mut d = Duty { f, asked: vec![], hangs: None };
+        let mut d = Duty {
+            f,
+            asked: vec![],
+            hangs: None,
+        };
         expect_that!(d.f.put("spec", &spec(true), 10_000), some(anything()));
         d.run(6_000);
         d
     }
     fn holder(&self, prefix: &str) -> Option<usize> {
         let key = format!("{prefix}{}", service());
-        (0..3).find(|i| self.f.brain(*i).is_some_and(|b| b.registers.held_until(&key, self.f.now).is_some()))
+        (0..3).find(|i| {
+            self.f
+                .brain(*i)
+                .is_some_and(|b| b.registers.held_until(&key, self.f.now).is_some())
+        })
     }
     fn loops(&mut self, i: usize) {
         let now = self.f.now;
-        let Some(b) = self.f.all[i].brain.as_mut() else { return };
+        let Some(b) = self.f.all[i].brain.as_mut() else {
+            return;
+        };
         b.on_replica_list(list(), now);
         let out = b.run_rollouts(now, now / 1_000);
         self.f.carry(i, out);
@@ -115,13 +129,23 @@
             }
             let parts: List<ChainDemand> = self.asked.iter().map(|c| popular(*c, 20)).collect();
             if let Some(i) = holder.filter(|_| !parts.is_empty()) {
-                self.tell(i, &name, ContextDemand { service: service().as_str().into(), chains: parts }.into());
+                self.tell(
+                    i,
+                    &name,
+                    ContextDemand {
+                        service: service().as_str().into(),
+                        chains: parts,
+                    }
+                    .into(),
+                );
             }
         }
     }
     fn tell(&mut self, i: usize, from: &str, m: Message) {
         let now = self.f.now;
-        let Some(b) = self.f.all[i].brain.as_mut() else { return };
+        let Some(b) = self.f.all[i].brain.as_mut() else {
+            return;
+        };
         let out = b.on_message(&from.into(), &from.into(), m, now);
         self.f.carry(i, out);
     }
@@ -136,12 +160,15 @@
         }
     }
     fn record(&self, i: usize) -> Option<ContextRecord> {
-        self.f.held(i, &key()).and_then(|(_, v)| serde_json::from_slice(&v).ok())
+        self.f
+            .held(i, &key())
+            .and_then(|(_, v)| serde_json::from_slice(&v).ok())
     }
     /// Copies that each living daemon knows of.
     fn copies(&self) -> Vec<usize> {
         let up = (0..3).filter(|i| self.f.brain(*i).is_some());
-        up.map(|i| self.record(i).map_or(0, |r| r.parts.len())).collect()
+        up.map(|i| self.record(i).map_or(0, |r| r.parts.len()))
+            .collect()
     }
     fn freeze(&mut self, i: usize) {
         let b = self.f.all[i].brain.take().map(Box::new);
@@ -173,7 +200,11 @@
         let next = d.holder(ROLLOUT_PREFIX);
         expect_that!(next, some(not(eq(old))));
         expect_that!(d.holder(CONTEXT_PREFIX), eq(next));
-        expect_that!(d.copies(), eq(&vec![12; 2]), "seed {seed}: silence is no cold yet");
+        expect_that!(
+            d.copies(),
+            eq(&vec![12; 2]),
+            "seed {seed}: silence is no cold yet"
+        );
         // Nobody asks any more: the next holder gives all back in time.
         d.run(60_000);
         expect_that!(d.copies(), eq(&vec![0; 2]), "seed {seed}");
@@ -191,16 +222,26 @@
         // Meanwhile others are asked for, by another holder's decision.
         d.asked = (20..=25).collect();
         d.run(90_000);
-        let stands = (0..3).filter_map(|i| d.f.held(i, &key())).max_by_key(|h| h.0);
+        let stands = (0..3)
+            .filter_map(|i| d.f.held(i, &key()))
+            .max_by_key(|h| h.0);
         let chains = |r: &ContextRecord| r.parts.iter().all(|p| p.chain >= 20);
         let now = (0..3).find_map(|i| d.f.brain(i).and_then(|_| d.record(i)));
-        expect_that!(now.as_ref().map(|r| (r.parts.len(), chains(r))), some(eq((12, true))), "seed {seed}");
+        expect_that!(
+            now.as_ref().map(|r| (r.parts.len(), chains(r))),
+            some(eq((12, true))),
+            "seed {seed}"
+        );
         d.wake();
         // At once, before it hears anybody.
         d.loops(old);
         d.run(5_000);
         for i in 0..3 {
-            expect_that!(d.f.held(i, &key()).map(|h| h.0), eq(stands.as_ref().map(|s| s.0)), "seed {seed}, daemon {i}");
+            expect_that!(
+                d.f.held(i, &key()).map(|h| h.0),
+                eq(stands.as_ref().map(|s| s.0)),
+                "seed {seed}, daemon {i}"
+            );
         }
     }
 }
@@ -217,10 +258,22 @@
         d.run(4_000);
         // It still has the edges beside it, which ask for something else.
         for _ in 0..20 {
-            d.tell(old, "e0", ContextDemand { service: service().as_str().into(), chains: List(vec![popular(77, 90)]) }.into());
+            d.tell(
+                old,
+                "e0",
+                ContextDemand {
+                    service: service().as_str().into(),
+                    chains: List(vec![popular(77, 90)]),
+                }
+                .into(),
+            );
             d.run(500);
         }
-        expect_that!(d.f.held(old, &key()).map(|h| h.0), eq(before), "seed {seed}");
+        expect_that!(
+            d.f.held(old, &key()).map(|h| h.0),
+            eq(before),
+            "seed {seed}"
+        );
         expect_that!(d.holder(CONTEXT_PREFIX), some(not(eq(old))));
         d.f.cut.clear();
         d.run(10_000);
@@ -241,7 +294,10 @@
     expect_true!(d.copies().iter().all(|n| *n == 0));
     for i in 0..3 {
         expect_that!(d.f.held(i, &key()).map(|h| h.1), some(is_empty()));
-        expect_that!(d.f.brain(i).map(|b| b.status(d.f.now).contexts.len()), some(eq(0)));
+        expect_that!(
+            d.f.brain(i).map(|b| b.status(d.f.now).contexts.len()),
+            some(eq(0))
+        );
     }
     // And on again.
     expect_that!(d.f.put("spec", &spec(true), 10_000), some(anything()));
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -112,7 +112,11 @@
                 Effect::Send { to, msg } => self.post(from, &to, msg),
                 Effect::Persist { rows, then } => {
                     for r in rows {
-                        let k = if let Row::Slot(s) = &r { s.key.to_string() } else { "\0members".into() };
+                        let k = if let Row::Slot(s) = &r {
+                            s.key.to_string()
+                        } else {
+                            "\0members".into()
+                        };
                         self.rows.insert(k, r);
                     }
                     self.carry(from, then);
@@ -126,15 +130,22 @@
             let n = m.counters.len() + m.open_streams.len();
             (self.told, self.longest) = (self.told + n, self.longest.max(n));
             let (from, addr) = (Name::from(from), Name::from(from));
-            self.polled += encode(&Envelope { from, addr, msg: msg.clone() }).map_or(0, |b| b.len());
+            self.polled += encode(&Envelope {
+                from,
+                addr,
+                msg: msg.clone(),
+            })
+            .map_or(0, |b| b.len());
         }
         let own = from == &**to;
-        if !own && (self.rng.u32(..100) < self.lost || (self.cut && (from == "c" || &**to == "c"))) {
+        if !own && (self.rng.u32(..100) < self.lost || (self.cut && (from == "c" || &**to == "c")))
+        {
             return;
         }
         if !own && self.rng.u32(..100) < self.twice {
             let late = self.now + self.rng.u64(1..600);
-            self.queue.push((late, to.clone(), from.into(), msg.clone()));
+            self.queue
+                .push((late, to.clone(), from.into(), msg.clone()));
         }
         let at = self.now + if own { 0 } else { self.rng.u64(1..20) };
         self.queue.push((at, to.clone(), from.into(), msg));
@@ -168,7 +179,9 @@
                 let (_, to, from, msg) = self.queue.remove(i);
                 self.deliver(&to, &from, msg);
             }
-            let (ended, left) = std::mem::take(&mut self.running).into_iter().partition(|r| r.0 <= now && !self.held);
+            let (ended, left) = std::mem::take(&mut self.running)
+                .into_iter()
+                .partition(|r| r.0 <= now && !self.held);
             self.running = left;
             for (_, p) in ended {
                 self.proxy.passed(&p, PassEnd::Answered, now);
@@ -203,13 +216,21 @@
             json!({"id": format!("r{i}"), "zone": "z", "addr": format!("r{i}"), "service": "s", "version": "v1",
                 "state": "running", "slots": 64, "loaded": true})
         });
-        let l: PlatformList = serde_json::from_value(json!({"replicas": all.collect::<Vec<_>>()})).unwrap();
+        let l: PlatformList =
+            serde_json::from_value(json!({"replicas": all.collect::<Vec<_>>()})).unwrap();
         self.control.on_replica_list(l, self.now);
     }
     fn request(&mut self) {
         let (now, n) = (self.now, self.rng.usize(..LANES));
-        let ask = Ask { host: "h".into(), path: format!("/{n}/x"), round: n.to_string(), ..Ask::default() };
-        let Ok(lane) = self.proxy.path("h", &ask.path, now) else { return };
+        let ask = Ask {
+            host: "h".into(),
+            path: format!("/{n}/x"),
+            round: n.to_string(),
+            ..Ask::default()
+        };
+        let Ok(lane) = self.proxy.path("h", &ask.path, now) else {
+            return;
+        };
         if let Admit::Go(p) = self.proxy.pass(&lane, &ask, &[], now + 60_000, now) {
             self.passed += 1;
             self.running.push((now + self.rng.u64(50..3_000), p));
@@ -218,7 +239,12 @@
 
     /// Streams that the control daemon takes for open.
     fn open(&self) -> u64 {
-        self.control.status(self.now).streams.iter().map(|z| z.streams).sum()
+        self.control
+            .status(self.now)
+            .streams
+            .iter()
+            .map(|z| z.streams)
+            .sum()
     }
     fn counted(&self) -> u64 {
         self.control.requests_counted("s", "v1").0
@@ -226,7 +252,13 @@
 }
 
 fn agent(born: u64, now: Ms, seed: u64) -> EdgeAgent {
-    let me = Node { name: "a".into(), zone: "z".into(), addr: "a".into(), incarnation: born, ..Node::default() };
+    let me = Node {
+        name: "a".into(),
+        zone: "z".into(),
+        addr: "a".into(),
+        incarnation: born,
+        ..Node::default()
+    };
     EdgeAgent::new(me, vec!["c".into()], seed, now)
 }
 fn proxy(born: u64, seed: u64) -> Proxy {
@@ -295,10 +327,18 @@
         b.rest();
         expect_that!(b.open(), eq(b.running.len() as u64), "seed {seed}");
         // Rounds that had begun but not ended when it first heard of them are no evidence.
-        expect_that!(b.counted(), all!(le(b.passed), ge(b.passed * 8 / 10)), "seed {seed}");
+        expect_that!(
+            b.counted(),
+            all!(le(b.passed), ge(b.passed * 8 / 10)),
+            "seed {seed}"
+        );
         let s = b.control.status(b.now);
         expect_that!(s.edges.len(), eq(1));
-        expect_that!(s.edges[0].spec_version, eq(1), "seed {seed}: it knows what its edge has");
+        expect_that!(
+            s.edges[0].spec_version,
+            eq(1),
+            "seed {seed}: it knows what its edge has"
+        );
     }
 }
 
@@ -338,7 +378,11 @@
         b.run(4_500, 0);
         b.polled = 0;
         b.run(20_000, rate);
-        expect_that!(b.polled / 20, le(most), "bytes a second at {rate} requests a second");
+        expect_that!(
+            b.polled / 20,
+            le(most),
+            "bytes a second at {rate} requests a second"
+        );
     }
 }
 
--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -13,7 +13,14 @@
 use googletest::prelude::*;
 
 /// Two zones in each of three regions.
-const ZONES: [(&str, &str); 6] = [("a1", "a"), ("b1", "b"), ("c1", "c"), ("a2", "a"), ("b2", "b"), ("c2", "c")];
+const ZONES: [(&str, &str); 6] = [
+    ("a1", "a"),
+    ("b1", "b"),
+    ("c1", "c"),
+    ("a2", "a"),
+    ("b2", "b"),
+    ("c2", "c"),
+];
 const CONTROLS: usize = 5;
 /// ms of a message's way inside a region and beyond it.
 const NEAR: Ms = 1;
@@ -97,13 +104,25 @@
         (0..CONTROLS).for_each(|i| plane.add_control(i, true));
         for i in 0..edges {
             let (name, zone) = (Name::from(format!("e{i}").as_str()), i % ZONES.len());
-            let node =
-                Node { name: name.clone(), addr: name.clone(), zone: ZONES[zone].0.into(), incarnation: 1, ..Node::default() };
+            let node = Node {
+                name: name.clone(),
+                addr: name.clone(),
+                zone: ZONES[zone].0.into(),
+                incarnation: 1,
+                ..Node::default()
+            };
             let mut agent = EdgeAgent::new(node, seeds(), plane.rng.u64(..), plane.now);
             agent.set_regions(regions());
             agent.set_serve_when_partitioned(true);
             let next_tick = plane.now + plane.rng.u64(..TICK_INTERVAL);
-            plane.edges.insert(name, EdgeHost { agent, zone, next_tick });
+            plane.edges.insert(
+                name,
+                EdgeHost {
+                    agent,
+                    zone,
+                    next_tick,
+                },
+            );
         }
         plane
     }
@@ -122,15 +141,30 @@
             spec_parser: coordination::state_table::parse_own_spec,
             bounds: Default::default(),
         };
-        self.controls.insert(name.clone(), ControlHost { params, brain: None, rows: BTreeMap::new() });
+        self.controls.insert(
+            name.clone(),
+            ControlHost {
+                params,
+                brain: None,
+                rows: BTreeMap::new(),
+            },
+        );
         self.start(&name);
     }
 
     fn start(&mut self, name: &Name) {
         let now = self.now;
-        let Some(host) = self.controls.get_mut(name) else { return };
+        let Some(host) = self.controls.get_mut(name) else {
+            return;
+        };
         let disk = 1 + host.params.name.bytes().map(u64::from).sum::<u64>();
-        host.brain = Some(Control::new(host.params.clone(), disk, host.rows.values().cloned().collect(), now, now));
+        host.brain = Some(Control::new(
+            host.params.clone(),
+            disk,
+            host.rows.values().cloned().collect(),
+            now,
+            now,
+        ));
     }
 
     fn region(&self, name: &Name) -> &str {
@@ -145,13 +179,22 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, msg } => {
-                    let is_cut = to != *from && self.cut.as_ref().is_some_and(|cut| to == *cut || from == cut);
+                    let is_cut = to != *from
+                        && self
+                            .cut
+                            .as_ref()
+                            .is_some_and(|cut| to == *cut || from == cut);
                     if is_cut || self.gone.contains(&to) {
                         continue;
                     }
-                    let way = if self.region(from) == self.region(&to) { NEAR } else { FAR };
+                    let way = if self.region(from) == self.region(&to) {
+                        NEAR
+                    } else {
+                        FAR
+                    };
                     self.sequence += 1;
-                    self.queue.insert((self.now + way, self.sequence), (to, from.clone(), msg));
+                    self.queue
+                        .insert((self.now + way, self.sequence), (to, from.clone(), msg));
                 }
                 Effect::Persist { rows, then } => {
                     if let Some(host) = self.controls.get_mut(from) {
@@ -166,7 +209,10 @@
 
     fn deliver(&mut self, to: &Name, from: &Name, msg: Message) {
         let now = self.now;
-        let out = match (self.edges.get_mut(to), self.controls.get_mut(to).and_then(|c| c.brain.as_mut())) {
+        let out = match (
+            self.edges.get_mut(to),
+            self.controls.get_mut(to).and_then(|c| c.brain.as_mut()),
+        ) {
             (Some(e), _) if !self.gone.contains(to) => e.agent.on_message(from, from, msg, now),
             (None, Some(c)) => c.on_message(from, from, msg, now),
             _ => return,
@@ -176,13 +222,21 @@
 
     fn tick_edge(&mut self, name: &Name) {
         let now = self.now;
-        let Some(e) = self.edges.get_mut(name) else { return };
+        let Some(e) = self.edges.get_mut(name) else {
+            return;
+        };
         e.next_tick = now + TICK_INTERVAL;
         let mut out = vec![];
         if now % HELLO < TICK_INTERVAL {
-            let hello = ProxyReport { incarnation: 1, http_addr: format!("h-{name}").as_str().into(), ..ProxyReport::default() };
+            let hello = ProxyReport {
+                incarnation: 1,
+                http_addr: format!("h-{name}").as_str().into(),
+                ..ProxyReport::default()
+            };
             let proxy: Name = format!("p-{name}").into();
-            out = e.agent.on_message(&proxy, &proxy, Message::from(hello), now);
+            out = e
+                .agent
+                .on_message(&proxy, &proxy, Message::from(hello), now);
         }
         out.extend(e.agent.tick(now));
         self.carry(name, out);
@@ -196,8 +250,16 @@
                 let (to, from, msg) = entry.remove();
                 self.deliver(&to, &from, msg);
             }
-            let due = |(name, e): &(&Name, &EdgeHost)| e.next_tick <= self.now && !self.gone.contains(*name);
-            for name in self.edges.iter().filter(due).map(|e| e.0.clone()).collect::<Vec<_>>() {
+            let due = |(name, e): &(&Name, &EdgeHost)| {
+                e.next_tick <= self.now && !self.gone.contains(*name)
+            };
+            for name in self
+                .edges
+                .iter()
+                .filter(due)
+                .map(|e| e.0.clone())
+                .collect::<Vec<_>>()
+            {
                 self.tick_edge(&name);
             }
             if self.now.is_multiple_of(TICK_INTERVAL) {
@@ -215,14 +277,31 @@
     fn named(&mut self, control: &Name) -> Option<BTreeSet<Name>> {
         let now = self.now;
         let brain = self.controls.get_mut(control)?.brain.as_mut()?;
-        let answers = ZONES.map(|(zone, region)| brain.resolve(Caller { host: "host", zone, region }, now).0);
+        let answers = ZONES.map(|(zone, region)| {
+            brain
+                .resolve(
+                    Caller {
+                        host: "host",
+                        zone,
+                        region,
+                    },
+                    now,
+                )
+                .0
+        });
         let named = answers.into_iter().flatten().flat_map(|r| r.addresses);
-        Some(named.map(|a| Name::from(a.trim_start_matches("h-"))).collect())
+        Some(
+            named
+                .map(|a| Name::from(a.trim_start_matches("h-")))
+                .collect(),
+        )
     }
 
     fn lose(&mut self, percent: usize) {
         let all: Vec<Name> = self.edges.keys().cloned().collect();
-        let lost = self.rng.choose_multiple(all, self.edges.len() * percent / 100);
+        let lost = self
+            .rng
+            .choose_multiple(all, self.edges.len() * percent / 100);
         self.gone = lost.into_iter().collect();
     }
 }
@@ -232,7 +311,10 @@
 }
 
 fn regions() -> BTreeMap<String, String> {
-    ZONES.iter().map(|(zone, region)| (zone.to_string(), region.to_string())).collect()
+    ZONES
+        .iter()
+        .map(|(zone, region)| (zone.to_string(), region.to_string()))
+        .collect()
 }
 
 /// What was seen of the directory after a loss.
@@ -255,11 +337,18 @@
     let mut one = Name::from("c1");
     plane.lose(percent);
     let lost_at = plane.now;
-    let live: BTreeSet<Name> = plane.edges.keys().filter(|n| !plane.gone.contains(*n)).cloned().collect();
+    let live: BTreeSet<Name> = plane
+        .edges
+        .keys()
+        .filter(|n| !plane.gone.contains(*n))
+        .cloned()
+        .collect();
     match trouble {
         Trouble::Whole => {}
         Trouble::Cut => plane.cut = Some(one.clone()),
-        Trouble::Restarted | Trouble::Replaced => plane.controls.get_mut(&one).unwrap().brain = None,
+        Trouble::Restarted | Trouble::Replaced => {
+            plane.controls.get_mut(&one).unwrap().brain = None
+        }
     }
     let mut seen = Seen::default();
     while plane.now < lost_at + WATCHED {
@@ -279,7 +368,9 @@
         }
         let since = after.saturating_sub(trouble.back_after());
         for name in plane.controls.keys().cloned().collect::<Vec<_>>() {
-            let Some(named) = plane.named(&name) else { continue };
+            let Some(named) = plane.named(&name) else {
+                continue;
+            };
             let names_gone = named.iter().any(|n| plane.gone.contains(n));
             let left_out = live.difference(&named).count();
             if name == one && trouble != Trouble::Whole {
@@ -305,7 +396,9 @@
 
 fn sizes(usual: &[usize]) -> Vec<usize> {
     let told = std::env::var("SIZES").ok();
-    told.map_or(usual.to_vec(), |s| s.split(',').map(|n| n.parse().expect("a number")).collect())
+    told.map_or(usual.to_vec(), |s| {
+        s.split(',').map(|n| n.parse().expect("a number")).collect()
+    })
 }
 
 #[gtest]
@@ -313,7 +406,11 @@
     for edges in sizes(&[22, 88]) {
         for percent in [10, 30, 70] {
             let seen = play(edges, percent, Trouble::Whole);
-            expect_that!(seen.named_for, le(NAMED_AT_MOST), "{edges} edges, {percent}% lost");
+            expect_that!(
+                seen.named_for,
+                le(NAMED_AT_MOST),
+                "{edges} edges, {percent}% lost"
+            );
             expect_that!(seen.left_out, eq(0), "{edges} edges, {percent}% lost");
         }
     }
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -37,7 +37,10 @@
 impl Engine {
     /// Reads a prompt that arrives now; gives when its first piece leaves, and the parts it had to read.
     fn read(&mut self, parts: &[(u64, u32)], now: Ms) -> (Ms, Vec<(u64, u32)>) {
-        let kept = parts.iter().take_while(|p| self.kept.contains_key(&p.0)).count();
+        let kept = parts
+            .iter()
+            .take_while(|p| self.kept.contains_key(&p.0))
+            .count();
         let read = parts[kept..].to_vec();
         let start = self.busy.max(now as f64);
         self.busy = start + f64::from(read.iter().map(|p| p.1).sum::<u32>()) / READ;
@@ -77,11 +80,33 @@
 }
 
 enum Ev {
-    Arrive { proxy: usize, placed: Placed, parts: Vec<(u64, u32)>, at: Ms, chain: u64, tried: Vec<String> },
-    First { proxy: usize, placed: Placed, at: Ms, chain: u64, read: bool },
-    Board { proxy: usize, m: Box<Change> },
-    Readings { proxy: usize, m: coordination::wire::PrefillReport },
-    Demand { from: usize, m: coordination::wire::ContextDemand },
+    Arrive {
+        proxy: usize,
+        placed: Placed,
+        parts: Vec<(u64, u32)>,
+        at: Ms,
+        chain: u64,
+        tried: Vec<String>,
+    },
+    First {
+        proxy: usize,
+        placed: Placed,
+        at: Ms,
+        chain: u64,
+        read: bool,
+    },
+    Board {
+        proxy: usize,
+        m: Box<Change>,
+    },
+    Readings {
+        proxy: usize,
+        m: coordination::wire::PrefillReport,
+    },
+    Demand {
+        from: usize,
+        m: coordination::wire::ContextDemand,
+    },
 }
 
 pub struct World {
@@ -142,9 +167,18 @@
         let lane: PathSpec = serde_json::from_value(json!({"lane": "l", "host": "h", "prefix": "/p/", "kind": "stream",
             "time_limit_ms": 10_000, "expected_ms": 1_000, "homes": homes, "split": [{"service": SERVICE, "weight": 1}]}))
         .unwrap();
-        let regions: BTreeMap<String, String> = ZONES.iter().map(|z| (z.to_string(), region_of(z))).collect();
+        let regions: BTreeMap<String, String> = ZONES
+            .iter()
+            .map(|z| (z.to_string(), region_of(z)))
+            .collect();
         let all = (0..proxies).map(|i| {
-            let mut p = Proxy::new(format!("e{i}").into(), ZONES[i % 3].into(), format!("h{i}").into(), 1, seed + i as u64);
+            let mut p = Proxy::new(
+                format!("e{i}").into(),
+                ZONES[i % 3].into(),
+                format!("h{i}").into(),
+                1,
+                seed + i as u64,
+            );
             p.set_bounds(Default::default(), regions.clone());
             p
         });
@@ -155,9 +189,18 @@
             engines: BTreeMap::new(),
             version: "v1".into(),
             on,
-            spec: ContextSpec { on, share_percent: 20 },
+            spec: ContextSpec {
+                on,
+                share_percent: 20,
+            },
             record: None,
-            holder: Holder { epoch: 1, since: 1_000, next: 0, demands: Demands::default(), frozen_until: 0 },
+            holder: Holder {
+                epoch: 1,
+                since: 1_000,
+                next: 0,
+                demands: Demands::default(),
+                frozen_until: 0,
+            },
             rival: None,
             rolled: 0,
             queue: BTreeMap::new(),
@@ -203,9 +246,21 @@
         w
     }
     pub fn add(&mut self, id: &str, zone: &str, version: &str) {
-        let row =
-            PlacedReplica { id: id.into(), zone: zone.into(), addr: id.into(), version: version.into(), slots: 64, cold: false };
-        let e = Engine { row, up: true, kept: BTreeMap::new(), cache: 348_000, busy: 0.0 };
+        let row = PlacedReplica {
+            id: id.into(),
+            zone: zone.into(),
+            addr: id.into(),
+            version: version.into(),
+            slots: 64,
+            cold: false,
+        };
+        let e = Engine {
+            row,
+            up: true,
+            kept: BTreeMap::new(),
+            cache: 348_000,
+            busy: 0.0,
+        };
         self.engines.insert(id.into(), e);
     }
     pub fn lose(&mut self, id: &str) {
@@ -218,7 +273,11 @@
     pub fn roll(&mut self) {
         self.rolled += 1;
         let all = self.rows();
-        let used: Vec<&String> = all.iter().filter(|r| r.version == self.version).map(|r| &r.id).collect();
+        let used: Vec<&String> = all
+            .iter()
+            .filter(|r| r.version == self.version)
+            .map(|r| &r.id)
+            .collect();
         let v = json!({"service": SERVICE, "phase": "steady", "stable": self.version, "plan_version": 0, "failed_plan": 0,
             "since_ms": 0, "retiring": [], "alerts": [], "replicas": all,
             "groups": [{"role": "stable", "version": self.version, "share_percent": 100, "replicas": used, "allow_unload": false}]});
@@ -227,7 +286,13 @@
     }
     fn spread(&mut self, c: Change) {
         for proxy in 0..self.proxies.len() {
-            self.push(WAY + 15, Ev::Board { proxy, m: Box::new(c.clone()) });
+            self.push(
+                WAY + 15,
+                Ev::Board {
+                    proxy,
+                    m: Box::new(c.clone()),
+                },
+            );
         }
     }
     fn push(&mut self, ms: Ms, e: Ev) {
@@ -250,7 +315,13 @@
     fn decide(&mut self) {
         let mut h = std::mem::replace(
             &mut self.holder,
-            Holder { epoch: 0, since: 0, next: 0, demands: Demands::default(), frozen_until: 0 },
+            Holder {
+                epoch: 0,
+                since: 0,
+                next: 0,
+                demands: Demands::default(),
+                frozen_until: 0,
+            },
         );
         self.decide_by(&mut h);
         self.holder = h;
@@ -264,10 +335,17 @@
         if !self.on || self.now < h.next || self.now < h.frozen_until {
             return;
         }
-        let edge = |n: &coordination::wire::Name| Some(region_of(ZONES[n[1..].parse::<usize>().ok()? % 3]));
+        let edge = |n: &coordination::wire::Name| {
+            Some(region_of(ZONES[n[1..].parse::<usize>().ok()? % 3]))
+        };
         let asked = h.demands.sums(&edge, self.now);
-        let rows: Vec<PlacedReplica> = self.rows().into_iter().filter(|r| r.version == self.version).collect();
-        let homes: BTreeMap<u64, Vec<String>> = [(context::homes(&self.lane.homes), self.lane.homes.clone())].into();
+        let rows: Vec<PlacedReplica> = self
+            .rows()
+            .into_iter()
+            .filter(|r| r.version == self.version)
+            .collect();
+        let homes: BTreeMap<u64, Vec<String>> =
+            [(context::homes(&self.lane.homes), self.lane.homes.clone())].into();
         let i = context::Inputs {
             spec: &self.spec,
             cache_tokens: 348_000,
@@ -278,14 +356,22 @@
             asked: &asked,
             young: self.now.saturating_sub(h.since) < DEMAND_OLD,
         };
-        let none = ContextRecord { service: SERVICE.into(), version: self.version.clone(), parts: vec![] };
+        let none = ContextRecord {
+            service: SERVICE.into(),
+            version: self.version.clone(),
+            parts: vec![],
+        };
         let old = self.record.as_ref().map_or(none, |r| r.2.clone());
         let next = context::decide(&old, &i);
         if self.record.is_some() && next == old {
             return;
         }
         h.next = self.now + CONTEXT_WRITE_INTERVAL;
-        let stood = |p: &StandingPart| old.parts.iter().any(|o| (o.chain, &o.region) == (p.chain, &p.region));
+        let stood = |p: &StandingPart| {
+            old.parts
+                .iter()
+                .any(|o| (o.chain, &o.region) == (p.chain, &p.region))
+        };
         self.made += next.parts.iter().filter(|p| !stood(p)).count() as u64;
         let at = self.record.as_ref().map_or(0, |r| r.1) + 1;
         let v = serde_json::to_vec(&next).unwrap();
@@ -298,8 +384,12 @@
 
     /// A call for a chain of one shared part, from a proxy of a region.
     pub fn ask(&mut self, region: usize, chain: u64, tokens: u32) {
-        let mine: Vec<usize> = (0..self.proxies.len()).filter(|i| i % 3 == region && !self.cut.contains(i)).collect();
-        let Some(proxy) = self.rng.choice(&mine).copied() else { return };
+        let mine: Vec<usize> = (0..self.proxies.len())
+            .filter(|i| i % 3 == region && !self.cut.contains(i))
+            .collect();
+        let Some(proxy) = self.rng.choice(&mine).copied() else {
+            return;
+        };
         self.id += 1;
         let parts = vec![(chain, tokens), (1 << 40 | self.id, 3_700)];
         self.open.insert(self.id);
@@ -313,7 +403,9 @@
             round: parts[1].0.to_string(),
             ..Ask::default()
         };
-        let Admit::Go(placed) = self.proxies[proxy].pass(&self.lane, &ask, &tried, Ms::MAX, self.now) else {
+        let Admit::Go(placed) =
+            self.proxies[proxy].pass(&self.lane, &ask, &tried, Ms::MAX, self.now)
+        else {
             self.rejected += 1;
             self.open.remove(&(parts[1].0 & !(1 << 40)));
             return;
@@ -322,21 +414,45 @@
         if ms >= WAY {
             self.between += u64::from(ask.tokens.0) * 2;
         }
-        self.push(ms, Ev::Arrive { proxy, placed, parts, at, chain, tried });
+        self.push(
+            ms,
+            Ev::Arrive {
+                proxy,
+                placed,
+                parts,
+                at,
+                chain,
+                tried,
+            },
+        );
     }
     /// Zone of the replica that comes first in a chain's agreed order.
     fn one_place(&self, chain: u64) -> Option<&str> {
         let of = |e: &&Engine| rendezvous_weight_of(chain, context::number(&e.row.id));
-        self.engines.values().filter(|e| e.row.version == self.version).max_by_key(of).map(|e| e.row.zone.as_str())
+        self.engines
+            .values()
+            .filter(|e| e.row.version == self.version)
+            .max_by_key(of)
+            .map(|e| e.row.zone.as_str())
     }
     fn way(&self, proxy: usize, replica: &str) -> Ms {
-        let far = self.engines.get(replica).is_none_or(|e| e.row.zone != ZONES[proxy % 3]);
+        let far = self
+            .engines
+            .get(replica)
+            .is_none_or(|e| e.row.zone != ZONES[proxy % 3]);
         if far { WAY } else { 1 }
     }
 
     fn handle(&mut self, e: Ev) {
         match e {
-            Ev::Arrive { proxy, placed, parts, at, chain, mut tried } => {
+            Ev::Arrive {
+                proxy,
+                placed,
+                parts,
+                at,
+                chain,
+                mut tried,
+            } => {
                 let now = self.now;
                 let Some(e) = self.engines.get_mut(&placed.replica).filter(|e| e.up) else {
                     // Refused before a byte was read: it may go elsewhere.
@@ -353,12 +469,34 @@
                     self.doubled += 1;
                 }
                 let ms = done - now + self.way(proxy, &placed.replica);
-                self.push(ms, Ev::First { proxy, placed, at, chain, read: shared });
+                self.push(
+                    ms,
+                    Ev::First {
+                        proxy,
+                        placed,
+                        at,
+                        chain,
+                        read: shared,
+                    },
+                );
             }
-            Ev::First { proxy, placed, at, chain, read } => {
+            Ev::First {
+                proxy,
+                placed,
+                at,
+                chain,
+                read,
+            } => {
                 let distant = self.one_place(chain).is_some_and(|z| z != ZONES[proxy % 3]);
                 let (now, p) = (self.now, &mut self.proxies[proxy]);
-                p.heard(&placed, &Told { load: Some((4, 0, 64)), ..Told::default() }, now);
+                p.heard(
+                    &placed,
+                    &Told {
+                        load: Some((4, 0, 64)),
+                        ..Told::default()
+                    },
+                    now,
+                );
                 p.first_piece(&placed, now);
                 p.passed(&placed, PassEnd::Answered, now);
                 self.calls.push(Call {
@@ -397,7 +535,9 @@
                 if now < self.holder.since {
                     return;
                 }
-                self.holder.demands.tell(&format!("e{from}").as_str().into(), m.chains.0, now);
+                self.holder
+                    .demands
+                    .tell(&format!("e{from}").as_str().into(), m.chains.0, now);
             }
         }
     }
@@ -411,7 +551,13 @@
                 // Agents pass them on in their own region and in that of the replicas.
                 let hears = |j: &usize| j % 3 == i % 3 || region_of(ZONES[j % 3]) == *m.region;
                 for proxy in (0..self.proxies.len()).filter(|j| *j != i).filter(hears) {
-                    self.push(WAY + 2, Ev::Readings { proxy, m: m.clone() });
+                    self.push(
+                        WAY + 2,
+                        Ev::Readings {
+                            proxy,
+                            m: m.clone(),
+                        },
+                    );
                 }
             }
             for m in self.proxies[i].demands(self.now) {
@@ -437,28 +583,42 @@
     /// Copies as the record has them: of a chain, by region.
     pub fn copies(&self) -> Vec<(u64, String, Vec<String>)> {
         let parts = self.record.iter().flat_map(|r| &r.2.parts);
-        parts.map(|p| (p.chain, p.region.clone(), p.replicas.clone())).collect()
+        parts
+            .map(|p| (p.chain, p.region.clone(), p.replicas.clone()))
+            .collect()
     }
     /// Tokens that copies take on each replica.
     pub fn room(&self) -> BTreeMap<String, u64> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         for p in self.record.iter().flat_map(|r| &r.2.parts) {
-            p.replicas.iter().for_each(|r| *all.entry(r.clone()).or_default() += u64::from(p.tokens));
+            p.replicas
+                .iter()
+                .for_each(|r| *all.entry(r.clone()).or_default() += u64::from(p.tokens));
         }
         all
     }
     pub fn counter(&self, name: &str) -> u64 {
-        self.proxies.iter().map(|p| p.counters.get(name).copied().unwrap_or(0)).sum()
+        self.proxies
+            .iter()
+            .map(|p| p.counters.get(name).copied().unwrap_or(0))
+            .sum()
     }
 }
 
 pub fn change(key: &str, epoch: u64, version: u64, value: Vec<u8>) -> Change {
-    Change { key: key.into(), epoch, version, value: Blob(value) }
+    Change {
+        key: key.into(),
+        epoch,
+        version,
+        value: Blob(value),
+    }
 }
 
 /// The time that a part of all are within.
 pub fn within(mut all: Vec<Ms>, part: f64) -> Ms {
     all.sort_unstable();
     let i = (all.len() as f64 * part) as usize;
-    all.get(i.min(all.len().saturating_sub(1))).copied().unwrap_or(0)
+    all.get(i.min(all.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0)
 }
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -16,14 +16,21 @@
 
 fn settled(seed: u64) -> Fleet {
     let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))).expect("the fleet settles");
+    f.until(10_000, |f| {
+        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
+    })
+    .expect("the fleet settles");
     f
 }
 
 /// Takes a write to a daemon; the end is looked for later.
 fn send(f: &mut Fleet, i: usize, e: Expect, v: &[u8]) -> (usize, u64) {
     let now = f.now;
-    let (t, out) = f.all[i].brain.as_mut().unwrap().write(SPEC_KEY, e, v.to_vec(), now);
+    let (t, out) = f.all[i]
+        .brain
+        .as_mut()
+        .unwrap()
+        .write(SPEC_KEY, e, v.to_vec(), now);
     f.carry(i, out);
     (i, t)
 }
@@ -46,15 +53,30 @@
 fn a_release_builds_on_the_one_that_stands_and_its_repeat_is_accepted() {
     let f = &mut settled(1);
     expect_that!(newest(f, 1), some(eq(WriteOutcome::Accepted(0))));
-    expect_that!(put(f, 0, Expect::Release(0), &document(3, 1)), some(eq(WriteOutcome::Accepted(1))));
+    expect_that!(
+        put(f, 0, Expect::Release(0), &document(3, 1)),
+        some(eq(WriteOutcome::Accepted(1)))
+    );
     // The same document again, at any daemon: nothing is written anew.
     for i in 0..3 {
-        expect_that!(put(f, i, Expect::Release(0), &document(3, 1)), some(eq(WriteOutcome::Accepted(1))));
+        expect_that!(
+            put(f, i, Expect::Release(0), &document(3, 1)),
+            some(eq(WriteOutcome::Accepted(1)))
+        );
     }
     // Another one on top of the same release lost.
-    expect_that!(put(f, 1, Expect::Release(0), &document(3, 2)), some(eq(WriteOutcome::Conflict(1))));
-    expect_that!(put(f, 2, Expect::Release(2), &document(8, 1)), some(eq(WriteOutcome::Conflict(1))));
-    expect_that!(put(f, 2, Expect::Release(3), &document(8, 1)), some(eq(WriteOutcome::Accepted(2))));
+    expect_that!(
+        put(f, 1, Expect::Release(0), &document(3, 2)),
+        some(eq(WriteOutcome::Conflict(1)))
+    );
+    expect_that!(
+        put(f, 2, Expect::Release(2), &document(8, 1)),
+        some(eq(WriteOutcome::Conflict(1)))
+    );
+    expect_that!(
+        put(f, 2, Expect::Release(3), &document(8, 1)),
+        some(eq(WriteOutcome::Accepted(2)))
+    );
     for i in 0..3 {
         expect_that!(newest(f, i), some(eq(WriteOutcome::Accepted(2))));
     }
@@ -62,8 +84,14 @@
     for i in 0..3 {
         expect_that!(f.brain(i).unwrap().spec().map(|s| s.release), some(eq(8)));
         // A repeat that comes after its successor is accepted as the version that it was; what lost is refused again.
-        expect_that!(put(f, i, Expect::Release(0), &document(3, 1)), some(eq(WriteOutcome::Accepted(1))));
-        expect_that!(put(f, i, Expect::Release(0), &document(3, 2)), some(eq(WriteOutcome::Conflict(2))));
+        expect_that!(
+            put(f, i, Expect::Release(0), &document(3, 1)),
+            some(eq(WriteOutcome::Accepted(1)))
+        );
+        expect_that!(
+            put(f, i, Expect::Release(0), &document(3, 2)),
+            some(eq(WriteOutcome::Conflict(2)))
+        );
     }
 }
 
@@ -71,7 +99,10 @@
 fn of_two_that_build_on_one_release_one_wins() {
     for seed in 0..1_000 {
         let f = &mut settled(seed);
-        expect_that!(put(f, 0, Expect::Release(0), &document(1, 0)), some(eq(WriteOutcome::Accepted(1))));
+        expect_that!(
+            put(f, 0, Expect::Release(0), &document(1, 0)),
+            some(eq(WriteOutcome::Accepted(1)))
+        );
         let (a, b) = (f.rng.usize(..3), f.rng.usize(..3));
         let one = send(f, a, Expect::Release(1), &document(5, 1));
         let wait = f.rng.u64(..60);
@@ -79,7 +110,14 @@
         let two = send(f, b, Expect::Release(1), &document(6, 2));
         let mut ends = [end(f, one), end(f, two)];
         ends.sort_by_key(|e| matches!(e, Some(WriteOutcome::Conflict(_))));
-        expect_that!(ends, eq([Some(WriteOutcome::Accepted(2)), Some(WriteOutcome::Conflict(2))]), "seed {seed}");
+        expect_that!(
+            ends,
+            eq([
+                Some(WriteOutcome::Accepted(2)),
+                Some(WriteOutcome::Conflict(2))
+            ]),
+            "seed {seed}"
+        );
     }
 }
 
@@ -89,8 +127,19 @@
 fn an_owner_that_was_deposed_without_hearing_of_it_tells_nothing_older() {
     for seed in 0..20 {
         let f = &mut settled(seed);
-        expect_that!(put(f, 0, Expect::Release(0), &document(1, 0)), some(eq(WriteOutcome::Accepted(1))));
-        let owner = (0..3).find(|i| f.brain(*i).unwrap().registers.held_until(SPEC_KEY, f.now).is_some()).expect("an owner");
+        expect_that!(
+            put(f, 0, Expect::Release(0), &document(1, 0)),
+            some(eq(WriteOutcome::Accepted(1)))
+        );
+        let owner = (0..3)
+            .find(|i| {
+                f.brain(*i)
+                    .unwrap()
+                    .registers
+                    .held_until(SPEC_KEY, f.now)
+                    .is_some()
+            })
+            .expect("an owner");
         let other = (owner + 1) % 3;
         f.cut.insert(addr(owner));
         // Until the others gave it up for dead they keep asking it, and are told that it is not known.
@@ -104,15 +153,26 @@
         }
         expect_that!(done, some(eq(WriteOutcome::Accepted(2))), "seed {seed}");
         // It still holds the key in its own eyes, and is asked while it hears nobody.
-        let told = [put(f, owner, Expect::Release(2), &document(3, 0)), newest(f, owner)];
+        let told = [
+            put(f, owner, Expect::Release(2), &document(3, 0)),
+            newest(f, owner),
+        ];
         for t in told {
-            let clear = matches!(t, Some(WriteOutcome::Conflict(_) | WriteOutcome::Accepted(_)));
+            let clear = matches!(
+                t,
+                Some(WriteOutcome::Conflict(_) | WriteOutcome::Accepted(_))
+            );
             expect_false!(clear, "seed {seed}: {t:?}");
         }
         f.cut.clear();
-        let back: Option<Ms> = f.until(6_000, |f| f.held(owner, SPEC_KEY).is_some_and(|h| h.0 == 2));
+        let back: Option<Ms> =
+            f.until(6_000, |f| f.held(owner, SPEC_KEY).is_some_and(|h| h.0 == 2));
         expect_that!(back, some(anything()), "seed {seed}");
-        expect_that!(newest(f, owner), some(eq(WriteOutcome::Accepted(2))), "seed {seed}");
+        expect_that!(
+            newest(f, owner),
+            some(eq(WriteOutcome::Accepted(2))),
+            "seed {seed}"
+        );
     }
 }
 
@@ -121,8 +181,14 @@
 fn after_a_total_kill_no_older_release_is_read() {
     for seed in 0..20 {
         let f = &mut settled(seed);
-        expect_that!(put(f, 0, Expect::Release(0), &document(1, 0)), some(eq(WriteOutcome::Accepted(1))));
-        expect_that!(put(f, 1, Expect::Release(1), &document(2, 0)), some(eq(WriteOutcome::Accepted(2))));
+        expect_that!(
+            put(f, 0, Expect::Release(0), &document(1, 0)),
+            some(eq(WriteOutcome::Accepted(1)))
+        );
+        expect_that!(
+            put(f, 1, Expect::Release(1), &document(2, 0)),
+            some(eq(WriteOutcome::Accepted(2)))
+        );
         (0..3).for_each(|i| f.kill(i));
         f.run(300);
         (0..3).for_each(|i| f.start(i));
@@ -132,7 +198,10 @@
             told.extend(newest(f, i));
             f.run(50);
         }
-        let clear: Vec<_> = told.iter().filter(|t| matches!(t, WriteOutcome::Accepted(_))).collect();
+        let clear: Vec<_> = told
+            .iter()
+            .filter(|t| matches!(t, WriteOutcome::Accepted(_)))
+            .collect();
         expect_that!(clear, not(is_empty()), "seed {seed}");
         expect_that!(clear, each(eq(&&WriteOutcome::Accepted(2))), "seed {seed}");
     }
@@ -146,12 +215,25 @@
     for seed in 0..20 {
         let f = &mut settled(seed);
         f.way = 1;
-        expect_that!(put(f, 0, Expect::Release(0), &document(1, 0)), some(eq(WriteOutcome::Accepted(1))));
+        expect_that!(
+            put(f, 0, Expect::Release(0), &document(1, 0)),
+            some(eq(WriteOutcome::Accepted(1)))
+        );
         f.run(1_000);
-        let owner = (0..3).find(|i| f.brain(*i).unwrap().registers.held_until(SPEC_KEY, f.now).is_some()).expect("an owner");
+        let owner = (0..3)
+            .find(|i| {
+                f.brain(*i)
+                    .unwrap()
+                    .registers
+                    .held_until(SPEC_KEY, f.now)
+                    .is_some()
+            })
+            .expect("an owner");
         let (own, other) = (addr(owner), (owner + 1) % 3);
         // Offered to its own disk only; then another owns the key.
-        f.sieve = Box::new(move |from, to, m| *from != own || from == to || !matches!(m, Message::Accept(_)));
+        f.sieve = Box::new(move |from, to, m| {
+            *from != own || from == to || !matches!(m, Message::Accept(_))
+        });
         send(f, owner, Expect::Release(1), &document(9, 0));
         f.run(50);
         f.kill(owner);
@@ -159,13 +241,21 @@
         f.run(2_500);
         f.all[owner].sync = 100;
         f.start(owner);
-        let back = |f: &Fleet| f.brain(owner).unwrap().registers.held_until(SPEC_KEY, f.now).is_some();
+        let back = |f: &Fleet| {
+            f.brain(owner)
+                .unwrap()
+                .registers
+                .held_until(SPEC_KEY, f.now)
+                .is_some()
+        };
         if f.until(2_000, back).is_none() {
             continue;
         }
         met += 1;
         // An operator that reads the newest and builds on it is not refused.
-        let Some(WriteOutcome::Accepted(v)) = newest(f, other) else { continue };
+        let Some(WriteOutcome::Accepted(v)) = newest(f, other) else {
+            continue;
+        };
         f.sieve = Box::new(|_, _, _| true);
         let on = if v == 1 { 1 } else { 9 };
         expect_that!(
--- a/coordination/tests/feed.rs
+++ b/coordination/tests/feed.rs
@@ -35,7 +35,10 @@
     format!("r{}", zone % REGIONS)
 }
 fn zone_of(name: &str) -> usize {
-    name.split('.').nth(3).and_then(|d| d.split(':').next()?.parse::<usize>().ok()).map_or(0, |d| d - 1)
+    name.split('.')
+        .nth(3)
+        .and_then(|d| d.split(':').next()?.parse::<usize>().ok())
+        .map_or(0, |d| d - 1)
 }
 
 struct Edge {
@@ -92,7 +95,8 @@
             cut,
             waits: vec![],
         };
-        let regions: BTreeMap<String, String> = (0..DAEMONS).map(|z| (format!("z{z}"), region(z))).collect();
+        let regions: BTreeMap<String, String> =
+            (0..DAEMONS).map(|z| (format!("z{z}"), region(z))).collect();
         for i in 0..DAEMONS * EDGES {
             let (zone, name): (usize, Name) = (i % DAEMONS, format!("e{i}").into());
             let at = format!("z{zone}");
@@ -104,10 +108,23 @@
                 incarnation: 1,
                 ..Node::default()
             };
-            let mut agent = EdgeAgent::new(me, (0..3).map(fleet::addr).collect(), seed + i as u64, l.fleet.now);
+            let mut agent = EdgeAgent::new(
+                me,
+                (0..3).map(fleet::addr).collect(),
+                seed + i as u64,
+                l.fleet.now,
+            );
             agent.set_regions(regions.clone());
             agent.set_serve_when_partitioned(true);
-            l.edges.insert(name, Edge { agent, zone, free: 0, had: None });
+            l.edges.insert(
+                name,
+                Edge {
+                    agent,
+                    zone,
+                    free: 0,
+                    had: None,
+                },
+            );
         }
         l.run(5_000);
         l
@@ -122,17 +139,29 @@
         }
         let mut at = self.fleet.now + if far { FAR } else { NEAR };
         if let Some(e) = self.edges.get_mut(&to) {
-            let bytes = encode(&Envelope { from: from.clone(), addr: addr.clone(), msg: msg.clone() }).map_or(0, |b| b.len());
-            self.far += if far && !addr.starts_with('e') { bytes } else { 0 };
+            let bytes = encode(&Envelope {
+                from: from.clone(),
+                addr: addr.clone(),
+                msg: msg.clone(),
+            })
+            .map_or(0, |b| b.len());
+            self.far += if far && !addr.starts_with('e') {
+                bytes
+            } else {
+                0
+            };
             at = at.max(e.free) + (bytes / LINK) as Ms;
             e.free = at;
         }
         self.seq += 1;
-        self.way.insert((at, self.seq), (to, from.clone(), addr.clone(), msg));
+        self.way
+            .insert((at, self.seq), (to, from.clone(), addr.clone(), msg));
     }
     fn carry(&mut self, edge: &Name, out: Effects) {
         for e in out {
-            let Effect::Send { to, msg } = e else { continue };
+            let Effect::Send { to, msg } = e else {
+                continue;
+            };
             self.post(edge, edge, to, msg);
         }
     }
@@ -143,7 +172,12 @@
             let now = self.fleet.now;
             let told = std::mem::take(&mut *self.told.borrow_mut());
             for (from, to, m) in told {
-                let i = self.fleet.all.iter().position(|d| d.p.addr == from).unwrap();
+                let i = self
+                    .fleet
+                    .all
+                    .iter()
+                    .position(|d| d.p.addr == from)
+                    .unwrap();
                 if !self.deaf.contains(&i) {
                     let name = self.fleet.all[i].p.name.clone();
                     self.post(&name, &from, to, m);
@@ -154,8 +188,16 @@
                 if let Some(x) = self.edges.get_mut(&to) {
                     let out = x.agent.on_message(&from, &addr, m, now);
                     self.carry(&to, out);
-                } else if let Some(i) = self.fleet.all.iter().position(|d| d.p.addr == to && d.brain.is_some()) {
-                    let out = self.fleet.all[i].brain.as_mut().map_or(vec![], |b| b.on_message(&from, &addr, m, now));
+                } else if let Some(i) = self
+                    .fleet
+                    .all
+                    .iter()
+                    .position(|d| d.p.addr == to && d.brain.is_some())
+                {
+                    let out = self.fleet.all[i]
+                        .brain
+                        .as_mut()
+                        .map_or(vec![], |b| b.on_message(&from, &addr, m, now));
                     self.fleet.carry(i, out);
                 }
             }
@@ -171,7 +213,12 @@
                 self.carry(&n, out);
             }
             for e in self.edges.values_mut().filter(|e| e.had.is_none()) {
-                e.had = e.agent.state_table().get(SPEC_KEY).is_some_and(|c| c.value.0.len() >= LONG).then_some(now);
+                e.had = e
+                    .agent
+                    .state_table()
+                    .get(SPEC_KEY)
+                    .is_some_and(|c| c.value.0.len() >= LONG)
+                    .then_some(now);
             }
         }
     }
@@ -199,7 +246,11 @@
     }
     /// The longest that an edge lacked the spec since then.
     fn last(&self, since: Ms) -> Ms {
-        self.edges.values().map(|e| e.had.map_or(Ms::MAX, |t| t.saturating_sub(since))).max().unwrap_or(0)
+        self.edges
+            .values()
+            .map(|e| e.had.map_or(Ms::MAX, |t| t.saturating_sub(since)))
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -222,7 +273,11 @@
         l.deaf = [0, REGIONS].into();
         let at = l.put();
         l.run(4_000);
-        expect_that!(l.last(at), le(PUSH_TIMEOUT + 3 * POLL_INTERVAL), "seed {seed}");
+        expect_that!(
+            l.last(at),
+            le(PUSH_TIMEOUT + 3 * POLL_INTERVAL),
+            "seed {seed}"
+        );
     }
 }
 
@@ -238,12 +293,20 @@
         l.put();
         l.run(4_500);
         let cut_off: Vec<bool> = l.edges.values().map(|e| e.had.is_none()).collect();
-        expect_that!(cut_off.iter().filter(|c| **c).count(), eq(2 * EDGES), "seed {seed}");
+        expect_that!(
+            cut_off.iter().filter(|c| **c).count(),
+            eq(2 * EDGES),
+            "seed {seed}"
+        );
         let at = l.fleet.now;
         l.heal();
         l.run(5_000);
         expect_that!(l.last(at), le(3_000), "seed {seed}");
-        expect_that!(l.far, le(2 * EDGES * LONG), "seed {seed}: at most one copy each comes from afar");
+        expect_that!(
+            l.far,
+            le(2 * EDGES * LONG),
+            "seed {seed}: at most one copy each comes from afar"
+        );
     }
 }
 
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -34,8 +34,18 @@
 }
 
 enum Ev {
-    Deliver { to: Name, from: Name, addr: Name, msg: Box<Message> },
-    Synced { at: usize, life: u64, rows: Vec<Row>, then: Effects },
+    Deliver {
+        to: Name,
+        from: Name,
+        addr: Name,
+        msg: Box<Message>,
+    },
+    Synced {
+        at: usize,
+        life: u64,
+        rows: Vec<Row>,
+        then: Effects,
+    },
 }
 
 /// Decides a message's fate: `false` loses it.
@@ -97,7 +107,8 @@
     /// A fleet of `n` in as many zones, whose first three found it.
     pub fn founded(seed: u64, n: usize, region: impl Fn(usize) -> String) -> Self {
         let mut f = Fleet::new(seed);
-        let regions: BTreeMap<String, String> = (0..n + 4).map(|i| (format!("z{i}"), region(i))).collect();
+        let regions: BTreeMap<String, String> =
+            (0..n + 4).map(|i| (format!("z{i}"), region(i))).collect();
         for i in 0..n {
             f.add(i, &[0, 1, 2], true, &regions);
         }
@@ -105,7 +116,13 @@
     }
 
     /// Adds and starts a daemon.
-    pub fn add(&mut self, i: usize, seeds: &[usize], founding: bool, regions: &BTreeMap<String, String>) {
+    pub fn add(
+        &mut self,
+        i: usize,
+        seeds: &[usize],
+        founding: bool,
+        regions: &BTreeMap<String, String>,
+    ) {
         let p = ControlConfig {
             name: format!("c{i}").into(),
             zone: format!("z{i}").into(),
@@ -143,7 +160,13 @@
         let d = &mut self.all[i];
         d.life += 1;
         let rows = d.disk.values().cloned().collect();
-        d.brain = Some(Control::new(d.p.clone(), d.disk_id, rows, 1_000 + now * 10 + d.life, now));
+        d.brain = Some(Control::new(
+            d.p.clone(),
+            d.disk_id,
+            rows,
+            1_000 + now * 10 + d.life,
+            now,
+        ));
         d.next_tick = now + 1 + self.rng.u64(..TICK_INTERVAL);
     }
     pub fn kill(&mut self, i: usize) {
@@ -174,11 +197,27 @@
                 Effect::Send { to, msg } => {
                     let (from, addr) = (self.all[i].p.name.clone(), self.all[i].p.addr.clone());
                     let own = to == addr;
-                    if !own && (self.cut.contains(&to) || self.cut.contains(&addr) || !(self.sieve)(&addr, &to, &msg)) {
+                    if !own
+                        && (self.cut.contains(&to)
+                            || self.cut.contains(&addr)
+                            || !(self.sieve)(&addr, &to, &msg))
+                    {
                         continue;
                     }
-                    let ms = if own { 0 } else { 1 + self.late + self.rng.u64(..self.way) };
-                    self.at(ms, Ev::Deliver { to, from, addr, msg: Box::new(msg) });
+                    let ms = if own {
+                        0
+                    } else {
+                        1 + self.late + self.rng.u64(..self.way)
+                    };
+                    self.at(
+                        ms,
+                        Ev::Deliver {
+                            to,
+                            from,
+                            addr,
+                            msg: Box::new(msg),
+                        },
+                    );
                 }
                 Effect::Persist { rows, then } => {
                     self.all[i].buffer.push((rows, then));
@@ -186,7 +225,9 @@
                 }
                 Effect::WriteFinished { token, outcome } => {
                     self.ends.insert((i, token), (self.now, outcome));
-                    if self.wipe_after_ack == Some(i) && matches!(outcome, WriteOutcome::Accepted(_)) {
+                    if self.wipe_after_ack == Some(i)
+                        && matches!(outcome, WriteOutcome::Accepted(_))
+                    {
                         self.wipe_after_ack = None;
                         self.wipe(i);
                         return;
@@ -214,7 +255,15 @@
             then.extend(t);
         }
         let (wait, life) = (d.hung.saturating_sub(now) + d.sync, d.life);
-        self.at(wait, Ev::Synced { at: i, life, rows, then });
+        self.at(
+            wait,
+            Ev::Synced {
+                at: i,
+                life,
+                rows,
+                then,
+            },
+        );
     }
 
     fn handle(&mut self, ev: Ev) {
@@ -222,21 +271,42 @@
             Ev::Deliver { to, .. } => self.all.iter().position(|d| d.p.addr == *to),
             Ev::Synced { at, .. } => Some(*at),
         };
-        if let Some(ms) = at.map(|i| self.all[i].frozen.saturating_sub(self.now)).filter(|ms| *ms > 0) {
+        if let Some(ms) = at
+            .map(|i| self.all[i].frozen.saturating_sub(self.now))
+            .filter(|ms| *ms > 0)
+        {
             return self.at(ms, ev);
         }
         match ev {
-            Ev::Deliver { to, from, addr, mut msg } => {
-                let Some(i) = self.all.iter().position(|d| d.p.addr == to && d.brain.is_some()) else { return };
+            Ev::Deliver {
+                to,
+                from,
+                addr,
+                mut msg,
+            } => {
+                let Some(i) = self
+                    .all
+                    .iter()
+                    .position(|d| d.p.addr == to && d.brain.is_some())
+                else {
+                    return;
+                };
                 let now = self.now;
-                let Some(b) = self.all[i].brain.as_mut() else { return };
+                let Some(b) = self.all[i].brain.as_mut() else {
+                    return;
+                };
                 if let Some(change) = &self.change {
                     change(b.registers.member_epoch, &mut msg);
                 }
                 let out = b.on_message(&from, &addr, *msg, now);
                 self.carry(i, out);
             }
-            Ev::Synced { at, life, rows, then } => {
+            Ev::Synced {
+                at,
+                life,
+                rows,
+                then,
+            } => {
                 if self.all[at].life != life {
                     return;
                 }
@@ -292,19 +362,39 @@
     }
     /// Daemons that vote.
     pub fn voting(&self) -> Vec<usize> {
-        (0..self.all.len()).filter(|i| self.brain(*i).is_some_and(|b| b.registers.voting)).collect()
+        (0..self.all.len())
+            .filter(|i| self.brain(*i).is_some_and(|b| b.registers.voting))
+            .collect()
     }
     /// Names of the voters as the daemon knows them.
     pub fn voters(&self, i: usize) -> BTreeSet<String> {
-        self.brain(i).map_or(BTreeSet::new(), |b| b.registers.voters.iter().map(|v| v.name.to_string()).collect())
+        self.brain(i).map_or(BTreeSet::new(), |b| {
+            b.registers
+                .voters
+                .iter()
+                .map(|v| v.name.to_string())
+                .collect()
+        })
     }
     pub fn held(&self, i: usize, key: &str) -> Option<(u64, Vec<u8>)> {
-        self.brain(i)?.state_table().get(key).map(|c| (c.version, c.value.0.clone()))
+        self.brain(i)?
+            .state_table()
+            .get(key)
+            .map(|c| (c.version, c.value.0.clone()))
     }
 
-    pub fn write(&mut self, i: usize, key: &str, expect: Option<u64>, value: &[u8]) -> Option<(usize, u64)> {
+    pub fn write(
+        &mut self,
+        i: usize,
+        key: &str,
+        expect: Option<u64>,
+        value: &[u8],
+    ) -> Option<(usize, u64)> {
         let now = self.now;
-        let (token, out) = self.all[i].brain.as_mut()?.write(key, expect, value.to_vec(), now);
+        let (token, out) = self.all[i]
+            .brain
+            .as_mut()?
+            .write(key, expect, value.to_vec(), now);
         self.carry(i, out);
         Some((i, token))
     }
@@ -313,7 +403,9 @@
         let from = self.now;
         while self.now < from + most {
             self.tokens += 1;
-            let up: Vec<usize> = (0..self.all.len()).filter(|i| self.brain(*i).is_some()).collect();
+            let up: Vec<usize> = (0..self.all.len())
+                .filter(|i| self.brain(*i).is_some())
+                .collect();
             let i = *self.rng.choice(&up)?;
             let w = self.write(i, key, None, value)?;
             self.until(1_000, |f| f.ends.contains_key(&w) || f.brain(i).is_none());
@@ -326,10 +418,17 @@
     }
     /// Every voter list ever stored under member epoch 1, on any disk.
     pub fn first_voters(&self) -> BTreeSet<Vec<u64>> {
-        let lists = self.all.iter().filter_map(|d| match d.disk.get("\0members") {
-            Some(Row::Members { member_epoch: 1, voters, .. }) => Some(voters.iter().map(|v| v.disk_id).collect()),
-            _ => None,
-        });
+        let lists = self
+            .all
+            .iter()
+            .filter_map(|d| match d.disk.get("\0members") {
+                Some(Row::Members {
+                    member_epoch: 1,
+                    voters,
+                    ..
+                }) => Some(voters.iter().map(|v| v.disk_id).collect()),
+                _ => None,
+            });
         lists.collect()
     }
 }
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -31,7 +31,10 @@
 fn only_the_seeds_are_the_first_voters() {
     let mut f = Fleet::founded(1, 4, one_region);
     f.until(4_000, |f| f.voting().len() == 3);
-    expect_that!(f.voters(0), eq(&["c0", "c1", "c2"].map(String::from).into()));
+    expect_that!(
+        f.voters(0),
+        eq(&["c0", "c1", "c2"].map(String::from).into())
+    );
 }
 
 /// Without the word that the system starts first, a blank disk waits, whoever else is there.
@@ -64,10 +67,22 @@
                 f.all[victim].p.bootstrap = told;
                 f.start(victim);
                 let took = f.until(6_000, |f| f.voting().len() == 3);
-                expect_that!(took, some(anything()), "killed {victim} at {t}, told again: {told}");
+                expect_that!(
+                    took,
+                    some(anything()),
+                    "killed {victim} at {t}, told again: {told}"
+                );
                 f.run(2_000);
-                expect_that!(f.first_voters(), len(eq(1)), "killed {victim} at {t}, told again: {told}");
-                expect_that!(f.put("spec", b"one", 5_000), some(anything()), "killed {victim} at {t}");
+                expect_that!(
+                    f.first_voters(),
+                    len(eq(1)),
+                    "killed {victim} at {t}, told again: {told}"
+                );
+                expect_that!(
+                    f.put("spec", b"one", 5_000),
+                    some(anything()),
+                    "killed {victim} at {t}"
+                );
             }
         }
     }
@@ -134,9 +149,18 @@
         let at = f.rng.usize(..3);
         let w = f.write(at, "spec", Some(0), b"one").unwrap();
         let took = f.until(2_500, |f| f.ends.contains_key(&w));
-        expect_that!(f.ends.get(&w).map(|e| e.1), some(eq(WriteOutcome::Accepted(1))), "seed {seed}");
+        expect_that!(
+            f.ends.get(&w).map(|e| e.1),
+            some(eq(WriteOutcome::Accepted(1))),
+            "seed {seed}"
+        );
         late += usize::from(took.is_none_or(|t| t > 500));
-        deposed += f.all.iter().flat_map(|d| &d.notes).filter(|n| n.1 == "DEPOSED").count();
+        deposed += f
+            .all
+            .iter()
+            .flat_map(|d| &d.notes)
+            .filter(|n| n.1 == "DEPOSED")
+            .count();
     }
     expect_that!((deposed, late), eq((0, 0)));
 }
