--- a/coordination/tests/operators.rs
+++ b/coordination/tests/operators.rs
@@ -15,8 +15,7 @@
 const ZONE: &str = "zone/z1";
 
 fn document(release: u64, mark: u64) -> Vec<u8> {
-    let s =
-        serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark, "release": release});
+    let s = serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark, "release": release});
     serde_json::to_vec(&s).unwrap()
 }
 
@@ -32,7 +31,10 @@
 
 fn send(f: &mut Fleet, at: usize, o: &Order) -> Option<Sent> {
     let now = f.now;
-    let (t, out) = f.all[at].brain.as_mut()?.write(o.key, o.expect, o.value.clone(), now);
+    let (t, out) = f.all[at]
+        .brain
+        .as_mut()?
+        .write(o.key, o.expect, o.value.clone(), now);
     f.carry(at, out);
     Some((at, t))
 }
@@ -87,8 +89,14 @@
     /// Who owns the key.
     OwnerSoon,
 }
-const TROUBLES: [Trouble; 6] =
-    [Trouble::None, Trouble::OneAfterAck, Trouble::AllAfterAck, Trouble::OneSoon, Trouble::AllSoon, Trouble::OwnerSoon];
+const TROUBLES: [Trouble; 6] = [
+    Trouble::None,
+    Trouble::OneAfterAck,
+    Trouble::AllAfterAck,
+    Trouble::OneSoon,
+    Trouble::AllSoon,
+    Trouble::OwnerSoon,
+];
 
 fn goes(f: &mut Fleet, t: Trouble, w: Sent, key: &str) -> Vec<usize> {
     match t {
@@ -103,7 +111,10 @@
             f.run(ms);
         }
     }
-    let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(key, f.now).is_some()));
+    let owner = (0..f.all.len()).find(|i| {
+        f.brain(*i)
+            .is_some_and(|b| b.registers.held_until(key, f.now).is_some())
+    });
     let gone: Vec<usize> = match t {
         Trouble::AllAfterAck | Trouble::AllSoon => up(f),
         Trouble::OwnerSoon => owner.into_iter().collect(),
@@ -124,7 +135,10 @@
 fn settled(seed: u64) -> Fleet {
     let n = if seed.is_multiple_of(3) { 6 } else { 3 };
     let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-    f.until(10_000, |f| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))).expect("the fleet settles");
+    f.until(10_000, |f| {
+        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
+    })
+    .expect("the fleet settles");
     f
 }
 
@@ -142,23 +156,53 @@
             let order = match f.rng.u8(..3) {
                 0 => {
                     release += 1 + f.rng.u64(..3);
-                    Order { key: SPEC_KEY, expect: Expect::Any, value: document(release, n) }
+                    Order {
+                        key: SPEC_KEY,
+                        expect: Expect::Any,
+                        value: document(release, n),
+                    }
                 }
-                1 => Order { key: PLAN, expect: Expect::Version(plan), value: format!("plan {n}").into_bytes() },
-                _ => Order { key: ZONE, expect: Expect::Any, value: format!("{}", n % 2).into_bytes() },
+                1 => Order {
+                    key: PLAN,
+                    expect: Expect::Version(plan),
+                    value: format!("plan {n}").into_bytes(),
+                },
+                _ => Order {
+                    key: ZONE,
+                    expect: Expect::Any,
+                    value: format!("{}", n % 2).into_bytes(),
+                },
+            };
+            let from = f
+                .brain(up(f)[0])
+                .and_then(|b| b.spec())
+                .map_or(0, |s| s.release);
+            let order = if order.key == SPEC_KEY {
+                Order {
+                    expect: Expect::Release(from),
+                    ..order
+                }
+            } else {
+                order
             };
-            let from = f.brain(up(f)[0]).and_then(|b| b.spec()).map_or(0, |s| s.release);
-            let order = if order.key == SPEC_KEY { Order { expect: Expect::Release(from), ..order } } else { order };
             let told = format!("seed {seed}, change {n}, {t:?}: {order:?}");
-            let Some(w) = anywhere(f, &order) else { continue };
+            let Some(w) = anywhere(f, &order) else {
+                continue;
+            };
             let gone = goes(f, t, w, order.key);
             let first = f.ends.get(&w).map(|e| e.1);
             lost += usize::from(!matches!(first, Some(WriteOutcome::Accepted(_))));
             back(f, gone);
             // Its answer may be lost as well; the same order goes out again, to any daemon.
             let done = clear(f, &order);
-            expect_that!(done, some(matches_pattern!(WriteOutcome::Accepted(_))), "{told}");
-            let Some(WriteOutcome::Accepted(v)) = done else { break };
+            expect_that!(
+                done,
+                some(matches_pattern!(WriteOutcome::Accepted(_))),
+                "{told}"
+            );
+            let Some(WriteOutcome::Accepted(v)) = done else {
+                break;
+            };
             if let Some(WriteOutcome::Accepted(u)) = first {
                 expect_that!(v, eq(u), "{told}: it stands twice");
             }
@@ -166,15 +210,27 @@
             for _ in 0..4 {
                 let w = anywhere(f, &order);
                 let again = end(f, w);
-                expect_that!(again, not(some(matches_pattern!(WriteOutcome::Conflict(_)))), "{told}");
+                expect_that!(
+                    again,
+                    not(some(matches_pattern!(WriteOutcome::Conflict(_)))),
+                    "{told}"
+                );
             }
-            expect_that!(newest(f, order.key), some(eq(WriteOutcome::Accepted(v))), "{told}");
+            expect_that!(
+                newest(f, order.key),
+                some(eq(WriteOutcome::Accepted(v))),
+                "{told}"
+            );
             // One of before, which others may have replaced since and whose sender only now sends it again.
             if order.expect != Expect::Any {
                 taken.push((order, v));
             }
             if let Some((old, v)) = f.rng.choice(&taken).cloned() {
-                expect_that!(clear(f, &old), some(eq(WriteOutcome::Accepted(v))), "{told}, then again {old:?}");
+                expect_that!(
+                    clear(f, &old),
+                    some(eq(WriteOutcome::Accepted(v))),
+                    "{told}, then again {old:?}"
+                );
             }
             f.run(100);
         }
@@ -189,13 +245,34 @@
 fn of_eight_orders_at_once_one_configuration_wins_and_all_others_are_taken() {
     for seed in 0..200 {
         let f = &mut settled(seed);
-        let first = Order { key: SPEC_KEY, expect: Expect::Release(0), value: document(1, 0) };
-        expect_that!(clear(f, &first), some(eq(WriteOutcome::Accepted(1))), "seed {seed}");
+        let first = Order {
+            key: SPEC_KEY,
+            expect: Expect::Release(0),
+            value: document(1, 0),
+        };
+        expect_that!(
+            clear(f, &first),
+            some(eq(WriteOutcome::Accepted(1))),
+            "seed {seed}"
+        );
         f.run(300);
-        let spec = |release, mark| Order { key: SPEC_KEY, expect: Expect::Release(1), value: document(release, mark) };
-        let any = |key, v: &str| Order { key, expect: Expect::Any, value: v.into() };
+        let spec = |release, mark| Order {
+            key: SPEC_KEY,
+            expect: Expect::Release(1),
+            value: document(release, mark),
+        };
+        let any = |key, v: &str| Order {
+            key,
+            expect: Expect::Any,
+            value: v.into(),
+        };
         let mut orders = vec![spec(5, 1), spec(5, 2), spec(6, 3), spec(2, 4)];
-        orders.extend([any(ZONE, "1"), any("zone/z2", "1"), any("zone/z0", "0"), any("plan/t", "v2")]);
+        orders.extend([
+            any(ZONE, "1"),
+            any("zone/z2", "1"),
+            any("zone/z0", "0"),
+            any("plan/t", "v2"),
+        ]);
         f.rng.shuffle(&mut orders);
         let mut sent = vec![];
         for o in &orders {
@@ -217,15 +294,26 @@
                 expect_that!(sure, some(eq(e)), "seed {seed}, {t:?}: {o:?}");
             }
             if o.key != SPEC_KEY {
-                expect_that!(sure, some(eq(WriteOutcome::Accepted(1))), "seed {seed}, {t:?}: {o:?}");
+                expect_that!(
+                    sure,
+                    some(eq(WriteOutcome::Accepted(1))),
+                    "seed {seed}, {t:?}: {o:?}"
+                );
             } else if let Some(WriteOutcome::Accepted(v)) = sure {
                 won.push((v, o.value.clone()));
             }
         }
         expect_that!(won, len(eq(1)), "seed {seed}, {t:?}");
-        expect_that!(newest(f, SPEC_KEY), some(eq(WriteOutcome::Accepted(2))), "seed {seed}, {t:?}");
+        expect_that!(
+            newest(f, SPEC_KEY),
+            some(eq(WriteOutcome::Accepted(2))),
+            "seed {seed}, {t:?}"
+        );
         f.run(500);
-        let held: Vec<_> = (0..f.all.len()).filter_map(|i| f.held(i, SPEC_KEY)).filter(|h| Some(h) != won.first()).collect();
+        let held: Vec<_> = (0..f.all.len())
+            .filter_map(|i| f.held(i, SPEC_KEY))
+            .filter(|h| Some(h) != won.first())
+            .collect();
         expect_that!(held, is_empty(), "seed {seed}, {t:?}");
     }
 }
@@ -241,8 +329,23 @@
         f.run(2_000);
         for n in 0..4u64 {
             let on = f.brain(0).and_then(|b| b.spec()).map_or(0, |s| s.release);
-            anywhere(f, &Order { key: SPEC_KEY, expect: Expect::Release(on), value: document(n + 1, 0) });
-            let w = anywhere(f, &Order { key: ZONE, expect: Expect::Any, value: format!("{}", n % 2).into_bytes() }).unwrap();
+            anywhere(
+                f,
+                &Order {
+                    key: SPEC_KEY,
+                    expect: Expect::Release(on),
+                    value: document(n + 1, 0),
+                },
+            );
+            let w = anywhere(
+                f,
+                &Order {
+                    key: ZONE,
+                    expect: Expect::Any,
+                    value: format!("{}", n % 2).into_bytes(),
+                },
+            )
+            .unwrap();
             let took = f.until(3_000, |f| f.ends.contains_key(&w));
             expect_that!(took, some(le(CALM)), "seed {seed}");
             f.run(500);
@@ -254,15 +357,36 @@
 /// takes the evacuation back before it wakes.
 #[gtest]
 fn an_evacuation_that_was_taken_back_does_not_come_back_from_a_daemon_that_stood_still() {
-    let on = Order { key: ZONE, expect: Expect::Any, value: b"on".to_vec() };
-    let off = Order { value: b"off".to_vec(), ..on.clone() };
+    let on = Order {
+        key: ZONE,
+        expect: Expect::Any,
+        value: b"on".to_vec(),
+    };
+    let off = Order {
+        value: b"off".to_vec(),
+        ..on.clone()
+    };
     for seed in 0..120u64 {
         let mut f = settled(seed);
-        expect_that!(clear(&mut f, &off), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
-        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some()));
+        expect_that!(
+            clear(&mut f, &off),
+            some(matches_pattern!(WriteOutcome::Accepted(_))),
+            "seed {seed}"
+        );
+        let owner = (0..f.all.len()).find(|i| {
+            f.brain(*i)
+                .is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some())
+        });
         let asked = f.rng.usize(..f.all.len());
         // Either whoever was asked stands still, or who owns the key: before or after it took it or told of it.
-        let (unread, still) = (seed % 3 == 2, if seed % 3 == 1 { owner.unwrap_or(asked) } else { asked });
+        let (unread, still) = (
+            seed % 3 == 2,
+            if seed % 3 == 1 {
+                owner.unwrap_or(asked)
+            } else {
+                asked
+            },
+        );
         if !unread {
             send(&mut f, asked, &on);
             let ms = f.rng.u64(..60);
@@ -282,7 +406,11 @@
             f.run(FORWARD_TIMEOUT);
         }
         let wakes = f.all[still].frozen;
-        expect_that!(wakes, gt(f.now), "seed {seed}: it woke too soon to show anything");
+        expect_that!(
+            wakes,
+            gt(f.now),
+            "seed {seed}: it woke too soon to show anything"
+        );
         f.run(wakes.saturating_sub(f.now));
         if unread {
             send(&mut f, still, &on);
@@ -290,7 +418,11 @@
         f.run(20_000);
         for i in up(&f) {
             let value = f.held(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
-            expect_that!(value.as_deref(), some(eq("off")), "seed {seed}, daemon {i}, {still} stood still");
+            expect_that!(
+                value.as_deref(),
+                some(eq("off")),
+                "seed {seed}, daemon {i}, {still} stood still"
+            );
         }
     }
 }
@@ -299,13 +431,27 @@
 /// others, and has taken the evacuation back by the time that the daemon reaches the owner.
 #[gtest]
 fn an_evacuation_that_was_taken_back_does_not_come_back_from_a_daemon_that_was_cut_off() {
-    let on = Order { key: ZONE, expect: Expect::Any, value: b"on".to_vec() };
-    let off = Order { value: b"off".to_vec(), ..on.clone() };
+    let on = Order {
+        key: ZONE,
+        expect: Expect::Any,
+        value: b"on".to_vec(),
+    };
+    let off = Order {
+        value: b"off".to_vec(),
+        ..on.clone()
+    };
     let mut late = 0;
     for seed in 0..150u64 {
         let mut f = settled(seed);
-        expect_that!(clear(&mut f, &off), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
-        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some()));
+        expect_that!(
+            clear(&mut f, &off),
+            some(matches_pattern!(WriteOutcome::Accepted(_))),
+            "seed {seed}"
+        );
+        let owner = (0..f.all.len()).find(|i| {
+            f.brain(*i)
+                .is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some())
+        });
         let others: Vec<usize> = up(&f).into_iter().filter(|i| Some(*i) != owner).collect();
         let cut = *f.rng.choice(&others).unwrap();
         let near: Vec<usize> = up(&f).into_iter().filter(|i| *i != cut).collect();
@@ -317,7 +463,11 @@
         for o in [&on, &off] {
             let at = *f.rng.choice(&near).unwrap();
             let w = send(&mut f, at, o);
-            expect_that!(end(&mut f, w), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
+            expect_that!(
+                end(&mut f, w),
+                some(matches_pattern!(WriteOutcome::Accepted(_))),
+                "seed {seed}"
+            );
         }
         // It still tries then.
         late += u64::from(f.now < from + FORWARD_TIMEOUT);
@@ -325,7 +475,11 @@
         f.run(8_000);
         for i in up(&f) {
             let value = f.held(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
-            expect_that!(value.as_deref(), some(eq("off")), "seed {seed}, daemon {i}, {cut} was cut off");
+            expect_that!(
+                value.as_deref(),
+                some(eq("off")),
+                "seed {seed}, daemon {i}, {cut} was cut off"
+            );
         }
     }
     expect_that!(late, gt(140));
@@ -335,12 +489,26 @@
 /// it wakes: it has been taken back by then, and stays so.
 #[gtest]
 fn an_evacuation_that_was_taken_back_does_not_come_back_from_the_network() {
-    let on = Order { key: ZONE, expect: Expect::Any, value: b"on".to_vec() };
-    let off = Order { value: b"off".to_vec(), ..on.clone() };
+    let on = Order {
+        key: ZONE,
+        expect: Expect::Any,
+        value: b"on".to_vec(),
+    };
+    let off = Order {
+        value: b"off".to_vec(),
+        ..on.clone()
+    };
     for seed in 0..120u64 {
         let mut f = settled(seed);
-        expect_that!(clear(&mut f, &off), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
-        let owner = (0..f.all.len()).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some()));
+        expect_that!(
+            clear(&mut f, &off),
+            some(matches_pattern!(WriteOutcome::Accepted(_))),
+            "seed {seed}"
+        );
+        let owner = (0..f.all.len()).find(|i| {
+            f.brain(*i)
+                .is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some())
+        });
         let others: Vec<usize> = up(&f).into_iter().filter(|i| Some(*i) != owner).collect();
         let asked = *f.rng.choice(&others).unwrap();
         f.late = f.rng.u64(1_000..2_400);
@@ -350,9 +518,17 @@
         for o in [&on, &off] {
             let at = *f.rng.choice(&others).unwrap();
             let w = send(&mut f, at, o);
-            expect_that!(end(&mut f, w), some(matches_pattern!(WriteOutcome::Accepted(_))), "seed {seed}");
+            expect_that!(
+                end(&mut f, w),
+                some(matches_pattern!(WriteOutcome::Accepted(_))),
+                "seed {seed}"
+            );
         }
-        expect_that!(late, gt(f.now), "seed {seed}: it came too soon to show anything");
+        expect_that!(
+            late,
+            gt(f.now),
+            "seed {seed}: it came too soon to show anything"
+        );
         f.run(8_000);
         for i in up(&f) {
             let value = f.held(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
@@ -360,6 +536,10 @@
         }
         // Its sender is not told that it was refused: it was accepted elsewhere.
         let told = first.and_then(|w| f.ends.get(&w)).map(|e| e.1);
-        expect_that!(told, not(some(matches_pattern!(WriteOutcome::Conflict(_)))), "seed {seed}");
+        expect_that!(
+            told,
+            not(some(matches_pattern!(WriteOutcome::Conflict(_)))),
+            "seed {seed}"
+        );
     }
 }
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -27,16 +27,34 @@
 impl Fleet {
     fn new(n: usize, seed: u64) -> Self {
         // Two zones a region.
-        let regions: Regions = (0..6).map(|z| (format!("z{z}"), format!("r{}", z / 2))).collect();
+        let regions: Regions = (0..6)
+            .map(|z| (format!("z{z}"), format!("r{}", z / 2)))
+            .collect();
         let one = |i: usize| {
             let name: Name = format!("n{i}").into();
             let zone = format!("z{}", zone(&name)).into();
-            let me = Node { name: name.clone(), addr: name.clone(), role: EDGE_ROLE, incarnation: 1, zone, ..Node::default() };
-            let mut m = Membership::new(me, ["n0", "n1", "n2"].map(Into::into).into(), seed + i as u64);
+            let me = Node {
+                name: name.clone(),
+                addr: name.clone(),
+                role: EDGE_ROLE,
+                incarnation: 1,
+                zone,
+                ..Node::default()
+            };
+            let mut m = Membership::new(
+                me,
+                ["n0", "n1", "n2"].map(Into::into).into(),
+                seed + i as u64,
+            );
             m.set_regions(regions.clone());
             (name, m)
         };
-        Fleet { now: 0, nodes: (0..n).map(one).collect(), rng: fastrand::Rng::with_seed(seed), sent: [0; 2] }
+        Fleet {
+            now: 0,
+            nodes: (0..n).map(one).collect(),
+            rng: fastrand::Rng::with_seed(seed),
+            sent: [0; 2],
+        }
     }
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
@@ -50,9 +68,17 @@
             }
             while let Some((from, o)) = out.pop() {
                 for e in o {
-                    let Effect::Send { to, msg: Message::Shuffle(m) } = e else { continue };
+                    let Effect::Send {
+                        to,
+                        msg: Message::Shuffle(m),
+                    } = e
+                    else {
+                        continue;
+                    };
                     self.sent[usize::from(zone(&from) / 2 != zone(&to) / 2)] += 1;
-                    let Some(n) = self.nodes.get_mut(&to).filter(|_| self.rng.u8(..10) > 0) else { continue };
+                    let Some(n) = self.nodes.get_mut(&to).filter(|_| self.rng.u8(..10) > 0) else {
+                        continue;
+                    };
                     let mut o = vec![];
                     n.on_shuffle(&from, m, self.now, &mut o);
                     out.push((to, o));
@@ -62,7 +88,10 @@
     }
     /// Nodes not taken for live, over all that look.
     fn missing(&self) -> usize {
-        self.nodes.values().map(|m| self.nodes.len() - 1 - m.live(EDGE_ROLE).count()).sum()
+        self.nodes
+            .values()
+            .map(|m| self.nodes.len() - 1 - m.live(EDGE_ROLE).count())
+            .sum()
     }
 }
 
@@ -79,7 +108,11 @@
         }
         let [near, far] = f.sent;
         // Of neighbours drawn from all two thirds would be in other regions.
-        expect_that!(far * 100 / (near + far), le(36), "seed {seed}: {near} and {far}");
+        expect_that!(
+            far * 100 / (near + far),
+            le(36),
+            "seed {seed}: {near} and {far}"
+        );
         // Of 320,400 looks of one node at another, one in ten thousand.
         expect_that!(missing, le(32), "seed {seed}");
     }
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -23,7 +23,12 @@
 fn put(f: &mut Fleet, i: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
     let now = f.now;
     let e = Expect::Release(release - 1);
-    let (t, out) = f.all[i].brain.as_mut().unwrap().write(SPEC_KEY, e, document(release, mark), now);
+    let (t, out) =
+        f.all[i]
+            .brain
+            .as_mut()
+            .unwrap()
+            .write(SPEC_KEY, e, document(release, mark), now);
     f.carry(i, out);
     f.until(4_000, |f| f.ends.contains_key(&(i, t)));
     f.ends.get(&(i, t)).map(|e| e.1)
@@ -69,12 +74,26 @@
                 f.run(2_000);
                 at = (cut + 1) % 3;
             }
-            expect_that!(clear(f, at, r, 0), some(eq(WriteOutcome::Accepted(r))), "seed {seed}, {t:?}");
+            expect_that!(
+                clear(f, at, r, 0),
+                some(eq(WriteOutcome::Accepted(r))),
+                "seed {seed}, {t:?}"
+            );
             // The loser of a race under the same number.
-            expect_that!(clear(f, at, r, 1), some(eq(WriteOutcome::Conflict(r))), "seed {seed}, {t:?}");
+            expect_that!(
+                clear(f, at, r, 1),
+                some(eq(WriteOutcome::Conflict(r))),
+                "seed {seed}, {t:?}"
+            );
         }
         f.cut.clear();
-        let owner = (0..3).find(|i| f.brain(*i).unwrap().registers.held_until(SPEC_KEY, f.now).is_some());
+        let owner = (0..3).find(|i| {
+            f.brain(*i)
+                .unwrap()
+                .registers
+                .held_until(SPEC_KEY, f.now)
+                .is_some()
+        });
         let gone = match t {
             AllKilled => vec![0, 1, 2],
             OwnerKilled => owner.into_iter().collect(),
@@ -87,14 +106,23 @@
             f.wipe(i);
             f.run(600);
             f.start(i);
-            f.until(10_000, |f| f.voting().len() == 3).expect("it votes again");
+            f.until(10_000, |f| f.voting().len() == 3)
+                .expect("it votes again");
             settle(f);
         }
         settle(f);
         for (r, i) in (1..=RELEASES).flat_map(|r| (0..3).map(move |i| (r, i))) {
             let told = format!("seed {seed}, {t:?}: release {r} at {i}");
-            expect_that!(clear(f, i, r, 0), some(eq(WriteOutcome::Accepted(r))), "{told}");
-            expect_that!(clear(f, i, r, 1), some(eq(WriteOutcome::Conflict(RELEASES))), "{told}, the loser");
+            expect_that!(
+                clear(f, i, r, 0),
+                some(eq(WriteOutcome::Accepted(r))),
+                "{told}"
+            );
+            expect_that!(
+                clear(f, i, r, 1),
+                some(eq(WriteOutcome::Conflict(RELEASES))),
+                "{told}, the loser"
+            );
         }
     }
 }
@@ -111,15 +139,33 @@
     }
     for at in 0..3 {
         for (r, mark) in [(1, 0), (3, 0), (1, 1), (3, 1)] {
-            expect_that!(put(f, at, r, mark), some(eq(WriteOutcome::Unknown)), "release {r} of mark {mark} at {at}");
+            expect_that!(
+                put(f, at, r, mark),
+                some(eq(WriteOutcome::Unknown)),
+                "release {r} of mark {mark} at {at}"
+            );
         }
         for r in [4, 5, most, most + 3, most + 4] {
-            expect_that!(clear(f, at, r, 0), some(eq(WriteOutcome::Accepted(r))), "release {r} at {at}");
-            expect_that!(clear(f, at, r, 1), some(eq(WriteOutcome::Conflict(most + 4))), "the loser of {r} at {at}");
+            expect_that!(
+                clear(f, at, r, 0),
+                some(eq(WriteOutcome::Accepted(r))),
+                "release {r} at {at}"
+            );
+            expect_that!(
+                clear(f, at, r, 1),
+                some(eq(WriteOutcome::Conflict(most + 4))),
+                "the loser of {r} at {at}"
+            );
         }
     }
     // Edges have no use for it: what goes to them is the value alone.
-    let slot = f.brain(0).unwrap().registers.slots().find(|s| &*s.key == SPEC_KEY).unwrap();
+    let slot = f
+        .brain(0)
+        .unwrap()
+        .registers
+        .slots()
+        .find(|s| &*s.key == SPEC_KEY)
+        .unwrap();
     expect_that!(slot.replaced.len(), eq(REPLACED_VALUES_KEPT));
 }
 
@@ -129,7 +175,9 @@
     let f = &mut Fleet::founded(2, 3, |i| format!("r{i}"));
     settle(f);
     let ask = |f: &mut Fleet, on: u64, value: u64| {
-        let w = f.write(1, "plan/s", Some(on), &value.to_be_bytes()).unwrap();
+        let w = f
+            .write(1, "plan/s", Some(on), &value.to_be_bytes())
+            .unwrap();
         f.until(4_000, |f| f.ends.contains_key(&w));
         f.ends.get(&w).map(|e| e.1)
     };
@@ -138,7 +186,11 @@
         expect_that!(ask(f, on, on), some(eq(WriteOutcome::Accepted(on + 1))));
     }
     for (on, value) in [(0, 0), (1, 1), (1, 7)] {
-        expect_that!(ask(f, on, value), some(eq(WriteOutcome::Unknown)), "on {on}");
+        expect_that!(
+            ask(f, on, value),
+            some(eq(WriteOutcome::Unknown)),
+            "on {on}"
+        );
     }
     expect_that!(ask(f, 2, 2), some(eq(WriteOutcome::Accepted(3))));
     expect_that!(ask(f, 2, 7), some(eq(WriteOutcome::Conflict(newest))));
@@ -158,7 +210,12 @@
     settle(f);
     let ask = |f: &mut Fleet, release| {
         let now = f.now;
-        let (t, out) = f.all[0].brain.as_mut().unwrap().write(SPEC_KEY, Expect::Release(0), document(release, 0), now);
+        let (t, out) = f.all[0].brain.as_mut().unwrap().write(
+            SPEC_KEY,
+            Expect::Release(0),
+            document(release, 0),
+            now,
+        );
         f.carry(0, out);
         f.until(4_000, |f| f.ends.contains_key(&(0, t)));
         f.ends.get(&(0, t)).map(|e| e.1)
@@ -174,9 +231,14 @@
     let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
     settle(f);
     for n in 1..=6u64 {
-        let w = f.write(n as usize % 3, "zone/z1", None, &[n as u8 % 2]).unwrap();
+        let w = f
+            .write(n as usize % 3, "zone/z1", None, &[n as u8 % 2])
+            .unwrap();
         f.until(4_000, |f| f.ends.contains_key(&w));
-        expect_that!(f.ends.get(&w).map(|e| e.1), some(eq(WriteOutcome::Accepted(n))));
+        expect_that!(
+            f.ends.get(&w).map(|e| e.1),
+            some(eq(WriteOutcome::Accepted(n)))
+        );
     }
 }
 
@@ -186,15 +248,23 @@
     let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
     settle(f);
     let ask = |f: &mut Fleet, on: u64, value: u8| {
-        let w = f.write(on as usize % 3, "plan/s", Some(on), &[value]).unwrap();
+        let w = f
+            .write(on as usize % 3, "plan/s", Some(on), &[value])
+            .unwrap();
         f.until(4_000, |f| f.ends.contains_key(&w));
         f.ends.get(&w).map(|e| e.1)
     };
     for on in 0..4 {
-        expect_that!(ask(f, on, on as u8), some(eq(WriteOutcome::Accepted(on + 1))));
+        expect_that!(
+            ask(f, on, on as u8),
+            some(eq(WriteOutcome::Accepted(on + 1)))
+        );
     }
     for on in 0..4 {
-        expect_that!(ask(f, on, on as u8), some(eq(WriteOutcome::Accepted(on + 1))));
+        expect_that!(
+            ask(f, on, on as u8),
+            some(eq(WriteOutcome::Accepted(on + 1)))
+        );
     }
     // The value stood, but not as this version.
     expect_that!(ask(f, 2, 0), some(eq(WriteOutcome::Conflict(4))));
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -27,12 +27,16 @@
 }
 
 fn regions(n: usize, of: usize) -> BTreeMap<String, String> {
-    (0..n).map(|i| (format!("z{i}"), format!("r{}", i / of))).collect()
+    (0..n)
+        .map(|i| (format!("z{i}"), format!("r{}", i / of)))
+        .collect()
 }
 
 /// Whoever answers reads at least what was accepted.
 fn holds(f: &Fleet, key: &str, value: &[u8]) -> Vec<usize> {
-    (0..f.all.len()).filter(|i| f.held(*i, key).is_some_and(|h| h.1 == value)).collect()
+    (0..f.all.len())
+        .filter(|i| f.held(*i, key).is_some_and(|h| h.1 == value))
+        .collect()
 }
 
 #[gtest]
@@ -52,7 +56,12 @@
         f.put("rollout/s", b"duty", 5_000);
         f.kill((i + 1) % 3);
         let left = SYNC - took.unwrap_or(0);
-        let held = |f: &Fleet| (0..3).any(|j| f.brain(j).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
+        let held = |f: &Fleet| {
+            (0..3).any(|j| {
+                f.brain(j)
+                    .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
+            })
+        };
         expect_that!(f.until(left + 1_000, held), some(anything()), "seed {seed}");
     }
 }
@@ -68,12 +77,20 @@
         f.run(seed * 100);
         let stand: Vec<usize> = (0..3).filter(|i| *i != gone).collect();
         f.add(3, &stand, false, &regions(8, 1));
-        expect_that!(f.until(SYNC, |f| f.voting().contains(&3)), some(le(3_000)), "seed {seed}");
+        expect_that!(
+            f.until(SYNC, |f| f.voting().contains(&3)),
+            some(le(3_000)),
+            "seed {seed}"
+        );
         expect_that!(f.voters(3).contains(&format!("c{gone}")), eq(false));
         f.run(SYNC);
         let next = stand[seed as usize % 2];
         f.wipe(next);
-        expect_that!(f.put("spec", b"two", 6_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"two", 6_000),
+            some(anything()),
+            "seed {seed}"
+        );
         expect_that!(holds(&f, "spec", b"two").len(), ge(1));
         // All machines are replaced in the end.
         for n in 4..6 {
@@ -83,7 +100,11 @@
             old.into_iter().for_each(|o| f.wipe(o));
             f.run(500);
         }
-        expect_that!(f.put("spec", b"three", 6_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"three", 6_000),
+            some(anything()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -105,10 +126,18 @@
         f.start(at);
         f.run(300);
         (0..3).filter(|i| *i != at).for_each(|i| f.start(i));
-        expect_that!(f.until(SYNC + 2_000, |f| f.voting().len() == 3), some(anything()), "seed {seed}");
+        expect_that!(
+            f.until(SYNC + 2_000, |f| f.voting().len() == 3),
+            some(anything()),
+            "seed {seed}"
+        );
         f.run(1_000);
         expect_that!(holds(&f, "spec", b"two"), len(eq(3)), "seed {seed}");
-        expect_that!(f.put("spec", b"three", 5_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"three", 5_000),
+            some(anything()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -126,9 +155,17 @@
             }
             let took = f.put("spec", b"two", 12_000);
             expect_that!(took, some(le(4_000)), "seed {seed}, {n} daemons");
-            let held =
-                |f: &Fleet| (0..n).any(|j| f.brain(j).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
-            expect_that!(f.until(5_000, held), some(anything()), "seed {seed}, {n} daemons");
+            let held = |f: &Fleet| {
+                (0..n).any(|j| {
+                    f.brain(j)
+                        .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
+                })
+            };
+            expect_that!(
+                f.until(5_000, held),
+                some(anything()),
+                "seed {seed}, {n} daemons"
+            );
         }
     }
 }
@@ -138,23 +175,40 @@
     for seed in 0..10 {
         let mut f = six(seed);
         let mut by: BTreeMap<usize, usize> = BTreeMap::new();
-        f.voting().iter().for_each(|i| *by.entry(i / 2).or_default() += 1);
+        f.voting()
+            .iter()
+            .for_each(|i| *by.entry(i / 2).or_default() += 1);
         expect_true!(by.values().all(|n| *n <= 2), "seed {seed}: {by:?}");
         // The one that stands by learns what is accepted at once, and takes writes for the others.
         let spare = (0..6).find(|i| !f.voting().contains(i)).unwrap();
         let w = f.write(spare, "spec", None, b"one").unwrap();
         f.until(2_000, |f| f.ends.contains_key(&w));
         expect_that!(f.ends[&w].1, eq(WriteOutcome::Accepted(1)), "seed {seed}");
-        expect_that!(f.until(200, |f| holds(f, "spec", b"one").len() == 6), some(anything()), "seed {seed}");
-        expect_true!(f.brain(spare).is_some_and(|b| b.health().ok && b.registers.held_until("spec", f.now).is_none()));
+        expect_that!(
+            f.until(200, |f| holds(f, "spec", b"one").len() == 6),
+            some(anything()),
+            "seed {seed}"
+        );
+        expect_true!(
+            f.brain(spare)
+                .is_some_and(|b| b.health().ok && b.registers.held_until("spec", f.now).is_none())
+        );
         // Two lost for good at once, also a whole region: it steps in and the next loss is borne again.
         let region = seed as usize % 3;
         (2 * region..2 * region + 2).for_each(|i| f.wipe(i));
-        expect_that!(f.put("spec", b"two", 6_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"two", 6_000),
+            some(anything()),
+            "seed {seed}"
+        );
         f.run(2 * SYNC);
         let next = f.voting()[0];
         f.wipe(next);
-        expect_that!(f.put("spec", b"three", 6_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"three", 6_000),
+            some(anything()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -165,8 +219,12 @@
         for goes in [false, true] {
             let mut f = three(seed);
             f.put("rollout/s", b"duty", 5_000);
-            let holder =
-                |f: &Fleet| (0..3).find(|j| f.brain(*j).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
+            let holder = |f: &Fleet| {
+                (0..3).find(|j| {
+                    f.brain(*j)
+                        .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
+                })
+            };
             f.until(5_000, |f| holder(f).is_some());
             // The voters have waited out the leases of lives before this one.
             f.run(4_000);
@@ -177,7 +235,11 @@
                 f.kill(old);
             }
             let took = f.until(5_000, |f| holder(f).is_some_and(|h| h != old));
-            expect_that!(took, some(le(if goes { 600 } else { 3_200 })), "seed {seed}, goes: {goes}");
+            expect_that!(
+                took,
+                some(le(if goes { 600 } else { 3_200 })),
+                "seed {seed}, goes: {goes}"
+            );
         }
     }
 }
@@ -189,7 +251,12 @@
     for seed in 0..300 {
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
-        let owner_of = |f: &Fleet| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("spec", f.now).is_some()));
+        let owner_of = |f: &Fleet| {
+            (0..3).find(|i| {
+                f.brain(*i)
+                    .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
+            })
+        };
         f.until(2_000, |f| owner_of(f).is_some());
         let owner = owner_of(&f).unwrap();
         let at = (owner + 1) % 3;
@@ -200,7 +267,14 @@
         let took = f.until(5_000, |f| f.ends.contains_key(&w));
         expect_that!(took, some(le(3_000)), "seed {seed}");
         let end = f.ends.get(&w).map(|e| e.1);
-        expect_that!(end, some(any!(eq(WriteOutcome::Accepted(2)), eq(WriteOutcome::Unknown))), "seed {seed}");
+        expect_that!(
+            end,
+            some(any!(
+                eq(WriteOutcome::Accepted(2)),
+                eq(WriteOutcome::Unknown)
+            )),
+            "seed {seed}"
+        );
         accepted += usize::from(end == Some(WriteOutcome::Accepted(2)));
     }
     // Not knowing is rare: the next owner is asked.
@@ -213,13 +287,26 @@
     for seed in 0..20 {
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
-        let owner_of = |f: &Fleet| (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("spec", f.now).is_some()));
+        let owner_of = |f: &Fleet| {
+            (0..3).find(|i| {
+                f.brain(*i)
+                    .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
+            })
+        };
         f.until(2_000, |f| owner_of(f).is_some());
         let i = owner_of(&f).unwrap();
         f.all[i].hung = f.now + 8_000;
-        expect_that!(f.put("spec", b"two", 4_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"two", 4_000),
+            some(anything()),
+            "seed {seed}"
+        );
         f.run(8_000);
-        expect_that!(f.put("spec", b"three", 4_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"three", 4_000),
+            some(anything()),
+            "seed {seed}"
+        );
         f.run(1_000);
         expect_that!(holds(&f, "spec", b"three"), len(eq(3)), "seed {seed}");
     }
@@ -236,11 +323,19 @@
         let kept = fleet::addr((gone + 1) % 3);
         let lag = fleet::addr((gone + 2) % 3);
         let l = lag.clone();
-        f.sieve =
-            Box::new(move |_, to, m| *to != l || !matches!(m, Message::Accept(_) | Message::Commit(_) | Message::SlotsReply(_)));
+        f.sieve = Box::new(move |_, to, m| {
+            *to != l
+                || !matches!(
+                    m,
+                    Message::Accept(_) | Message::Commit(_) | Message::SlotsReply(_)
+                )
+        });
         let w = f.write((gone + 1) % 3, "spec", Some(1), b"two").unwrap();
         f.until(3_000, |f| f.ends.contains_key(&w));
-        let accepted = f.ends.get(&w).is_some_and(|e| e.1 == WriteOutcome::Accepted(2));
+        let accepted = f
+            .ends
+            .get(&w)
+            .is_some_and(|e| e.1 == WriteOutcome::Accepted(2));
         f.wipe(gone);
         f.sieve = Box::new(|_, _, _| true);
         f.start(gone);
@@ -254,7 +349,11 @@
         if accepted {
             expect_that!(holds(&f, "spec", b"two"), len(eq(3)), "seed {seed}");
         }
-        expect_that!(f.put("spec", b"three", 6_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"three", 6_000),
+            some(anything()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -267,7 +366,10 @@
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
         f.run(1_000);
-        let Some(has) = (0..3).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("spec", f.now).is_some())) else {
+        let Some(has) = (0..3).find(|i| {
+            f.brain(*i)
+                .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
+        }) else {
             continue;
         };
         let (lost, lacks) = ((has + 1) % 3, (has + 2) % 3);
@@ -296,11 +398,21 @@
         f.run(2_000);
         met += 1;
         let told = new.and_then(|w| f.ends.get(&w)).map(|e| e.1);
-        expect_that!(told, not(some(matches_pattern!(WriteOutcome::Accepted(_)))), "seed {seed}");
+        expect_that!(
+            told,
+            not(some(matches_pattern!(WriteOutcome::Accepted(_)))),
+            "seed {seed}"
+        );
         f.start(has);
         f.run(6_000);
-        expect_that!(f.held(lacks, "spec").map_or(0, |h| h.0), ge(2), "seed {seed}");
-        let two = (0..3).find_map(|i| f.held(i, "spec")).is_some_and(|h| h.0 > 2 || h.1 == b"two");
+        expect_that!(
+            f.held(lacks, "spec").map_or(0, |h| h.0),
+            ge(2),
+            "seed {seed}"
+        );
+        let two = (0..3)
+            .find_map(|i| f.held(i, "spec"))
+            .is_some_and(|h| h.0 > 2 || h.1 == b"two");
         expect_true!(two, "seed {seed}");
     }
     expect_that!(met, gt(5));
@@ -316,7 +428,11 @@
         f.put("spec", b"one", 5_000);
         f.run(1_000);
         // Cut off: another machine takes its place.
-        let (x, has, lacks) = (seed as usize % 3, (seed as usize + 1) % 3, (seed as usize + 2) % 3);
+        let (x, has, lacks) = (
+            seed as usize % 3,
+            (seed as usize + 1) % 3,
+            (seed as usize + 2) % 3,
+        );
         let a = f.all[x].p.addr.clone();
         f.cut.insert(a.clone());
         f.add(3, &[has, lacks], false, &regions(8, 1));
@@ -343,7 +459,9 @@
         f.cut.remove(&a);
         f.run(1_000);
         f.wipe(3);
-        if f.until(12_000, |f| f.voters(has).contains(&format!("c{x}"))).is_none() {
+        if f.until(12_000, |f| f.voters(has).contains(&format!("c{x}")))
+            .is_none()
+        {
             continue;
         }
         f.kill(x);
@@ -356,10 +474,16 @@
         f.run(3_000);
         met += 1;
         let told = new.and_then(|w| f.ends.get(&w)).map(|e| e.1);
-        expect_that!(told, not(some(matches_pattern!(WriteOutcome::Accepted(_)))), "seed {seed}");
+        expect_that!(
+            told,
+            not(some(matches_pattern!(WriteOutcome::Accepted(_)))),
+            "seed {seed}"
+        );
         f.start(has);
         f.run(6_000);
-        let two = f.held(lacks, "spec").is_some_and(|h| h.0 > 2 || h.1 == b"two");
+        let two = f
+            .held(lacks, "spec")
+            .is_some_and(|h| h.0 > 2 || h.1 == b"two");
         expect_true!(two, "seed {seed}: {:?}", f.held(lacks, "spec"));
     }
     expect_that!(met, gt(5));
@@ -374,14 +498,23 @@
         let mut f = three(seed);
         f.put("spec", b"one", 5_000);
         f.run(1_000);
-        let (c, a, b) = (seed as usize % 3, (seed as usize + 1) % 3, (seed as usize + 2) % 3);
+        let (c, a, b) = (
+            seed as usize % 3,
+            (seed as usize + 1) % 3,
+            (seed as usize + 2) % 3,
+        );
         let cut = f.all[c].p.addr.clone();
         f.cut.insert(cut.clone());
         let slow = fleet::addr(b);
         let to_b = slow.clone();
-        f.sieve = Box::new(move |_, to, m| *to != to_b || !matches!(m, Message::Commit(_) | Message::SlotsReply(_)));
+        f.sieve = Box::new(move |_, to, m| {
+            *to != to_b || !matches!(m, Message::Commit(_) | Message::SlotsReply(_))
+        });
         f.add(3, &[a, b], false, &regions(8, 1));
-        if f.until(6_000, |f| f.brain(a).is_some_and(|x| x.registers.member_epoch == 2)).is_none()
+        if f.until(6_000, |f| {
+            f.brain(a).is_some_and(|x| x.registers.member_epoch == 2)
+        })
+        .is_none()
             || f.brain(b).unwrap().registers.member_epoch != 1
         {
             continue;
@@ -398,14 +531,25 @@
         f.start(b);
         f.cut.remove(&cut);
         f.run(4_000);
-        let w = [f.write(a, "spec", Some(1), b"two"), f.write(b, "spec", Some(1), b"other")];
+        let w = [
+            f.write(a, "spec", Some(1), b"two"),
+            f.write(b, "spec", Some(1), b"other"),
+        ];
         f.run(4_000);
         met += 1;
-        let told = w.iter().flatten().filter(|w| matches!(f.ends.get(*w), Some((_, WriteOutcome::Accepted(_))))).count();
+        let told = w
+            .iter()
+            .flatten()
+            .filter(|w| matches!(f.ends.get(*w), Some((_, WriteOutcome::Accepted(_)))))
+            .count();
         expect_that!(told, le(1), "seed {seed}: both halves accepted");
         f.sieve = Box::new(|_, _, _| true);
         f.run(8_000);
-        expect_that!(f.put("spec", b"three", 6_000), some(anything()), "seed {seed}");
+        expect_that!(
+            f.put("spec", b"three", 6_000),
+            some(anything()),
+            "seed {seed}"
+        );
     }
     expect_that!(met, gt(5));
 }
@@ -417,16 +561,26 @@
     for seed in 0..40 {
         let mut f = six(seed);
         f.put("rollout/s", b"duty", 5_000);
-        let holder = |f: &Fleet, i: usize| f.brain(i).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some());
+        let holder = |f: &Fleet, i: usize| {
+            f.brain(i)
+                .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
+        };
         f.run(4_000);
         let voting = f.voting();
-        let Some(&h) = voting.iter().find(|i| holder(&f, **i)) else { continue };
+        let Some(&h) = voting.iter().find(|i| holder(&f, **i)) else {
+            continue;
+        };
         let others: Vec<usize> = voting.iter().copied().filter(|i| *i != h).collect();
         // Two of the four others never hear of its leases.
-        let deaf = [fleet::addr(others[seed as usize % 4]), fleet::addr(others[(seed as usize + 1) % 4])];
+        let deaf = [
+            fleet::addr(others[seed as usize % 4]),
+            fleet::addr(others[(seed as usize + 1) % 4]),
+        ];
         let lost = others[(seed as usize + 2) % 4];
         let from_h = fleet::addr(h);
-        f.sieve = Box::new(move |from, to, m| !(matches!(m, Message::RenewLeases(_)) && *from == from_h && deaf.contains(to)));
+        f.sieve = Box::new(move |from, to, m| {
+            !(matches!(m, Message::RenewLeases(_)) && *from == from_h && deaf.contains(to))
+        });
         f.run(4_000);
         if !holder(&f, h) {
             continue;
@@ -441,7 +595,10 @@
             let two: Vec<usize> = (0..6).filter(|i| holder(&f, *i)).collect();
             expect_that!(two.len(), le(1), "seed {seed} at {}: {two:?}", f.now);
         }
-        expect_true!((0..6).any(|i| i != h && holder(&f, i)), "seed {seed}: nobody took it");
+        expect_true!(
+            (0..6).any(|i| i != h && holder(&f, i)),
+            "seed {seed}: nobody took it"
+        );
     }
     expect_that!(met, gt(10));
 }
@@ -457,17 +614,35 @@
         f.put("rollout/s", b"duty", 5_000);
         f.run(1_000);
         let keep = |f: &Fleet| -> Vec<usize> {
-            (0..6).filter(|i| f.brain(*i).is_some_and(|b| b.selected_services().any(|s| s == "s"))).collect()
+            (0..6)
+                .filter(|i| {
+                    f.brain(*i)
+                        .is_some_and(|b| b.selected_services().any(|s| s == "s"))
+                })
+                .collect()
+        };
+        let holder = |f: &Fleet| {
+            (0..6).find(|i| {
+                f.brain(*i)
+                    .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
+            })
         };
-        let holder =
-            |f: &Fleet| (0..6).find(|i| f.brain(*i).is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some()));
         let (before, old) = (keep(&f), holder(&f).unwrap());
         // One that stands by may be the next as well.
         expect_that!(before, all!(len(le(3)), contains(eq(&old))), "seed {seed}");
         f.kill(old);
-        f.until(8_000, |f| holder(f).is_some_and(|h| h != old)).unwrap();
-        expect_that!(before, contains(eq(&holder(&f).unwrap())), "seed {seed}: the evidence was there before");
+        f.until(8_000, |f| holder(f).is_some_and(|h| h != old))
+            .unwrap();
+        expect_that!(
+            before,
+            contains(eq(&holder(&f).unwrap())),
+            "seed {seed}: the evidence was there before"
+        );
         f.run(COUNTER_RETENTION + 2_000);
-        expect_that!(keep(&f), all!(len(le(3)), contains(eq(&holder(&f).unwrap()))), "seed {seed}");
+        expect_that!(
+            keep(&f),
+            all!(len(le(3)), contains(eq(&holder(&f).unwrap()))),
+            "seed {seed}"
+        );
     }
 }
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -4,7 +4,9 @@
 
 use coordination::{
     Effect, Effects, Ms,
-    control::{Caller, Control, ControlConfig, DISTANT_LOG_INTERVAL, FLEET_DISCOVERY_TIME, SPEC_KEY},
+    control::{
+        Caller, Control, ControlConfig, DISTANT_LOG_INTERVAL, FLEET_DISCOVERY_TIME, SPEC_KEY,
+    },
     edge_agent::{EdgeAgent, POLL_INTERVAL, RULE_DURATION},
     membership::SHUFFLE_INTERVAL,
     register::Expect,
@@ -43,7 +45,10 @@
 
 impl Land {
     fn new() -> Self {
-        let regions = ["a1", "a2", "b1", "b2"].map(|z| (z.to_string(), z[..1].to_string())).into_iter().collect();
+        let regions = ["a1", "a2", "b1", "b2"]
+            .map(|z| (z.to_string(), z[..1].to_string()))
+            .into_iter()
+            .collect();
         let p = ControlConfig {
             name: "c".into(),
             zone: "a1".into(),
@@ -69,7 +74,12 @@
         l
     }
     fn add(&mut self, name: &str, zone: &str) {
-        let mut a = EdgeAgent::new(node(name, zone, 2), vec!["c".into()], 7 + self.agents.len() as u64, self.now);
+        let mut a = EdgeAgent::new(
+            node(name, zone, 2),
+            vec!["c".into()],
+            7 + self.agents.len() as u64,
+            self.now,
+        );
         a.set_serve_when_partitioned(true);
         self.agents.insert(name.into(), a);
     }
@@ -87,7 +97,9 @@
             };
             let more = match (&*to, self.agents.get_mut(&to)) {
                 ("c", _) => self.control.on_message(&from, &from, msg, self.now),
-                (_, Some(a)) if !self.frozen.contains(&to) => a.on_message(&from, &from, msg, self.now),
+                (_, Some(a)) if !self.frozen.contains(&to) => {
+                    a.on_message(&from, &from, msg, self.now)
+                }
                 _ => vec![],
             };
             all.extend(more.into_iter().map(|e| (to.clone(), e)));
@@ -99,11 +111,20 @@
             self.now += TICK_INTERVAL;
             let out = self.control.tick(self.now);
             self.deliver("c".into(), out);
-            let names: Vec<Name> = self.agents.keys().filter(|n| !self.frozen.contains(*n)).cloned().collect();
+            let names: Vec<Name> = self
+                .agents
+                .keys()
+                .filter(|n| !self.frozen.contains(*n))
+                .cloned()
+                .collect();
             for n in names {
                 let a = self.agents.get_mut(&n).unwrap();
                 if self.now.is_multiple_of(HELLO) && !self.silent.contains(&n) {
-                    let m = ProxyReport { incarnation: 1, http_addr: format!("h-{n}").as_str().into(), ..ProxyReport::default() };
+                    let m = ProxyReport {
+                        incarnation: 1,
+                        http_addr: format!("h-{n}").as_str().into(),
+                        ..ProxyReport::default()
+                    };
                     let p: Name = format!("p-{n}").into();
                     let _ = a.on_message(&p, &p, Message::from(m), self.now);
                 }
@@ -113,14 +134,20 @@
         }
     }
     fn near(&mut self, host: &str, zone: &str, region: &str) -> Option<BTreeSet<String>> {
-        let (answer, _) = self.control.resolve(Caller { host, zone, region }, self.now);
+        let (answer, _) = self
+            .control
+            .resolve(Caller { host, zone, region }, self.now);
         Some(answer.ok()?.addresses.into_iter().collect())
     }
     fn told(&mut self, zone: &str, region: &str) -> Vec<String> {
         self.told_for("host", zone, region)
     }
     fn told_for(&mut self, host: &str, zone: &str, region: &str) -> Vec<String> {
-        self.near(host, zone, region).unwrap_or_default().into_iter().map(|h| h[2..].to_string()).collect()
+        self.near(host, zone, region)
+            .unwrap_or_default()
+            .into_iter()
+            .map(|h| h[2..].to_string())
+            .collect()
     }
     /// A spec of lanes, each a host and its homes, as its owner learns it.
     fn spec(&mut self, lanes: &[(&str, &[&str])]) {
@@ -130,7 +157,12 @@
         };
         let paths: Vec<Value> = lanes.iter().enumerate().map(path).collect();
         let spec = json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": 0, "paths": paths});
-        let (_, out) = self.control.write(SPEC_KEY, Expect::Any, spec.to_string().into_bytes(), self.now);
+        let (_, out) = self.control.write(
+            SPEC_KEY,
+            Expect::Any,
+            spec.to_string().into_bytes(),
+            self.now,
+        );
         self.deliver("c".into(), out);
         self.run(1_000);
         assert!(self.control.spec().is_some());
@@ -148,7 +180,10 @@
     l.spec(&[("host", &[])]);
     expect_that!(l.told("a1", "a"), eq(&names(&["a1-0", "a1-1"])));
     expect_that!(l.told("b2", "b"), eq(&names(&["b2-0", "b2-1"])));
-    expect_that!(l.told("nowhere", "b"), eq(&names(&["b1-0", "b1-1", "b2-0", "b2-1"])));
+    expect_that!(
+        l.told("nowhere", "b"),
+        eq(&names(&["b1-0", "b1-1", "b2-0", "b2-1"]))
+    );
     expect_that!(l.told("", "").len(), eq(8));
 }
 
@@ -183,18 +218,33 @@
         l.frozen = n.iter().map(|n| Name::from(*n)).collect();
         l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     };
-    l.spec(&[("b", &["b"]), ("ab", &["a", "b"]), ("c", &["c"]), ("two", &["a"]), ("two", &["a", "b"])]);
+    l.spec(&[
+        ("b", &["b"]),
+        ("ab", &["a", "b"]),
+        ("c", &["c"]),
+        ("two", &["a"]),
+        ("two", &["a", "b"]),
+    ]);
     gone(&mut l, &["a1-0", "a2-0", "a2-1"]);
     // One edge of region a is left.
-    expect_that!(l.told_for("b", "a1", "a"), eq(&names(&["a1-1", "b1-0", "b1-1", "b2-0", "b2-1"])));
+    expect_that!(
+        l.told_for("b", "a1", "a"),
+        eq(&names(&["a1-1", "b1-0", "b1-1", "b2-0", "b2-1"]))
+    );
     expect_that!(l.told_for("two", "a1", "a"), eq(&names(&["a1-1"])));
     expect_that!(l.told_for("C", "a1", "a"), eq(&names(&["a1-1"])));
-    expect_that!(l.told_for("two:80", "b1", "b"), eq(&names(&["b1-0", "b1-1"])));
+    expect_that!(
+        l.told_for("two:80", "b1", "b"),
+        eq(&names(&["b1-0", "b1-1"]))
+    );
     // Where nothing binds all are better than one.
     expect_that!(l.told_for("free", "a1", "a").len(), eq(5));
     // None is left where the host may be carried but elsewhere among its homes.
     gone(&mut l, &["a1-0", "a1-1", "a2-0", "a2-1"]);
-    expect_that!(l.told_for("ab", "a1", "a"), eq(&names(&["b1-0", "b1-1", "b2-0", "b2-1"])));
+    expect_that!(
+        l.told_for("ab", "a1", "a"),
+        eq(&names(&["b1-0", "b1-1", "b2-0", "b2-1"]))
+    );
     expect_that!(l.near("two", "a1", "a"), none());
 }
 
@@ -239,11 +289,22 @@
     l.run(2 * FLEET_DISCOVERY_TIME);
     l.spec(&[("host", &[])]);
     let far = |l: &mut Land, region: &str| {
-        let (_, effects) = l.control.resolve(Caller { host: "host", zone: "", region }, l.now);
+        let (_, effects) = l.control.resolve(
+            Caller {
+                host: "host",
+                zone: "",
+                region,
+            },
+            l.now,
+        );
         effects.len()
     };
     expect_that!(far(&mut l, "a"), eq(0));
-    l.frozen.extend(names(&["a1-0", "a2-0", "a2-1"]).iter().map(|n| Name::from(n.as_str())));
+    l.frozen.extend(
+        names(&["a1-0", "a2-0", "a2-1"])
+            .iter()
+            .map(|n| Name::from(n.as_str())),
+    );
     l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     expect_that!(far(&mut l, "a"), eq(1));
     expect_that!(far(&mut l, "a"), eq(0));
@@ -259,7 +320,12 @@
 
 /// Leaves the named edges of eight alone to serve.
 fn leave_only(l: &mut Land, serving: &[&str]) {
-    l.frozen = l.agents.keys().filter(|n| !serving.contains(&&***n)).cloned().collect();
+    l.frozen = l
+        .agents
+        .keys()
+        .filter(|n| !serving.contains(&&***n))
+        .cloned()
+        .collect();
     l.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
 }
 
@@ -273,11 +339,20 @@
     expect_that!(l.near("bound", "a1", "a"), none());
     expect_that!(l.near("bound", "nowhere", "nowhere"), none());
     // Its own region is always a caller's to go to, and what is not bound goes where it can.
-    expect_that!(l.told_for("bound", "b1", "b"), eq(&names(&["b1-0", "b1-1"])));
-    expect_that!(l.told_for("free", "a1", "a"), eq(&names(&["b1-0", "b1-1", "b2-0"])));
+    expect_that!(
+        l.told_for("bound", "b1", "b"),
+        eq(&names(&["b1-0", "b1-1"]))
+    );
+    expect_that!(
+        l.told_for("free", "a1", "a"),
+        eq(&names(&["b1-0", "b1-1", "b2-0"]))
+    );
     l.frozen.clear();
     l.run(TTL);
-    expect_that!(l.told_for("bound", "a1", "a"), eq(&names(&["a1-0", "a1-1"])));
+    expect_that!(
+        l.told_for("bound", "a1", "a"),
+        eq(&names(&["a1-0", "a1-1"]))
+    );
 }
 
 #[gtest]
@@ -297,6 +372,9 @@
     l.run(2 * FLEET_DISCOVERY_TIME);
     leave_only(&mut l, &["a1-1", "b1-0", "b1-1", "b2-0", "b2-1"]);
     expect_that!(l.told_for("bound", "a1", "a"), eq(&names(&["a1-1"])));
-    expect_that!(l.told_for("bound", "b1", "b"), eq(&names(&["b1-0", "b1-1"])));
+    expect_that!(
+        l.told_for("bound", "b1", "b"),
+        eq(&names(&["b1-0", "b1-1"]))
+    );
     expect_that!(l.near("bound", "nowhere", "nowhere"), none());
 }
--- a/coordination/tests/shared_context.rs
+++ b/coordination/tests/shared_context.rs
@@ -19,7 +19,11 @@
 
 impl Load {
     fn new(seed: u64, chains: usize) -> Self {
-        Load { rng: fastrand::Rng::with_seed(seed ^ 0x5eed), chains, edition: 0 }
+        Load {
+            rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
+            chains,
+            edition: 0,
+        }
     }
     fn chain(&mut self) -> usize {
         let all: f64 = (1..=self.chains).map(|i| 1.0 / i as f64).sum();
@@ -55,7 +59,11 @@
 /// p50 and p95 of the time to the first event, and how many.
 fn firsts<'a>(c: impl Iterator<Item = &'a Call>) -> (Ms, Ms, usize) {
     let all: Vec<Ms> = c.map(|c| c.first).collect();
-    (within(all.clone(), 0.5), within(all.clone(), 0.95), all.len())
+    (
+        within(all.clone(), 0.5),
+        within(all.clone(), 0.95),
+        all.len(),
+    )
 }
 fn once(w: &World) {
     expect_that!(w.doubled, eq(0), "a call was answered twice");
@@ -89,8 +97,11 @@
                 distant += calls.iter().filter(|c| c.distant).count();
             }
             // Of the busy region, in the second half of its hour: copies need a while.
-            let hour = |c: &&Call| c.region as u64 == (c.at - BEGIN) / 60_000 && (c.at - BEGIN) % 60_000 > 30_000;
-            let of = |distant: bool| firsts(calls.iter().filter(hour).filter(|c| c.distant == distant));
+            let hour = |c: &&Call| {
+                c.region as u64 == (c.at - BEGIN) / 60_000 && (c.at - BEGIN) % 60_000 > 30_000
+            };
+            let of =
+                |distant: bool| firsts(calls.iter().filter(hour).filter(|c| c.distant == distant));
             let (near, far) = (of(false), of(true));
             let falsely = calls.iter().filter(|c| c.warm && c.read).count();
             println!(
@@ -107,7 +118,11 @@
             if on {
                 // Within a tenth of nearby ones, where some still travel beyond the travel time.
                 expect_that!(far.1 * 10, le(near.1 * 11 + 2 * engines::WAY * 10));
-                expect_that!(far.0, le(near.0 + near.0 / 10), "half of the distant ones go nowhere");
+                expect_that!(
+                    far.0,
+                    le(near.0 + near.0 / 10),
+                    "half of the distant ones go nowhere"
+                );
                 // Nothing is read again but what makes a copy, and what overflows anyway.
                 expect_that!(w.again / u64::from(TOKENS), le(w.made + w.made / 4 + 35));
             }
@@ -129,7 +144,10 @@
     l.run(&mut w, 100_000, [12.0; 3]);
     let new = w.copies();
     expect_that!(new, not(is_empty()));
-    let left = new.iter().filter(|c| old.iter().any(|o| o.0 == c.0)).count();
+    let left = new
+        .iter()
+        .filter(|c| old.iter().any(|o| o.0 == c.0))
+        .count();
     expect_that!(left, eq(0), "copies of what nobody asks for any more");
     w.run_to(w.now + 5_000);
     once(&w);
@@ -139,15 +157,24 @@
 fn a_region_lost_with_the_only_copies_leaves_no_call_without_an_answer() {
     let (mut w, mut l) = (world(6, true), Load::new(6, 30));
     l.run(&mut w, 40_000, [3.0, 3.0, 15.0]);
-    expect_that!(w.copies().iter().filter(|c| c.1 == region_of("c")).count(), gt(0));
+    expect_that!(
+        w.copies().iter().filter(|c| c.1 == region_of("c")).count(),
+        gt(0)
+    );
     // The region's edges, replicas and all: the list tells a second later.
     w.cut = (0..9).filter(|i| i % 3 == 2).collect();
-    w.engines.values_mut().filter(|e| e.row.zone == "c").for_each(|e| e.up = false);
+    w.engines
+        .values_mut()
+        .filter(|e| e.row.zone == "c")
+        .for_each(|e| e.up = false);
     l.run(&mut w, 1_000, [12.0, 8.0, 0.0]);
     w.engines.retain(|_, e| e.up);
     w.roll();
     l.run(&mut w, 40_000, [12.0, 8.0, 0.0]);
-    expect_that!(w.copies().iter().filter(|c| c.1 == region_of("c")).count(), eq(0));
+    expect_that!(
+        w.copies().iter().filter(|c| c.1 == region_of("c")).count(),
+        eq(0)
+    );
     expect_that!(w.rejected, eq(0));
     // It comes back with empty replicas: copies are not taken for ready there before somebody has read them.
     (0..4).for_each(|i| w.add(&format!("cc{i}"), "c", "v1"));
@@ -156,9 +183,16 @@
     let from = w.now;
     l.run(&mut w, 40_000, [3.0, 3.0, 15.0]);
     w.run_to(w.now + 5_000);
-    let bad = w.calls.iter().filter(|c| c.at > from && c.replica.starts_with("cc") && c.warm && c.read).count();
+    let bad = w
+        .calls
+        .iter()
+        .filter(|c| c.at > from && c.replica.starts_with("cc") && c.warm && c.read)
+        .count();
     expect_that!(bad, le(2), "taken for ready and was not");
-    expect_that!(w.copies().iter().filter(|c| c.1 == region_of("c")).count(), gt(0));
+    expect_that!(
+        w.copies().iter().filter(|c| c.1 == region_of("c")).count(),
+        gt(0)
+    );
     once(&w);
 }
 
@@ -169,7 +203,11 @@
     for _ in 0..8 {
         l.run(&mut w, 5_000, [30.0; 3]);
         let room = w.room();
-        expect_that!(room.values().max().copied().unwrap_or(0), le(34_800), "tokens of copies on one replica");
+        expect_that!(
+            room.values().max().copied().unwrap_or(0),
+            le(34_800),
+            "tokens of copies on one replica"
+        );
     }
     expect_that!(w.copies().len(), gt(5));
     w.run_to(w.now + 120_000);
@@ -181,8 +219,13 @@
     let (mut w, mut l) = (world(8, true), Load::new(8, 30));
     l.run(&mut w, 40_000, [12.0; 3]);
     expect_that!(w.copies(), not(is_empty()));
-    let old: Vec<(String, String)> = w.engines.values().map(|e| (e.row.id.clone(), e.row.zone.clone())).collect();
-    old.iter().for_each(|(id, z)| w.add(&format!("{id}n"), z, "v2"));
+    let old: Vec<(String, String)> = w
+        .engines
+        .values()
+        .map(|e| (e.row.id.clone(), e.row.zone.clone()))
+        .collect();
+    old.iter()
+        .for_each(|(id, z)| w.add(&format!("{id}n"), z, "v2"));
     w.version = "v2".into();
     w.roll();
     let from = w.now + 200;
@@ -191,10 +234,22 @@
     w.roll();
     l.run(&mut w, 40_000, [12.0; 3]);
     w.run_to(w.now + 5_000);
-    let stale = w.calls.iter().filter(|c| c.at > from && c.warm && c.read).count();
+    let stale = w
+        .calls
+        .iter()
+        .filter(|c| c.at > from && c.warm && c.read)
+        .count();
     expect_that!(stale, le(3), "taken for ready and was not");
-    expect_that!(w.record.as_ref().map(|r| r.2.version.as_str()), some(eq("v2")));
-    expect_true!(w.copies().iter().flat_map(|c| &c.2).all(|r| r.ends_with('n')));
+    expect_that!(
+        w.record.as_ref().map(|r| r.2.version.as_str()),
+        some(eq("v2"))
+    );
+    expect_true!(
+        w.copies()
+            .iter()
+            .flat_map(|c| &c.2)
+            .all(|r| r.ends_with('n'))
+    );
     expect_that!(w.copies(), not(is_empty()));
     once(&w);
 }
@@ -209,7 +264,11 @@
     for _ in 0..20 {
         l.run(&mut w, 1_000, [12.0; 3]);
         // Whoever took over does not take silence for cold.
-        expect_that!(w.copies().len() * 10, ge(before * 7), "copies after a holder's loss");
+        expect_that!(
+            w.copies().len() * 10,
+            ge(before * 7),
+            "copies after a holder's loss"
+        );
     }
     // By now the former holder's demands are old: alone it would give all back.
     l.run(&mut w, 15_000, [12.0; 3]);
@@ -229,9 +288,18 @@
     l.run(&mut w, 20_000, [12.0; 3]);
     w.run_to(w.now + 5_000);
     expect_that!(w.counter("context_missed"), gt(0));
-    let read = |a, b| w.calls.iter().filter(|c| c.read && c.at >= from + a && c.at < from + b).count();
+    let read = |a, b| {
+        w.calls
+            .iter()
+            .filter(|c| c.read && c.at >= from + a && c.at < from + b)
+            .count()
+    };
     expect_that!(read(0, 3_000), gt(0));
-    expect_that!(read(5_000, 20_000), le(12), "still read again after they were repaired");
+    expect_that!(
+        read(5_000, 20_000),
+        le(12),
+        "still read again after they were repaired"
+    );
     once(&w);
 }
 
--- a/coordination/tests/shutdown.rs
+++ b/coordination/tests/shutdown.rs
@@ -18,7 +18,10 @@
 #[gtest]
 fn each_phase_follows_the_one_before_and_none_comes_back() {
     let idle = Shutdown::default();
-    expect_that!((idle.phase(ASKED), idle.is_begun(), idle.is_done(Ms::MAX)), eq((Phase::Serving, false, false)));
+    expect_that!(
+        (idle.phase(ASKED), idle.is_begun(), idle.is_done(Ms::MAX)),
+        eq((Phase::Serving, false, false))
+    );
     let s = asked();
     let at = |ms: Ms| s.phase(ASKED + ms);
     expect_that!(at(0), eq(Phase::Leaving));
@@ -48,7 +51,11 @@
         let ends = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
         expect_that!(over, some(eq(ends)), "grace {grace}");
         // A grace that leaves no time refuses from the first moment.
-        expect_that!(taken.map_or(0, |t| t + 1), eq(SERVE_AFTER_SIGTERM.min(ends / 2)), "grace {grace}");
+        expect_that!(
+            taken.map_or(0, |t| t + 1),
+            eq(SERVE_AFTER_SIGTERM.min(ends / 2)),
+            "grace {grace}"
+        );
     }
 }
 
--- a/coordination/tests/suspect.rs
+++ b/coordination/tests/suspect.rs
@@ -21,7 +21,12 @@
 }
 
 fn change(key: &str, version: u64, value: &Value) -> Change {
-    Change { key: key.into(), epoch: 1, version, value: Blob(value.to_string().into_bytes()) }
+    Change {
+        key: key.into(),
+        epoch: 1,
+        version,
+        value: Blob(value.to_string().into_bytes()),
+    }
 }
 
 impl Bench {
@@ -31,14 +36,24 @@
         let spec = json!({"zones": [{"name": "z"}], "tiers": [], "canary_percent": 8, "bake_ms": 0, "paths": [lane],
             "services": [{"name": "s", "version": "", "mode": "placed", "lanes": [], "zones": [], "engine": {"slots": 64}}]});
         let proxy = Proxy::new("p".into(), "z".into(), "h".into(), 1, 5);
-        let mut b = Bench { proxy, lane: serde_json::from_value(lane).unwrap(), written: 0, now: 1_000 };
+        let mut b = Bench {
+            proxy,
+            lane: serde_json::from_value(lane).unwrap(),
+            written: 0,
+            now: 1_000,
+        };
         b.told(change("spec", 1, &spec));
         b
     }
     fn told(&mut self, c: Change) {
         let version = c.version;
-        let lent =
-            Lease { service: "s".into(), epoch: 1, record_version: version, canary_share_percent: 8, ttl_ms: LEASE as u32 };
+        let lent = Lease {
+            service: "s".into(),
+            epoch: 1,
+            record_version: version,
+            canary_share_percent: 8,
+            ttl_ms: LEASE as u32,
+        };
         let m = TableUpdate {
             proxy_incarnation: 1,
             counters_through: 0,
@@ -46,7 +61,10 @@
             valid_until: Ms::MAX,
             is_snapshot: 1,
             changes: List(vec![c]),
-            leases: List(vec![ProxyLease { lease: lent, expires_at: self.now + LEASE }]),
+            leases: List(vec![ProxyLease {
+                lease: lent,
+                expires_at: self.now + LEASE,
+            }]),
             nodes: List::default(),
         };
         self.proxy.on_board(m, self.now);
@@ -55,7 +73,10 @@
     fn record(&mut self, phase: &str, share: u32, flag: bool) {
         self.written += 1;
         let row = |v: &str, i: u32| json!({"id": format!("{v}-{i}"), "zone": "z", "addr": "x", "version": v, "slots": 64});
-        let rows: Vec<Value> = ["v1", "v2"].into_iter().flat_map(|v| (0..3).map(move |i| row(v, i))).collect();
+        let rows: Vec<Value> = ["v1", "v2"]
+            .into_iter()
+            .flat_map(|v| (0..3).map(move |i| row(v, i)))
+            .collect();
         let group = |v: &str, share: u32, flag: bool| {
             let ids: Vec<String> = (0..3).map(|i| format!("{v}-{i}")).collect();
             json!({"role": "stable", "version": v, "share_percent": share, "replicas": ids, "allow_unload": flag})
@@ -67,13 +88,21 @@
     }
     fn go(&mut self) -> Option<Placed> {
         self.now += 20;
-        match self.proxy.pass(&self.lane.clone(), &Ask::default(), &[], self.now + 10_000, self.now) {
+        match self.proxy.pass(
+            &self.lane.clone(),
+            &Ask::default(),
+            &[],
+            self.now + 10_000,
+            self.now,
+        ) {
             Admit::Go(p) => Some(p),
             _ => None,
         }
     }
     fn versions(&mut self) -> Vec<String> {
-        let mut all: Vec<String> = (0..50).map(|_| self.go().map_or("none".into(), |p| p.version)).collect();
+        let mut all: Vec<String> = (0..50)
+            .map(|_| self.go().map_or("none".into(), |p| p.version))
+            .collect();
         all.sort();
         all.dedup();
         all
@@ -82,7 +111,11 @@
     fn suspect(&mut self) {
         for _ in 0..200 {
             let Some(p) = self.go() else { continue };
-            let end = if p.version == "v2" { PassEnd::Failed } else { PassEnd::Answered };
+            let end = if p.version == "v2" {
+                PassEnd::Failed
+            } else {
+                PassEnd::Answered
+            };
             self.proxy.passed(&p, end, self.now + 10);
         }
     }
--- a/coordination/tests/tenants.rs
+++ b/coordination/tests/tenants.rs
@@ -45,7 +45,11 @@
 fn tenants(_: &[u8]) -> Option<Spec> {
     let path = |i: usize| {
         // A quarter of the tenants is bound to its home.
-        let homes: Vec<&str> = if i.is_multiple_of(4) { vec!["r1"] } else { vec![] };
+        let homes: Vec<&str> = if i.is_multiple_of(4) {
+            vec!["r1"]
+        } else {
+            vec![]
+        };
         json!({"lane": format!("lane-{i:05}"), "host": format!("Tenant-{}.example", i / 3), "prefix": format!("/v1/part-{}/", i % 3),
             "kind": "stream", "time_limit_ms": 60_000, "expected_ms": 1_500, "gap_ms": 42, "rank": i % 5, "rounds": 2,
             "affinity": true, "homes": homes, "split": [{"service": "model-1", "weight": 1}]})
@@ -57,17 +61,27 @@
 }
 /// A service with as many lanes as there are tenants.
 fn lanes(_: &[u8]) -> Option<Spec> {
-    let lanes: Vec<_> =
-        (0..TENANTS).map(|i| json!({"name": format!("lane-{i:05}"), "time_limit_ms": 2_000, "expected_ms": 400})).collect();
-    serde_json::from_value(json!({"zones": [{"name": "z"}], "tiers": [{"name": "t", "rank": 0, "keep_free": 0}],
+    let lanes: Vec<_> = (0..TENANTS)
+        .map(
+            |i| json!({"name": format!("lane-{i:05}"), "time_limit_ms": 2_000, "expected_ms": 400}),
+        )
+        .collect();
+    serde_json::from_value(
+        json!({"zones": [{"name": "z"}], "tiers": [{"name": "t", "rank": 0, "keep_free": 0}],
         "services": [{"name": "s", "version": "v1", "mode": "reconcile", "lanes": lanes,
             "zones": [{"zone": "z", "replicas": 1, "floor": 1}]}],
-        "canary_percent": 8, "bake_ms": 0}))
+        "canary_percent": 8, "bake_ms": 0}),
+    )
     .ok()
 }
 
 fn board(version: u64) -> TableUpdate {
-    let c = Change { key: SPEC_KEY.into(), epoch: 1, version, value: Blob(b"spec".to_vec()) };
+    let c = Change {
+        key: SPEC_KEY.into(),
+        epoch: 1,
+        version,
+        value: Blob(b"spec".to_vec()),
+    };
     TableUpdate {
         proxy_incarnation: 1,
         counters_through: 0,
@@ -97,7 +111,13 @@
     expect_that!(HELD.load(Relaxed) - before, le(3 * TENANTS * PATH_BYTES));
     let mut seen = BTreeSet::new();
     for i in 0..3 * TENANTS {
-        let l = p.path(&format!("tenant-{}.example", i / 3), &format!("/v1/part-{}/chat", i % 3), 30).unwrap();
+        let l = p
+            .path(
+                &format!("tenant-{}.example", i / 3),
+                &format!("/v1/part-{}/chat", i % 3),
+                30,
+            )
+            .unwrap();
         expect_that!(l.homes.is_empty(), eq(!i.is_multiple_of(4)));
         seen.insert(l.lane.clone());
     }
--- a/coordination/tests/worst_days.rs
+++ b/coordination/tests/worst_days.rs
@@ -72,11 +72,14 @@
 
 impl Day {
     fn new(seed: u64, n: usize, lose: usize, without: Without) -> Self {
-        let regions: BTreeMap<String, String> = (0..200).map(|i| (format!("z{i}"), format!("r{}", i % 3))).collect();
+        let regions: BTreeMap<String, String> = (0..200)
+            .map(|i| (format!("z{i}"), format!("r{}", i % 3)))
+            .collect();
         let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
         let cut: Rc<RefCell<BTreeSet<(Name, Name)>>> = Rc::default();
         let passes = cut.clone();
-        f.sieve = Box::new(move |from, to, _| !passes.borrow().contains(&(from.clone(), to.clone())));
+        f.sieve =
+            Box::new(move |from, to, _| !passes.borrow().contains(&(from.clone(), to.clone())));
         f.change = match without {
             Without::Nothing => None,
             Without::Reading => Some(Box::new(|_, m| {
@@ -85,15 +88,33 @@
                 }
             })),
         };
-        let operator = |i| Operator { pending: None, order: None, rests: 0, number: i };
+        let operator = |i| Operator {
+            pending: None,
+            order: None,
+            rests: 0,
+            number: i,
+        };
         let operators = (0..4).map(operator).collect();
-        let histories = BTreeMap::from([(SPEC_KEY, History::default()), (ZONE, History::default())]);
+        let histories =
+            BTreeMap::from([(SPEC_KEY, History::default()), (ZONE, History::default())]);
         let (expects, unread) = Default::default();
-        Day { f, operators, expects, histories, unread, cut, lose, regions, orders: 0 }
+        Day {
+            f,
+            operators,
+            expects,
+            histories,
+            unread,
+            cut,
+            lose,
+            regions,
+            orders: 0,
+        }
     }
 
     fn up(&self) -> Vec<usize> {
-        (0..self.f.all.len()).filter(|i| self.f.brain(*i).is_some()).collect()
+        (0..self.f.all.len())
+            .filter(|i| self.f.brain(*i).is_some())
+            .collect()
     }
     fn addr(&self, i: usize) -> Name {
         self.f.all[i].p.addr.clone()
@@ -113,7 +134,10 @@
             for i in self.up() {
                 for key in [SPEC_KEY, ZONE] {
                     if let Some((v, value)) = self.f.held(i, key) {
-                        self.histories.get_mut(key).unwrap().see(v, &value, self.f.now);
+                        self.histories
+                            .get_mut(key)
+                            .unwrap()
+                            .see(v, &value, self.f.now);
                     }
                 }
             }
@@ -130,7 +154,13 @@
             }
         }
         for i in 0..self.operators.len() {
-            let Some(p) = self.operators[i].pending.as_ref().filter(|p| p.sent.is_none()) else { continue };
+            let Some(p) = self.operators[i]
+                .pending
+                .as_ref()
+                .filter(|p| p.sent.is_none())
+            else {
+                continue;
+            };
             let (at, key, order) = (p.at, p.key, p.order);
             if !self.still(at) && self.f.brain(at).is_some() {
                 let sent = self.hand(at, key, order);
@@ -156,7 +186,11 @@
     fn operate(&mut self, i: usize) {
         let now = self.f.now;
         if let Some(p) = &self.operators[i].pending {
-            let end = p.sent.and_then(|s| self.f.ends.get(&s)).filter(|_| !p.lost).map(|e| e.1);
+            let end = p
+                .sent
+                .and_then(|s| self.f.ends.get(&s))
+                .filter(|_| !p.lost)
+                .map(|e| e.1);
             if end.is_none() && now < p.began + PATIENCE {
                 return;
             }
@@ -167,23 +201,43 @@
             return;
         }
         let up = self.up();
-        let Some(&at) = self.f.rng.choice(&up) else { return };
+        let Some(&at) = self.f.rng.choice(&up) else {
+            return;
+        };
         let (key, order) = match self.operators[i].order {
             Some((key, o)) => (key, Some(o)),
             None => self.think(i, at),
         };
-        let sent = if self.still(at) { None } else { self.hand(at, key, order) };
+        let sent = if self.still(at) {
+            None
+        } else {
+            self.hand(at, key, order)
+        };
         let lost = self.f.rng.u8(..100) < LOST;
-        self.operators[i].pending = Some(Pending { key, order, began: now, sent, at, lost });
+        self.operators[i].pending = Some(Pending {
+            key,
+            order,
+            began: now,
+            sent,
+            at,
+            lost,
+        });
     }
 
     fn ended(&mut self, i: usize, told: Told) {
         let now = self.f.now;
-        let Some(p) = self.operators[i].pending.take() else { return };
+        let Some(p) = self.operators[i].pending.take() else {
+            return;
+        };
         if p.sent.is_none() {
             self.unread.push((p.at, p.key, p.order));
         }
-        let call = Call { order: p.order, began: p.began, ended: now, told };
+        let call = Call {
+            order: p.order,
+            began: p.began,
+            ended: now,
+            told,
+        };
         self.histories.get_mut(p.key).unwrap().calls.push(call);
         let clear = told != Told::Unclear;
         self.operators[i].order = p.order.filter(|_| !clear).map(|o| (p.key, o));
@@ -192,21 +246,42 @@
 
     /// What an operator does next, by what it sees at a daemon: one in three reads, two pick the same number at times.
     fn think(&mut self, i: usize, at: usize) -> (&'static str, Option<usize>) {
-        let key = if self.f.rng.u8(..3) == 0 { ZONE } else { SPEC_KEY };
+        let key = if self.f.rng.u8(..3) == 0 {
+            ZONE
+        } else {
+            SPEC_KEY
+        };
         if self.f.rng.u8(..3) == 0 {
             return (key, None);
         }
         self.orders += 1;
         let (value, expect) = if key == ZONE {
             // Zones are told by one operator each, as an order by two has no meaning of its own.
-            (if self.f.rng.bool() { b"on".to_vec() } else { b"off".to_vec() }, Expect::Any)
+            (
+                if self.f.rng.bool() {
+                    b"on".to_vec()
+                } else {
+                    b"off".to_vec()
+                },
+                Expect::Any,
+            )
         } else {
-            let from = self.f.brain(at).and_then(|b| b.spec()).map_or(0, |s| s.release);
+            let from = self
+                .f
+                .brain(at)
+                .and_then(|b| b.spec())
+                .map_or(0, |s| s.release);
             let release = from + 1 + self.f.rng.u64(..2);
-            (document(release, self.orders * 10 + self.operators[i].number), Expect::Release(from))
+            (
+                document(release, self.orders * 10 + self.operators[i].number),
+                Expect::Release(from),
+            )
         };
         let h = self.histories.get_mut(key).unwrap();
-        h.orders.push(Order { value, unconditional: expect == Expect::Any });
+        h.orders.push(Order {
+            value,
+            unconditional: expect == Expect::Any,
+        });
         let order = h.orders.len() - 1;
         self.expects.insert((key, order), expect);
         self.operators[i].order = Some((key, order));
@@ -216,18 +291,26 @@
     /// All voters are up, vote and hear each other: the losses before are made up for.
     fn whole(&self) -> bool {
         let voting = self.f.voting();
-        let member_epoch = voting.iter().filter_map(|i| self.f.brain(*i)).map(|b| b.registers.member_epoch).max();
+        let member_epoch = voting
+            .iter()
+            .filter_map(|i| self.f.brain(*i))
+            .map(|b| b.registers.member_epoch)
+            .max();
         let all = |i: &usize| {
-            self.f
-                .brain(*i)
-                .is_some_and(|b| Some(b.registers.member_epoch) == member_epoch && b.registers.voters.len() == voting.len())
+            self.f.brain(*i).is_some_and(|b| {
+                Some(b.registers.member_epoch) == member_epoch
+                    && b.registers.voters.len() == voting.len()
+            })
         };
         !voting.is_empty() && voting.iter().all(all) && self.cut.borrow().is_empty()
     }
 
     fn block(&mut self, from: usize, both: bool) {
         let here = self.addr(from);
-        let all: Vec<Name> = (0..self.f.all.len()).filter(|i| *i != from).map(|i| self.addr(i)).collect();
+        let all: Vec<Name> = (0..self.f.all.len())
+            .filter(|i| *i != from)
+            .map(|i| self.addr(i))
+            .collect();
         let mut cut = self.cut.borrow_mut();
         for a in all {
             cut.insert((here.clone(), a.clone()));
@@ -238,14 +321,24 @@
     }
 
     fn owner(&self, key: &str) -> Option<usize> {
-        (0..self.f.all.len()).find(|i| self.f.brain(*i).is_some_and(|b| b.registers.held_until(key, self.f.now).is_some()))
+        (0..self.f.all.len()).find(|i| {
+            self.f
+                .brain(*i)
+                .is_some_and(|b| b.registers.held_until(key, self.f.now).is_some())
+        })
     }
 
     /// One trouble.
     fn trouble(&mut self) {
         let up = self.up();
-        let Some(&any) = self.f.rng.choice(&up) else { return };
-        let one = if self.f.rng.bool() { self.owner(SPEC_KEY).unwrap_or(any) } else { any };
+        let Some(&any) = self.f.rng.choice(&up) else {
+            return;
+        };
+        let one = if self.f.rng.bool() {
+            self.owner(SPEC_KEY).unwrap_or(any)
+        } else {
+            any
+        };
         match self.f.rng.u8(..11) {
             // Cut off, at times in one direction only.
             0 | 1 => {
@@ -258,9 +351,15 @@
             // Split in two.
             2 => {
                 let half: Vec<usize> = up.iter().copied().filter(|_| self.f.rng.bool()).collect();
-                for (a, b) in half.iter().flat_map(|a| up.iter().map(move |b| (*a, *b))).filter(|(_, b)| !half.contains(b)) {
+                for (a, b) in half
+                    .iter()
+                    .flat_map(|a| up.iter().map(move |b| (*a, *b)))
+                    .filter(|(_, b)| !half.contains(b))
+                {
                     let (a, b) = (self.addr(a), self.addr(b));
-                    self.cut.borrow_mut().extend([(a.clone(), b.clone()), (b, a)]);
+                    self.cut
+                        .borrow_mut()
+                        .extend([(a.clone(), b.clone()), (b, a)]);
                 }
                 let ms = self.f.rng.u64(1_000..9_000);
                 self.run(ms);
@@ -328,7 +427,9 @@
         }
         let mut others: Vec<usize> = self.f.voting().into_iter().filter(|i| *i != lost).collect();
         self.f.rng.shuffle(&mut others);
-        let [behind, holder] = others[..2] else { return };
+        let [behind, holder] = others[..2] else {
+            return;
+        };
         self.block(behind, true);
         let ms = self.f.rng.u64(1_500..9_000);
         self.run(ms);
@@ -369,7 +470,10 @@
         let calls = self.histories[SPEC_KEY].calls.len();
         for _ in 0..1_000 {
             let told = self.histories[SPEC_KEY].calls[calls..].iter();
-            if told.filter(|c| c.order.is_some()).any(|c| matches!(c.told, Told::Version(_))) {
+            if told
+                .filter(|c| c.order.is_some())
+                .any(|c| matches!(c.told, Told::Version(_)))
+            {
                 break;
             }
             self.run(STEP);
@@ -396,12 +500,21 @@
         let until = self.f.now + 12_000;
         while self.f.now < until {
             let up = self.up();
-            let Some(&at) = self.f.rng.choice(&up) else { return false };
+            let Some(&at) = self.f.rng.choice(&up) else {
+                return false;
+            };
             let began = self.f.now;
-            let Some(sent) = self.hand(at, key, None) else { continue };
+            let Some(sent) = self.hand(at, key, None) else {
+                continue;
+            };
             self.f.until(PATIENCE, |f| f.ends.contains_key(&sent));
             if let Some((_, WriteOutcome::Accepted(v))) = self.f.ends.get(&sent) {
-                let call = Call { order: None, began, ended: self.f.now, told: Told::Version(*v) };
+                let call = Call {
+                    order: None,
+                    began,
+                    ended: self.f.now,
+                    told: Told::Version(*v),
+                };
                 self.histories.get_mut(key).unwrap().calls.push(call);
                 return true;
             }
@@ -412,9 +525,17 @@
 }
 
 /// How many calls were acknowledged in all, and what was wrong on which seed.
-fn days(seeds: std::ops::Range<u64>, n: usize, lose: usize, without: Without) -> (usize, Vec<String>) {
+fn days(
+    seeds: std::ops::Range<u64>,
+    n: usize,
+    lose: usize,
+    without: Without,
+) -> (usize, Vec<String>) {
     let asked = std::env::var("WORST_DAYS").ok();
-    let asked = asked.as_deref().and_then(|s| s.split_once('-')).and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
+    let asked = asked
+        .as_deref()
+        .and_then(|s| s.split_once('-'))
+        .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
     let (mut acknowledged, mut wrong) = (0, vec![]);
     for seed in asked.unwrap_or(seeds) {
         let mut d = Day::new(seed, n, lose, without);
@@ -434,8 +555,16 @@
             wrong.push(format!("seed {seed}: no order is taken any more"));
         }
         for (key, h) in &d.histories {
-            wrong.extend(h.faults().into_iter().map(|w| format!("seed {seed}, {key}: {w}")));
-            acknowledged += h.calls.iter().filter(|c| matches!(c.told, Told::Version(_))).count();
+            wrong.extend(
+                h.faults()
+                    .into_iter()
+                    .map(|w| format!("seed {seed}, {key}: {w}")),
+            );
+            acknowledged += h
+                .calls
+                .iter()
+                .filter(|c| matches!(c.told, Told::Version(_)))
+                .count();
         }
     }
     (acknowledged, wrong)
--- a/daemon-parts/src/channels.rs
+++ b/daemon-parts/src/channels.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     limits::{
-        CHANNEL_BUFFER, CHANNELS, CONNECT_LIMIT, IDLE_LIMIT, PEER_PROBES, PEER_QUIET, PROBE_EVERY, SENT_LIMIT, WRITE_LIMIT,
-        WRITER_IDLE,
+        CHANNEL_BUFFER, CHANNELS, CONNECT_LIMIT, IDLE_LIMIT, PEER_PROBES, PEER_QUIET, PROBE_EVERY,
+        SENT_LIMIT, WRITE_LIMIT, WRITER_IDLE,
     },
     logging::{StartFault, event},
 };
@@ -38,11 +38,20 @@
 
 impl Channels {
     pub fn new(name: &str, addr: &str, inbox: Recipient<Incoming>) -> Self {
-        Channels { name: name.into(), addr: addr.into(), inbox, out: HashMap::new() }
+        Channels {
+            name: name.into(),
+            addr: addr.into(),
+            inbox,
+            out: HashMap::new(),
+        }
     }
 
     pub fn send(&mut self, to: &Name, msg: Message) {
-        let e = Envelope { from: self.name.clone(), addr: self.addr.clone(), msg };
+        let e = Envelope {
+            from: self.name.clone(),
+            addr: self.addr.clone(),
+            msg,
+        };
         // Ownership messages take the same way into the mailbox as all others.
         if *to == self.addr {
             self.inbox.do_send(Incoming(e));
@@ -75,7 +84,10 @@
 
 /// Sets up a channel that this process reads: one whose writer is gone without a word ends soon, and its place is free.
 fn incoming(s: &TcpStream) -> io::Result<()> {
-    let k = TcpKeepalive::new().with_time(PEER_QUIET).with_interval(PROBE_EVERY).with_retries(PEER_PROBES);
+    let k = TcpKeepalive::new()
+        .with_time(PEER_QUIET)
+        .with_interval(PROBE_EVERY)
+        .with_retries(PEER_PROBES);
     SockRef::from(s).set_tcp_keepalive(&k)
 }
 
@@ -106,8 +118,10 @@
 
 /// Binds the port and reads frames into the inbox.
 pub async fn listen(addr: &str, inbox: Recipient<Incoming>) -> Result<(), Report<StartFault>> {
-    let l =
-        TcpListener::bind(addr).await.change_context(StartFault("bind the port for our processes")).attach(addr.to_string())?;
+    let l = TcpListener::bind(addr)
+        .await
+        .change_context(StartFault("bind the port for our processes"))
+        .attach(addr.to_string())?;
     let free = std::sync::Arc::new(tokio::sync::Semaphore::new(CHANNELS));
     actix_rt::spawn(async move {
         loop {
@@ -116,7 +130,9 @@
                 continue;
             };
             // Over the limit a channel is closed at once, so that strangers cannot hold memory.
-            let Ok(p) = free.clone().try_acquire_owned() else { continue };
+            let Ok(p) = free.clone().try_acquire_owned() else {
+                continue;
+            };
             let inbox = inbox.clone();
             let _ = incoming(&s);
             actix_rt::spawn(async move {
--- a/daemon-parts/src/channels/tests.rs
+++ b/daemon-parts/src/channels/tests.rs
@@ -26,9 +26,18 @@
         expect_that!(a.tcp_user_timeout().unwrap(), some(eq(SENT_LIMIT)));
         expect_true!(a.tcp_nodelay().unwrap());
         expect_true!(b.keepalive().unwrap());
-        expect_that!((b.tcp_keepalive_time().unwrap(), b.tcp_keepalive_retries().unwrap()), eq((PEER_QUIET, PEER_PROBES)));
+        expect_that!(
+            (
+                b.tcp_keepalive_time().unwrap(),
+                b.tcp_keepalive_retries().unwrap()
+            ),
+            eq((PEER_QUIET, PEER_PROBES))
+        );
         // Half of the shortest bound for daemons in touch that users have named is left for all that follows.
-        expect_that!(SENT_LIMIT + CONNECT_LIMIT, le(Duration::from_secs(4) * 6 / 10));
+        expect_that!(
+            SENT_LIMIT + CONNECT_LIMIT,
+            le(Duration::from_secs(4) * 6 / 10)
+        );
         expect_that!(WRITER_IDLE, lt(IDLE_LIMIT));
     });
 }
--- a/daemon-parts/src/clock.rs
+++ b/daemon-parts/src/clock.rs
@@ -6,7 +6,10 @@
 
 /// ms since the machine's start, sleep included; the same for all processes of a machine.
 pub fn now() -> Ms {
-    let mut t = libc::timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut t = libc::timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // SAFETY: `t` is a valid timespec for the call to fill.
     let ok = unsafe { libc::clock_gettime(libc::CLOCK_BOOTTIME, &mut t) } == 0;
     assert!(ok, "CLOCK_BOOTTIME is part of every Linux this runs on");
@@ -14,7 +17,9 @@
 }
 
 fn wall() -> std::time::Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 /// Seconds since 1970, for completion times only.
 pub fn wall_s() -> u64 {
--- a/daemon-parts/src/http.rs
+++ b/daemon-parts/src/http.rs
@@ -53,28 +53,38 @@
 
 /// JSON bodies: limited, unknown fields rejected by the types, faults in the one shape.
 pub fn json_config() -> web::JsonConfig {
-    web::JsonConfig::default().limit(BODY_MAX).content_type_required(false).error_handler(|e, _: &HttpRequest| {
-        use actix_web::error::JsonPayloadError as J;
-        let f = match &e {
-            J::OverflowKnownLength { .. } | J::Overflow { .. } => Fault::new("too_large", "read_body", e.to_string()),
-            // The first words of serde's message name the field.
-            _ => {
-                let m = e.to_string();
-                let field = m.split('`').nth(1).map(str::to_string);
-                let f = Fault::new("bad_json", "read_body", m);
-                match field {
-                    Some(x) => f.field(x),
-                    None => f,
+    web::JsonConfig::default()
+        .limit(BODY_MAX)
+        .content_type_required(false)
+        .error_handler(|e, _: &HttpRequest| {
+            use actix_web::error::JsonPayloadError as J;
+            let f = match &e {
+                J::OverflowKnownLength { .. } | J::Overflow { .. } => {
+                    Fault::new("too_large", "read_body", e.to_string())
                 }
-            }
-        };
-        Answer::from(f).into()
-    })
+                // The first words of serde's message name the field.
+                _ => {
+                    let m = e.to_string();
+                    let field = m.split('`').nth(1).map(str::to_string);
+                    let f = Fault::new("bad_json", "read_body", m);
+                    match field {
+                        Some(x) => f.field(x),
+                        None => f,
+                    }
+                }
+            };
+            Answer::from(f).into()
+        })
 }
 
 /// The answer to a path nobody knows.
 pub async fn no_such_path(r: HttpRequest) -> Result<HttpResponse, Answer> {
-    Err(Fault::new("not_found", "find_path", format!("no call {} {}", r.method(), r.path())).into())
+    Err(Fault::new(
+        "not_found",
+        "find_path",
+        format!("no call {} {}", r.method(), r.path()),
+    )
+    .into())
 }
 
 /// Why a call gave no value: the peer's own fault, or ours of reaching it.
@@ -105,10 +115,16 @@
         None => r.send().await,
     };
     let mut a = sent.map_err(|e| lost("send_call", e.to_string()))?;
-    let b = a.body().limit(64 * BODY_MAX).await.map_err(|e| lost("read_answer", e.to_string()))?;
+    let b = a
+        .body()
+        .limit(64 * BODY_MAX)
+        .await
+        .map_err(|e| lost("read_answer", e.to_string()))?;
     if !a.status().is_success() {
         let f = serde_json::from_slice::<Fault>(&b);
-        return Err(f.unwrap_or_else(|_| lost("read_answer", format!("status {}", a.status()))).peer(addr));
+        return Err(f
+            .unwrap_or_else(|_| lost("read_answer", format!("status {}", a.status())))
+            .peer(addr));
     }
     serde_json::from_slice(&b).map_err(|e| lost("read_answer", e.to_string()))
 }
--- a/daemon-parts/src/logging.rs
+++ b/daemon-parts/src/logging.rs
@@ -16,7 +16,13 @@
 impl std::error::Error for StartFault {}
 
 fn line(w: &mut dyn std::io::Write, t: &mut DeferredNow, r: &log::Record) -> std::io::Result<()> {
-    write!(w, "{} {:5} {}", t.format("%Y-%m-%dT%H:%M:%S%.3f"), r.level(), r.args())
+    write!(
+        w,
+        "{} {:5} {}",
+        t.format("%Y-%m-%dT%H:%M:%S%.3f"),
+        r.level(),
+        r.args()
+    )
 }
 
 /// Starts logging to standard error.
--- a/daemon-parts/src/params.rs
+++ b/daemon-parts/src/params.rs
@@ -75,11 +75,31 @@
     Command::new(name)
         .about(about)
         .version(env!("CARGO_PKG_VERSION"))
-        .arg(Arg::new("params").long("params").value_name("FILE").help("Params file, JSON; flags go over it"))
+        .arg(
+            Arg::new("params")
+                .long("params")
+                .value_name("FILE")
+                .help("Params file, JSON; flags go over it"),
+        )
         .args(flags)
-        .arg(Arg::new("seed").long("seed").action(ArgAction::Append).help("IP:port of another process; give three"))
-        .arg(Arg::new("member").long("member").action(ArgAction::Append).help("Name of a control daemon; give all"))
-        .arg(Arg::new("check-params").long("check-params").action(ArgAction::SetTrue).help("Check the params and exit"))
+        .arg(
+            Arg::new("seed")
+                .long("seed")
+                .action(ArgAction::Append)
+                .help("IP:port of another process; give three"),
+        )
+        .arg(
+            Arg::new("member")
+                .long("member")
+                .action(ArgAction::Append)
+                .help("Name of a control daemon; give all"),
+        )
+        .arg(
+            Arg::new("check-params")
+                .long("check-params")
+                .action(ArgAction::SetTrue)
+                .help("Check the params and exit"),
+        )
 }
 
 /// The flag of proxies that leaves mechanisms of placement out.
@@ -91,7 +111,10 @@
         .value_parser(clap::value_parser!(Mechanism))
         .value_delimiter(',')
         .action(ArgAction::Append)
-        .help(format!("Leaves mechanisms of placement out, to measure what they are worth: {}", known.join(", ")))
+        .help(format!(
+            "Leaves mechanisms of placement out, to measure what they are worth: {}",
+            known.join(", ")
+        ))
 }
 /// The policy by the flag, if it was given.
 pub fn policy_flag(m: &ArgMatches) -> Option<Policy> {
@@ -100,7 +123,9 @@
 }
 
 fn from_file(m: &ArgMatches) -> Result<Params, String> {
-    let Some(f) = m.get_one::<String>("params") else { return Ok(Params::default()) };
+    let Some(f) = m.get_one::<String>("params") else {
+        return Ok(Params::default());
+    };
     let text = std::fs::read_to_string(f).map_err(|e| format!("params: {f}: {e}"))?;
     serde_json::from_str(&text).map_err(|e| format!("params: {f}: {e}"))
 }
@@ -124,7 +149,10 @@
     over(&mut p.log, "log");
     // The bound is only in the file: it belongs to the disk, not to one start.
     p.data = text("data").map(PathBuf::from).or(p.data);
-    let many = |n: &str| m.get_many::<String>(n).map(|v| v.cloned().collect::<Vec<_>>());
+    let many = |n: &str| {
+        m.get_many::<String>(n)
+            .map(|v| v.cloned().collect::<Vec<_>>())
+    };
     p.seeds = many("seed").unwrap_or(p.seeds);
     p.members = many("member").unwrap_or(p.members);
     p.policy = policy_flag(m).unwrap_or(p.policy);
@@ -135,7 +163,11 @@
         p.log = "info".into();
     }
     let faults = check(&p, needs);
-    if faults.is_empty() { Ok(p) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(p)
+    } else {
+        Err(faults)
+    }
 }
 
 /// Every fault of the params. Needing `founders` instead of `seeds` and `members`, the daemons at the seeds found
@@ -143,7 +175,10 @@
 pub fn check(p: &Params, needs: &[Need]) -> Vec<String> {
     let mut bad = Vec::new();
     let mut label = |n: &str, v: &str| {
-        let ok = !v.is_empty() && v.len() <= 64 && v.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b));
+        let ok = !v.is_empty()
+            && v.len() <= 64
+            && v.bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b));
         if needs.contains(&n) && !ok {
             bad.push(format!("{n}: must be 1 to 64 letters, digits, '-' or '_'"));
         }
@@ -155,7 +190,12 @@
         Ok(a) if a.port() > 0 => None,
         _ => Some(format!("{n}: {v:?} is no IP:port")),
     };
-    let all = [("listen", &p.listen), ("http", &p.http), ("platform", &p.platform), ("agent", &p.agent)];
+    let all = [
+        ("listen", &p.listen),
+        ("http", &p.http),
+        ("platform", &p.platform),
+        ("agent", &p.agent),
+    ];
     bad.extend(all.iter().filter_map(|(n, v)| addr(n, v)));
     if p.bind != p.listen && p.bind.parse::<SocketAddr>().is_err() {
         bad.push(format!("bind: {:?} is no IP:port", p.bind));
@@ -167,12 +207,18 @@
         } else if p.seeds.len() < 3 && !needs.contains(&"founders") {
             bad.push(format!("seeds: give three, not {}", p.seeds.len()));
         }
-        let no_addr = p.seeds.iter().filter(|s| !s.parse::<SocketAddr>().is_ok_and(|a| a.port() > 0));
+        let no_addr = p
+            .seeds
+            .iter()
+            .filter(|s| !s.parse::<SocketAddr>().is_ok_and(|a| a.port() > 0));
         bad.extend(no_addr.map(|s| format!("seeds: {s:?} is no IP:port")));
     }
     if needs.contains(&"members") {
         if p.members.len() < 3 || p.members.len().is_multiple_of(2) {
-            bad.push(format!("members: give an odd count of at least three, not {}", p.members.len()));
+            bad.push(format!(
+                "members: give an odd count of at least three, not {}",
+                p.members.len()
+            ));
         }
         if !p.members.contains(&p.name) {
             bad.push(format!("members: do not name this daemon {:?}", p.name));
@@ -195,7 +241,9 @@
         Ok(p) => p,
         Err(faults) => {
             let e = coordination::events::PARAMS_BAD;
-            faults.iter().for_each(|f| eprintln!("{} {} {f}", e.number, e.name));
+            faults
+                .iter()
+                .for_each(|f| eprintln!("{} {} {f}", e.number, e.name));
             std::process::exit(EXIT_PARAMS)
         }
     }
--- a/daemon-parts/src/stop.rs
+++ b/daemon-parts/src/stop.rs
@@ -17,7 +17,10 @@
 impl StopSignals {
     pub fn listen() -> Result<Self, Report<StartFault>> {
         let listen = |kind| signal(kind).change_context(StartFault("listen to signals"));
-        Ok(StopSignals { terminate: listen(SignalKind::terminate())?, interrupt: listen(SignalKind::interrupt())? })
+        Ok(StopSignals {
+            terminate: listen(SignalKind::terminate())?,
+            interrupt: listen(SignalKind::interrupt())?,
+        })
     }
 
     /// Returns when the process is asked to stop.
@@ -28,7 +31,13 @@
 }
 
 /// Runs a daemon's HTTP server until the process is asked to stop; after the farewell open calls are let end.
-pub async fn serve(server: Server, mut signals: StopSignals, name: &str, ports: &str, farewell: impl Future<Output = ()>) {
+pub async fn serve(
+    server: Server,
+    mut signals: StopSignals,
+    name: &str,
+    ports: &str,
+    farewell: impl Future<Output = ()>,
+) {
     let h = server.handle();
     let served = actix_rt::spawn(server);
     event(events::STARTED, name, ports);
--- a/daemon-parts/tests/settings_keys.rs
+++ b/daemon-parts/tests/settings_keys.rs
@@ -6,18 +6,26 @@
 
 /// What the reader of a settings file says to a key that it does not know: it lists all that it knows.
 fn known_keys(document: Value) -> String {
-    serde_json::from_value::<Params>(document).unwrap_err().to_string()
+    serde_json::from_value::<Params>(document)
+        .unwrap_err()
+        .to_string()
 }
 
 fn flags() -> String {
     let command = command("daemon", "").arg(without_flag());
-    let flags: Vec<&str> = command.get_arguments().filter_map(|flag| flag.get_long()).collect();
+    let flags: Vec<&str> = command
+        .get_arguments()
+        .filter_map(|flag| flag.get_long())
+        .collect();
     flags.join(" ")
 }
 
 #[test]
 fn keys_and_flags_keep_their_spelling() {
-    let mechanisms: Vec<&str> = Mechanism::ALL.iter().map(|mechanism| mechanism.name()).collect();
+    let mechanisms: Vec<&str> = Mechanism::ALL
+        .iter()
+        .map(|mechanism| mechanism.name())
+        .collect();
     let lines = [
         known_keys(json!({ "": 0 })),
         known_keys(json!({ "bounds": { "": 0 } })),
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -33,7 +33,11 @@
                         ch.send(&to, msg);
                     }
                 }
-                Effect::Log { event: e, peer, text } => event(e, &peer, &text),
+                Effect::Log {
+                    event: e,
+                    peer,
+                    text,
+                } => event(e, &peer, &text),
                 // An agent keeps nothing on disk and holds no duty.
                 Effect::Persist { .. } | Effect::WriteFinished { .. } | Effect::Order { .. } => {}
             }
@@ -45,7 +49,11 @@
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
-        self.ch = Some(Channels::new(&self.name, &self.listen, ctx.address().recipient()));
+        self.ch = Some(Channels::new(
+            &self.name,
+            &self.listen,
+            ctx.address().recipient(),
+        ));
         ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, _| {
             let out = me.brain.tick(clock::now());
             me.carry(out);
@@ -56,7 +64,9 @@
 impl Handler<Incoming> for AgentActor {
     type Result = ();
     fn handle(&mut self, m: Incoming, _: &mut Self::Context) {
-        let out = self.brain.on_message(&m.0.from, &m.0.addr, m.0.msg, clock::now());
+        let out = self
+            .brain
+            .on_message(&m.0.from, &m.0.addr, m.0.msg, clock::now());
         self.carry(out);
     }
 }
@@ -84,7 +94,13 @@
     brain.set_serve_when_partitioned(p.serve_on);
     brain.set_regions(p.regions.clone());
     let mut signals = StopSignals::listen()?;
-    let a = AgentActor { name: p.name.clone(), listen: p.listen.clone(), brain, ch: None }.start();
+    let a = AgentActor {
+        name: p.name.clone(),
+        listen: p.listen.clone(),
+        brain,
+        ch: None,
+    }
+    .start();
     channels::listen(&p.bind, a.clone().recipient()).await?;
     event(events::STARTED, &p.name, &format!("processes {}", p.listen));
     signals.asked(&p.name).await;
@@ -92,7 +108,11 @@
     let last = clock::now() + p.bounds.grace.saturating_sub(AGENT_LAST);
     tokio::time::sleep(FAREWELL).await;
     while clock::now() < last {
-        let goes = a.send(Look(Box::new(|a: &mut AgentActor, now| a.brain.proxy_is_draining(now)))).await;
+        let goes = a
+            .send(Look(Box::new(|a: &mut AgentActor, now| {
+                a.brain.proxy_is_draining(now)
+            })))
+            .await;
         if !matches!(goes, Ok(Ok(true))) {
             break;
         }
--- a/edge-agent/src/main.rs
+++ b/edge-agent/src/main.rs
@@ -5,7 +5,10 @@
 #[actix_web::main]
 async fn main() {
     let p = params::read_or_exit(
-        params::command("edge-agent", "Keeps the link to the control plane and feeds the proxy on its machine"),
+        params::command(
+            "edge-agent",
+            "Keeps the link to the control plane and feeds the proxy on its machine",
+        ),
         &["name", "zone", "listen", "seeds"],
     );
     if let Err(e) = edge_agent::run(p).await {
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -73,7 +73,9 @@
             self.give_up(t);
         }
         for t in tokens {
-            let Some(w) = self.waiting.get(&t) else { continue };
+            let Some(w) = self.waiting.get(&t) else {
+                continue;
+            };
             let admit = hold(&self.brain).place(&w.q, &w.tried, now);
             let r = match admit {
                 Admit::Go(p) => Ok(p),
@@ -81,7 +83,9 @@
                 Admit::Full => continue,
             };
             hold(&self.brain).unwait(t);
-            let Some(w) = self.waiting.remove(&t) else { continue };
+            let Some(w) = self.waiting.remove(&t) else {
+                continue;
+            };
             // A caller that left while waiting gives its place back.
             if let Err(Ok(p)) = w.to.send(r) {
                 hold(&self.brain).done(&p, Ended::Dropped, now);
@@ -90,7 +94,9 @@
     }
 
     fn give_up(&mut self, token: u64) {
-        let Some(w) = self.waiting.remove(&token) else { return };
+        let Some(w) = self.waiting.remove(&token) else {
+            return;
+        };
         let f = hold(&self.brain).reject("full", "wait", "no place came free soon enough");
         let _ = w.to.send(Err(f));
     }
@@ -103,7 +109,9 @@
         let all = hold(&self.brain).replicas();
         for (_, addr) in all {
             let c = self.client.clone();
-            let f = async move { http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await };
+            let f = async move {
+                http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await
+            };
             ctx.spawn(f.into_actor(self).map(move |r, me, _| {
                 if let Ok(r) = r {
                     hold(&me.brain).on_report(r, now);
@@ -155,7 +163,11 @@
     type Context = Context<Self>;
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
-        self.ch = Some(Channels::new(&self.name, &self.listen, ctx.address().recipient()));
+        self.ch = Some(Channels::new(
+            &self.name,
+            &self.listen,
+            ctx.address().recipient(),
+        ));
         ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, ctx| {
             let now = clock::now();
             me.say_hello(now);
@@ -172,7 +184,11 @@
     fn handle(&mut self, m: Incoming, _: &mut Self::Context) {
         // Only the agent beside this proxy tells it anything.
         if m.0.addr != self.agent {
-            return event(coordination::events::CHANNEL_BAD_FRAME, &m.0.addr, "is not this proxy's agent");
+            return event(
+                coordination::events::CHANNEL_BAD_FRAME,
+                &m.0.addr,
+                "is not this proxy's agent",
+            );
         }
         match m.0.msg {
             Message::PrefillReport(r) => hold(&self.brain).on_readings(r, clock::now()),
@@ -253,14 +269,23 @@
         self.token += 1;
         let t = self.token;
         let (to, r) = oneshot::channel();
-        self.waiting.insert(t, Waiter { q: m.q, tried: m.tried, to });
+        self.waiting.insert(
+            t,
+            Waiter {
+                q: m.q,
+                tried: m.tried,
+                to,
+            },
+        );
         let worst = hold(&self.brain).wait(t, m.rank, m.time_left, now);
         for worst in worst {
             self.give_up(worst);
         }
-        Box::pin(
-            async move { r.await.unwrap_or_else(|_| Err(Fault::new("overload", "wait", "the buffer was dropped").retry(1_000))) },
-        )
+        Box::pin(async move {
+            r.await.unwrap_or_else(|_| {
+                Err(Fault::new("overload", "wait", "the buffer was dropped").retry(1_000))
+            })
+        })
     }
 }
 
--- a/edge-proxy/src/answer.rs
+++ b/edge-proxy/src/answer.rs
@@ -59,15 +59,25 @@
     }
 }
 fn is_stream(h: &HeaderMap) -> bool {
-    h.get(header::CONTENT_TYPE).is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"))
+    h.get(header::CONTENT_TYPE)
+        .is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"))
 }
 
 /// The answer as the downstream gets it.
 pub fn pass_on(mut passage: Passage, b: Begun, open: Open, close: bool) -> HttpResponse {
-    let Begun { flight, channel, head, body } = b;
+    let Begun {
+        flight,
+        channel,
+        head,
+        body,
+    } = b;
     let status = actix_web::http::StatusCode::from_u16(head.status.as_u16()).unwrap_or_default();
     let mut r = HttpResponse::build(status);
-    for (n, v) in head.headers.iter().filter(|(n, _)| !own_channel(n, &head.headers) && *n != header::CONTENT_LENGTH) {
+    for (n, v) in head
+        .headers
+        .iter()
+        .filter(|(n, _)| !own_channel(n, &head.headers) && *n != header::CONTENT_LENGTH)
+    {
         let name = HeaderName::from_bytes(n.as_str().as_bytes());
         if let (Ok(n), Ok(v)) = (name, HeaderValue::from_bytes(v.as_bytes())) {
             r.append_header((n, v));
@@ -77,7 +87,9 @@
         r.force_close();
     }
     let length = length(&head.headers, &body);
-    let resumes = passage.lane.kind == PathKind::StreamResumable && head.status == StatusCode::OK && is_stream(&head.headers);
+    let resumes = passage.lane.kind == PathKind::StreamResumable
+        && head.status == StatusCode::OK
+        && is_stream(&head.headers);
     let events = (resumes && length == Length::Chunks).then(Events::default);
     if events.is_none() {
         // Nothing can follow this round: what it was sent need not be kept while it streams.
@@ -99,8 +111,14 @@
     if length == Length::Bytes(0) {
         // Nothing of it would ever be asked for. An answer to HEAD tells a length and has no body.
         f.whole();
-        let told = head.headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-        return r.body(SizedStream::new(told.unwrap_or(0), futures_util::stream::empty::<Piece>()));
+        let told = head
+            .headers
+            .get(header::CONTENT_LENGTH)
+            .and_then(|v| v.to_str().ok()?.parse().ok());
+        return r.body(SizedStream::new(
+            told.unwrap_or(0),
+            futures_util::stream::empty::<Piece>(),
+        ));
     }
     match length {
         Length::Bytes(n) => r.body(SizedStream::new(n, f.pieces())),
@@ -110,7 +128,9 @@
 
 impl Flow {
     fn pieces(self) -> Pin<Box<dyn Stream<Item = Piece>>> {
-        Box::pin(unfold(self, |mut f| async { f.next().await.map(|p| (p, f)) }))
+        Box::pin(unfold(self, |mut f| async {
+            f.next().await.map(|p| (p, f))
+        }))
     }
 
     async fn next(&mut self) -> Option<Piece> {
@@ -134,10 +154,19 @@
                 }
                 None if self.length != Length::Unknown => {
                     self.whole();
-                    return self.events.as_mut().map(|e| Bytes::from(e.rest())).filter(|b| !b.is_empty()).map(Ok);
+                    return self
+                        .events
+                        .as_mut()
+                        .map(|e| Bytes::from(e.rest()))
+                        .filter(|b| !b.is_empty())
+                        .map(Ok);
                 }
                 cut => {
-                    let why = cut.and_then(|r| r.err()).map_or("its end cannot be told from a cut".into(), |e| e.to_string());
+                    let why = cut
+                        .and_then(|r| r.err())
+                        .map_or("its end cannot be told from a cut".into(), |e| {
+                            e.to_string()
+                        });
                     if let Err(why) = self.cut(why).await {
                         return Some(Err(self.broken(&why).await));
                     }
@@ -159,7 +188,11 @@
     /// The answer came whole.
     fn whole(&mut self) {
         self.over = true;
-        self.flight.end(if self.status.is_server_error() { PassEnd::Failed } else { PassEnd::Answered });
+        self.flight.end(if self.status.is_server_error() {
+            PassEnd::Failed
+        } else {
+            PassEnd::Answered
+        });
         if let Some(c) = self.channel.take() {
             self.passage.pool.rest(c, clock::now());
         }
@@ -170,7 +203,9 @@
         event(events::ROUND_FAILED, &self.flight.placed.replica, &why);
         self.flight.end(PassEnd::Failed);
         self.channel = None;
-        let Some(e) = self.events.as_mut().filter(|e| e.resumable()) else { return Err(why) };
+        let Some(e) = self.events.as_mut().filter(|e| e.resumable()) else {
+            return Err(why);
+        };
         e.cut();
         let p = &mut self.passage;
         p.perhaps = true;
--- a/edge-proxy/src/downstream.rs
+++ b/edge-proxy/src/downstream.rs
@@ -15,7 +15,8 @@
 use daemon_parts::{
     clock,
     limits::{
-        DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT, DOWNSTREAM_TAKEN_UP, LATE_SLACK,
+        DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT,
+        DOWNSTREAM_TAKEN_UP, LATE_SLACK,
     },
 };
 use remote_calls::DownstreamLimits;
@@ -45,7 +46,10 @@
     /// When the channel is to be closed.
     pub fn ends(self, l: &DownstreamLimits) -> Ms {
         let or = |told: Ms, or: Ms| if told > 0 { told } else { or };
-        let (head, idle) = (or(l.header_ms, DOWNSTREAM_HEAD), or(l.idle_ms, DOWNSTREAM_IDLE));
+        let (head, idle) = (
+            or(l.header_ms, DOWNSTREAM_HEAD),
+            or(l.idle_ms, DOWNSTREAM_IDLE),
+        );
         match self {
             State::New(at) => at.saturating_add(head),
             // A head that begins when the channel may still be taken up has its whole time.
@@ -94,10 +98,18 @@
 
 /// A downstream has opened a channel.
 pub fn connected(brain: &Shared, io: &dyn Any, ext: &mut Extensions) {
-    let Some(s) = io.downcast_ref::<TcpStream>() else { return };
+    let Some(s) = io.downcast_ref::<TcpStream>() else {
+        return;
+    };
     // Without another handle on it the channel cannot be watched; it serves all the same.
-    let Ok(socket) = SockRef::from(s).try_clone() else { return };
-    let d = Rc::new(Downstream { socket, state: Cell::new(State::New(clock::now())), over: Cell::new(false) });
+    let Ok(socket) = SockRef::from(s).try_clone() else {
+        return;
+    };
+    let d = Rc::new(Downstream {
+        socket,
+        state: Cell::new(State::New(clock::now())),
+        over: Cell::new(false),
+    });
     let w = WATCH.with(Rc::clone);
     w.all.borrow_mut().push(Rc::downgrade(&d));
     ext.insert(d);
@@ -116,7 +128,11 @@
 
 impl Looks {
     pub fn new(now: Ms) -> Self {
-        Looks { last: now, late: false, slept: false }
+        Looks {
+            last: now,
+            late: false,
+            slept: false,
+        }
     }
     pub fn at(&mut self, now: Ms) {
         let gone = now.saturating_sub(std::mem::replace(&mut self.last, now));
--- a/edge-proxy/src/front.rs
+++ b/edge-proxy/src/front.rs
@@ -40,12 +40,25 @@
 
 /// Whether a header concerns one channel only.
 pub fn own_channel(n: &HeaderName, all: &HeaderMap) -> bool {
-    const OWN: [&str; 8] =
-        ["connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "expect"];
+    const OWN: [&str; 8] = [
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+        "expect",
+    ];
     if OWN.contains(&n.as_str()) {
         return true;
     }
-    let named = |v: &HeaderValue| v.to_str().is_ok_and(|v| v.split(',').any(|x| x.trim().eq_ignore_ascii_case(n.as_str())));
+    let named = |v: &HeaderValue| {
+        v.to_str().is_ok_and(|v| {
+            v.split(',')
+                .any(|x| x.trim().eq_ignore_ascii_case(n.as_str()))
+        })
+    };
     all.get_all(header::CONNECTION).iter().any(named)
 }
 
@@ -58,7 +71,11 @@
             all.append(n, v);
         }
     }
-    let own: Vec<HeaderName> = all.keys().filter(|n| own_channel(n, &all)).cloned().collect();
+    let own: Vec<HeaderName> = all
+        .keys()
+        .filter(|n| own_channel(n, &all))
+        .cloned()
+        .collect();
     own.iter().for_each(|n| {
         all.remove(n);
     });
@@ -67,7 +84,8 @@
 
 fn reply((s, f): Ending, close: bool) -> HttpResponse {
     event(events::REJECTED, "caller", &f.to_string());
-    let mut r = HttpResponse::build(StatusCode::from_u16(s.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY));
+    let mut r =
+        HttpResponse::build(StatusCode::from_u16(s.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY));
     if let Some(ms) = f.retry_after_ms {
         // Callers by host and path read fractions of a second.
         r.insert_header(("Retry-After", format!("{}.{:03}", ms / 1_000, ms % 1_000)));
@@ -81,7 +99,11 @@
 /// Whether this edge serves, for those who list it.
 fn ready(f: &Front) -> HttpResponse {
     let ok = !f.stopping.is_begun() && hold(&f.brain).ready(clock::now());
-    if ok { HttpResponse::Ok().finish() } else { HttpResponse::ServiceUnavailable().finish() }
+    if ok {
+        HttpResponse::Ok().finish()
+    } else {
+        HttpResponse::ServiceUnavailable().finish()
+    }
 }
 
 /// A proxy that has just started serves within a moment most often: what comes waits that long for it, not longer,
@@ -98,8 +120,11 @@
     // Around a request's line and behind it: two spaces, the protocol's name and an end; around each header: ": " and an end.
     const LINE: usize = 14;
     const HEADER: usize = 4;
-    let line = r.method().as_str().len() + r.uri().path_and_query().map_or(1, |p| p.as_str().len()) + LINE;
-    r.headers().iter().fold(line, |n, (k, v)| n + k.as_str().len() + v.len() + HEADER) as u64
+    let line =
+        r.method().as_str().len() + r.uri().path_and_query().map_or(1, |p| p.as_str().len()) + LINE;
+    r.headers()
+        .iter()
+        .fold(line, |n, (k, v)| n + k.as_str().len() + v.len() + HEADER) as u64
 }
 
 /// A request by host and path.
@@ -111,23 +136,45 @@
     let came = clock::now();
     begun(&f).await;
     let now = clock::now();
-    let host = r.headers().get("host").and_then(|v| v.to_str().ok()).or_else(|| r.uri().host()).unwrap_or_default();
+    let host = r
+        .headers()
+        .get("host")
+        .and_then(|v| v.to_str().ok())
+        .or_else(|| r.uri().host())
+        .unwrap_or_default();
     let target = r.uri().path_and_query().map_or("/", |p| p.as_str());
     let (lane, limits) = {
         let mut b = hold(&f.brain);
-        (b.path(host, r.uri().path(), now), b.limits().cloned().unwrap_or_default())
+        (
+            b.path(host, r.uri().path(), now),
+            b.limits().cloned().unwrap_or_default(),
+        )
     };
     let headers = headers(&r);
     if limits.header_bytes > 0 && head_bytes(&r) > limits.header_bytes {
-        let m = Fault::new("too_large", "read_head", "its head is larger than the configuration allows").outcome(Outcome::NotRun);
+        let m = Fault::new(
+            "too_large",
+            "read_head",
+            "its head is larger than the configuration allows",
+        )
+        .outcome(Outcome::NotRun);
         return reply((http::StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, m), true);
     }
     let ask = f.dialect.ask(host, r.uri().path(), &headers);
     let longest = lane.as_ref().map_or(NO_LANE_LIMIT, |l| l.time_limit_ms);
     let until = came + ask.left.map_or(longest, |l| l.min(longest));
     open.until(until);
-    let length = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-    let (most, over) = (if limits.body_bytes > 0 { limits.body_bytes } else { u64::MAX }, Rc::default());
+    let length = headers
+        .get(header::CONTENT_LENGTH)
+        .and_then(|v| v.to_str().ok()?.parse().ok());
+    let (most, over) = (
+        if limits.body_bytes > 0 {
+            limits.body_bytes
+        } else {
+            u64::MAX
+        },
+        Rc::default(),
+    );
     // Read before anything is answered, so that the channel can carry the next request whatever becomes of this.
     let read = Upload::read(p.into_inner(), length, most, Rc::clone(&over));
     let left = Duration::from_millis(until.saturating_sub(now));
@@ -135,12 +182,21 @@
         Ok(Ok(u)) => u,
         Ok(Err(Unread::TooLarge)) => return reply(too_large(), true),
         Ok(Err(Unread::Cut)) => {
-            let m = Fault::new("bad_request", "read_body", "its body did not come whole").outcome(Outcome::NotRun);
+            let m = Fault::new("bad_request", "read_body", "its body did not come whole")
+                .outcome(Outcome::NotRun);
             return reply((http::StatusCode::BAD_REQUEST, m), true);
         }
         Err(_) => {
-            let m = Fault::new("no_time", "read_body", "its body did not come in its time left").outcome(Outcome::NotRun);
-            return reply((http::StatusCode::REQUEST_TIMEOUT, m.retry(STOP_RETRY)), true);
+            let m = Fault::new(
+                "no_time",
+                "read_body",
+                "its body did not come in its time left",
+            )
+            .outcome(Outcome::NotRun);
+            return reply(
+                (http::StatusCode::REQUEST_TIMEOUT, m.retry(STOP_RETRY)),
+                true,
+            );
         }
     };
     let close = || f.stopping.is_begun();
@@ -148,14 +204,18 @@
         Ok(l) => l,
         Err(e) => {
             let s = daemon_parts::http::status(&e).as_u16();
-            return reply((http::StatusCode::from_u16(s).unwrap_or_default(), e), close());
+            return reply(
+                (http::StatusCode::from_u16(s).unwrap_or_default(), e),
+                close(),
+            );
         }
     };
     if !f.stopping.take() {
         return reply((http::StatusCode::SERVICE_UNAVAILABLE, refusal()), true);
     }
     let (Ok(method), Ok(uri)) = (r.method().as_str().parse(), target.parse::<Uri>()) else {
-        let m = Fault::new("bad_request", "read_head", "its method or path is none").outcome(Outcome::NotRun);
+        let m = Fault::new("bad_request", "read_head", "its method or path is none")
+            .outcome(Outcome::NotRun);
         return reply((http::StatusCode::BAD_REQUEST, m), close());
     };
     let mut p = Passage {
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -46,14 +46,23 @@
     static CLIENT: OnceCell<Client> = const { OnceCell::new() };
 }
 fn client() -> Client {
-    CLIENT.with(|c| c.get_or_init(|| Client::builder().disable_timeout().finish()).clone())
+    CLIENT.with(|c| {
+        c.get_or_init(|| Client::builder().disable_timeout().finish())
+            .clone()
+    })
 }
 
 fn busy<E>(_: E) -> Answer {
-    Fault::new("overload", "ask_owner", "the proxy's buffer is full").retry(1_000).outcome(Outcome::NotRun).into()
+    Fault::new("overload", "ask_owner", "the proxy's buffer is full")
+        .retry(1_000)
+        .outcome(Outcome::NotRun)
+        .into()
 }
 
-async fn look<T: Send + 'static>(b: &Brain, f: impl FnOnce(&mut ProxyActor, Ms) -> T + Send + 'static) -> Result<T, Answer> {
+async fn look<T: Send + 'static>(
+    b: &Brain,
+    f: impl FnOnce(&mut ProxyActor, Ms) -> T + Send + 'static,
+) -> Result<T, Answer> {
     b.send(Look(Box::new(f))).await.map_err(busy)?.map_err(busy)
 }
 
@@ -76,7 +85,9 @@
         let got = match step {
             Step::Check => {
                 let q = r.q.clone();
-                let checked = look(b, move |a, now| hold(&a.brain).check(&q, now)).await.map_err(|a| a.1)?;
+                let checked = look(b, move |a, now| hold(&a.brain).check(&q, now))
+                    .await
+                    .map_err(|a| a.1)?;
                 if checked.is_ok() {
                     let _ = look(b, |a, _| hold(&a.brain).first_round()).await;
                 }
@@ -84,7 +95,12 @@
             }
             Step::Claim { void } => {
                 let (request, age) = r.claimed_name();
-                let ask = AskClaim { request, round: r.round, void, age };
+                let ask = AskClaim {
+                    request,
+                    round: r.round,
+                    void,
+                    age,
+                };
                 Got::Claimed(b.send(ask).await.unwrap_or(claims::ABSTAINED))
             }
             Step::Place => Got::Placed(place(b, r, until).await),
@@ -103,7 +119,10 @@
             Step::Budget => Got::Budget(budget(b, r.rank, &r.q.request).await),
             Step::Stream(p) => match begun.take() {
                 Some(round) => return Ok((p, round)),
-                None => return Err(Fault::new("overload", "begin", "the round was lost").outcome(Outcome::Unknown)),
+                None => {
+                    return Err(Fault::new("overload", "begin", "the round was lost")
+                        .outcome(Outcome::Unknown));
+                }
             },
             Step::Reply(f) => return Err(f),
         };
@@ -114,11 +133,20 @@
 async fn place(b: &Brain, r: &Request, until: Ms) -> Result<Placed, Fault> {
     if let Some(at) = &r.q.resume {
         let (q, id) = (r.q.clone(), at.replica.clone());
-        let found = look(b, move |a, now| hold(&a.brain).resume(&q, &id, now)).await.map_err(|a| a.1)?;
-        return found.ok_or_else(|| Fault::new("replica_gone", "resume", "the replica of this run is gone"));
+        let found = look(b, move |a, now| hold(&a.brain).resume(&q, &id, now))
+            .await
+            .map_err(|a| a.1)?;
+        return found.ok_or_else(|| {
+            Fault::new("replica_gone", "resume", "the replica of this run is gone")
+        });
     }
     let time_left = until.saturating_sub(clock::now());
-    let m = FindPlace { q: r.q.clone(), rank: r.rank, time_left, tried: r.tried.clone() };
+    let m = FindPlace {
+        q: r.q.clone(),
+        rank: r.rank,
+        time_left,
+        tried: r.tried.clone(),
+    };
     b.send(m).await.unwrap_or_else(|e| Err(busy(e).1))
 }
 
@@ -128,26 +156,41 @@
         if b.second_round(rank, now) {
             return Ok(());
         }
-        Err(b.reject("full", "second_round", "the replica took nothing and no second round is left"))
+        Err(b.reject(
+            "full",
+            "second_round",
+            "the replica took nothing and no second round is left",
+        ))
     });
     let r = r.await.map_err(|a| a.1)?;
-    let e = if r.is_ok() { events::SECOND_ROUND } else { events::NO_BUDGET };
+    let e = if r.is_ok() {
+        events::SECOND_ROUND
+    } else {
+        events::NO_BUDGET
+    };
     event(e, "caller", request);
     r
 }
 
 /// Passes a begun round on until its end; whatever is not the end mark ends as unknown.
 async fn pass_on(b: Brain, q: RunRequest, p: Placed, mut r: Round, out: Lines) {
-    let expected = look(&b, move |a, _| hold(&a.brain).expected(&q.service, &q.lane)).await.unwrap_or(0);
+    let expected = look(&b, move |a, _| hold(&a.brain).expected(&q.service, &q.lane))
+        .await
+        .unwrap_or(0);
     let ended = loop {
         let (l, end) = match r.next().await {
             Next::Line(l) => (l, None),
             Next::End(l) => {
-                let slow = expected > 0 && clock::now().saturating_sub(p.at) > expected * SLOW_FACTOR;
+                let slow =
+                    expected > 0 && clock::now().saturating_sub(p.at) > expected * SLOW_FACTOR;
                 (l, Some(if slow { Ended::Slow } else { Ended::Answered }))
             }
             Next::Broken(l) => {
-                let f = l.end.as_ref().and_then(|e| e.fault.as_ref()).map(|f| f.to_string());
+                let f = l
+                    .end
+                    .as_ref()
+                    .and_then(|e| e.fault.as_ref())
+                    .map(|f| f.to_string());
                 event(events::ROUND_FAILED, &p.replica, &f.unwrap_or_default());
                 (l, Some(Ended::Failed))
             }
@@ -165,12 +208,19 @@
     let _ = b.send(Done(p, ended)).await;
 }
 
-async fn run(b: Brain, stopping: web::Data<Stopping>, r: HttpRequest, q: web::Json<RunRequest>) -> Reply {
+async fn run(
+    b: Brain,
+    stopping: web::Data<Stopping>,
+    r: HttpRequest,
+    q: web::Json<RunRequest>,
+) -> Reply {
     let q = q.into_inner();
     let open = Open::new(&stopping, &r);
     if !stopping.take() {
         let mut refused = Answer::from(refusal()).error_response();
-        refused.head_mut().set_connection_type(ConnectionType::Close);
+        refused
+            .head_mut()
+            .set_connection_type(ConnectionType::Close);
         return Ok(refused);
     }
     let until = clock::now() + q.time_left_ms;
@@ -190,7 +240,9 @@
     let (s, lines) = mpsc::channel(LINES);
     actix_rt::spawn(pass_on(b, r.q, p, round, s));
     // The request is open until its caller has the last line.
-    let body = futures_util::stream::unfold((lines, open), async |(mut lines, open)| Some((lines.recv().await?, (lines, open))));
+    let body = futures_util::stream::unfold((lines, open), async |(mut lines, open)| {
+        Some((lines.recv().await?, (lines, open)))
+    });
     let mut answer = HttpResponse::Ok();
     if stopping.is_begun() {
         answer.force_close();
@@ -199,20 +251,41 @@
 }
 
 async fn health(b: Brain) -> Reply {
-    let (name, ok) = look(&b, |a, now| (a.name.clone(), hold(&a.brain).ready(now) && !a.stopping)).await?;
+    let (name, ok) = look(&b, |a, now| {
+        (a.name.clone(), hold(&a.brain).ready(now) && !a.stopping)
+    })
+    .await?;
     let detail = if ok { "serves" } else { "may not serve now" }.into();
-    let mut r = if ok { HttpResponse::Ok() } else { HttpResponse::ServiceUnavailable() };
-    Ok(r.json(Health { ok, process: name, detail }))
+    let mut r = if ok {
+        HttpResponse::Ok()
+    } else {
+        HttpResponse::ServiceUnavailable()
+    };
+    Ok(r.json(Health {
+        ok,
+        process: name,
+        detail,
+    }))
 }
 
 async fn counters(b: Brain) -> Reply {
     let (process, v) = look(&b, |a, now| {
         let b = hold(&a.brain);
-        let mut v: Vec<(String, u64)> = b.counters.iter().map(|(n, v)| (n.to_string(), *v)).collect();
+        let mut v: Vec<(String, u64)> = b
+            .counters
+            .iter()
+            .map(|(n, v)| (n.to_string(), *v))
+            .collect();
         v.push(("spec_version".into(), b.spec_version()));
         for t in b.hello(now).counters.0 {
-            let at =
-                format!("{}/{}/{}/{}/{}", t.service, t.version, t.lane, if t.cached == 1 { "warm" } else { "cold" }, t.group);
+            let at = format!(
+                "{}/{}/{}/{}/{}",
+                t.service,
+                t.version,
+                t.lane,
+                if t.cached == 1 { "warm" } else { "cold" },
+                t.group
+            );
             v.extend([
                 (format!("sent/{at}"), t.sent),
                 (format!("ok/{at}"), t.succeeded),
@@ -223,7 +296,10 @@
         (a.name.clone(), v)
     })
     .await?;
-    let counters = v.into_iter().map(|(name, value)| Counter { name, value }).collect();
+    let counters = v
+        .into_iter()
+        .map(|(name, value)| Counter { name, value })
+        .collect();
     Ok(HttpResponse::Ok().json(Counters { process, counters }))
 }
 
@@ -246,8 +322,15 @@
     let brain = f.brain.clone();
     let free = move |g: &GuardContext| {
         let path = g.head().uri.path();
-        let ours = [calls::NOMINATE, calls::RUN, calls::HEALTH, calls::COUNTERS].iter().any(|c| c.1 == path);
-        let host = g.head().headers.get("host").and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let ours = [calls::NOMINATE, calls::RUN, calls::HEALTH, calls::COUNTERS]
+            .iter()
+            .any(|c| c.1 == path);
+        let host = g
+            .head()
+            .headers
+            .get("host")
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default();
         ours && hold(&brain).path(host, path, clock::now()).is_err()
     };
     c.app_data(web::Data::from(f.stopping.clone()))
--- a/edge-proxy/src/lib.rs
+++ b/edge-proxy/src/lib.rs
@@ -43,8 +43,13 @@
 };
 
 fn brain(p: &Params, reader: SpecParser) -> Proxy {
-    let mut b =
-        Proxy::new(p.name.as_str().into(), p.zone.as_str().into(), p.http.as_str().into(), clock::born(), fastrand::u64(..));
+    let mut b = Proxy::new(
+        p.name.as_str().into(),
+        p.zone.as_str().into(),
+        p.http.as_str().into(),
+        clock::born(),
+        fastrand::u64(..),
+    );
     b.set_reader(reader);
     b.set_policy(p.policy);
     b.set_bounds(p.bounds.clone(), p.regions.clone());
@@ -52,7 +57,11 @@
 }
 
 /// Runs until the process is asked to stop. With a dialect it also passes requests by host and path.
-pub async fn run(p: Params, dialect: Option<Arc<dyn Dialect>>, reader: SpecParser) -> Result<(), Report<StartFault>> {
+pub async fn run(
+    p: Params,
+    dialect: Option<Arc<dyn Dialect>>,
+    reader: SpecParser,
+) -> Result<(), Report<StartFault>> {
     let _log = logging::start(&p.log)?;
     let signals = StopSignals::listen()?;
     let brain: Shared = Arc::new(Mutex::new(brain(&p, reader)));
@@ -65,17 +74,26 @@
 }
 
 /// The product's own calls alone.
-async fn own(p: Params, signals: StopSignals, a: Addr<ProxyActor>) -> Result<(), Report<StartFault>> {
+async fn own(
+    p: Params,
+    signals: StopSignals,
+    a: Addr<ProxyActor>,
+) -> Result<(), Report<StartFault>> {
     let b = web::Data::new(a.clone());
     let stopping = Arc::new(Stopping::default());
     let s = web::Data::from(stopping.clone());
-    let server = HttpServer::new(move || App::new().app_data(b.clone()).app_data(s.clone()).configure(http::routes))
-        .workers(WORKERS)
-        .disable_signals()
-        .bind(&p.http)
-        .change_context(StartFault("bind the HTTP port"))
-        .attach_with(|| p.http.clone())?
-        .run();
+    let server = HttpServer::new(move || {
+        App::new()
+            .app_data(b.clone())
+            .app_data(s.clone())
+            .configure(http::routes)
+    })
+    .workers(WORKERS)
+    .disable_signals()
+    .bind(&p.http)
+    .change_context(StartFault("bind the HTTP port"))
+    .attach_with(|| p.http.clone())?
+    .run();
     run_until_stopped(&p, signals, &a, &stopping, server).await;
     Ok(())
 }
@@ -89,9 +107,21 @@
     dialect: Arc<dyn Dialect>,
 ) -> Result<(), Report<StartFault>> {
     let stopping = Arc::new(Stopping::default());
-    let f = Front { brain, dialect, stopping: stopping.clone(), ready: p.readiness.clone(), not_yet: NOT_YET };
-    let ports = [&p.http, &p.readiness].into_iter().filter(|a| !a.is_empty());
-    let ports = ports.map(|a| listen(a).change_context(StartFault("bind an HTTP port")).attach_with(|| a.clone()));
+    let f = Front {
+        brain,
+        dialect,
+        stopping: stopping.clone(),
+        ready: p.readiness.clone(),
+        not_yet: NOT_YET,
+    };
+    let ports = [&p.http, &p.readiness]
+        .into_iter()
+        .filter(|a| !a.is_empty());
+    let ports = ports.map(|a| {
+        listen(a)
+            .change_context(StartFault("bind an HTTP port"))
+            .attach_with(|| a.clone())
+    });
     let ports = ports.collect::<Result<Vec<_>, _>>()?;
     let server = serve(f, a.clone(), ports).change_context(StartFault("serve the HTTP ports"))?;
     run_until_stopped(&p, signals, &a, &stopping, server).await;
@@ -99,12 +129,24 @@
 }
 
 /// Serves until the process is asked to stop, and on to its end.
-async fn run_until_stopped(p: &Params, mut signals: StopSignals, a: &Addr<ProxyActor>, stopping: &Stopping, server: Server) {
+async fn run_until_stopped(
+    p: &Params,
+    mut signals: StopSignals,
+    a: &Addr<ProxyActor>,
+    stopping: &Stopping,
+    server: Server,
+) {
     let h = server.handle();
     let served = actix_rt::spawn(server);
-    event(events::STARTED, &p.name, &format!("http {} processes {}", p.http, p.listen));
+    event(
+        events::STARTED,
+        &p.name,
+        &format!("http {} processes {}", p.http, p.listen),
+    );
     signals.asked(&p.name).await;
-    let _ = a.send(Look(Box::new(|a: &mut ProxyActor, now| a.stop(now)))).await;
+    let _ = a
+        .send(Look(Box::new(|a: &mut ProxyActor, now| a.stop(now))))
+        .await;
     wind_down(stopping, &h, p.bounds.grace).await;
     let _ = tokio::time::timeout(STOP_LOOK, served).await;
     event(events::STOPPED, &p.name, "");
@@ -124,7 +166,9 @@
     let (b, brain) = (web::Data::new(a), f.brain.clone());
     let server = HttpServer::new(move || {
         let f = f.clone();
-        App::new().app_data(b.clone()).configure(|c| http::routes_and_lanes(c, f))
+        App::new()
+            .app_data(b.clone())
+            .configure(|c| http::routes_and_lanes(c, f))
     })
     // One thread: channels to replicas are shared by all requests, and the brain is under one lock anyway.
     .workers(1)
@@ -136,5 +180,8 @@
     .keep_alive(KeepAlive::Os)
     .client_request_timeout(Duration::ZERO)
     .on_connect(move |io, ext| downstream::connected(&brain, io, ext));
-    Ok(ports.into_iter().try_fold(server, |s, p| s.listen(p))?.run())
+    Ok(ports
+        .into_iter()
+        .try_fold(server, |s, p| s.listen(p))?
+        .run())
 }
--- a/edge-proxy/src/pass.rs
+++ b/edge-proxy/src/pass.rs
@@ -81,7 +81,10 @@
 
 impl Passage {
     pub fn repeatable(&self) -> bool {
-        matches!(self.lane.kind, PathKind::Repeatable | PathKind::StreamResumable)
+        matches!(
+            self.lane.kind,
+            PathKind::Repeatable | PathKind::StreamResumable
+        )
     }
 
     /// Sends it to replicas until the answer of one begins, or it ends without.
@@ -113,7 +116,8 @@
     }
 
     async fn round(&mut self) -> Round {
-        let admit = hold(&self.brain).pass(&self.lane, &self.ask, &self.tried, self.until, clock::now());
+        let admit =
+            hold(&self.brain).pass(&self.lane, &self.ask, &self.tried, self.until, clock::now());
         let placed = match admit {
             Admit::Go(p) => p,
             Admit::Reject(f) => return Round::End(self.reject(f)),
@@ -122,7 +126,11 @@
         self.service.clone_from(&placed.service);
         let mut flight = Flight::new(self.brain.clone(), placed);
         // What rested for long could have been dropped without notice: an answer of what runs once would be lost.
-        let most = if self.repeatable() { Ms::MAX } else { ONCE_IDLE };
+        let most = if self.repeatable() {
+            Ms::MAX
+        } else {
+            ONCE_IDLE
+        };
         let mut resting = self.pool.idle(&flight.placed.addr, most, clock::now());
         loop {
             let mut channel = match resting.take() {
@@ -149,7 +157,8 @@
                 // The channel had ended unnoticed: the same replica by another one, as if nothing had been.
                 self.upload = Some(q.into_body());
                 if first {
-                    return self.unreached(flight, Unopened::Lost("the channel ended at once".into()));
+                    return self
+                        .unreached(flight, Unopened::Lost("the channel ended at once".into()));
                 }
                 continue;
             }
@@ -181,7 +190,8 @@
         *q.method_mut() = self.method.clone();
         *q.uri_mut() = self.uri.clone();
         *q.headers_mut() = self.headers.clone();
-        self.dialect.dress(q.headers_mut(), &self.lane, &f.placed, left);
+        self.dialect
+            .dress(q.headers_mut(), &self.lane, &f.placed, left);
         Some(q)
     }
 
@@ -230,7 +240,8 @@
 
     fn silent(&mut self, mut f: Flight) -> Round {
         f.end(PassEnd::Silent);
-        let m = Fault::new("no_time", "await_answer", "its time ran out").peer(f.placed.replica.clone());
+        let m = Fault::new("no_time", "await_answer", "its time ran out")
+            .peer(f.placed.replica.clone());
         Round::End((StatusCode::GATEWAY_TIMEOUT, m.outcome(Outcome::Unknown)))
     }
 
@@ -243,10 +254,19 @@
         hold(&self.brain).heard(&f.placed, &told, clock::now());
         c.heed(&head.headers);
         if !told.not_run {
-            return Round::Begun(Box::new(Begun { flight: f, channel: c, head, body }));
+            return Round::Begun(Box::new(Begun {
+                flight: f,
+                channel: c,
+                head,
+                body,
+            }));
         }
         event(events::ROUND_FAILED, &f.placed.replica, "it did not run it");
-        f.end(if told.other { PassEnd::Other } else { PassEnd::Full });
+        f.end(if told.other {
+            PassEnd::Other
+        } else {
+            PassEnd::Full
+        });
         self.tried.push(f.placed.replica.clone());
         self.refusal = Some((head.status, retry_after(&head.headers)));
         // Another replica stands behind a channel that told so: nothing more goes there, and the one that was meant
@@ -281,7 +301,10 @@
             }
             f.retry_after_ms = after.or(f.retry_after_ms);
         }
-        (StatusCode::from_u16(s.as_u16()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE), f)
+        (
+            StatusCode::from_u16(s.as_u16()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE),
+            f,
+        )
     }
     fn give_up(&mut self, why: &str) -> Ending {
         if self.perhaps {
@@ -292,7 +315,12 @@
     }
     /// This process ends while a replica may be at work on it.
     pub fn abandoned() -> Ending {
-        let f = Fault::new("replica_lost", "pass", "this edge ends before its replica has answered").outcome(Outcome::Unknown);
+        let f = Fault::new(
+            "replica_lost",
+            "pass",
+            "this edge ends before its replica has answered",
+        )
+        .outcome(Outcome::Unknown);
         (StatusCode::BAD_GATEWAY, f)
     }
     fn unknown(&self, why: &str) -> Ending {
@@ -303,11 +331,22 @@
 
 /// A body over its limit never ended at any replica: nobody ran it.
 pub fn too_large() -> Ending {
-    let f = Fault::new("too_large", "read_body", "its body is larger than the configuration allows").outcome(Outcome::NotRun);
+    let f = Fault::new(
+        "too_large",
+        "read_body",
+        "its body is larger than the configuration allows",
+    )
+    .outcome(Outcome::NotRun);
     (StatusCode::PAYLOAD_TOO_LARGE, f)
 }
 
 fn retry_after(h: &HeaderMap) -> Option<Ms> {
-    let s: f64 = h.get(http::header::RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
+    let s: f64 = h
+        .get(http::header::RETRY_AFTER)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()?;
     (s.is_finite() && s >= 0.0).then_some((s * 1_000.0) as Ms)
 }
--- a/edge-proxy/src/pool.rs
+++ b/edge-proxy/src/pool.rs
@@ -15,8 +15,8 @@
 use daemon_parts::{
     clock,
     limits::{
-        CHANNEL_BYTES, IDLE_KEPT, IDLE_MARGIN, IDLE_SWEEP, OPEN_BASE, OPEN_FACTOR, OPEN_WEIGHT, PROBE_EVERY, REJECTION_MAX,
-        SENT_LIMIT,
+        CHANNEL_BYTES, IDLE_KEPT, IDLE_MARGIN, IDLE_SWEEP, OPEN_BASE, OPEN_FACTOR, OPEN_WEIGHT,
+        PROBE_EVERY, REJECTION_MAX, SENT_LIMIT,
     },
 };
 use http::{Request, Response};
@@ -107,16 +107,29 @@
     }
     /// Heeds what the replica says of how long an idle channel stays.
     pub fn heed(&mut self, h: &http::HeaderMap) {
-        let closes =
-            |v: &http::HeaderValue| v.to_str().is_ok_and(|v| v.split(',').any(|x| x.trim().eq_ignore_ascii_case("close")));
+        let closes = |v: &http::HeaderValue| {
+            v.to_str()
+                .is_ok_and(|v| v.split(',').any(|x| x.trim().eq_ignore_ascii_case("close")))
+        };
         if h.get_all(http::header::CONNECTION).iter().any(closes) {
             self.keep = 0;
             return;
         }
         let told = h.get("keep-alive").and_then(|v| v.to_str().ok());
-        let told =
-            told.and_then(|v| v.split([',', ';']).find_map(|x| x.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok()));
-        self.keep = told.map_or(IDLE_KEPT, |s| s.saturating_mul(1_000).saturating_sub(IDLE_MARGIN).min(IDLE_KEPT));
+        let told = told.and_then(|v| {
+            v.split([',', ';']).find_map(|x| {
+                x.trim()
+                    .strip_prefix("timeout=")?
+                    .trim()
+                    .parse::<u64>()
+                    .ok()
+            })
+        });
+        self.keep = told.map_or(IDLE_KEPT, |s| {
+            s.saturating_mul(1_000)
+                .saturating_sub(IDLE_MARGIN)
+                .min(IDLE_KEPT)
+        });
     }
     /// Whether all that was sent has arrived. A replica may answer before it reads a body: what is sent behind that waits
     /// until it is read, and is lost if it never is.
@@ -153,7 +166,11 @@
         if let Some(p) = self.peers.borrow().get(addr) {
             return p.clone();
         }
-        self.peers.borrow_mut().entry(addr.to_string()).or_default().clone()
+        self.peers
+            .borrow_mut()
+            .entry(addr.to_string())
+            .or_default()
+            .clone()
     }
 
     /// The newest idle channel that has not rested for longer than `most`.
@@ -161,12 +178,20 @@
         let p = self.peers.borrow().get(addr)?.clone();
         let mut idle = p.idle.borrow_mut();
         idle.retain(|c| !c.send.is_closed() && c.rests(Ms::MAX, now));
-        let i = idle.iter().rposition(|c| c.send.is_ready() && c.rests(most, now) && c.arrived())?;
+        let i = idle
+            .iter()
+            .rposition(|c| c.send.is_ready() && c.rests(most, now) && c.arrived())?;
         Some(idle.remove(i))
     }
 
     /// Opens a channel, unless `most` are open already. `way`: ms there and back.
-    pub async fn open(&self, addr: &str, most: usize, way: Ms, left: Ms) -> Result<(Channel, Ms), Unopened> {
+    pub async fn open(
+        &self,
+        addr: &str,
+        most: usize,
+        way: Ms,
+        left: Ms,
+    ) -> Result<(Channel, Ms), Unopened> {
         let peer = self.peer(addr);
         if peer.open.get() >= most {
             // Those that rest too long for this request make room.
@@ -178,31 +203,55 @@
                 return Err(Unopened::Full);
             }
         }
-        let lost = |e: &dyn std::fmt::Display| Unopened::Lost(format!("opening a channel to {addr}: {e}"));
+        let lost =
+            |e: &dyn std::fmt::Display| Unopened::Lost(format!("opening a channel to {addr}: {e}"));
         let to: SocketAddr = addr.parse().map_err(|e| lost(&e))?;
         let s = TcpSocket::new_v4().map_err(|e| lost(&e))?;
         let _ = s.set_nodelay(true);
         let raw = SockRef::from(&s);
         let _ = raw.set_tcp_user_timeout(Some(SENT_LIMIT));
-        let _ = raw.set_tcp_keepalive(&TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY));
+        let _ = raw.set_tcp_keepalive(
+            &TcpKeepalive::new()
+                .with_time(PROBE_EVERY)
+                .with_interval(PROBE_EVERY),
+        );
         let limit = (OPEN_BASE + OPEN_FACTOR * peer.took.get().max(way)).min(left);
         let at = clock::now();
         let counted = Counted::new(peer.clone());
         let s = match timeout(Duration::from_millis(limit), s.connect(to)).await {
             Ok(Ok(s)) => s,
             Ok(Err(e)) => return Err(lost(&e)),
-            Err(_) => return Err(Unopened::Dark(format!("opening a channel to {addr}: nothing after {limit} ms"))),
+            Err(_) => {
+                return Err(Unopened::Dark(format!(
+                    "opening a channel to {addr}: nothing after {limit} ms"
+                )));
+            }
         };
         let took = clock::now().saturating_sub(at);
-        peer.took.set((peer.took.get() * (100 - OPEN_WEIGHT) + took * OPEN_WEIGHT) / 100);
+        peer.took
+            .set((peer.took.get() * (100 - OPEN_WEIGHT) + took * OPEN_WEIGHT) / 100);
         let fd = s.as_raw_fd();
-        let made = Builder::new().max_buf_size(CHANNEL_BYTES).handshake(TokioIo::new(s)).await;
+        let made = Builder::new()
+            .max_buf_size(CHANNEL_BYTES)
+            .handshake(TokioIo::new(s))
+            .await;
         let (send, io) = made.map_err(|e| lost(&e))?;
         let io = actix_rt::spawn(async move {
             // What goes wrong shows at the request that it goes wrong for.
             let _ = io.await;
         });
-        Ok((Channel { send, io, fd, counted, rested: at + took, keep: IDLE_KEPT, used: false }, took))
+        Ok((
+            Channel {
+                send,
+                io,
+                fd,
+                counted,
+                rested: at + took,
+                keep: IDLE_KEPT,
+                used: false,
+            },
+            took,
+        ))
     }
 
     /// Takes back a channel whose answer came whole.
@@ -219,7 +268,11 @@
     /// Reads what little is left of an answer that nobody wants, and takes the channel back.
     pub fn read_off(self: Rc<Self>, c: Channel, body: Incoming) {
         actix_rt::spawn(async move {
-            let whole = timeout(SENT_LIMIT, Limited::new(body, REJECTION_MAX as usize).collect()).await;
+            let whole = timeout(
+                SENT_LIMIT,
+                Limited::new(body, REJECTION_MAX as usize).collect(),
+            )
+            .await;
             if matches!(whole, Ok(Ok(_))) {
                 self.rest(c, clock::now());
             }
@@ -232,7 +285,9 @@
         }
         self.swept.set(now);
         self.peers.borrow_mut().retain(|_, p| {
-            p.idle.borrow_mut().retain(|c| !c.send.is_closed() && c.rests(Ms::MAX, now));
+            p.idle
+                .borrow_mut()
+                .retain(|c| !c.send.is_closed() && c.rests(Ms::MAX, now));
             p.open.get() > 0
         });
     }
--- a/edge-proxy/src/round.rs
+++ b/edge-proxy/src/round.rs
@@ -42,24 +42,43 @@
         resume: q.resume.clone(),
     };
     // A probe of the connection keeps "nothing was sent" provable for the commonest failure, a dead replica.
-    let open = tokio::time::timeout(Duration::from_millis(OPEN_LIMIT.min(left)), tokio::net::TcpStream::connect(&*p.addr)).await;
+    let open = tokio::time::timeout(
+        Duration::from_millis(OPEN_LIMIT.min(left)),
+        tokio::net::TcpStream::connect(&*p.addr),
+    )
+    .await;
     let fault = |code: &str, m: String| Fault::new(code, "call_replica", m).peer(p.replica.clone());
     if !matches!(open, Ok(Ok(_))) {
-        return Err(NotBegun::NotRun(fault("replica_gone", "no connection".into())));
+        return Err(NotBegun::NotRun(fault(
+            "replica_gone",
+            "no connection".into(),
+        )));
     }
-    let r = c.post(format!("http://{}{}", p.addr, calls::GENERATE.1)).timeout(Duration::from_millis(left.max(1)));
-    let mut a = r.send_json(&body).await.map_err(|e| NotBegun::Unknown(fault("replica_lost", e.to_string())))?;
+    let r = c
+        .post(format!("http://{}{}", p.addr, calls::GENERATE.1))
+        .timeout(Duration::from_millis(left.max(1)));
+    let mut a = r
+        .send_json(&body)
+        .await
+        .map_err(|e| NotBegun::Unknown(fault("replica_lost", e.to_string())))?;
     if !a.status().is_success() {
         let b = a.body().limit(LINE_MAX).await.unwrap_or_default();
         // Only the replica's own word that it did not run counts; any other failure may have run.
         return Err(match serde_json::from_slice::<Fault>(&b) {
-            Ok(f) if f.outcome == Some(Outcome::NotRun) => NotBegun::NotRun(f.peer(p.replica.clone())),
+            Ok(f) if f.outcome == Some(Outcome::NotRun) => {
+                NotBegun::NotRun(f.peer(p.replica.clone()))
+            }
             Ok(f) => NotBegun::Unknown(f.peer(p.replica.clone())),
             Err(_) => NotBegun::Unknown(fault("replica_failed", format!("status {}", a.status()))),
         });
     }
     let lines = Lines::new(&q.request, &p.replica, q.resume.as_ref());
-    Ok(Round { lines, body: Box::pin(a), buffer: vec![], until })
+    Ok(Round {
+        lines,
+        body: Box::pin(a),
+        buffer: vec![],
+        until,
+    })
 }
 
 impl Round {
@@ -79,7 +98,11 @@
             match tokio::time::timeout(left, self.body.next()).await {
                 Ok(Some(Ok(b))) => self.buffer.extend_from_slice(&b),
                 Ok(Some(Err(e))) => return self.lines.broken("replica_lost", e.to_string()),
-                Ok(None) => return self.lines.broken("no_end_mark", "the stream ended without its end mark"),
+                Ok(None) => {
+                    return self
+                        .lines
+                        .broken("no_end_mark", "the stream ended without its end mark");
+                }
                 Err(_) => return self.lines.broken("no_time", "the time left ran out"),
             }
         }
--- a/edge-proxy/src/shared.rs
+++ b/edge-proxy/src/shared.rs
@@ -28,7 +28,12 @@
 
 impl Flight {
     pub fn new(brain: Shared, placed: Placed) -> Self {
-        Flight { brain, placed, pieces: false, ended: false }
+        Flight {
+            brain,
+            placed,
+            pieces: false,
+            ended: false,
+        }
     }
     pub fn first_piece(&mut self, now: Ms) {
         if !std::mem::replace(&mut self.pieces, true) {
--- a/edge-proxy/src/stopping.rs
+++ b/edge-proxy/src/stopping.rs
@@ -51,7 +51,9 @@
 
 /// What a request is told that comes too late.
 pub fn refusal() -> Fault {
-    Fault::new("stopping", "take_request", "this edge stops").outcome(Outcome::NotRun).retry(STOP_RETRY)
+    Fault::new("stopping", "take_request", "this edge stops")
+        .outcome(Outcome::NotRun)
+        .retry(STOP_RETRY)
 }
 
 /// A request that is open, from its head to the end of its answer.
@@ -63,7 +65,10 @@
 impl Open {
     pub fn new(s: &Arc<Stopping>, r: &HttpRequest) -> Self {
         s.state().opened();
-        Open { stopping: s.clone(), held: r.conn_data::<Rc<Downstream>>().map(Held::new) }
+        Open {
+            stopping: s.clone(),
+            held: r.conn_data::<Rc<Downstream>>().map(Held::new),
+        }
     }
     /// The request is held until then at the most.
     pub fn until(&self, t: Ms) {
@@ -86,7 +91,11 @@
     }
     let (open, taken) = (s.open(), s.state().last_taken());
     if open > 0 {
-        let text = format!("open={open} last_taken_ms={} now_ms={}", taken.saturating_sub(asked), clock::now() - asked);
+        let text = format!(
+            "open={open} last_taken_ms={} now_ms={}",
+            taken.saturating_sub(asked),
+            clock::now() - asked
+        );
         event(events::REQUESTS_CUT, "", &text);
     }
     s.over.send_replace(true);
--- a/edge-proxy/src/upload.rs
+++ b/edge-proxy/src/upload.rs
@@ -19,7 +19,13 @@
     Whole(Bytes),
     /// Its beginning, and the rest as the downstream sends it; `left` of all, if its length was told, and `room` for
     /// what may still come.
-    Flow { head: Bytes, rest: Payload, left: Option<u64>, room: u64, over: Rc<Cell<bool>> },
+    Flow {
+        head: Bytes,
+        rest: Payload,
+        left: Option<u64>,
+        room: u64,
+        over: Rc<Cell<bool>>,
+    },
 }
 
 /// Why a body was not read.
@@ -32,7 +38,12 @@
 impl Upload {
     /// Reads a small body whole; of a large one only so much that it is known to be large.
     /// `most`: bytes that it may have; `over` is set once more than these come, if that is only seen while it flows.
-    pub async fn read(mut p: Payload, length: Option<u64>, most: u64, over: Rc<Cell<bool>>) -> Result<Self, Unread> {
+    pub async fn read(
+        mut p: Payload,
+        length: Option<u64>,
+        most: u64,
+        over: Rc<Cell<bool>>,
+    ) -> Result<Self, Unread> {
         if length.is_some_and(|n| n > most) {
             return Err(Unread::TooLarge);
         }
@@ -41,9 +52,17 @@
         while let Some(x) = p.next().await {
             let x = x.map_err(|_| Unread::Cut)?;
             b.extend_from_slice(&x);
-            let Some(room) = most.checked_sub(b.len() as u64) else { return Err(Unread::TooLarge) };
+            let Some(room) = most.checked_sub(b.len() as u64) else {
+                return Err(Unread::TooLarge);
+            };
             if b.len() > UPLOAD_KEPT {
-                return Ok(Upload::Flow { head: b.freeze(), rest: p, left: length, room, over });
+                return Ok(Upload::Flow {
+                    head: b.freeze(),
+                    rest: p,
+                    left: length,
+                    room,
+                    over,
+                });
             }
         }
         Ok(Upload::Whole(b.freeze()))
@@ -61,17 +80,28 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let piece = match &mut *self {
             Upload::Whole(b) if b.is_empty() => return Poll::Ready(None),
             Upload::Whole(b) => std::mem::take(b),
-            Upload::Flow { head, rest, left, room, over } => {
+            Upload::Flow {
+                head,
+                rest,
+                left,
+                room,
+                over,
+            } => {
                 let b = match head.is_empty() {
                     false => std::mem::take(head),
                     true => match std::task::ready!(Pin::new(rest).poll_next(cx)) {
                         Some(Ok(b)) if b.len() as u64 > *room => {
                             over.set(true);
-                            return Poll::Ready(Some(Err(io::Error::other("the body is over its limit"))));
+                            return Poll::Ready(Some(Err(io::Error::other(
+                                "the body is over its limit",
+                            ))));
                         }
                         Some(Ok(b)) => {
                             *room -= b.len() as u64;
--- a/edge-proxy/tests/limits.rs
+++ b/edge-proxy/tests/limits.rs
@@ -7,7 +7,8 @@
 
 use coordination::{Ms, bounds::Bounds};
 use daemon_parts::limits::{
-    DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT, LATE_SLACK, UNREACHED_MOST, UPLOAD_KEPT,
+    DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT,
+    LATE_SLACK, UNREACHED_MOST, UPLOAD_KEPT,
 };
 use edge_proxy::downstream::{Looks, State};
 use googletest::prelude::*;
@@ -19,7 +20,12 @@
     actix_rt::System::new().block_on(f);
 }
 fn limits(header_bytes: u64, body_bytes: u64, header_ms: Ms, idle_ms: Ms) -> DownstreamLimits {
-    DownstreamLimits { header_bytes, body_bytes, header_ms, idle_ms }
+    DownstreamLimits {
+        header_bytes,
+        body_bytes,
+        header_ms,
+        idle_ms,
+    }
 }
 /// Time enough that nothing ends by itself in a test.
 const AMPLE: Ms = 3_600_000;
@@ -34,10 +40,25 @@
         let r = Replica::plain("x").await;
         let q = request("a", "");
         let l = limits(q.len() as u64, 0, 0, 0);
-        let e = Edge::start(Lane { limits: l, ..Lane::of("once", 1) }, &[r.addr]).await;
+        let e = Edge::start(
+            Lane {
+                limits: l,
+                ..Lane::of("once", 1)
+            },
+            &[r.addr],
+        )
+        .await;
         expect_that!(ask(&e, &q).await.status, eq(200));
         let a = ask(&e, q.replace("Round: a", "Round: ab")).await;
-        expect_that!((a.status, a.header("connection"), a.header("seal"), r.count()), eq((431, Some("close"), None, 1)));
+        expect_that!(
+            (
+                a.status,
+                a.header("connection"),
+                a.header("seal"),
+                r.count()
+            ),
+            eq((431, Some("close"), None, 1))
+        );
         expect_that!(a.body, contains_substring("too_large"));
     });
 }
@@ -45,24 +66,46 @@
 #[gtest]
 fn a_body_over_its_limit_is_told_so_and_one_at_the_limit_passes() {
     run(async {
-        let head = "POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let head =
+            "POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nTransfer-Encoding: chunked\r\n\r\n";
         let chunked = |n: usize| {
             let parts: String = (0..n / 8).map(|_| chunk("12345678")).collect();
-            format!("{head}{parts}{}", if !n.is_multiple_of(8) { chunk(&"9".repeat(n % 8)) } else { String::new() })
+            format!(
+                "{head}{parts}{}",
+                if !n.is_multiple_of(8) {
+                    chunk(&"9".repeat(n % 8))
+                } else {
+                    String::new()
+                }
+            )
         };
         // Kept whole, and flowing.
         for most in [64, UPLOAD_KEPT + 64_000] {
             let r = Replica::plain("x").await;
             let l = limits(0, most as u64, 0, 0);
-            let e = Edge::start(Lane { limits: l, ..Lane::of("repeatable", 3) }, &[r.addr, r.addr]).await;
-            expect_that!(ask(&e, request("a", &"y".repeat(most))).await.status, eq(200));
+            let e = Edge::start(
+                Lane {
+                    limits: l,
+                    ..Lane::of("repeatable", 3)
+                },
+                &[r.addr, r.addr],
+            )
+            .await;
+            expect_that!(
+                ask(&e, request("a", &"y".repeat(most))).await.status,
+                eq(200)
+            );
             expect_that!(ask(&e, chunked(most) + "0\r\n\r\n").await.status, eq(200));
             expect_that!((r.got(0).body.len(), r.got(1).body.len()), eq((most, most)));
             let a = ask(&e, request("b", &"y".repeat(most + 1))).await;
             expect_that!((a.status, a.header("seal")), eq((413, None)));
             // Its end is never sent: too much is too much before it.
             let a = ask(&e, chunked(most + 1)).await;
-            expect_that!((a.status, a.header("seal"), a.body.contains("not_run")), eq((413, None, true)), "{most}");
+            expect_that!(
+                (a.status, a.header("seal"), a.body.contains("not_run")),
+                eq((413, None, true)),
+                "{most}"
+            );
             // What flowed was cut off at its replica, which is waited for; no replica has got a whole request of it.
             let flowed = usize::from(most > UPLOAD_KEPT);
             e.until(|_| r.cut.lock().unwrap().len() == flowed).await;
@@ -77,7 +120,14 @@
 fn a_head_that_does_not_come_ends_its_channel() {
     run(async {
         let r = Replica::plain("x").await;
-        let e = Edge::start(Lane { limits: limits(0, 0, 40, AMPLE), ..Lane::of("once", 1) }, &[r.addr]).await;
+        let e = Edge::start(
+            Lane {
+                limits: limits(0, 0, 40, AMPLE),
+                ..Lane::of("once", 1)
+            },
+            &[r.addr],
+        )
+        .await;
         for half in ["", "POST /p/x HTTP/1.1\r\nHost: h\r\nRou"] {
             let mut d = Downstream::to(e.addr).await;
             d.send(half).await;
@@ -91,7 +141,10 @@
 fn a_resting_channel_ends_by_the_spec_of_now() {
     run(async {
         let r = Replica::plain("x").await;
-        let lane = |ms| Lane { limits: limits(0, 0, ms, ms), ..Lane::of("once", 1) };
+        let lane = |ms| Lane {
+            limits: limits(0, 0, ms, ms),
+            ..Lane::of("once", 1)
+        };
         let e = Edge::start(lane(AMPLE), &[r.addr]).await;
         let mut d = Downstream::to(e.addr).await;
         for round in ["a", "b"] {
@@ -108,13 +161,26 @@
 
 #[gtest]
 fn a_channel_is_kept_for_as_long_as_a_downstream_may_take_it_up() {
-    for (head, idle) in [(3_000, 15_000), (3_000, 1_000), (0, 60_000), (500, 0), (0, 0)] {
+    for (head, idle) in [
+        (3_000, 15_000),
+        (3_000, 1_000),
+        (0, 60_000),
+        (500, 0),
+        (0, 0),
+    ] {
         let l = limits(0, 0, head, idle);
         let idle = if idle > 0 { idle } else { DOWNSTREAM_IDLE };
         let head = if head > 0 { head } else { DOWNSTREAM_HEAD };
         // A head that begins after four fifths of the rest comes whole; and the rest ends.
         let ends = State::Rests(1_000).ends(&l);
-        expect_that!(ends, all!(ge(1_000 + idle / 5 * 4 + head), ge(1_000 + idle), le(1_000 + idle + head)));
+        expect_that!(
+            ends,
+            all!(
+                ge(1_000 + idle / 5 * 4 + head),
+                ge(1_000 + idle),
+                le(1_000 + idle + head)
+            )
+        );
         expect_that!(State::New(1_000).ends(&l), eq(1_000 + head));
         expect_that!(State::Carries(1_000).ends(&l), eq(1_000 + LATE_SLACK));
     }
@@ -122,7 +188,10 @@
     for s in [State::New(1_000), State::Rests(1_000)] {
         expect_that!(s.woke(500_000).ends(&limits(0, 0, 100, 100)), gt(500_000));
     }
-    expect_that!(State::Carries(1_000).woke(500_000), eq(State::Carries(1_000)));
+    expect_that!(
+        State::Carries(1_000).woke(500_000),
+        eq(State::Carries(1_000))
+    );
 }
 
 #[gtest]
@@ -137,24 +206,49 @@
     };
     let carries = State::Carries(1_000);
     // Looks in time: closed once its time and the slack are over, and not before.
-    expect_that!(look(ENDS - 1, DOWNSTREAM_LOOK).over(carries, &l, false), eq((false, false)));
-    expect_that!(look(ENDS, DOWNSTREAM_LOOK).over(carries, &l, false), eq((true, true)));
+    expect_that!(
+        look(ENDS - 1, DOWNSTREAM_LOOK).over(carries, &l, false),
+        eq((false, false))
+    );
+    expect_that!(
+        look(ENDS, DOWNSTREAM_LOOK).over(carries, &l, false),
+        eq((true, true))
+    );
     // Its time and the slack may have ended in one pause: whoever answers it has had no turn yet, but has one before
     // the next look, however late that comes.
-    for gone in [DOWNSTREAM_LATE + 1, 2 * DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT + 1, 60_000] {
+    for gone in [
+        DOWNSTREAM_LATE + 1,
+        2 * DOWNSTREAM_LOOK,
+        DOWNSTREAM_SLEPT + 1,
+        60_000,
+    ] {
         let late = look(ENDS + gone, gone);
-        expect_that!(late.over(late.state(carries), &l, false), eq((true, false)), "{gone}");
-        expect_that!(late.over(late.state(carries), &l, true), eq((true, true)), "{gone}");
+        expect_that!(
+            late.over(late.state(carries), &l, false),
+            eq((true, false)),
+            "{gone}"
+        );
+        expect_that!(
+            late.over(late.state(carries), &l, true),
+            eq((true, true)),
+            "{gone}"
+        );
     }
     // Nor does what rests stay for ever where each look comes after a sleep.
     let mut looks = look(10_000, DOWNSTREAM_SLEPT + 1);
     expect_that!(looks.state(State::Rests(0)), eq(State::Rests(10_000)));
     looks.at(10_000 + DOWNSTREAM_SLEPT + 1);
     expect_that!(looks.state(State::Rests(10_000)), eq(State::Rests(10_000)));
-    expect_that!(looks.over(State::Rests(10_000), &l, false), eq((true, true)));
+    expect_that!(
+        looks.over(State::Rests(10_000), &l, false),
+        eq((true, true))
+    );
     // Who rests or has begun nothing is closed by the look itself: nobody else would answer.
     for s in [State::New(0), State::Rests(0)] {
-        expect_that!(look(1_000, 2 * DOWNSTREAM_LOOK).over(s, &l, false), eq((true, true)));
+        expect_that!(
+            look(1_000, 2 * DOWNSTREAM_LOOK).over(s, &l, false),
+            eq((true, true))
+        );
     }
 }
 
@@ -162,11 +256,26 @@
 fn a_body_that_does_not_come_in_time_is_told_so() {
     run(async {
         let r = Replica::plain("x").await;
-        let e = Edge::start(Lane { time_limit: 60, ..Lane::of("once", 1) }, &[r.addr]).await;
+        let e = Edge::start(
+            Lane {
+                time_limit: 60,
+                ..Lane::of("once", 1)
+            },
+            &[r.addr],
+        )
+        .await;
         let mut d = Downstream::to(e.addr).await;
-        d.send("POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nContent-Length: 9\r\n\r\nhalf").await;
+        d.send("POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nContent-Length: 9\r\n\r\nhalf")
+            .await;
         let a = d.answer().await;
-        expect_that!((a.status, a.header("connection"), a.header("retry-after").is_some()), eq((408, Some("close"), true)));
+        expect_that!(
+            (
+                a.status,
+                a.header("connection"),
+                a.header("retry-after").is_some()
+            ),
+            eq((408, Some("close"), true))
+        );
         expect_that!((a.body.contains("not_run"), r.count()), eq((true, 0)));
     });
 }
@@ -181,7 +290,10 @@
             d.send([b]).await;
             tokio::task::yield_now().await;
         }
-        expect_that!((d.answer().await.status, r.got(0).body), eq(&(200, b"slowly".to_vec())));
+        expect_that!(
+            (d.answer().await.status, r.got(0).body),
+            eq(&(200, b"slowly".to_vec()))
+        );
     });
 }
 
@@ -194,7 +306,14 @@
         for kind in ["once", "stream", "stream_resumable"] {
             let m = much.clone();
             let r = Replica::start(move |_, g| vec![say(stream(g)), say(&*m)]).await;
-            let e = Edge::start(Lane { time_limit: RUNS_OUT, ..Lane::of(kind, 1) }, &[r.addr]).await;
+            let e = Edge::start(
+                Lane {
+                    time_limit: RUNS_OUT,
+                    ..Lane::of(kind, 1)
+                },
+                &[r.addr],
+            )
+            .await;
             let mut d = Downstream::to(e.addr).await;
             d.send(request("a", "q")).await;
             e.until(|_| r.count() == 1).await;
@@ -211,7 +330,14 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let a = ask(&e, request("a", "q").replace("Round", "Left: 0\r\nRound")).await;
-        expect_that!((a.status, a.header("retry-after").is_some(), a.body.contains("not_run")), eq((503, true, true)));
+        expect_that!(
+            (
+                a.status,
+                a.header("retry-after").is_some(),
+                a.body.contains("not_run")
+            ),
+            eq((503, true, true))
+        );
         expect_that!(r.count(), eq(0));
     });
 }
@@ -221,21 +347,53 @@
 #[gtest]
 fn no_try_goes_to_more_replicas_than_its_lane_allows() {
     run(async {
-        let full = |_: usize, g: &Got| vec![say(answer(g, "503 Full", "Not-Run: 1\r\nContent-Length: 0\r\n", ""))];
+        let full = |_: usize, g: &Got| {
+            vec![say(answer(
+                g,
+                "503 Full",
+                "Not-Run: 1\r\nContent-Length: 0\r\n",
+                "",
+            ))]
+        };
         let lost = |_: usize, _: &Got| vec![Act::Reset];
-        for (kind, rounds) in [("once", 2), ("repeatable", 1), ("repeatable", 2), ("repeatable", 3), ("stream_resumable", 2)] {
-            let fulls =
-                [Replica::start(full).await, Replica::start(full).await, Replica::start(full).await, Replica::start(full).await];
+        for (kind, rounds) in [
+            ("once", 2),
+            ("repeatable", 1),
+            ("repeatable", 2),
+            ("repeatable", 3),
+            ("stream_resumable", 2),
+        ] {
+            let fulls = [
+                Replica::start(full).await,
+                Replica::start(full).await,
+                Replica::start(full).await,
+                Replica::start(full).await,
+            ];
             let e = Edge::start(Lane::of(kind, rounds), &fulls.each_ref().map(|r| r.addr)).await;
             expect_that!(ask(&e, request("a", "q")).await.status, eq(503));
-            expect_that!(fulls.iter().map(Replica::count).sum::<usize>(), eq(rounds as usize), "{kind} {rounds}");
-            let losts =
-                [Replica::start(lost).await, Replica::start(lost).await, Replica::start(lost).await, Replica::start(lost).await];
+            expect_that!(
+                fulls.iter().map(Replica::count).sum::<usize>(),
+                eq(rounds as usize),
+                "{kind} {rounds}"
+            );
+            let losts = [
+                Replica::start(lost).await,
+                Replica::start(lost).await,
+                Replica::start(lost).await,
+                Replica::start(lost).await,
+            ];
             let e = Edge::start(Lane::of(kind, rounds), &losts.each_ref().map(|r| r.addr)).await;
             let a = ask(&e, request("a", "q")).await;
-            expect_that!((a.status, a.header("seal"), a.header("retry-after")), eq((502, None, None)));
+            expect_that!(
+                (a.status, a.header("seal"), a.header("retry-after")),
+                eq((502, None, None))
+            );
             let most = if kind == "once" { 1 } else { rounds as usize };
-            expect_that!(losts.iter().map(Replica::count).sum::<usize>(), eq(most), "{kind} {rounds}");
+            expect_that!(
+                losts.iter().map(Replica::count).sum::<usize>(),
+                eq(most),
+                "{kind} {rounds}"
+            );
         }
     });
 }
@@ -243,29 +401,65 @@
 #[gtest]
 fn another_replica_in_its_place_costs_no_round_and_gets_nothing_more() {
     run(async {
-        let another = |_: usize, g: &Got| vec![say(answer(g, "421 Misdirected", "Content-Length: 0\r\n", ""))];
-        for (kind, rounds) in [("once", 1), ("once", 2), ("stream", 1), ("repeatable", 1), ("stream_resumable", 1)] {
+        let another = |_: usize, g: &Got| {
+            vec![say(answer(
+                g,
+                "421 Misdirected",
+                "Content-Length: 0\r\n",
+                "",
+            ))]
+        };
+        for (kind, rounds) in [
+            ("once", 1),
+            ("once", 2),
+            ("stream", 1),
+            ("repeatable", 1),
+            ("stream_resumable", 1),
+        ] {
             let (other, r) = (Replica::start(another).await, Replica::plain("x").await);
             let e = Edge::start(Lane::of(kind, rounds), &[other.addr, r.addr]).await;
             for i in 0..8 {
-                expect_that!(ask(&e, request(&format!("a{i}"), "q")).await.status, eq(200), "{kind} {rounds}");
+                expect_that!(
+                    ask(&e, request(&format!("a{i}"), "q")).await.status,
+                    eq(200),
+                    "{kind} {rounds}"
+                );
             }
             expect_that!((other.count(), r.count()), eq((1, 8)), "{kind} {rounds}");
         }
         // What it costs is an arrival: it is drawn on the budget.
         let (other, r) = (Replica::start(another).await, Replica::plain("x").await);
-        let none = Bounds { retry_share: 0.0, retry_slack: 0.0, ..Bounds::default() };
+        let none = Bounds {
+            retry_share: 0.0,
+            retry_slack: 0.0,
+            ..Bounds::default()
+        };
         let e = Edge::within(none, Lane::of("once", 1), &[other.addr, r.addr]).await;
         let a = ask(&e, request("a", "q")).await;
-        expect_that!((a.status, a.body.contains("not_run"), other.count(), r.count()), eq((503, true, 1, 0)));
+        expect_that!(
+            (
+                a.status,
+                a.body.contains("not_run"),
+                other.count(),
+                r.count()
+            ),
+            eq((503, true, 1, 0))
+        );
         // And it is not looked for without end.
         let mut others = vec![];
         for _ in 0..UNREACHED_MOST + 3 {
             others.push(Replica::start(another).await);
         }
-        let e = Edge::start(Lane::of("once", 1), &others.iter().map(|r| r.addr).collect::<Vec<_>>()).await;
+        let e = Edge::start(
+            Lane::of("once", 1),
+            &others.iter().map(|r| r.addr).collect::<Vec<_>>(),
+        )
+        .await;
         expect_that!(ask(&e, request("a", "q")).await.status, eq(503));
-        expect_that!(others.iter().map(Replica::count).sum::<usize>(), eq(UNREACHED_MOST as usize + 1));
+        expect_that!(
+            others.iter().map(Replica::count).sum::<usize>(),
+            eq(UNREACHED_MOST as usize + 1)
+        );
     });
 }
 
@@ -277,11 +471,35 @@
         let left = Arc::new(Notify::new());
         let n = left.clone();
         let silent = Replica::start(move |_, _| vec![Act::UntilLeft(n.clone())]).await;
-        let foreign =
-            Replica::start(|_, _| vec![say("HTTP/1.1 200 OK\r\nRound: another\r\nSeal: s1\r\nContent-Length: 1\r\n\r\nx")]).await;
-        let full = Replica::start(|_, g| vec![say(answer(g, "429 Full", "Not-Run: 1\r\nContent-Length: 0\r\n", ""))]).await;
-        for (addr, status) in [(silent.addr, 504), (foreign.addr, 502), (full.addr, 429), (nowhere(), 503)] {
-            let e = Edge::start(Lane { time_limit: RUNS_OUT, ..Lane::of("once", 1) }, &[addr]).await;
+        let foreign = Replica::start(|_, _| {
+            vec![say(
+                "HTTP/1.1 200 OK\r\nRound: another\r\nSeal: s1\r\nContent-Length: 1\r\n\r\nx",
+            )]
+        })
+        .await;
+        let full = Replica::start(|_, g| {
+            vec![say(answer(
+                g,
+                "429 Full",
+                "Not-Run: 1\r\nContent-Length: 0\r\n",
+                "",
+            ))]
+        })
+        .await;
+        for (addr, status) in [
+            (silent.addr, 504),
+            (foreign.addr, 502),
+            (full.addr, 429),
+            (nowhere(), 503),
+        ] {
+            let e = Edge::start(
+                Lane {
+                    time_limit: RUNS_OUT,
+                    ..Lane::of("once", 1)
+                },
+                &[addr],
+            )
+            .await;
             let a = ask(&e, request("a", "q")).await;
             expect_that!((a.status, a.header("seal")), eq((status, None)));
         }
