--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -37,18 +37,37 @@
         let q = "PATCH /p/x//y/../z%2f?q=a%20b&&c= HTTP/1.1\r\nHost: h:80\r\nRound: a1\r\nLeft: 5000\r\nAuthorization: me\r\n\
             Connection: keep-alive, X-Mine\r\nX-Mine: 1\r\nTE: trailers\r\nContent-Length: 4\r\n\r\nbody";
         let a = ask(&e, q).await;
-        expect_that!((a.status, a.body.as_str(), a.whole), eq((201, "hello", true)));
-        expect_that!((a.header("seal"), a.header("x-hop"), a.header("keep-alive")), eq((Some("s1"), None, None)));
+        expect_that!(
+            (a.status, a.body.as_str(), a.whole),
+            eq((201, "hello", true))
+        );
+        expect_that!(
+            (a.header("seal"), a.header("x-hop"), a.header("keep-alive")),
+            eq((Some("s1"), None, None))
+        );
         expect_that!(a.head.to_lowercase().matches("x-any: ").count(), eq(2));
         let g = r.got(0);
-        expect_that!(g.head, starts_with("PATCH /p/x//y/../z%2f?q=a%20b&&c= HTTP/1.1\r\n"));
+        expect_that!(
+            g.head,
+            starts_with("PATCH /p/x//y/../z%2f?q=a%20b&&c= HTTP/1.1\r\n")
+        );
         expect_that!(g.body, eq(b"body"));
         expect_that!(
-            (g.header("host"), g.header("authorization"), g.header("round")),
+            (
+                g.header("host"),
+                g.header("authorization"),
+                g.header("round")
+            ),
             eq((Some("h:80"), Some("me"), Some("a1")))
         );
-        expect_that!((g.header("x-mine"), g.header("te"), g.header("replica")), eq((None, None, Some("r0"))));
-        expect_that!(g.header("left").unwrap().parse::<u64>().unwrap(), all!(gt(0), le(5_000)));
+        expect_that!(
+            (g.header("x-mine"), g.header("te"), g.header("replica")),
+            eq((None, None, Some("r0")))
+        );
+        expect_that!(
+            g.header("left").unwrap().parse::<u64>().unwrap(),
+            all!(gt(0), le(5_000))
+        );
         expect_that!((e.open(), e.tallies()), eq((0, (1, 1, 0))));
     });
 }
@@ -64,7 +83,15 @@
             expect_that!(d.answer().await.status, eq(200));
             e.rests().await;
         }
-        expect_that!(r.seen.lock().unwrap().iter().map(|g| g.connection).collect::<Vec<_>>(), eq(&[0; 5]));
+        expect_that!(
+            r.seen
+                .lock()
+                .unwrap()
+                .iter()
+                .map(|g| g.connection)
+                .collect::<Vec<_>>(),
+            eq(&[0; 5])
+        );
     });
 }
 
@@ -73,15 +100,26 @@
     run(async {
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("repeatable", 2), &[r.addr]).await;
-        let head = "POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nTransfer-Encoding: chunked\r\n\r\n";
-        expect_that!(ask(&e, format!("{head}{}{}0\r\n\r\n", chunk("ab"), chunk("c"))).await.status, eq(200));
+        let head =
+            "POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nTransfer-Encoding: chunked\r\n\r\n";
+        expect_that!(
+            ask(&e, format!("{head}{}{}0\r\n\r\n", chunk("ab"), chunk("c")))
+                .await
+                .status,
+            eq(200)
+        );
         expect_that!(r.got(0).body, eq(b"abc"));
         for length in [daemon_parts::limits::UPLOAD_KEPT, 3 << 20] {
             let n = r.count();
             let big = "y".repeat(length);
             expect_that!(ask(&e, request("b", &big)).await.status, eq(200));
             expect_true!(r.got(n).body == big.as_bytes());
-            expect_that!(ask(&e, format!("{head}{}0\r\n\r\n", chunk(&big))).await.status, eq(200));
+            expect_that!(
+                ask(&e, format!("{head}{}0\r\n\r\n", chunk(&big)))
+                    .await
+                    .status,
+                eq(200)
+            );
             expect_true!(r.got(n + 1).body == big.as_bytes());
         }
     });
@@ -94,7 +132,11 @@
         let n = go.clone();
         let r = Replica::start(move |_, g| {
             let first = format!("{}{}", stream(g), chunk(&events(1..=1)));
-            vec![say(first), Act::Wait(n.clone()), say(chunk(&events(2..=2)) + "0\r\n\r\n")]
+            vec![
+                say(first),
+                Act::Wait(n.clone()),
+                say(chunk(&events(2..=2)) + "0\r\n\r\n"),
+            ]
         })
         .await;
         let e = Edge::start(Lane::of("stream", 1), &[r.addr]).await;
@@ -112,7 +154,15 @@
 #[gtest]
 fn a_replicas_own_failure_returns_as_it_is_and_runs_once() {
     run(async {
-        let r = Replica::start(|_, g| vec![say(answer(g, "500 Internal Server Error", "Content-Length: 3\r\n", "bad"))]).await;
+        let r = Replica::start(|_, g| {
+            vec![say(answer(
+                g,
+                "500 Internal Server Error",
+                "Content-Length: 3\r\n",
+                "bad",
+            ))]
+        })
+        .await;
         let e = Edge::start(Lane::of("repeatable", 3), &[r.addr, r.addr]).await;
         let a = ask(&e, request("a", "q")).await;
         expect_that!((a.status, a.body.as_str(), r.count()), eq((500, "bad", 1)));
@@ -123,20 +173,29 @@
 #[gtest]
 fn an_empty_answer_and_an_answer_to_head_are_whole() {
     run(async {
-        let r = Replica::start(|_, g| vec![say(answer(g, "200 OK", "Content-Length: 0\r\n", ""))]).await;
+        let r = Replica::start(|_, g| vec![say(answer(g, "200 OK", "Content-Length: 0\r\n", ""))])
+            .await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         for _ in 0..2 {
             let a = ask(&e, request("a", "q")).await;
             expect_that!((a.status, a.body.as_str(), a.whole), eq((200, "", true)));
             e.rests().await;
         }
-        expect_that!((e.open(), e.tallies(), r.got(1).connection), eq((0, (2, 2, 0), 0)));
-        let r = Replica::start(|_, g| vec![say(answer(g, "200 OK", "Content-Length: 7\r\n", ""))]).await;
+        expect_that!(
+            (e.open(), e.tallies(), r.got(1).connection),
+            eq((0, (2, 2, 0), 0))
+        );
+        let r = Replica::start(|_, g| vec![say(answer(g, "200 OK", "Content-Length: 7\r\n", ""))])
+            .await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let mut d = Downstream::to(e.addr).await;
         for _ in 0..2 {
-            d.send("HEAD /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\n\r\n").await;
-            expect_that!(d.head().await.to_lowercase(), contains_substring("content-length: 7\r\n"));
+            d.send("HEAD /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\n\r\n")
+                .await;
+            expect_that!(
+                d.head().await.to_lowercase(),
+                contains_substring("content-length: 7\r\n")
+            );
             e.rests().await;
         }
         expect_that!((e.open(), r.got(1).connection), eq((0, 0)));
@@ -152,7 +211,10 @@
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let mut d = Downstream::to(e.addr).await;
         for (host, path) in [("other", "/p/x"), ("h", "/p"), ("h", "/q/p/")] {
-            d.send(format!("POST {path} HTTP/1.1\r\nHost: {host}\r\nRound: a\r\nContent-Length: 2\r\n\r\nxy")).await;
+            d.send(format!(
+                "POST {path} HTTP/1.1\r\nHost: {host}\r\nRound: a\r\nContent-Length: 2\r\n\r\nxy"
+            ))
+            .await;
             let a = d.answer().await;
             expect_that!((a.status, a.body.contains("not_found")), eq((404, true)));
         }
@@ -180,8 +242,14 @@
         // Time enough that it is served as soon as it may be, however busy the machine is.
         let e = Edge::of(Bounds::default(), 3_600_000, Lane::of("once", 1), &[r.addr]).await;
         let rule = |e: &Edge, rule, until| {
-            hold(&e.brain)
-                .on_board(TableUpdate { serving_rule: rule, valid_until: until, ..TableUpdate::default() }, clock::now())
+            hold(&e.brain).on_board(
+                TableUpdate {
+                    serving_rule: rule,
+                    valid_until: until,
+                    ..TableUpdate::default()
+                },
+                clock::now(),
+            )
         };
         rule(&e, REJECT_ALL, 0);
         let mut d = Downstream::to(e.addr).await;
@@ -193,7 +261,10 @@
         rule(&e, REJECT_ALL, 0);
         let began = clock::now();
         let a = ask(&e, request("b", "q")).await;
-        expect_that!((a.status, a.header("retry-after").is_some(), r.count()), eq((503, true, 1)));
+        expect_that!(
+            (a.status, a.header("retry-after").is_some(), r.count()),
+            eq((503, true, 1))
+        );
         expect_that!(clock::now() - began, ge(NOT_YET));
     });
 }
@@ -204,7 +275,10 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[nowhere(), r.addr, nowhere()]).await;
         for i in 0..6 {
-            expect_that!(ask(&e, request(&format!("a{i}"), "q")).await.status, eq(200));
+            expect_that!(
+                ask(&e, request(&format!("a{i}"), "q")).await.status,
+                eq(200)
+            );
         }
         expect_that!((r.count(), e.open()), eq((6, 0)));
     });
@@ -214,9 +288,21 @@
 fn what_a_replica_did_not_run_goes_to_another_within_rounds_and_budget() {
     run(async {
         let full = |_: usize, g: &Got| {
-            vec![say(answer(g, "429 Too Many", "Not-Run: 1\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n", ""))]
+            vec![say(answer(
+                g,
+                "429 Too Many",
+                "Not-Run: 1\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n",
+                "",
+            ))]
+        };
+        let other = |_: usize, g: &Got| {
+            vec![say(answer(
+                g,
+                "421 Misdirected",
+                "Content-Length: 0\r\n",
+                "",
+            ))]
         };
-        let other = |_: usize, g: &Got| vec![say(answer(g, "421 Misdirected", "Content-Length: 0\r\n", ""))];
         for kind in ["once", "stream"] {
             let (f, o) = (Replica::start(full).await, Replica::start(other).await);
             let r = Replica::plain("x").await;
@@ -227,7 +313,11 @@
             // With one round it comes back to the downstream, with the replica's own word.
             let e = Edge::start(Lane::of(kind, 1), &[f.addr]).await;
             let a = ask(&e, request("a", "body")).await;
-            expect_that!((a.status, a.header("retry-after")), eq((429, Some("0.700"))), "{kind}");
+            expect_that!(
+                (a.status, a.header("retry-after")),
+                eq((429, Some("0.700"))),
+                "{kind}"
+            );
             expect_that!(e.open(), eq(0));
         }
     });
@@ -236,27 +326,49 @@
 #[gtest]
 fn further_rounds_end_with_the_budget() {
     run(async {
-        let full = |_: usize, g: &Got| vec![say(answer(g, "503 Full", "Not-Run: 1\r\nContent-Length: 0\r\n", ""))];
+        let full = |_: usize, g: &Got| {
+            vec![say(answer(
+                g,
+                "503 Full",
+                "Not-Run: 1\r\nContent-Length: 0\r\n",
+                "",
+            ))]
+        };
         let (a, b) = (Replica::start(full).await, Replica::start(full).await);
-        let bounds = Bounds { retry_share: 0.2, retry_slack: 5.0, ..Bounds::default() };
+        let bounds = Bounds {
+            retry_share: 0.2,
+            retry_slack: 5.0,
+            ..Bounds::default()
+        };
         let e = Edge::within(bounds.clone(), Lane::of("repeatable", 2), &[a.addr, b.addr]).await;
         const ALL: usize = 60;
         for i in 0..ALL {
-            expect_that!(ask(&e, request(&format!("a{i}"), "q")).await.status, eq(503));
+            expect_that!(
+                ask(&e, request(&format!("a{i}"), "q")).await.status,
+                eq(503)
+            );
         }
         // The bounds' share of first rounds and their slack.
         let most = ALL as f64 * (1.0 + bounds.retry_share) + bounds.retry_slack;
-        expect_that!((a.count() + b.count()) as f64, all!(gt(ALL as f64), le(most)));
+        expect_that!(
+            (a.count() + b.count()) as f64,
+            all!(gt(ALL as f64), le(most))
+        );
     });
 }
 
 #[gtest]
 fn a_503_without_the_replicas_word_is_an_answer_and_no_rejection() {
     run(async {
-        let r = Replica::start(|_, g| vec![say(answer(g, "503 Busy", "Content-Length: 1\r\n", "?"))]).await;
+        let r =
+            Replica::start(|_, g| vec![say(answer(g, "503 Busy", "Content-Length: 1\r\n", "?"))])
+                .await;
         let e = Edge::start(Lane::of("once", 3), &[r.addr, r.addr]).await;
         let a = ask(&e, request("a", "q")).await;
-        expect_that!((a.status, a.body.as_str(), a.header("seal"), r.count()), eq((503, "?", Some("s1"), 1)));
+        expect_that!(
+            (a.status, a.body.as_str(), a.header("seal"), r.count()),
+            eq((503, "?", Some("s1"), 1))
+        );
     });
 }
 
@@ -270,14 +382,25 @@
             || vec![Act::Close],
             || vec![say("HTTP/1.1 200 OK\r\nRou"), Act::Reset],
             || vec![say("no answer at all\r\n\r\n"), Act::Close],
-            || vec![say("HTTP/1.1 200 OK\r\nRound: another\r\nContent-Length: 1\r\n\r\nx")],
+            || {
+                vec![say(
+                    "HTTP/1.1 200 OK\r\nRound: another\r\nContent-Length: 1\r\n\r\nx",
+                )]
+            },
         ];
         for kind in ["once", "stream"] {
             for end in ends {
-                let (a, b) = (Replica::start(move |_, _| end()).await, Replica::start(move |_, _| end()).await);
+                let (a, b) = (
+                    Replica::start(move |_, _| end()).await,
+                    Replica::start(move |_, _| end()).await,
+                );
                 let e = Edge::start(Lane::of(kind, 3), &[a.addr, b.addr]).await;
                 let got = ask(&e, request("a", "q")).await;
-                expect_that!((got.status, got.header("retry-after")), eq((502, None)), "{kind}");
+                expect_that!(
+                    (got.status, got.header("retry-after")),
+                    eq((502, None)),
+                    "{kind}"
+                );
                 expect_that!(a.count() + b.count(), eq(1), "{kind}");
                 expect_that!((e.open(), e.tallies()), eq((0, (1, 0, 1))));
             }
@@ -291,7 +414,11 @@
         let ends: [fn(&Got) -> Vec<Act>; 3] = [
             |_| vec![Act::Reset],
             |_| vec![say("garbage")],
-            |_| vec![say("HTTP/1.1 200 OK\r\nRound: another\r\nContent-Length: 1\r\n\r\nx")],
+            |_| {
+                vec![say(
+                    "HTTP/1.1 200 OK\r\nRound: another\r\nContent-Length: 1\r\n\r\nx",
+                )]
+            },
         ];
         for (i, end) in ends.into_iter().enumerate() {
             let end = move |_: usize, g: &Got| {
@@ -303,7 +430,11 @@
             let e = Edge::start(Lane::of("repeatable", 2), &[lost.addr, r.addr]).await;
             // Whichever is tried first, all are answered, and the lost one was tried by some.
             for n in 0..4 {
-                expect_that!(ask(&e, request(&format!("a{n}"), "body")).await.status, eq(200), "end {i}");
+                expect_that!(
+                    ask(&e, request(&format!("a{n}"), "body")).await.status,
+                    eq(200),
+                    "end {i}"
+                );
             }
             expect_that!((r.count(), e.open()), eq((4, 0)));
             expect_that!(r.got(0).body, eq(b"body"));
@@ -315,8 +446,18 @@
 fn an_answer_that_is_cut_does_not_look_complete() {
     run(async {
         let cuts: [fn(&Got) -> Vec<Act>; 6] = [
-            |g| vec![say(answer(g, "200 OK", "Content-Length: 9\r\n", "half")), Act::Close],
-            |g| vec![say(answer(g, "200 OK", "Content-Length: 9\r\n", "half")), Act::Reset],
+            |g| {
+                vec![
+                    say(answer(g, "200 OK", "Content-Length: 9\r\n", "half")),
+                    Act::Close,
+                ]
+            },
+            |g| {
+                vec![
+                    say(answer(g, "200 OK", "Content-Length: 9\r\n", "half")),
+                    Act::Reset,
+                ]
+            },
             |g| vec![say(stream(g) + &chunk("half")), Act::Close],
             |g| vec![say(stream(g) + &chunk("half")), Act::Reset],
             // Nothing tells this end from a cut.
@@ -329,7 +470,11 @@
                 let e = Edge::start(Lane::of(kind, 3), &[r.addr]).await;
                 let a = ask(&e, request("a", "q")).await;
                 expect_that!((a.status, a.whole), eq((200, false)), "cut {i} {kind}");
-                expect_that!((e.open(), e.tallies()), eq((0, (1, 0, 1))), "cut {i} {kind}");
+                expect_that!(
+                    (e.open(), e.tallies()),
+                    eq((0, (1, 0, 1))),
+                    "cut {i} {kind}"
+                );
             }
         }
     });
@@ -354,7 +499,11 @@
             for n in 0..8 {
                 d.send(request(&format!("a{n}"), "q")).await;
                 let a = d.answer().await;
-                expect_that!((a.status, a.body.as_str()), eq((200, "mine")), "late: {late}");
+                expect_that!(
+                    (a.status, a.body.as_str()),
+                    eq((200, "mine")),
+                    "late: {late}"
+                );
             }
         }
     });
@@ -364,21 +513,40 @@
 fn a_channel_that_its_replica_closed_costs_no_answer() {
     run(async {
         // It says that it closes, or just does.
-        let ways: [fn(&Got) -> String; 2] =
-            [|g| answer(g, "200 OK", "Content-Length: 1\r\nConnection: close\r\n", "x"), |g| whole(g, "x")];
+        let ways: [fn(&Got) -> String; 2] = [
+            |g| {
+                answer(
+                    g,
+                    "200 OK",
+                    "Content-Length: 1\r\nConnection: close\r\n",
+                    "x",
+                )
+            },
+            |g| whole(g, "x"),
+        ];
         for way in ways {
             let left = Arc::new(Notify::new());
             let n = left.clone();
-            let r = Replica::start(move |_, g| vec![say(way(g)), Act::CloseUntilLeft(n.clone())]).await;
+            let r =
+                Replica::start(move |_, g| vec![say(way(g)), Act::CloseUntilLeft(n.clone())]).await;
             let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
             for i in 0..5 {
-                expect_that!(ask(&e, request(&format!("a{i}"), "q")).await.status, eq(200));
+                expect_that!(
+                    ask(&e, request(&format!("a{i}"), "q")).await.status,
+                    eq(200)
+                );
                 // The close has arrived before the next request is sent.
                 left.notified().await;
             }
             // None carries a second one. Where a place grew old while its channel was opened, that channel may wait and the
             // request take another, so they may come in another order than they were opened in.
-            let used: BTreeSet<usize> = r.seen.lock().unwrap().iter().map(|g| g.connection).collect();
+            let used: BTreeSet<usize> = r
+                .seen
+                .lock()
+                .unwrap()
+                .iter()
+                .map(|g| g.connection)
+                .collect();
             expect_that!((r.count(), used.len()), eq((5, 5)));
         }
     });
@@ -387,13 +555,31 @@
 #[gtest]
 fn a_channel_is_not_kept_for_longer_than_its_replica_says() {
     run(async {
-        let r =
-            Replica::start(|_, g| vec![say(answer(g, "200 OK", "Content-Length: 1\r\nKeep-Alive: timeout=0\r\n", "x"))]).await;
+        let r = Replica::start(|_, g| {
+            vec![say(answer(
+                g,
+                "200 OK",
+                "Content-Length: 1\r\nKeep-Alive: timeout=0\r\n",
+                "x",
+            ))]
+        })
+        .await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         for i in 0..3 {
-            expect_that!(ask(&e, request(&format!("a{i}"), "q")).await.status, eq(200));
+            expect_that!(
+                ask(&e, request(&format!("a{i}"), "q")).await.status,
+                eq(200)
+            );
         }
-        expect_that!(r.seen.lock().unwrap().iter().map(|g| g.connection).collect::<Vec<_>>(), eq(&[0, 1, 2]));
+        expect_that!(
+            r.seen
+                .lock()
+                .unwrap()
+                .iter()
+                .map(|g| g.connection)
+                .collect::<Vec<_>>(),
+            eq(&[0, 1, 2])
+        );
     });
 }
 
@@ -408,7 +594,10 @@
             e.rests().await;
         }
         // On a machine that is busy one may be opened and given up again before the last.
-        expect_that!([0, 1, 2].map(|n| r.got(n).connection), elements_are![eq(0), eq(0), gt(0)]);
+        expect_that!(
+            [0, 1, 2].map(|n| r.got(n).connection),
+            elements_are![eq(0), eq(0), gt(0)]
+        );
     });
 }
 
@@ -418,7 +607,14 @@
         let go = Arc::new(Notify::new());
         let n = go.clone();
         let r = Replica::start(move |_, g| vec![Act::Wait(n.clone()), say(whole(g, "x"))]).await;
-        let e = Edge::start(Lane { channels: 3, ..Lane::of("once", 1) }, &[r.addr]).await;
+        let e = Edge::start(
+            Lane {
+                channels: 3,
+                ..Lane::of("once", 1)
+            },
+            &[r.addr],
+        )
+        .await;
         let mut open = vec![];
         for i in 0..2 {
             let mut d = Downstream::to(e.addr).await;
@@ -434,7 +630,10 @@
         }
         // None is held against the replica: it takes the next at once.
         go.notify_one();
-        expect_that!((ask(&e, request("c", "q")).await.status, e.tallies().2), eq((200, 0)));
+        expect_that!(
+            (ask(&e, request("c", "q")).await.status, e.tallies().2),
+            eq((200, 0))
+        );
     });
 }
 
@@ -448,7 +647,14 @@
         let r = Replica::start(move |_, _| vec![Act::UntilLeft(n.clone())]).await;
         // Enough to reach the replica on a machine that is busy.
         const LIMIT: u64 = 1_500;
-        let e = Edge::start(Lane { time_limit: LIMIT, ..Lane::of("repeatable", 3) }, &[r.addr, r.addr]).await;
+        let e = Edge::start(
+            Lane {
+                time_limit: LIMIT,
+                ..Lane::of("repeatable", 3)
+            },
+            &[r.addr, r.addr],
+        )
+        .await;
         let began = clock::now();
         let a = ask(&e, request("a", "q")).await;
         expect_that!((a.status, r.count()), eq((504, 1)));
@@ -462,8 +668,9 @@
 #[gtest]
 fn when_the_downstream_leaves_its_replica_is_left_too() {
     run(async {
-        for (kind, began) in
-            ["once", "repeatable", "stream", "stream_resumable"].into_iter().flat_map(|k| [(k, false), (k, true)])
+        for (kind, began) in ["once", "repeatable", "stream", "stream_resumable"]
+            .into_iter()
+            .flat_map(|k| [(k, false), (k, true)])
         {
             let left = Arc::new(Notify::new());
             let n = left.clone();
@@ -483,7 +690,11 @@
             drop(d);
             left.notified().await;
             e.rests().await;
-            expect_that!((r.count(), e.open(), e.tallies()), eq((1, 0, (1, 0, 0))), "{kind} {began}");
+            expect_that!(
+                (r.count(), e.open(), e.tallies()),
+                eq((1, 0, (1, 0, 0))),
+                "{kind} {began}"
+            );
         }
     });
 }
@@ -494,8 +705,11 @@
 fn a_stream_goes_on_at_another_replica_behind_its_last_whole_event() {
     run(async {
         let torn = "id: 4\nda";
-        let cuts: [fn(String) -> Vec<Act>; 3] =
-            [|b| vec![say(b), Act::Reset], |b| vec![say(b), Act::Close], |b| vec![say(b + "zz\r\nno chunk"), Act::Close]];
+        let cuts: [fn(String) -> Vec<Act>; 3] = [
+            |b| vec![say(b), Act::Reset],
+            |b| vec![say(b), Act::Close],
+            |b| vec![say(b + "zz\r\nno chunk"), Act::Close],
+        ];
         for (i, cut) in cuts.into_iter().enumerate() {
             let answers = move |_: usize, g: &Got| match g.header("last-event-id") {
                 None => cut(stream(g) + &chunk(&events(1..=3)) + &chunk(torn)),
@@ -507,10 +721,21 @@
             let (a, b) = (Replica::start(answers).await, Replica::start(answers).await);
             let e = Edge::start(Lane::of("stream_resumable", 2), &[a.addr, b.addr]).await;
             let got = ask(&e, request("a", "body")).await;
-            expect_that!((got.status, got.body, got.whole), eq(&(200, events(1..=6), true)), "cut {i}");
+            expect_that!(
+                (got.status, got.body, got.whole),
+                eq(&(200, events(1..=6), true)),
+                "cut {i}"
+            );
             expect_that!((a.count(), b.count()), eq((1, 1)), "each ran it once");
-            let second = if a.got(0).header("last-event-id").is_some() { a.got(0) } else { b.got(0) };
-            expect_that!((second.header("last-event-id"), second.body.as_slice()), eq((Some("3"), b"body".as_slice())));
+            let second = if a.got(0).header("last-event-id").is_some() {
+                a.got(0)
+            } else {
+                b.got(0)
+            };
+            expect_that!(
+                (second.header("last-event-id"), second.body.as_slice()),
+                eq((Some("3"), b"body".as_slice()))
+            );
             expect_that!((e.open(), e.tallies()), eq((0, (2, 1, 1))));
         }
     });
@@ -519,10 +744,18 @@
 #[gtest]
 fn a_stream_that_cannot_go_on_does_not_look_complete() {
     run(async {
-        let cut = |_: usize, g: &Got| vec![say(stream(g) + &chunk(&events(1..=2)) + &chunk("id: 3\n")), Act::Reset];
+        let cut = |_: usize, g: &Got| {
+            vec![
+                say(stream(g) + &chunk(&events(1..=2)) + &chunk("id: 3\n")),
+                Act::Reset,
+            ]
+        };
         // No second round is allowed; the other is out of reach; the other cuts too; the other fails.
         let failing = |_: usize, g: &Got| match g.header("last-event-id") {
-            None => vec![say(stream(g) + &chunk(&events(1..=2)) + &chunk("id: 3\n")), Act::Reset],
+            None => vec![
+                say(stream(g) + &chunk(&events(1..=2)) + &chunk("id: 3\n")),
+                Act::Reset,
+            ],
             Some(_) => vec![say(answer(g, "500 Bad", "Content-Length: 0\r\n", ""))],
         };
         for (rounds, both) in [(1, true), (2, false), (2, true)] {
@@ -531,7 +764,11 @@
             let e = Edge::start(Lane::of("stream_resumable", rounds), &[a.addr, second]).await;
             let got = ask(&e, request("a", "q")).await;
             expect_that!((got.status, got.whole), eq((200, false)), "{rounds} rounds");
-            expect_that!(events(1..=2), starts_with(got.body.as_str()), "nothing torn, nothing twice");
+            expect_that!(
+                events(1..=2),
+                starts_with(got.body.as_str()),
+                "nothing torn, nothing twice"
+            );
             expect_that!(e.open(), eq(0));
         }
         let (a, b) = (Replica::start(failing).await, Replica::start(failing).await);
@@ -555,7 +792,8 @@
 #[gtest]
 fn the_downstreams_own_place_in_a_stream_goes_along() {
     run(async {
-        let r = Replica::start(|_, g| vec![say(stream(g) + &chunk(&events(8..=9)) + "0\r\n\r\n")]).await;
+        let r = Replica::start(|_, g| vec![say(stream(g) + &chunk(&events(8..=9)) + "0\r\n\r\n")])
+            .await;
         let e = Edge::start(Lane::of("stream_resumable", 2), &[r.addr]).await;
         let q = "POST /p/x HTTP/1.1\r\nHost: h\r\nRound: a\r\nLast-Event-Id: 7\r\nContent-Length: 0\r\n\r\n";
         expect_that!(ask(&e, q).await.body, eq(&events(8..=9)));
@@ -571,8 +809,14 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let ready = async |rule, until| {
-            hold(&e.brain)
-                .on_board(TableUpdate { serving_rule: rule, valid_until: until, ..TableUpdate::default() }, clock::now());
+            hold(&e.brain).on_board(
+                TableUpdate {
+                    serving_rule: rule,
+                    valid_until: until,
+                    ..TableUpdate::default()
+                },
+                clock::now(),
+            );
             let mut d = Downstream::to(e.ready).await;
             d.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").await;
             d.answer().await.status
@@ -601,7 +845,11 @@
 async fn open_stream(go: &Arc<Notify>) -> (Edge, Replica, Downstream) {
     let n = go.clone();
     let r = Replica::start(move |n_th, g| match n_th {
-        0 => vec![say(stream(g) + &chunk(&events(1..=1))), Act::Wait(n.clone()), say(chunk(&events(2..=2)) + "0\r\n\r\n")],
+        0 => vec![
+            say(stream(g) + &chunk(&events(1..=1))),
+            Act::Wait(n.clone()),
+            say(chunk(&events(2..=2)) + "0\r\n\r\n"),
+        ],
         _ => vec![say(whole(g, "x"))],
     })
     .await;
@@ -639,9 +887,14 @@
         expect_that!(readiness(&e).await, eq(503));
         // Nothing new is taken; what is open goes on.
         let a = ask(&e, request("c", "q")).await;
-        expect_that!((a.status, a.header("connection"), a.header("retry-after")), eq((503, Some("close"), Some("0.050"))));
+        expect_that!(
+            (a.status, a.header("connection"), a.header("retry-after")),
+            eq((503, Some("close"), Some("0.050")))
+        );
         let (stopping, handle) = (e.stopping.clone(), e.handle.clone());
-        let ended = actix_rt::spawn(async move { edge_proxy::stopping::wind_down(&stopping, &handle, LONG).await });
+        let ended = actix_rt::spawn(async move {
+            edge_proxy::stopping::wind_down(&stopping, &handle, LONG).await
+        });
         go.notify_one();
         let a = open.answer().await;
         expect_that!((a.body, a.whole), eq(&(events(1..=2), true)));
@@ -664,7 +917,10 @@
         edge_proxy::stopping::wind_down(&e.stopping, &e.handle, LONG).await;
         let a = open.answer().await;
         // A replica is at work on it: nobody may say that it has not run.
-        expect_that!((a.status, a.header("connection"), a.header("retry-after")), eq((502, Some("close"), None)));
+        expect_that!(
+            (a.status, a.header("connection"), a.header("retry-after")),
+            eq((502, Some("close"), None))
+        );
         expect_that!(a.body, contains_substring("unknown"));
     });
 }
@@ -683,7 +939,11 @@
         expect_that!(before.body, not(contains_substring("stopping")));
         e.stopping.begin(LONG, clock::now() - SERVE_AFTER_SIGTERM);
         let a = ask(&e, q.as_str()).await;
-        expect_that!((a.status, a.header("connection")), eq((503, Some("close"))), "{a:?}");
+        expect_that!(
+            (a.status, a.header("connection")),
+            eq((503, Some("close"))),
+            "{a:?}"
+        );
         expect_that!(a.header("retry-after"), some(anything()));
         expect_that!(a.body, contains_substring("not_run"));
         e.rests().await;
@@ -697,7 +957,10 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: h\r\nRound: a\r\n\r\n");
-        expect_that!(ask(&e, get("/v1/health")).await.body, contains_substring("edge-1"));
+        expect_that!(
+            ask(&e, get("/v1/health")).await.body,
+            contains_substring("edge-1")
+        );
         expect_that!(ask(&e, get("/v1/counters")).await.status, eq(200));
         expect_that!(ask(&e, get("/ready")).await.status, eq(404));
         expect_that!(r.count(), eq(0));
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -47,7 +47,14 @@
     fn ask(&self, host: &str, path: &str, h: &HeaderMap) -> Ask {
         let left = text(h, "left").and_then(|v| v.parse().ok());
         let round = text(h, "round").unwrap_or_default();
-        Ask { host: host.into(), path: path.into(), round, left, after: text(h, "last-event-id"), ..Ask::default() }
+        Ask {
+            host: host.into(),
+            path: path.into(),
+            round,
+            left,
+            after: text(h, "last-event-id"),
+            ..Ask::default()
+        }
     }
     fn dress(&self, h: &mut HeaderMap, _: &PathSpec, p: &Placed, left: Ms) {
         h.insert("replica", p.replica.parse().unwrap());
@@ -55,7 +62,12 @@
     }
     fn told(&self, status: u16, h: &HeaderMap) -> Told {
         let not_run = status == 421 || h.contains_key("not-run");
-        Told { round: text(h, "round"), not_run, other: status == 421, ..Told::default() }
+        Told {
+            round: text(h, "round"),
+            not_run,
+            other: status == 421,
+            ..Told::default()
+        }
     }
     fn ready_path(&self) -> &str {
         "/ready"
@@ -95,7 +107,8 @@
 }
 fn header<'a>(head: &'a str, n: &str) -> Option<&'a str> {
     let mut all = head.lines().skip(1).filter_map(|l| l.split_once(':'));
-    all.find(|(k, _)| k.eq_ignore_ascii_case(n)).map(|(_, v)| v.trim())
+    all.find(|(k, _)| k.eq_ignore_ascii_case(n))
+        .map(|(_, v)| v.trim())
 }
 
 pub type Seen = Arc<Mutex<Vec<Got>>>;
@@ -132,15 +145,24 @@
         let all = [seen.clone(), cut.clone()];
         actix_rt::spawn(async move {
             for connection in 0.. {
-                let Ok((mut s, _)) = l.accept().await else { return };
+                let Ok((mut s, _)) = l.accept().await else {
+                    return;
+                };
                 let ([seen, cut], mut go) = (all.clone(), go.clone());
                 actix_rt::spawn(async move {
                     let mut b = Vec::new();
                     while let Some(head) = read_head(&mut s, &mut b).await {
-                        let mut g = Got { connection, head, body: vec![] };
+                        let mut g = Got {
+                            connection,
+                            head,
+                            body: vec![],
+                        };
                         let _ = s.write_all(said(&g).as_bytes()).await;
                         let _ = go.wait_for(|g| *g).await;
-                        let Some((body, whole)) = read_body(&mut s, &mut b, &g.head, false).await else { return };
+                        let Some((body, whole)) = read_body(&mut s, &mut b, &g.head, false).await
+                        else {
+                            return;
+                        };
                         g.body = body;
                         (if whole { &seen } else { &cut }).lock().unwrap().push(g);
                     }
@@ -159,21 +181,35 @@
 /// Nobody listens here, and nobody will: the port stays taken.
 pub fn nowhere() -> SocketAddr {
     let s = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    s.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    s.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     let a = s.local_addr().unwrap().as_socket().unwrap();
     std::mem::forget(s);
     a
 }
 
 pub fn whole(g: &Got, body: &str) -> String {
-    answer(g, "200 OK", &format!("Content-Length: {}\r\n", body.len()), body)
+    answer(
+        g,
+        "200 OK",
+        &format!("Content-Length: {}\r\n", body.len()),
+        body,
+    )
 }
 pub fn answer(g: &Got, status: &str, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nRound: {}\r\nSeal: s1\r\n{headers}\r\n{body}", g.header("round").unwrap_or_default())
+    format!(
+        "HTTP/1.1 {status}\r\nRound: {}\r\nSeal: s1\r\n{headers}\r\n{body}",
+        g.header("round").unwrap_or_default()
+    )
 }
 /// The head of an event stream.
 pub fn stream(g: &Got) -> String {
-    answer(g, "200 OK", "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n", "")
+    answer(
+        g,
+        "200 OK",
+        "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
+        "",
+    )
 }
 pub fn chunk(b: &str) -> String {
     format!("{:x}\r\n{b}\r\n", b.len())
@@ -182,12 +218,25 @@
     r.map(|n| format!("id: {n}\ndata: piece {n}\n\n")).collect()
 }
 
-async fn talk(mut s: TcpStream, connection: usize, [seen, cut]: [Seen; 2], script: impl Fn(usize, &Got) -> Vec<Act>) {
+async fn talk(
+    mut s: TcpStream,
+    connection: usize,
+    [seen, cut]: [Seen; 2],
+    script: impl Fn(usize, &Got) -> Vec<Act>,
+) {
     let mut b = Vec::new();
     loop {
-        let Some(head) = read_head(&mut s, &mut b).await else { return };
-        let Some((body, whole)) = read_body(&mut s, &mut b, &head, false).await else { return };
-        let g = Got { connection, head, body };
+        let Some(head) = read_head(&mut s, &mut b).await else {
+            return;
+        };
+        let Some((body, whole)) = read_body(&mut s, &mut b, &head, false).await else {
+            return;
+        };
+        let g = Got {
+            connection,
+            head,
+            body,
+        };
         if !whole {
             cut.lock().unwrap().push(g);
             return;
@@ -242,7 +291,12 @@
     }
 }
 /// The body and whether it came whole; without a length it lasts until the end if `until_end`.
-async fn read_body(s: &mut TcpStream, b: &mut Vec<u8>, head: &str, until_end: bool) -> Option<(Vec<u8>, bool)> {
+async fn read_body(
+    s: &mut TcpStream,
+    b: &mut Vec<u8>,
+    head: &str,
+    until_end: bool,
+) -> Option<(Vec<u8>, bool)> {
     if header(head, "transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
         let mut body = vec![];
         loop {
@@ -294,7 +348,13 @@
 }
 impl Lane {
     pub fn of(kind: &'static str, rounds: u32) -> Self {
-        Lane { kind, rounds, time_limit: 15_000, channels: 0, limits: DownstreamLimits::default() }
+        Lane {
+            kind,
+            rounds,
+            time_limit: 15_000,
+            channels: 0,
+            limits: DownstreamLimits::default(),
+        }
     }
 }
 
@@ -307,7 +367,12 @@
 }
 
 fn change(key: &str, version: u64, v: &Value) -> Change {
-    Change { key: key.into(), epoch: 1, version, value: Blob(serde_json::to_vec(v).unwrap()) }
+    Change {
+        key: key.into(),
+        epoch: 1,
+        version,
+        value: Blob(serde_json::to_vec(v).unwrap()),
+    }
 }
 fn spec(lane: &Lane) -> Value {
     json!({"zones": [{"name": "z"}], "tiers": [], "canary_percent": 10, "bake_ms": 1, "release": 1, "limits": lane.limits,
@@ -320,7 +385,10 @@
 impl Edge {
     /// An edge with one lane at `/p/` and these replicas, in the order in which they are tried.
     pub async fn start(lane: Lane, replicas: &[SocketAddr]) -> Self {
-        let ample = Bounds { retry_slack: 1_000.0, ..Bounds::default() };
+        let ample = Bounds {
+            retry_slack: 1_000.0,
+            ..Bounds::default()
+        };
         Self::within(ample, lane, replicas).await
     }
     /// The same within these bounds.
@@ -344,7 +412,12 @@
             serving_rule: SERVE_ALL,
             valid_until: u64::MAX,
             is_snapshot: 1,
-            changes: [change("spec", 1, &spec(&lane)), change("rollout/s", 1, &record)].into_iter().collect(),
+            changes: [
+                change("spec", 1, &spec(&lane)),
+                change("rollout/s", 1, &record),
+            ]
+            .into_iter()
+            .collect(),
             ..TableUpdate::default()
         };
         b.on_board(m, clock::now());
@@ -365,24 +438,43 @@
         let server = edge_proxy::serve(f, actor, vec![front, ready]).unwrap();
         let handle = server.handle();
         actix_rt::spawn(server);
-        Edge { addr, ready: ready_addr, brain, stopping, handle }
+        Edge {
+            addr,
+            ready: ready_addr,
+            brain,
+            stopping,
+            handle,
+        }
     }
     /// The spec changes while the edge runs.
     pub fn set_spec(&self, version: u64, lane: &Lane) {
         let changes = [change("spec", version, &spec(lane))].into_iter().collect();
         hold(&self.brain).on_board(
-            TableUpdate { serving_rule: SERVE_ALL, valid_until: u64::MAX, changes, ..TableUpdate::default() },
+            TableUpdate {
+                serving_rule: SERVE_ALL,
+                valid_until: u64::MAX,
+                changes,
+                ..TableUpdate::default()
+            },
             clock::now(),
         );
     }
     /// Rounds that the brain holds to be open.
     pub fn open(&self) -> u32 {
-        hold(&self.brain).hello(clock::now()).open_streams.0.iter().map(|o| o.streams).sum()
+        hold(&self.brain)
+            .hello(clock::now())
+            .open_streams
+            .0
+            .iter()
+            .map(|o| o.streams)
+            .sum()
     }
     /// Sums over the brain's tallies: sent, answered, failed.
     pub fn tallies(&self) -> (u64, u64, u64) {
         let all = hold(&self.brain).hello(clock::now()).counters.0;
-        all.iter().fold((0, 0, 0), |a, t| (a.0 + t.sent, a.1 + t.succeeded, a.2 + t.failed))
+        all.iter().fold((0, 0, 0), |a, t| {
+            (a.0 + t.sent, a.1 + t.succeeded, a.2 + t.failed)
+        })
     }
     /// Waits until nothing is open: channels to replicas rest, and the next request may take them.
     pub async fn rests(&self) {
@@ -394,7 +486,9 @@
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         };
-        tokio::time::timeout(HANG, looked).await.expect("it came about");
+        tokio::time::timeout(HANG, looked)
+            .await
+            .expect("it came about");
     }
 }
 fn bound() -> std::net::TcpListener {
@@ -422,7 +516,10 @@
 }
 impl Downstream {
     pub async fn to(a: SocketAddr) -> Self {
-        Downstream { s: TcpStream::connect(a).await.unwrap(), b: vec![] }
+        Downstream {
+            s: TcpStream::connect(a).await.unwrap(),
+            b: vec![],
+        }
     }
     pub async fn send(&mut self, b: impl AsRef<[u8]>) {
         self.s.write_all(b.as_ref()).await.unwrap();
@@ -437,28 +534,50 @@
     pub async fn until(&mut self, what: &str) {
         let read = async {
             while !self.b.windows(what.len()).any(|w| w == what.as_bytes()) {
-                assert!(more(&mut self.s, &mut self.b).await, "it ended before {what:?}");
+                assert!(
+                    more(&mut self.s, &mut self.b).await,
+                    "it ended before {what:?}"
+                );
             }
         };
         tokio::time::timeout(HANG, read).await.expect("it came");
     }
     pub async fn head(&mut self) -> String {
         let head = tokio::time::timeout(HANG, read_head(&mut self.s, &mut self.b)).await;
-        head.expect("the head did not hang").expect("an answer's head")
+        head.expect("the head did not hang")
+            .expect("an answer's head")
     }
     pub async fn answer(&mut self) -> Answer {
         let read = async {
-            let head = read_head(&mut self.s, &mut self.b).await.expect("an answer's head");
-            let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
-            let (body, whole) = read_body(&mut self.s, &mut self.b, &head, true).await.expect("a body");
-            Answer { status, head, body: String::from_utf8(body).unwrap(), whole }
+            let head = read_head(&mut self.s, &mut self.b)
+                .await
+                .expect("an answer's head");
+            let status = head
+                .split(' ')
+                .nth(1)
+                .and_then(|s| s.parse().ok())
+                .expect("a status");
+            let (body, whole) = read_body(&mut self.s, &mut self.b, &head, true)
+                .await
+                .expect("a body");
+            Answer {
+                status,
+                head,
+                body: String::from_utf8(body).unwrap(),
+                whole,
+            }
         };
-        tokio::time::timeout(HANG, read).await.expect("the answer did not hang")
+        tokio::time::timeout(HANG, read)
+            .await
+            .expect("the answer did not hang")
     }
 }
 
 pub fn request(round: &str, body: &str) -> String {
-    format!("POST /p/x?q=a%20b&c HTTP/1.1\r\nHost: h\r\nRound: {round}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "POST /p/x?q=a%20b&c HTTP/1.1\r\nHost: h\r\nRound: {round}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 /// One request on a connection of its own.
 pub async fn ask(e: &Edge, q: impl AsRef<[u8]>) -> Answer {
--- a/fleet-simulator/src/checkers.rs
+++ b/fleet-simulator/src/checkers.rs
@@ -42,7 +42,9 @@
 
 /// All violations, each with its checker's name.
 pub fn check(h: &History) -> Found {
-    ALL.iter().flat_map(|(n, f)| f(h).into_iter().map(move |v| format!("{n}: {v}"))).collect()
+    ALL.iter()
+        .flat_map(|(n, f)| f(h).into_iter().map(move |v| format!("{n}: {v}")))
+        .collect()
 }
 
 /// What the checkers' tests share: a history in which all is well, and a violation planted into it.
@@ -82,7 +84,15 @@
             ms: 400,
             ..Told::default()
         };
-        History { told: vec![told], runs: vec![run], calls: 1, firsts: 1, asked: 1, end_ms: 60_000, ..History::default() }
+        History {
+            told: vec![told],
+            runs: vec![run],
+            calls: 1,
+            firsts: 1,
+            asked: 1,
+            end_ms: 60_000,
+            ..History::default()
+        }
     }
 
     /// Another run like the first, changed.
@@ -98,6 +108,9 @@
         expect_that!(check(&h), is_empty());
         plant(&mut h);
         let found = check(&h);
-        expect_true!(found.iter().any(|f| f.starts_with(name)), "{name} is not caught: {found:?}");
+        expect_true!(
+            found.iter().any(|f| f.starts_with(name)),
+            "{name} is not caught: {found:?}"
+        );
     }
 }
--- a/fleet-simulator/src/checkers/load.rs
+++ b/fleet-simulator/src/checkers/load.rs
@@ -24,10 +24,15 @@
     let mut f = vec![];
     let most = h.firsts + h.asked * ROUNDS / 100 + ROUNDS_FREE;
     if h.calls > most {
-        f.push(format!("{} calls for {} requests, {} of them first", h.calls, h.asked, h.firsts));
+        f.push(format!(
+            "{} calls for {} requests, {} of them first",
+            h.calls, h.asked, h.firsts
+        ));
     }
     let mut by: BTreeMap<&str, Vec<(Ms, bool)>> = BTreeMap::new();
-    h.rounds.iter().for_each(|(t, p, first)| by.entry(p).or_default().push((*t, *first)));
+    h.rounds
+        .iter()
+        .for_each(|(t, p, first)| by.entry(p).or_default().push((*t, *first)));
     for (p, v) in by {
         let (mut from, mut firsts, mut seconds) = (0, 0, 0);
         for (t, first) in &v {
@@ -52,26 +57,47 @@
     let cost = |lane: &str| c.lanes.iter().find(|l| l.0 == lane).map_or(0, |l| l.1);
     for (from, to) in &h.crowds {
         // The crowd itself is noted as what disturbs a rate; anything else beside it makes it another case.
-        if h.losses.iter().any(|l| l.from < *to && l.up + WINDOW > *from) {
+        if h.losses
+            .iter()
+            .any(|l| l.from < *to && l.up + WINDOW > *from)
+        {
             continue;
         }
-        if h.disturbed.iter().any(|d| d.0 < *to && d.1 > *from && d.0 != *from) {
+        if h.disturbed
+            .iter()
+            .any(|d| d.0 < *to && d.1 > *from && d.0 != *from)
+        {
             continue;
         }
         // A caller that went to an edge outside its homes had its answer; a repeat may win against its first.
-        let own = |t: &&Told| t.tier == c.best_tier && !t.repeat && t.code != "wrong_zone" && t.code != "claimed";
+        let own = |t: &&Told| {
+            t.tier == c.best_tier && !t.repeat && t.code != "wrong_zone" && t.code != "claimed"
+        };
         let from = &(from + REACT);
-        let best = || h.told.iter().filter(own).filter(|t| t.at_ms >= *from && t.at_ms < *to);
+        let best = || {
+            h.told
+                .iter()
+                .filter(own)
+                .filter(|t| t.at_ms >= *from && t.at_ms < *to)
+        };
         for (zone, places) in &c.places {
             // A request is served in one of its homes: each counts its part, at the price of a cold cache.
-            let demand: u64 = best().filter(|t| t.homes.contains(zone)).map(|t| cost(&t.lane) / t.homes.len() as u64).sum();
+            let demand: u64 = best()
+                .filter(|t| t.homes.contains(zone))
+                .map(|t| cost(&t.lane) / t.homes.len() as u64)
+                .sum();
             if demand * 100 > places * to.saturating_sub(*from) * FITS {
                 continue;
             }
             let mine = best().filter(|t| t.lane == c.short_lane && t.homes.first() == Some(zone));
-            let (ok, all) = mine.fold((0, 0), |n: (u64, u64), t| (n.0 + u64::from(t.in_time), n.1 + 1));
+            let (ok, all) = mine.fold((0, 0), |n: (u64, u64), t| {
+                (n.0 + u64::from(t.in_time), n.1 + 1)
+            });
             if all >= FEW && ok * 100 < all * IN_TIME {
-                f.push(format!("{} in {zone}: {ok} of {all} in time in the crowd at {from}", c.best_tier));
+                f.push(format!(
+                    "{} in {zone}: {ok} of {all} in time in the crowd at {from}",
+                    c.best_tier
+                ));
             }
         }
     }
--- a/fleet-simulator/src/checkers/placing/tests.rs
+++ b/fleet-simulator/src/checkers/placing/tests.rs
@@ -7,7 +7,12 @@
     let plant = |at: u64, n: u64, failed: bool| {
         move |h: &mut crate::history::History| {
             h.orders.push((2_000, 14_000, "b".into()));
-            h.bad.push(Bad { at: 30_000, version: "b".into(), lane: None, zone: None });
+            h.bad.push(Bad {
+                at: 30_000,
+                version: "b".into(),
+                lane: None,
+                zone: None,
+            });
             for i in 0..n {
                 let mut r = h.runs[0].clone();
                 let t = if i + 1 == n { at } else { 3_000 + i };
@@ -22,7 +27,12 @@
     // Completed after its failures had shown, however few requests it gets from then on.
     caught("exposure", |h| {
         h.orders.push((2_000, 14_000, "b".into()));
-        h.bad.push(Bad { at: 3_000, version: "b".into(), lane: None, zone: None });
+        h.bad.push(Bad {
+            at: 3_000,
+            version: "b".into(),
+            lane: None,
+            zone: None,
+        });
         h.standings.push((4_600, true));
         h.only.push((4_650, "b".into()));
         h.alerts.push((4_700, "stable_fails".into()));
--- a/fleet-simulator/src/checkers/requests/tests.rs
+++ b/fleet-simulator/src/checkers/requests/tests.rs
@@ -26,7 +26,13 @@
     caught("stream", |h| h.told[0].runs.push("r-9".into()));
     caught("at_once", |h| {
         let mut t = h.told[0].clone();
-        (t.request, t.outcome, t.code, t.retry_after_ms, t.ms) = ("p".into(), "not_run".into(), "no_rule".into(), Some(9), 1_900);
+        (t.request, t.outcome, t.code, t.retry_after_ms, t.ms) = (
+            "p".into(),
+            "not_run".into(),
+            "no_rule".into(),
+            Some(9),
+            1_900,
+        );
         h.told.push(t);
     });
     // Every code but those that are for good says when to come back.
--- a/fleet-simulator/src/checkers/sick.rs
+++ b/fleet-simulator/src/checkers/sick.rs
@@ -27,15 +27,26 @@
 }
 
 fn one(h: &History, s: &Sick) -> Option<String> {
-    let mine = || h.spoiled.iter().filter(|x| x.1 == s.replica && x.0 >= s.from && x.0 < s.to);
+    let mine = || {
+        h.spoiled
+            .iter()
+            .filter(|x| x.1 == s.replica && x.0 >= s.from && x.0 < s.to)
+    };
     let from = mine().nth(SHOWN - 1)?.0 + REACT;
     // One that left, or fell over, is another case.
-    let over = h.leaving.iter().filter(|l| l.1 == s.replica).map(|l| l.0).fold(s.to.min(h.end_ms), Ms::min);
+    let over = h
+        .leaving
+        .iter()
+        .filter(|l| l.1 == s.replica)
+        .map(|l| l.0)
+        .fold(s.to.min(h.end_ms), Ms::min);
     if over < from + LEAST {
         return None;
     }
     let got = mine().filter(|x| x.0 >= from && x.0 < over).count() as f64;
-    let zone = h.runs.iter().filter(|r| r.zone == s.zone && r.replica != s.replica && r.at_ms >= from && r.at_ms < over);
+    let zone = h.runs.iter().filter(|r| {
+        r.zone == s.zone && r.replica != s.replica && r.at_ms >= from && r.at_ms < over
+    });
     let (runs, replicas) = zone.fold((0, BTreeSet::new()), |(n, mut v), r| {
         v.insert(&r.replica);
         (n + 1, v)
@@ -45,8 +56,12 @@
     }
     let even = f64::from(runs) / replicas.len() as f64 * s.percent as f64 / 100.0;
     let share = if s.silent { SHARE_SILENT } else { SHARE };
-    (got > FEW + even * share / 100.0)
-        .then(|| format!("{} spoiled {got} requests from {from} to {over}, an even share would be {even:.0}", s.replica))
+    (got > FEW + even * share / 100.0).then(|| {
+        format!(
+            "{} spoiled {got} requests from {from} to {over}, an even share would be {even:.0}",
+            s.replica
+        )
+    })
 }
 
 /// Who is well again is used again.
@@ -58,12 +73,26 @@
         if later || gone || t + AGAIN > h.end_ms {
             continue;
         }
-        let during = || h.runs.iter().filter(|r| r.at_ms >= *t && r.at_ms < t + AGAIN);
-        let Some(zone) = h.runs.iter().find(|r| r.replica == *id).map(|r| &r.zone) else { continue };
-        let beside: BTreeSet<&String> = during().filter(|r| r.zone == *zone && r.replica != *id).map(|r| &r.replica).collect();
-        let much = during().filter(|r| r.zone == *zone && r.replica != *id).count() > MUCH * beside.len();
+        let during = || {
+            h.runs
+                .iter()
+                .filter(|r| r.at_ms >= *t && r.at_ms < t + AGAIN)
+        };
+        let Some(zone) = h.runs.iter().find(|r| r.replica == *id).map(|r| &r.zone) else {
+            continue;
+        };
+        let beside: BTreeSet<&String> = during()
+            .filter(|r| r.zone == *zone && r.replica != *id)
+            .map(|r| &r.replica)
+            .collect();
+        let much = during()
+            .filter(|r| r.zone == *zone && r.replica != *id)
+            .count()
+            > MUCH * beside.len();
         if much && beside.len() >= OTHERS && !during().any(|r| r.replica == *id) {
-            f.push(format!("{id} was well again at {t} and got nothing for {AGAIN} ms"));
+            f.push(format!(
+                "{id} was well again at {t} and got nothing for {AGAIN} ms"
+            ));
         }
     }
     f
--- a/fleet-simulator/src/checkers/sick/tests.rs
+++ b/fleet-simulator/src/checkers/sick/tests.rs
@@ -20,8 +20,16 @@
 fn a_sick_replica_that_goes_on_spoiling_is_caught() {
     caught("sick", |h| {
         beside(h);
-        h.sick.push(Sick { replica: "r".into(), zone: "a".into(), from: 10_000, to: 28_000, percent: 50, silent: false });
-        h.spoiled.extend((0..200).map(|i| (10_000 + i * 90, "r".into())));
+        h.sick.push(Sick {
+            replica: "r".into(),
+            zone: "a".into(),
+            from: 10_000,
+            to: 28_000,
+            percent: 50,
+            silent: false,
+        });
+        h.spoiled
+            .extend((0..200).map(|i| (10_000 + i * 90, "r".into())));
     });
 }
 
--- a/fleet-simulator/src/checkers/versions.rs
+++ b/fleet-simulator/src/checkers/versions.rs
@@ -23,10 +23,22 @@
 
 /// When a bad version's failures showed, if they did.
 pub(super) fn shown(h: &History, b: &Bad) -> Option<Ms> {
-    let ended = |r: &&Run| r.version == b.version && r.at_ms >= b.at && on(b, r) && (r.done || r.failed);
-    let mut ends: Vec<(Ms, bool)> = h.runs.iter().filter(ended).map(|r| (r.end_ms, r.failed || r.slow)).collect();
+    let ended =
+        |r: &&Run| r.version == b.version && r.at_ms >= b.at && on(b, r) && (r.done || r.failed);
+    let mut ends: Vec<(Ms, bool)> = h
+        .runs
+        .iter()
+        .filter(ended)
+        .map(|r| (r.end_ms, r.failed || r.slow))
+        .collect();
     ends.sort_unstable();
-    let shows = |i: &usize| ends[i.saturating_sub(LAST - 1)..=*i].iter().filter(|e| e.1).count() >= SHOWN;
+    let shows = |i: &usize| {
+        ends[i.saturating_sub(LAST - 1)..=*i]
+            .iter()
+            .filter(|e| e.1)
+            .count()
+            >= SHOWN
+    };
     (0..ends.len()).find(shows).map(|i| ends[i].0)
 }
 
@@ -34,24 +46,61 @@
     let of = |r: &&Run| r.version == b.version;
     let Some(t) = shown(h, b) else { return vec![] };
     // Where no other version is loaded nothing can be turned to: operators must be told, and at once.
-    if h.only.iter().rev().find(|o| o.0 <= t + CUT).is_some_and(|o| o.1 == b.version) {
-        let told = h.alerts.iter().any(|a| a.0 >= b.at && a.0 <= t + CUT && a.1 == "stable_fails");
-        return if told { vec![] } else { vec![format!("{} fails from {t}, alone, and nobody was told", b.version)] };
+    if h.only
+        .iter()
+        .rev()
+        .find(|o| o.0 <= t + CUT)
+        .is_some_and(|o| o.1 == b.version)
+    {
+        let told = h
+            .alerts
+            .iter()
+            .any(|a| a.0 >= b.at && a.0 <= t + CUT && a.1 == "stable_fails");
+        return if told {
+            vec![]
+        } else {
+            vec![format!(
+                "{} fails from {t}, alone, and nobody was told",
+                b.version
+            )]
+        };
     }
     let late = h.runs.iter().filter(of).filter(|r| r.at_ms > t + CUT);
-    let mut f: Found =
-        late.map(|r| format!("{} showed failures at {t} and got {} at {}", b.version, r.run, r.at_ms)).take(3).collect();
+    let mut f: Found = late
+        .map(|r| {
+            format!(
+                "{} showed failures at {t} and got {} at {}",
+                b.version, r.run, r.at_ms
+            )
+        })
+        .take(3)
+        .collect();
     // What a version rightfully had before it turned does not count against it.
-    let first = h.runs.iter().filter(of).map(|r| r.at_ms).min().unwrap_or(Ms::MAX);
+    let first = h
+        .runs
+        .iter()
+        .filter(of)
+        .map(|r| r.at_ms)
+        .min()
+        .unwrap_or(Ms::MAX);
     if first < b.at {
         return f;
     }
     let lanes = std::iter::once(None).chain(b.lane.as_deref().map(Some));
     for lane in lanes {
-        let during = h.runs.iter().filter(|r| r.at_ms >= first && r.at_ms <= t + CUT && lane.is_none_or(|l| l == r.lane));
-        let (bad, all) = during.fold((0, 0), |n: (u64, u64), r| (n.0 + u64::from(of(&r)), n.1 + 1));
+        let during = h
+            .runs
+            .iter()
+            .filter(|r| r.at_ms >= first && r.at_ms <= t + CUT && lane.is_none_or(|l| l == r.lane));
+        let (bad, all) = during.fold((0, 0), |n: (u64, u64), r| {
+            (n.0 + u64::from(of(&r)), n.1 + 1)
+        });
         if bad * 100 > SHARE * all + FEW * 100 {
-            f.push(format!("bad {} got {bad} of {all} of {}", b.version, lane.unwrap_or("the service")));
+            f.push(format!(
+                "bad {} got {bad} of {all} of {}",
+                b.version,
+                lane.unwrap_or("the service")
+            ));
         }
     }
     f
--- a/fleet-simulator/src/deployment.rs
+++ b/fleet-simulator/src/deployment.rs
@@ -112,7 +112,9 @@
     /// The zones of a zone's region.
     pub fn beside(&self, zone: &str) -> Vec<String> {
         let zones = self.spec.zones.iter().map(|z| z.name.clone());
-        zones.filter(|z| self.region(z) == self.region(zone)).collect()
+        zones
+            .filter(|z| self.region(z) == self.region(zone))
+            .collect()
     }
 
     /// One of the deployments, by name.
@@ -122,7 +124,9 @@
             "registry" => REGISTRY,
             "grown" => GROWN,
             // Another one, to try figures with.
-            file if file.ends_with(".json") => return serde_json::from_str(&std::fs::read_to_string(file).ok()?).ok(),
+            file if file.ends_with(".json") => {
+                return serde_json::from_str(&std::fs::read_to_string(file).ok()?).ok();
+            }
             _ => return None,
         };
         serde_json::from_str(text).ok()
--- a/fleet-simulator/src/effect_digest.rs
+++ b/fleet-simulator/src/effect_digest.rs
@@ -56,7 +56,12 @@
                 self.number(*token);
                 self.outcome(*outcome);
             }
-            Effect::Order { service, epoch, until, order } => {
+            Effect::Order {
+                service,
+                epoch,
+                until,
+                order,
+            } => {
                 self.byte(tag::ORDER);
                 self.text(service);
                 self.number(*epoch);
@@ -71,14 +76,24 @@
     pub fn message(&mut self, to: &Name, msg: &Message) {
         self.byte(tag::SEND);
         self.text(to);
-        let frame = encode(&Envelope { from: Name::default(), addr: Name::default(), msg: msg.clone() });
+        let frame = encode(&Envelope {
+            from: Name::default(),
+            addr: Name::default(),
+            msg: msg.clone(),
+        });
         self.hasher.update(&frame.unwrap_or_default());
     }
 
     fn row(&mut self, row: &Row) {
         match row {
             Row::Slot(slot) => self.slots(0, 0, &[], vec![slot.clone()], 0),
-            Row::Members { member_epoch, before, voters, voting, left } => {
+            Row::Members {
+                member_epoch,
+                before,
+                voters,
+                voting,
+                left,
+            } => {
                 let state = u8::from(*voting) | u8::from(*left) << 1;
                 self.slots(*member_epoch, *before, voters, vec![], state);
             }
@@ -86,9 +101,21 @@
     }
 
     /// Rows go in as the message that carries the same.
-    fn slots(&mut self, member_epoch: u32, before: u32, voters: &[Voter], slots: Vec<Slot>, voting: u8) {
-        let slots =
-            SlotsReply { member_epoch, voting, previous_voter_count: before, voters: List(voters.to_vec()), slots: List(slots) };
+    fn slots(
+        &mut self,
+        member_epoch: u32,
+        before: u32,
+        voters: &[Voter],
+        slots: Vec<Slot>,
+        voting: u8,
+    ) {
+        let slots = SlotsReply {
+            member_epoch,
+            voting,
+            previous_voter_count: before,
+            voters: List(voters.to_vec()),
+            slots: List(slots),
+        };
         self.message(&Name::default(), &slots.into());
     }
 
@@ -105,13 +132,20 @@
 
     fn order(&mut self, order: &Order) {
         match order {
-            Order::Replica { id, addr, action, version } => {
+            Order::Replica {
+                id,
+                addr,
+                action,
+                version,
+            } => {
                 self.byte(match action {
                     OrderAction::Load => 1,
                     OrderAction::Unload => 2,
                     OrderAction::Drain => 5,
                 });
-                [id, addr, version].into_iter().for_each(|text| self.text(text));
+                [id, addr, version]
+                    .into_iter()
+                    .for_each(|text| self.text(text));
             }
             Order::Start { zone, version } => {
                 self.byte(3);
--- a/fleet-simulator/src/faults.rs
+++ b/fleet-simulator/src/faults.rs
@@ -270,25 +270,36 @@
     /// if the return itself is what is looked at.
     pub fn disturbs(&self) -> Option<Ms> {
         let ms = match self {
-            Fault::KillAgent { down, .. } | Fault::KillProxy { down, .. } | Fault::KillEdge { down, .. } => *down,
+            Fault::KillAgent { down, .. }
+            | Fault::KillProxy { down, .. }
+            | Fault::KillEdge { down, .. } => *down,
             Fault::FreezeEdge { ms, .. }
             | Fault::Cut { ms, .. }
             | Fault::CutHolder { ms, .. }
             | Fault::ReplicaDark { ms, .. } => *ms,
             Fault::ReplicaCrash { down, .. } => *down,
-            Fault::ReplicaGrey { ms, .. } | Fault::HealthLies { ms, .. } | Fault::ReplicaFlaps { ms, .. } => *ms,
+            Fault::ReplicaGrey { ms, .. }
+            | Fault::HealthLies { ms, .. }
+            | Fault::ReplicaFlaps { ms, .. } => *ms,
             Fault::Warn { leaves_in, .. } => *leaves_in,
             Fault::Crowd { ms, .. } | Fault::Swing { ms } => *ms,
-            Fault::Evacuate { .. } | Fault::RaceZone { .. } | Fault::LoseRegion { ms: None, .. } | Fault::Shrink { .. } => {
+            Fault::Evacuate { .. }
+            | Fault::RaceZone { .. }
+            | Fault::LoseRegion { ms: None, .. }
+            | Fault::Shrink { .. } => {
                 return Some(Ms::MAX);
             }
-            Fault::LoseRegion { ms: Some(ms), .. } | Fault::Network { ms, .. } | Fault::Misbehave { ms, .. } => *ms,
+            Fault::LoseRegion { ms: Some(ms), .. }
+            | Fault::Network { ms, .. }
+            | Fault::Misbehave { ms, .. } => *ms,
             Fault::ReplaceEdge { down, .. } | Fault::ReplicaMoves { down, .. } => *down,
             Fault::ReplicaLeaves { gone_in, .. } => *gone_in,
             Fault::When { then, .. } => return then.disturbs(),
             Fault::LoadSlow { load, ms } => load + ms,
             Fault::Release { .. } => AFTER,
-            Fault::Bad { .. } | Fault::Plan { .. } | Fault::RacePlans { .. } => return Some(Ms::MAX),
+            Fault::Bad { .. } | Fault::Plan { .. } | Fault::RacePlans { .. } => {
+                return Some(Ms::MAX);
+            }
             _ => return None,
         };
         Some(ms + AFTER)
@@ -312,6 +323,10 @@
             Fault::When { then, .. } => return then.fits(controls, edges),
             _ => return Ok(()),
         };
-        if *at < of { Ok(()) } else { Err(format!("{self:?}: there are {of} {what}, counted from 0")) }
+        if *at < of {
+            Ok(())
+        } else {
+            Err(format!("{self:?}: there are {of} {what}, counted from 0"))
+        }
     }
 }
--- a/fleet-simulator/src/history.rs
+++ b/fleet-simulator/src/history.rs
@@ -250,6 +250,12 @@
     /// When what was accepted at a time is due within a bound: while every edge is out of reach of all
     /// control daemons nothing can become due.
     pub fn due(&self, at: Ms, bound: Ms) -> Ms {
-        self.apart.iter().filter(|a| a.0 <= at + bound && a.1 > at).map(|a| a.1).max().unwrap_or(at) + bound
+        self.apart
+            .iter()
+            .filter(|a| a.0 <= at + bound && a.1 > at)
+            .map(|a| a.1)
+            .max()
+            .unwrap_or(at)
+            + bound
     }
 }
--- a/fleet-simulator/src/main.rs
+++ b/fleet-simulator/src/main.rs
@@ -26,9 +26,16 @@
 };
 
 fn main() {
-    let list: String = NAMES.iter().map(|(n, h)| format!("  {n:18} {h}\n")).collect();
+    let list: String = NAMES
+        .iter()
+        .map(|(n, h)| format!("  {n:18} {h}\n"))
+        .collect();
     let number = |n: &'static str, d: &'static str, h: &'static str| {
-        Arg::new(n).long(n).default_value(d).value_parser(clap::value_parser!(u64)).help(h)
+        Arg::new(n)
+            .long(n)
+            .default_value(d)
+            .value_parser(clap::value_parser!(u64))
+            .help(h)
     };
     let m = Command::new("fleet-simulator")
         .about("Runs whole fleets in virtual time")
@@ -77,7 +84,10 @@
         exit(2)
     };
     let deployments: Vec<Deployment> = match text("deployment").as_str() {
-        "all" => ["dentaplan", "registry"].iter().filter_map(|n| Deployment::named(n)).collect(),
+        "all" => ["dentaplan", "registry"]
+            .iter()
+            .filter_map(|n| Deployment::named(n))
+            .collect(),
         n => match Deployment::named(n) {
             Some(d) => vec![d],
             None => bad(format!("no deployment {n}")),
@@ -96,7 +106,10 @@
         },
     };
     let given: Option<Schedule> = m.get_one::<String>("faults").map(|f| {
-        let read = deployments.iter().map(|d| schedule::read(f, d)).collect::<Result<Vec<_>, _>>();
+        let read = deployments
+            .iter()
+            .map(|d| schedule::read(f, d))
+            .collect::<Result<Vec<_>, _>>();
         read.unwrap_or_else(|e| bad(e)).pop().unwrap_or_default()
     });
     if given.is_some() && names.len() > 1 {
@@ -112,10 +125,15 @@
     if cases.is_empty() {
         bad("no seeds, nothing to run".into());
     }
-    let off: Option<Guard> = m
-        .get_one::<String>("without")
-        .map(|g| serde_json::from_value(g.as_str().into()).unwrap_or_else(|e| bad(format!("no guard {g}: {e}"))));
-    let left_out = m.get_many::<Mechanism>("leave-out").into_iter().flatten().copied();
+    let off: Option<Guard> = m.get_one::<String>("without").map(|g| {
+        serde_json::from_value(g.as_str().into())
+            .unwrap_or_else(|e| bad(format!("no guard {g}: {e}")))
+    });
+    let left_out = m
+        .get_many::<Mechanism>("leave-out")
+        .into_iter()
+        .flatten()
+        .copied();
     let looks = Looks {
         off,
         policy: Policy::without(left_out),
@@ -147,18 +165,35 @@
     let mut tables: BTreeMap<String, Figures> = BTreeMap::new();
     for (i, (text, found, f, _)) in &done {
         print!("{text}");
-        tables.entry(format!("{} {}", cases[*i].0.name, cases[*i].1)).or_default().join(f.clone());
+        tables
+            .entry(format!("{} {}", cases[*i].0.name, cases[*i].1))
+            .or_default()
+            .join(f.clone());
         let names: BTreeSet<&str> = found.iter().filter_map(|f| f.split(':').next()).collect();
-        names.iter().for_each(|n| *by.entry(n.to_string()).or_default() += 1);
+        names
+            .iter()
+            .for_each(|n| *by.entry(n.to_string()).or_default() += 1);
     }
     let failed = done.values().filter(|d| !d.1.is_empty()).count();
     if looks.digests {
-        digests(&cases, &done).iter().for_each(|line| println!("{line}"));
+        digests(&cases, &done)
+            .iter()
+            .for_each(|line| println!("{line}"));
     }
     if looks.figures {
-        tables.iter().for_each(|(name, f)| println!("{name}\n{}", table(f)));
+        tables
+            .iter()
+            .for_each(|(name, f)| println!("{name}\n{}", table(f)));
     }
-    println!("{} runs, {failed} failed {}", cases.len(), if by.is_empty() { String::new() } else { format!("{by:?}") });
+    println!(
+        "{} runs, {failed} failed {}",
+        cases.len(),
+        if by.is_empty() {
+            String::new()
+        } else {
+            format!("{by:?}")
+        }
+    );
     exit(i32::from(failed > 0))
 }
 
@@ -180,11 +215,21 @@
     let mut by_schedule: BTreeMap<String, Digests> = BTreeMap::new();
     for (index, (.., run)) in done {
         let (deployment, schedule, _) = cases[*index];
-        let sum = by_schedule.entry(format!("{} {schedule}", deployment.name)).or_default();
+        let sum = by_schedule
+            .entry(format!("{} {schedule}", deployment.name))
+            .or_default();
         sum.effects = combine_hashes(sum.effects, run.effects);
         sum.observed = combine_hashes(sum.observed, run.observed);
     }
-    by_schedule.iter().map(|(name, sum)| format!("{name} effects {:016x} observed {:016x}", sum.effects, sum.observed)).collect()
+    by_schedule
+        .iter()
+        .map(|(name, sum)| {
+            format!(
+                "{name} effects {:016x} observed {:016x}",
+                sum.effects, sum.observed
+            )
+        })
+        .collect()
 }
 
 /// What is to be shown of each run.
@@ -203,8 +248,16 @@
 fn one((d, name, seed): &Case, l: &Looks) -> Ran {
     let d = &(*d).clone().under(name);
     let mut out = String::new();
-    let Some(s) = l.given.clone().or_else(|| schedule::named(name, *seed, d)) else { return Default::default() };
-    let c = shrink::Case { d, seed: *seed, length: schedule::length(name), off: l.off, policy: l.policy };
+    let Some(s) = l.given.clone().or_else(|| schedule::named(name, *seed, d)) else {
+        return Default::default();
+    };
+    let c = shrink::Case {
+        d,
+        seed: *seed,
+        length: schedule::length(name),
+        off: l.off,
+        policy: l.policy,
+    };
     let w = c.world(&s);
     let found = checkers::check(&w.h);
     if let Some(f) = &l.history
@@ -215,24 +268,44 @@
     if l.trace {
         w.trace.iter().for_each(|l| out += &format!("{l}\n"));
         if let Some(r) = w.rollout() {
-            out += &format!("rollout {:?} stable {} target {:?} alerts {:?}\n", r.phase, r.stable, r.target, r.alerts);
+            out += &format!(
+                "rollout {:?} stable {} target {:?} alerts {:?}\n",
+                r.phase, r.stable, r.target, r.alerts
+            );
         }
     }
-    let replay = format!("fleet-simulator --deployment {} --schedule {name} --seed {seed} --trace", d.name);
+    let replay = format!(
+        "fleet-simulator --deployment {} --schedule {name} --seed {seed} --trace",
+        d.name
+    );
     if !found.is_empty() {
         out += &format!("FAILED {replay}\n");
-        found.iter().take(5).for_each(|f| out += &format!("  {f}\n"));
+        found
+            .iter()
+            .take(5)
+            .for_each(|f| out += &format!("  {f}\n"));
     }
     if l.shrink
         && let Some(checker) = found.first().and_then(|f| f.split(':').next())
     {
         let least = c.shrink(&s, checker);
         let json = serde_json::to_string(&least).unwrap_or_default();
-        out += &format!("  {checker} fails still with {} of {} faults: {replay} --faults '{json}'\n", least.len(), s.len());
+        out += &format!(
+            "  {checker} fails still with {} of {} faults: {replay} --faults '{json}'\n",
+            least.len(),
+            s.len()
+        );
     }
-    let figures = if l.figures { Figures::from(&w.h) } else { Figures::default() };
+    let figures = if l.figures {
+        Figures::from(&w.h)
+    } else {
+        Figures::default()
+    };
     let digests = if l.digests {
-        Digests { effects: w.effects.value(), observed: rendezvous_weight(&observed(&w.h), "") }
+        Digests {
+            effects: w.effects.value(),
+            observed: rendezvous_weight(&observed(&w.h), ""),
+        }
     } else {
         Digests::default()
     };
@@ -250,7 +323,9 @@
 
 fn table(f: &Figures) -> String {
     let row = |n: &String| match f.of(n) {
-        Ok((mean, lo, hi, count)) => format!("  {n:52} mean {mean:>9.1} least {lo:>9.1} most {hi:>9.1} of {count}\n"),
+        Ok((mean, lo, hi, count)) => {
+            format!("  {n:52} mean {mean:>9.1} least {lo:>9.1} most {hi:>9.1} of {count}\n")
+        }
         Err(e) => format!("  {e}\n"),
     };
     f.names().map(row).collect()
--- a/fleet-simulator/src/register_history.rs
+++ b/fleet-simulator/src/register_history.rs
@@ -60,7 +60,10 @@
 impl History {
     /// Takes down what some daemon holds for committed.
     pub fn see(&mut self, version: u64, value: &[u8], now: Ms) {
-        let (known, first) = self.seen.entry(version).or_insert_with(|| (value.to_vec(), now));
+        let (known, first) = self
+            .seen
+            .entry(version)
+            .or_insert_with(|| (value.to_vec(), now));
         *first = now.min(*first);
         if known != value {
             self.wrong.push(format!("version {version} has two values"));
@@ -87,7 +90,10 @@
             Told::Refused(Some(v)) => v,
             _ => return,
         };
-        let before = |b: &&Call| b.ended < c.began && matches!(b.told, Told::Version(v) | Told::Refused(Some(v)) if v > told);
+        let before = |b: &&Call| {
+            b.ended < c.began
+                && matches!(b.told, Told::Version(v) | Told::Refused(Some(v)) if v > told)
+        };
         if let Some(b) = self.calls.iter().find(before) {
             wrong.push(format!("call {i} {c:?} is told less than {b:?}"));
         }
@@ -95,9 +101,17 @@
 
     /// An order is accepted as a version that has its value, and no other order's.
     fn own_value(&self, i: usize, c: &Call, wrong: &mut Vec<String>) {
-        let (Some(o), Told::Version(v)) = (c.order, c.told) else { return };
-        if self.seen.get(&v).is_some_and(|(value, _)| *value != self.orders[o].value) {
-            wrong.push(format!("call {i} {c:?} is accepted as a version of another value"));
+        let (Some(o), Told::Version(v)) = (c.order, c.told) else {
+            return;
+        };
+        if self
+            .seen
+            .get(&v)
+            .is_some_and(|(value, _)| *value != self.orders[o].value)
+        {
+            wrong.push(format!(
+                "call {i} {c:?} is accepted as a version of another value"
+            ));
         }
         let other = |b: &&Call| match (b.order, b.told) {
             (Some(p), Told::Version(w)) if p == o && !self.orders[o].unconditional => w != v,
@@ -111,9 +125,16 @@
 
     /// What was refused once was never accepted and never stands.
     fn refusals(&self, wrong: &mut Vec<String>) {
-        for c in self.calls.iter().filter(|c| matches!(c.told, Told::Refused(_))) {
+        for c in self
+            .calls
+            .iter()
+            .filter(|c| matches!(c.told, Told::Refused(_)))
+        {
             let Some(o) = c.order else { continue };
-            let accepted = self.calls.iter().any(|b| b.order == Some(o) && matches!(b.told, Told::Version(_)));
+            let accepted = self
+                .calls
+                .iter()
+                .any(|b| b.order == Some(o) && matches!(b.told, Told::Version(_)));
             let stands = self.seen.values().any(|(v, _)| *v == self.orders[o].value);
             if accepted || (stands && !self.orders[o].unconditional) {
                 wrong.push(format!("{c:?} was refused, and accepted or in force"));
@@ -124,7 +145,9 @@
     /// Nothing stands before it was asked for.
     fn told_too_soon(&self, wrong: &mut Vec<String>) {
         for (version, (value, at)) in &self.seen {
-            let given = |c: &&Call| c.order.is_some_and(|o| self.orders[o].value == *value) && c.began <= *at;
+            let given = |c: &&Call| {
+                c.order.is_some_and(|o| self.orders[o].value == *value) && c.began <= *at
+            };
             if !self.calls.iter().any(|c| given(&c)) {
                 wrong.push(format!("version {version} stands and nobody asked for it"));
             }
--- a/fleet-simulator/src/shrink.rs
+++ b/fleet-simulator/src/shrink.rs
@@ -28,7 +28,9 @@
         w
     }
     fn fails(&self, s: &Schedule, checker: &str) -> bool {
-        checkers::check(&self.world(s).h).iter().any(|f| f.starts_with(checker))
+        checkers::check(&self.world(s).h)
+            .iter()
+            .any(|f| f.starts_with(checker))
     }
 
     /// The smallest schedule that this checker still fails, found by leaving out ever smaller parts of one that
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -5,7 +5,10 @@
 
 use coordination::{
     Effect, Effects, Row, WriteOutcome, claims,
-    control::{Control, ControlConfig, DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY, ZONE_PREFIX},
+    control::{
+        Control, ControlConfig, DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY,
+        ZONE_PREFIX,
+    },
     edge_agent::EdgeAgent,
     policy::Policy,
     proxy::{Admit, Ended, Placed, Proxy},
@@ -17,9 +20,9 @@
     stream::{Lines, Next},
 };
 use remote_calls::{
-    Fault as CallFault, LoadedWeights, NominateRequest, Nomination, OrderAction, Outcome, PlatformList, PlatformReplica,
-    PlatformReplicaState, ReleasePlan, ReplicaReport, ResumePoint, RunRequest, ServiceMode, Spec, StreamEnd, StreamLine,
-    StreamStart, ZoneState,
+    Fault as CallFault, LoadedWeights, NominateRequest, Nomination, OrderAction, Outcome,
+    PlatformList, PlatformReplica, PlatformReplicaState, ReleasePlan, ReplicaReport, ResumePoint,
+    RunRequest, ServiceMode, Spec, StreamEnd, StreamLine, StreamStart, ZoneState,
 };
 use serde::Deserialize;
 use wire_messages::{ClaimRequest, Message, Name, Node};
@@ -479,11 +482,17 @@
         let places = d.engine.is_some() || schedule.iter().any(|s| s.1 == Fault::Places);
         engine::fit(&mut d);
         if places {
-            d.spec.services.iter_mut().for_each(|s| s.mode = ServiceMode::Placed);
+            d.spec
+                .services
+                .iter_mut()
+                .for_each(|s| s.mode = ServiceMode::Placed);
         }
         let mut w = World {
             now: 0,
-            h: History { end_ms: end, ..History::default() },
+            h: History {
+                end_ms: end,
+                ..History::default()
+            },
             trace: VecDeque::new(),
             effects: EffectDigest::default(),
             rng,
@@ -528,7 +537,9 @@
             policy: Policy::default(),
             d,
         };
-        let members: Vec<Name> = (0..w.d.control.len()).map(|i| Name(format!("control-{}", i + 1))).collect();
+        let members: Vec<Name> = (0..w.d.control.len())
+            .map(|i| Name(format!("control-{}", i + 1)))
+            .collect();
         for (i, z) in w.d.control.clone().into_iter().enumerate() {
             // Half of the fleets name their members, and half are founded by the daemons at the seeds.
             let founding = seed % 2 == 1;
@@ -545,11 +556,31 @@
                 bounds: Default::default(),
             };
             let id = w.rng.u64(1..1 << 60);
-            let disk = Disk { id, rows: BTreeMap::new(), slow: (0, 0), full_until: 0, buffer: vec![], working: false };
-            w.ctl.push(Ctl { p, zone: z, brain: None, disk, life: 0, frozen: 0, next_report: 0, wipe: None });
+            let disk = Disk {
+                id,
+                rows: BTreeMap::new(),
+                slow: (0, 0),
+                full_until: 0,
+                buffer: vec![],
+                working: false,
+            };
+            w.ctl.push(Ctl {
+                p,
+                zone: z,
+                brain: None,
+                disk,
+                life: 0,
+                frozen: 0,
+                next_report: 0,
+                wipe: None,
+            });
             w.after(i as Ms * 20, Ev::Start(To::Control(i)));
         }
-        let zones: Vec<String> = w.d.edges.iter().flat_map(|e| std::iter::repeat_n(e.zone.clone(), e.count)).collect();
+        let zones: Vec<String> =
+            w.d.edges
+                .iter()
+                .flat_map(|e| std::iter::repeat_n(e.zone.clone(), e.count))
+                .collect();
         for (i, zone) in zones.into_iter().enumerate() {
             let name = format!("edge-{}", i + 1);
             w.next_edge = i + 2;
@@ -592,11 +623,26 @@
     fn capacity(&self) -> Capacity {
         let (s, tiers) = (&self.d.spec.services[0], &self.d.spec.tiers);
         Capacity {
-            places: s.zones.iter().map(|z| (z.zone.clone(), u64::from(z.replicas) * u64::from(SLOTS))).collect(),
+            places: s
+                .zones
+                .iter()
+                .map(|z| (z.zone.clone(), u64::from(z.replicas) * u64::from(SLOTS)))
+                .collect(),
             // A cold cache doubles the time.
-            lanes: s.lanes.iter().map(|l| (l.name.clone(), l.expected_ms * 3 / 2)).collect(),
-            best_tier: tiers.iter().min_by_key(|t| t.rank).map_or(String::new(), |t| t.name.clone()),
-            short_lane: s.lanes.iter().min_by_key(|l| l.time_limit_ms).map_or(String::new(), |l| l.name.clone()),
+            lanes: s
+                .lanes
+                .iter()
+                .map(|l| (l.name.clone(), l.expected_ms * 3 / 2))
+                .collect(),
+            best_tier: tiers
+                .iter()
+                .min_by_key(|t| t.rank)
+                .map_or(String::new(), |t| t.name.clone()),
+            short_lane: s
+                .lanes
+                .iter()
+                .min_by_key(|l| l.time_limit_ms)
+                .map_or(String::new(), |l| l.name.clone()),
         }
     }
 
@@ -628,7 +674,8 @@
         if self.trace.len() >= TRACE {
             self.trace.pop_front();
         }
-        self.trace.push_back(format!("{:>7} {who}: {text}", self.now));
+        self.trace
+            .push_back(format!("{:>7} {who}: {text}", self.now));
     }
 
     fn handle(&mut self, ev: Ev) {
@@ -638,9 +685,10 @@
             Ev::Deliver { to, .. } => self.addrs.get(to).copied(),
             Ev::DiskDone { at, .. } | Ev::Reopen { at } | Ev::List { at } => Some(To::Control(*at)),
             Ev::Run { edge, .. } => Some(To::Proxy(*edge)),
-            Ev::Nominate { flow } | Ev::Begun { flow, .. } | Ev::Line { flow, .. } | Ev::ClaimLate { flow, .. } => {
-                self.flows.get(flow).map(|f| To::Proxy(f.edge))
-            }
+            Ev::Nominate { flow }
+            | Ev::Begun { flow, .. }
+            | Ev::Line { flow, .. }
+            | Ev::ClaimLate { flow, .. } => self.flows.get(flow).map(|f| To::Proxy(f.edge)),
             _ => None,
         };
         if let Some(t) = holder
@@ -651,13 +699,33 @@
         }
         match ev {
             Ev::Tick(t) => self.tick(t),
-            Ev::Deliver { to, from, addr, msg } => self.deliver(to, from, addr, msg),
-            Ev::DiskDone { at, life, rows, then } => self.disk_done(at, life, rows, then),
+            Ev::Deliver {
+                to,
+                from,
+                addr,
+                msg,
+            } => self.deliver(to, from, addr, msg),
+            Ev::DiskDone {
+                at,
+                life,
+                rows,
+                then,
+            } => self.disk_done(at, life, rows, then),
             Ev::Reopen { at } => self.open(at),
             Ev::Start(t) => self.start(t),
-            Ev::Report { to, replica, addr, asked } => self.report(to, &replica, &addr, asked),
+            Ev::Report {
+                to,
+                replica,
+                addr,
+                asked,
+            } => self.report(to, &replica, &addr, asked),
             Ev::List { at } => self.list(at),
-            Ev::Order { from, service, epoch, order } => self.take_order(from, &service, epoch, order),
+            Ev::Order {
+                from,
+                service,
+                epoch,
+                order,
+            } => self.take_order(from, &service, epoch, order),
             Ev::ReplicaBack { id } => self.replica_back(&id),
             Ev::ReplicaReady { id, born } => self.replica_ready(&id, born),
             Ev::ReplicaGone { id } => self.replica_down(&id, None),
@@ -681,7 +749,12 @@
             Ev::Warn { id } => self.warn(&id),
             Ev::Reply { flow, fault } => self.reply(flow, fault),
             Ev::RegionBack { zone } => self.region_back(&zone),
-            Ev::Flap { id, down, up, until } => self.flap(&id, down, up, until),
+            Ev::Flap {
+                id,
+                down,
+                up,
+                until,
+            } => self.flap(&id, down, up, until),
             Ev::Loaded { id, born, version } => self.version_loaded(&id, born, version),
             Ev::Sample => self.sample(),
             Ev::StartPlaced { order } => self.start_placed(order),
@@ -701,6 +774,11 @@
     StreamLine {
         start: None,
         piece: None,
-        end: Some(StreamEnd { outcome: Outcome::Unknown, pieces: 0, digest: None, fault: Some(f) }),
+        end: Some(StreamEnd {
+            outcome: Outcome::Unknown,
+            pieces: 0,
+            digest: None,
+            fault: Some(f),
+        }),
     }
 }
--- a/fleet-simulator/src/world/callers.rs
+++ b/fleet-simulator/src/world/callers.rs
@@ -5,12 +5,20 @@
 
 /// With the guard off a replica's failures are not held against it.
 fn spared(off: Option<Guard>, e: Ended) -> Ended {
-    if off == Some(Guard::Doubt) && matches!(e, Ended::Failed) { Ended::Dropped } else { e }
+    if off == Some(Guard::Doubt) && matches!(e, Ended::Failed) {
+        Ended::Dropped
+    } else {
+        e
+    }
 }
 
 impl World {
     pub(super) fn arrive(&mut self) {
-        let times = if self.crowd.1 > self.now { self.crowd.0 } else { 1 };
+        let times = if self.crowd.1 > self.now {
+            self.crowd.0
+        } else {
+            1
+        };
         let each = 1_000_000 / (self.d.rate_per_s * u64::from(times));
         let gap = (each as f64 * -(1.0 - self.rng.f64()).ln() / 1_000.0) as Ms;
         self.after(gap.max(1), Ev::Arrive);
@@ -38,11 +46,22 @@
             Some((a, b, until)) if a == zone && until > self.now => b,
             _ => zone,
         };
-        let near: Vec<usize> = (0..self.edges.len()).filter(|e| self.edges[*e].zone == self.d.edges[contact].zone).collect();
-        let Some(edge) = self.rng.choice(&near).copied() else { return };
+        let near: Vec<usize> = (0..self.edges.len())
+            .filter(|e| self.edges[*e].zone == self.d.edges[contact].zone)
+            .collect();
+        let Some(edge) = self.rng.choice(&near).copied() else {
+            return;
+        };
         let tier = self.rng.usize(..self.d.spec.tiers.len());
-        let prefixes =
-            if m.prefixes > 0 { vec![format!("{}-{}", self.d.edges[zone].zone, self.rng.u64(..m.prefixes))] } else { vec![] };
+        let prefixes = if m.prefixes > 0 {
+            vec![format!(
+                "{}-{}",
+                self.d.edges[zone].zone,
+                self.rng.u64(..m.prefixes)
+            )]
+        } else {
+            vec![]
+        };
         self.next_flow += 1;
         let id = self.next_flow;
         let mut q = RunRequest {
@@ -60,9 +79,15 @@
         };
         // Some callers name a run-once request by a key of their own.
         if q.run_once && self.rng.u32(..100) < KEYED {
-            q.key = serde_json::from_value(serde_json::json!({"value": format!("key-{id}"), "first_used_ms_ago": 0})).ok();
+            q.key = serde_json::from_value(
+                serde_json::json!({"value": format!("key-{id}"), "first_used_ms_ago": 0}),
+            )
+            .ok();
         }
-        let key = q.key.as_ref().map_or(String::new(), |k| k.value.to_string());
+        let key = q
+            .key
+            .as_ref()
+            .map_or(String::new(), |k| k.value.to_string());
         let told = Told {
             key,
             lane: q.lane.clone(),
@@ -124,10 +149,18 @@
             Err(x) => self.reply(id, x),
             Ok(n) => {
                 let there = self.edges.iter().position(|e| *e.addr('p') == *n.proxy);
-                let Some(edge) = there else { return self.lost(id) };
+                let Some(edge) = there else {
+                    return self.lost(id);
+                };
                 // Some callers go astray: to an edge that may stand outside their homes.
-                let edge = if self.rng.u32(..100) < ASTRAY { self.rng.usize(..self.edges.len()) } else { edge };
-                let Some(f) = self.flows.get_mut(&id) else { return };
+                let edge = if self.rng.u32(..100) < ASTRAY {
+                    self.rng.usize(..self.edges.len())
+                } else {
+                    edge
+                };
+                let Some(f) = self.flows.get_mut(&id) else {
+                    return;
+                };
                 (f.q.request, f.told.request) = (n.request.clone(), n.request);
                 let (mut q, mut told, until) = (f.q.clone(), f.told.clone(), f.until);
                 self.after(8, Ev::Run { flow: id, edge });
@@ -135,14 +168,21 @@
                 if q.run_once && self.rng.u32(..100) < REPEATS {
                     self.next_flow += 1;
                     let twin = self.next_flow;
-                    let near: Vec<usize> = (0..self.edges.len()).filter(|e| q.homes.contains(&self.edges[*e].zone)).collect();
-                    let Some(e2) = self.rng.choice(&near).copied() else { return };
+                    let near: Vec<usize> = (0..self.edges.len())
+                        .filter(|e| q.homes.contains(&self.edges[*e].zone))
+                        .collect();
+                    let Some(e2) = self.rng.choice(&near).copied() else {
+                        return;
+                    };
                     told.repeat = true;
                     let late = self.rng.u32(..100) < LATE_REPEATS;
                     let ms = self.rng.u64(5..if late { LATE } else { 1_500 });
                     // A repeat has its own time left, however late the first one's was over.
                     let until = until.max(now + ms + q.time_left_ms);
-                    let mut ev = Ev::Run { flow: twin, edge: e2 };
+                    let mut ev = Ev::Run {
+                        flow: twin,
+                        edge: e2,
+                    };
                     if let Some(k) = &mut q.key {
                         // A repeat under a key asks for a new id, and says how old the key is.
                         k.first_used_ms_ago += now + ms - told.at_ms;
@@ -152,7 +192,10 @@
                     told.at_ms = now + ms;
                     self.add_flow(twin, q, told, e2, until);
                     self.after(ms, ev);
-                    self.after(until.saturating_sub(now) + PATIENCE, Ev::TimeUp { flow: twin });
+                    self.after(
+                        until.saturating_sub(now) + PATIENCE,
+                        Ev::TimeUp { flow: twin },
+                    );
                 }
             }
         }
@@ -161,7 +204,9 @@
     pub(super) fn begin_run(&mut self, id: u64, edge: usize) {
         let round = self.rng.u64(1..);
         let now = self.now;
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         f.edge = edge;
         if self.edges[edge].proxy.is_none() {
             return self.lost(id);
@@ -186,7 +231,9 @@
     }
 
     pub(super) fn drive(&mut self, id: u64, got: Got) {
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         if f.life != self.edges[f.edge].life {
             return;
         }
@@ -201,7 +248,9 @@
         loop {
             let Some(f) = self.flows.get(&id) else { return };
             let local = self.clock(To::Proxy(f.edge));
-            let Some(f) = self.flows.get_mut(&id) else { return };
+            let Some(f) = self.flows.get_mut(&id) else {
+                return;
+            };
             let (edge, off) = (f.edge, self.off);
             let e = &mut self.edges[edge];
             let Some(p) = e.proxy.as_mut() else { return };
@@ -216,7 +265,9 @@
                     }
                     Got::Checked(c)
                 }
-                Step::Claim { void } if off == Some(Guard::Claims) || (void && off == Some(Guard::Void)) => {
+                Step::Claim { void }
+                    if off == Some(Guard::Claims) || (void && off == Some(Guard::Void)) =>
+                {
                     Got::Claimed(claims::GRANTED)
                 }
                 Step::Claim { void } => {
@@ -238,7 +289,9 @@
                 Step::Place => {
                     if let Some(at) = &f.q.resume {
                         let x = p.resume(&f.q, &at.replica, local);
-                        Got::Placed(x.ok_or_else(|| CallFault::new("replica_gone", "resume", "gone")))
+                        Got::Placed(
+                            x.ok_or_else(|| CallFault::new("replica_gone", "resume", "gone")),
+                        )
                     } else {
                         match p.place(&f.q, &r.tried, local) {
                             Admit::Go(x) => Got::Placed(Ok(x)),
@@ -262,14 +315,26 @@
                         let first = r.tried.is_empty();
                         self.h.calls += 1;
                         self.h.firsts += u64::from(first);
-                        self.h.rounds.push((now, self.edges[edge].name.clone(), first));
+                        self.h
+                            .rounds
+                            .push((now, self.edges[edge].name.clone(), first));
                     }
                     f.placed = Some(x.clone());
                     let life = f.life;
                     let a = self.edges[edge].zone.clone();
-                    let b = self.reps.get(&x.replica).map_or(a.clone(), |r| r.r.zone.clone());
+                    let b = self
+                        .reps
+                        .get(&x.replica)
+                        .map_or(a.clone(), |r| r.r.zone.clone());
                     let ms = self.latency(&a, &b);
-                    return self.after(ms, Ev::Call { flow: id, life, p: x });
+                    return self.after(
+                        ms,
+                        Ev::Call {
+                            flow: id,
+                            life,
+                            p: x,
+                        },
+                    );
                 }
                 Step::Budget if off == Some(Guard::Budget) => Got::Budget(Ok(())),
                 Step::Budget => Got::Budget(if p.second_round(r.rank, local) {
@@ -283,7 +348,14 @@
                     f.streaming = true;
                     // The proxy reads on until the time left is over, no longer.
                     let (ms, life) = (f.until.saturating_sub(now), f.life);
-                    return self.after(ms, Ev::Line { flow: id, life, line: lost_line("no_time") });
+                    return self.after(
+                        ms,
+                        Ev::Line {
+                            flow: id,
+                            life,
+                            line: lost_line("no_time"),
+                        },
+                    );
                 }
                 Step::Reply(x) => return self.reply(id, x),
             };
@@ -293,21 +365,27 @@
 
     pub(super) fn no_place(&mut self, id: u64) {
         let Some(f) = self.flows.get(&id) else { return };
-        let Some(p) = self.edges[f.edge].proxy.as_mut() else { return };
+        let Some(p) = self.edges[f.edge].proxy.as_mut() else {
+            return;
+        };
         let x = p.reject("full", "wait", "no place came free soon enough");
         self.drive(id, Got::Placed(Err(x)));
     }
 
     pub(super) fn wake(&mut self, i: usize) {
         let now = self.clock(To::Proxy(i));
-        let Some(p) = self.edges[i].proxy.as_mut() else { return };
+        let Some(p) = self.edges[i].proxy.as_mut() else {
+            return;
+        };
         let (tokens, late) = p.waiters(now);
         for t in late {
             self.no_place(t);
         }
         for t in tokens {
             let e = &mut self.edges[i];
-            let (Some(f), Some(p)) = (self.flows.get(&t), e.proxy.as_mut()) else { continue };
+            let (Some(f), Some(p)) = (self.flows.get(&t), e.proxy.as_mut()) else {
+                continue;
+            };
             if f.edge != i || f.life != e.life {
                 p.unwait(t);
                 continue;
@@ -325,9 +403,13 @@
 
     /// A call reaches a replica, or does not.
     pub(super) fn begun(&mut self, id: u64, life: u64, got: Result<(), NotBegun>) {
-        let Some(f) = self.flows.get(&id).filter(|f| f.life == life) else { return };
+        let Some(f) = self.flows.get(&id).filter(|f| f.life == life) else {
+            return;
+        };
         let now = self.clock(To::Proxy(f.edge));
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         if life != self.edges[f.edge].life {
             return;
         }
@@ -345,19 +427,37 @@
     /// A line of a replica reaches the proxy, which checks it and passes it on.
     pub(super) fn line(&mut self, id: u64, life: u64, l: StreamLine) {
         let now = self.now;
-        let Some(f) = self.flows.get(&id).filter(|f| f.life == life && f.streaming) else { return };
+        let Some(f) = self
+            .flows
+            .get(&id)
+            .filter(|f| f.life == life && f.streaming)
+        else {
+            return;
+        };
         let local = self.clock(To::Proxy(f.edge));
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         if life != self.edges[f.edge].life {
             return;
         }
-        let Some(lines) = f.lines.as_mut() else { return };
-        let code = l.end.as_ref().and_then(|e| e.fault.as_ref()).map_or("", |f| f.code.as_str());
+        let Some(lines) = f.lines.as_mut() else {
+            return;
+        };
+        let code = l
+            .end
+            .as_ref()
+            .and_then(|e| e.fault.as_ref())
+            .map_or("", |f| f.code.as_str());
         let gone = ["replica_lost", "no_time"].into_iter().find(|c| *c == code);
         let next = if let Some(code) = gone {
             lines.broken(code, "x")
         } else if self.off == Some(Guard::Lines) {
-            if l.end.is_some() { Next::End(l) } else { Next::Line(l) }
+            if l.end.is_some() {
+                Next::End(l)
+            } else {
+                Next::Line(l)
+            }
         } else {
             lines.take(l)
         };
@@ -380,7 +480,8 @@
             if !f.told.runs.contains(&s.run) {
                 f.told.runs.push(s.run.clone());
             }
-            (f.told.replica, f.told.run, f.told.version, f.told.warm) = (s.replica, s.run, s.version, s.warm);
+            (f.told.replica, f.told.run, f.told.version, f.told.warm) =
+                (s.replica, s.run, s.version, s.warm);
         }
         if let Some(p) = l.piece {
             if f.told.pieces.is_empty() {
@@ -392,7 +493,11 @@
         let Some(mut e) = ended else { return };
         let end = l.end;
         let placed = f.placed.clone();
-        let expected = self.d.spec.services[0].lanes.iter().find(|l| l.name == f.q.lane).map_or(0, |l| l.expected_ms);
+        let expected = self.d.spec.services[0]
+            .lanes
+            .iter()
+            .find(|l| l.name == f.q.lane)
+            .map_or(0, |l| l.expected_ms);
         if let Some(p) = &placed
             && e == Ended::Answered
             && local.saturating_sub(p.at) > expected * SLOW_FACTOR
@@ -403,11 +508,16 @@
         if let (Some(p), Some(b)) = (placed, self.edges[edge].proxy.as_mut()) {
             b.done(&p, spared(self.off, e), local);
         }
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         f.told.digest = text_digest(&f.text);
         let answered = end.as_ref().is_some_and(|e| e.outcome == Outcome::Answered);
         // Of an answer that was resumed only its caller has all pieces, and compares them itself.
-        let other = end.as_ref().and_then(|e| e.digest.as_ref()).is_some_and(|d| *d != f.told.digest);
+        let other = end
+            .as_ref()
+            .and_then(|e| e.digest.as_ref())
+            .is_some_and(|d| *d != f.told.digest);
         let own = answered && (!other || self.off == Some(Guard::Lines));
         f.told.outcome = if own { "answered" } else { "unknown" }.into();
         f.told.code = end.and_then(|e| e.fault).map_or(String::new(), |f| f.code);
@@ -417,8 +527,13 @@
 
     pub(super) fn reply(&mut self, id: u64, x: CallFault) {
         let now = self.now;
-        let Some(f) = self.flows.get_mut(&id) else { return };
-        if self.off == Some(Guard::AtOnce) && x.retry_after_ms.is_some() && f.until > now + HELD_BACK {
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
+        if self.off == Some(Guard::AtOnce)
+            && x.retry_after_ms.is_some()
+            && f.until > now + HELD_BACK
+        {
             let ms = f.until - now - HELD_BACK;
             return self.after(ms, Ev::Reply { flow: id, fault: x });
         }
@@ -431,7 +546,9 @@
         .into();
         (f.told.code, f.told.retry_after_ms) = (x.code, x.retry_after_ms);
         let rejected = f.told.outcome == "rejected" || f.told.outcome == "not_run";
-        let back = x.retry_after_ms.filter(|_| rejected && now < self.back && f.comes < COMES && !f.told.repeat);
+        let back = x
+            .retry_after_ms
+            .filter(|_| rejected && now < self.back && f.comes < COMES && !f.told.repeat);
         let (q, told, edge, comes) = (f.q.clone(), f.told.clone(), f.edge, f.comes + 1);
         self.finish(id);
         if let Some(ms) = back {
@@ -443,10 +560,34 @@
     fn come_back(&mut self, q: RunRequest, old: Told, edge: usize, comes: u32, ms: Ms) {
         self.next_flow += 1;
         let (id, at) = (self.next_flow, self.now + ms);
-        let left = self.d.mix.iter().find(|m| m.lane == q.lane).map_or(0, |m| m.time_left_ms);
-        let q = RunRequest { request: String::new(), time_left_ms: left, key: None, resume: None, ..q };
-        let Told { lane, tier, homes, run_once, .. } = old;
-        let told = Told { lane, tier, homes, run_once, at_ms: at, ..Told::default() };
+        let left = self
+            .d
+            .mix
+            .iter()
+            .find(|m| m.lane == q.lane)
+            .map_or(0, |m| m.time_left_ms);
+        let q = RunRequest {
+            request: String::new(),
+            time_left_ms: left,
+            key: None,
+            resume: None,
+            ..q
+        };
+        let Told {
+            lane,
+            tier,
+            homes,
+            run_once,
+            ..
+        } = old;
+        let told = Told {
+            lane,
+            tier,
+            homes,
+            run_once,
+            at_ms: at,
+            ..Told::default()
+        };
         self.add_flow(id, q, told, edge, at + left);
         if let Some(f) = self.flows.get_mut(&id) {
             f.comes = comes;
@@ -457,7 +598,9 @@
 
     /// The caller hears nothing more of its request.
     pub(super) fn lost(&mut self, id: u64) {
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         // The shell notices that the caller has left and gives its place back.
         let (edge, placed, life) = (f.edge, f.placed.take(), f.life);
         let local = self.clock(To::Proxy(edge));
@@ -465,7 +608,9 @@
         if let (Some(p), Some(b), true) = (placed, e.proxy.as_mut(), life == e.life) {
             b.done(&p, Ended::Dropped, local);
         }
-        let Some(f) = self.flows.get_mut(&id) else { return };
+        let Some(f) = self.flows.get_mut(&id) else {
+            return;
+        };
         let nominated = !f.told.request.is_empty();
         f.told.outcome = if nominated { "unknown" } else { "rejected" }.into();
         f.told.code = "unreachable".into();
@@ -473,7 +618,9 @@
     }
 
     pub(super) fn finish(&mut self, id: u64) {
-        let Some(mut f) = self.flows.remove(&id) else { return };
+        let Some(mut f) = self.flows.remove(&id) else {
+            return;
+        };
         f.told.ms = self.now.saturating_sub(f.told.at_ms);
         f.told.in_time = f.told.outcome == "answered" && self.now <= f.until;
         self.h.told.push(f.told);
@@ -481,20 +628,33 @@
 
     /// A proxy has died: its callers lose their connections. Some go on from their last piece elsewhere.
     pub(super) fn proxy_died(&mut self, i: usize) {
-        let all: Vec<u64> = self.flows.iter().filter(|(_, f)| f.edge == i && f.req.is_some()).map(|(k, _)| *k).collect();
+        let all: Vec<u64> = self
+            .flows
+            .iter()
+            .filter(|(_, f)| f.edge == i && f.req.is_some())
+            .map(|(k, _)| *k)
+            .collect();
         for id in all {
             let near: Vec<usize> = match self.flows.get(&id) {
                 // One that has just died may be back by the time the caller asks it again.
-                Some(f) => (0..self.edges.len()).filter(|e| f.q.homes.contains(&self.edges[*e].zone)).collect(),
+                Some(f) => (0..self.edges.len())
+                    .filter(|e| f.q.homes.contains(&self.edges[*e].zone))
+                    .collect(),
                 None => continue,
             };
             let to = self.rng.choice(&near).copied();
-            let Some(f) = self.flows.get_mut(&id) else { continue };
+            let Some(f) = self.flows.get_mut(&id) else {
+                continue;
+            };
             match to {
                 Some(e) if f.streaming && f.resumes < 2 && !f.told.run.is_empty() => {
                     f.resumes += 1;
                     let (run, replica) = (f.told.run.clone(), f.told.replica.clone());
-                    f.q.resume = Some(ResumePoint { run, replica, after: f.told.pieces.len() as u64 });
+                    f.q.resume = Some(ResumePoint {
+                        run,
+                        replica,
+                        after: f.told.pieces.len() as u64,
+                    });
                     (f.req, f.streaming, f.edge, f.life) = (None, false, e, 0);
                     let ms = if e == i { RESUME_SAME } else { 30 };
                     self.after(ms, Ev::Run { flow: id, edge: e });
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -50,7 +50,13 @@
                 }
                 e.life += 1;
                 let (name, http): (Name, Name) = (format!("proxy-{}", e.place).into(), e.addr('p'));
-                let mut p = Proxy::new(name, e.zone.as_str().into(), http, 1_000_000 + self.now, seed);
+                let mut p = Proxy::new(
+                    name,
+                    e.zone.as_str().into(),
+                    http,
+                    1_000_000 + self.now,
+                    seed,
+                );
                 p.set_policy(self.policy);
                 p.set_bounds(Bounds::default(), self.d.regions.clone());
                 e.proxy = Some(p);
@@ -65,7 +71,9 @@
         let now = self.clock(t);
         match t {
             To::Control(i) => {
-                let Some(b) = self.ctl[i].brain.as_mut() else { return };
+                let Some(b) = self.ctl[i].brain.as_mut() else {
+                    return;
+                };
                 let mut out = b.tick(now);
                 out.extend(b.run_rollouts(now, now / 1_000));
                 let duty = b.holds_any_role(now);
@@ -80,18 +88,30 @@
                 }
             }
             To::Agent(i) => {
-                let Some(a) = self.edges[i].agent.as_mut() else { return };
+                let Some(a) = self.edges[i].agent.as_mut() else {
+                    return;
+                };
                 let out = a.tick(now);
                 self.carry_agent(i, out);
             }
             To::Proxy(i) => {
-                let Some(p) = self.edges[i].proxy.as_ref() else { return };
+                let Some(p) = self.edges[i].proxy.as_ref() else {
+                    return;
+                };
                 let (hello, replicas) = (p.news(now), p.replicas());
-                let told: Vec<_> = self.edges[i].proxy.iter_mut().flat_map(|p| p.readings(now)).collect();
+                let told: Vec<_> = self.edges[i]
+                    .proxy
+                    .iter_mut()
+                    .flat_map(|p| p.readings(now))
+                    .collect();
                 for m in told {
                     self.post_agent(i, m.into());
                 }
-                let asked: Vec<_> = self.edges[i].proxy.iter_mut().flat_map(|p| p.demands(now)).collect();
+                let asked: Vec<_> = self.edges[i]
+                    .proxy
+                    .iter_mut()
+                    .flat_map(|p| p.demands(now))
+                    .collect();
                 for m in asked {
                     self.post_agent(i, m.into());
                 }
@@ -112,12 +132,15 @@
     }
 
     pub(super) fn carry_agent(&mut self, i: usize, out: Effects) {
-        let (name, addr): (Name, Name) = (self.edges[i].name.as_str().into(), self.edges[i].addr('a'));
+        let (name, addr): (Name, Name) =
+            (self.edges[i].name.as_str().into(), self.edges[i].addr('a'));
         self.effects.update(&name, &out, self.now);
         for e in out {
             match e {
                 Effect::Send { to, msg } => self.post(To::Agent(i), &name, &addr, &to, msg),
-                Effect::Log { event, peer, text } => self.say(&name, &format!("{} {peer} {text}", event.name)),
+                Effect::Log { event, peer, text } => {
+                    self.say(&name, &format!("{} {peer} {text}", event.name))
+                }
                 _ => {}
             }
         }
@@ -129,7 +152,15 @@
         for e in out {
             match e {
                 Effect::Send { to, msg } if to == addr => {
-                    self.after(0, Ev::Deliver { to, from: name.clone(), addr: addr.clone(), msg });
+                    self.after(
+                        0,
+                        Ev::Deliver {
+                            to,
+                            from: name.clone(),
+                            addr: addr.clone(),
+                            msg,
+                        },
+                    );
                 }
                 Effect::Send { to, msg } => self.post(To::Control(i), &name, &addr, &to, msg),
                 Effect::Persist { rows, then } if self.off == Some(Guard::Sync) => {
@@ -143,19 +174,42 @@
                     self.disk_work(i);
                 }
                 Effect::WriteFinished { token, outcome } => self.answered(i, token, outcome),
-                Effect::Order { service, epoch, until, order } => {
+                Effect::Order {
+                    service,
+                    epoch,
+                    until,
+                    order,
+                } => {
                     if self.clock(To::Control(i)) < until {
                         self.say(&name, &format!("orders {order:?} under {epoch}"));
                         let (lost, late, till) = self.orders;
                         if till <= self.now {
-                            self.after(5, Ev::Order { from: i, service, epoch, order });
+                            self.after(
+                                5,
+                                Ev::Order {
+                                    from: i,
+                                    service,
+                                    epoch,
+                                    order,
+                                },
+                            );
                         } else if self.rng.u32(..100) >= lost {
                             let ms = 5 + self.rng.u64(..late.max(1));
-                            self.after(ms, Ev::Order { from: i, service, epoch, order });
+                            self.after(
+                                ms,
+                                Ev::Order {
+                                    from: i,
+                                    service,
+                                    epoch,
+                                    order,
+                                },
+                            );
                         }
                     }
                 }
-                Effect::Log { event, peer, text } => self.say(&name, &format!("{} {peer} {text}", event.name)),
+                Effect::Log { event, peer, text } => {
+                    self.say(&name, &format!("{} {peer} {text}", event.name))
+                }
             }
         }
     }
@@ -170,13 +224,25 @@
             return self.disk_failed(i);
         }
         d.working = true;
-        let ms = if d.slow.1 > now { d.slow.0 } else { self.rng.u64(1..5) };
+        let ms = if d.slow.1 > now {
+            d.slow.0
+        } else {
+            self.rng.u64(1..5)
+        };
         let d = &mut self.ctl[i].disk;
         let all = std::mem::take(&mut d.buffer);
         let rows = all.iter().flat_map(|b| b.0.clone()).collect();
         let then = all.into_iter().map(|b| b.1).collect();
         let life = self.ctl[i].life;
-        self.after(ms, Ev::DiskDone { at: i, life, rows, then });
+        self.after(
+            ms,
+            Ev::DiskDone {
+                at: i,
+                life,
+                rows,
+                then,
+            },
+        );
     }
 
     pub(super) fn disk_done(&mut self, i: usize, life: u64, rows: Vec<Row>, then: Vec<Effects>) {
--- a/fleet-simulator/src/world/engine/model.rs
+++ b/fleet-simulator/src/world/engine/model.rs
@@ -101,18 +101,29 @@
 
 impl Engine {
     pub fn new(params: EngineParams) -> Self {
-        Engine { params, ..Engine::default() }
+        Engine {
+            params,
+            ..Engine::default()
+        }
     }
 
     /// Takes a request; false if it is full or the request larger than its memory.
     pub fn push(&mut self, job: Job) -> bool {
-        let all = job.parts.iter().map(|p| u64::from(p.1)).sum::<u64>() + job.events * self.params.event_tokens;
+        let all = job.parts.iter().map(|p| u64::from(p.1)).sum::<u64>()
+            + job.events * self.params.event_tokens;
         if self.waiting.len() >= self.params.waiting as usize || all > self.params.cache_tokens {
             return false;
         }
         self.seq += 1;
         let (came, held) = (self.seq, vec![]);
-        self.waiting.push(Work { job, came, held, own: 0, made: 0, read: 0 });
+        self.waiting.push(Work {
+            job,
+            came,
+            held,
+            own: 0,
+            made: 0,
+            read: 0,
+        });
         true
     }
     pub fn cancel(&mut self, id: u64) {
@@ -124,7 +135,11 @@
     }
     /// Requests running, waiting, and places.
     pub fn load(&self) -> (u32, u32, u32) {
-        (self.running.len() as u32, self.waiting.len() as u32, self.params.slots)
+        (
+            self.running.len() as u32,
+            self.waiting.len() as u32,
+            self.params.slots,
+        )
     }
     /// Tokens of kept parts, whether they are in use or not.
     pub fn kept_tokens(&self) -> u64 {
@@ -138,15 +153,33 @@
     /// its end; then the newest of the least urgent requests is put back, though not for one that is less urgent.
     fn room(&mut self, tokens: u64, rank: u32, came: u64) -> bool {
         while self.used() + tokens > self.params.cache_tokens {
-            let held: BTreeSet<u64> = self.running.iter().flat_map(|w| w.held.iter().copied()).collect();
+            let held: BTreeSet<u64> = self
+                .running
+                .iter()
+                .flat_map(|w| w.held.iter().copied())
+                .collect();
             let free = self.kept.iter().filter(|(c, _)| !held.contains(c));
-            if let Some(c) = free.min_by_key(|(_, k)| (k.used, std::cmp::Reverse(k.depth))).map(|(c, _)| *c) {
+            if let Some(c) = free
+                .min_by_key(|(_, k)| (k.used, std::cmp::Reverse(k.depth)))
+                .map(|(c, _)| *c)
+            {
                 self.kept_sum -= self.kept.remove(&c).map_or(0, |k| k.tokens);
                 continue;
             }
-            let last = self.running.iter().enumerate().max_by_key(|(_, w)| (w.job.rank, w.came));
-            let Some((i, w)) = last.filter(|(_, w)| (w.job.rank, w.came) > (rank, came)) else { return false };
-            let again = Work { held: vec![], own: 0, read: 0, ..w.clone() };
+            let last = self
+                .running
+                .iter()
+                .enumerate()
+                .max_by_key(|(_, w)| (w.job.rank, w.came));
+            let Some((i, w)) = last.filter(|(_, w)| (w.job.rank, w.came) > (rank, came)) else {
+                return false;
+            };
+            let again = Work {
+                held: vec![],
+                own: 0,
+                read: 0,
+                ..w.clone()
+            };
             self.running.remove(i);
             self.waiting.push(again);
             self.put_back += 1;
@@ -156,13 +189,23 @@
 
     /// The most urgent that wait get in, in the place of less urgent ones that have made nothing yet.
     fn admit(&mut self) {
-        while let Some(i) = (0..self.waiting.len()).min_by_key(|i| (self.waiting[*i].job.rank, self.waiting[*i].came)) {
+        while let Some(i) = (0..self.waiting.len())
+            .min_by_key(|i| (self.waiting[*i].job.rank, self.waiting[*i].came))
+        {
             if self.running.len() >= self.params.slots as usize {
                 let rank = self.waiting[i].job.rank;
-                let worst = (0..self.running.len()).max_by_key(|i| (self.running[*i].job.rank, self.running[*i].came));
-                let Some(w) = worst.filter(|w| self.running[*w].job.rank > rank) else { return };
+                let worst = (0..self.running.len())
+                    .max_by_key(|i| (self.running[*i].job.rank, self.running[*i].came));
+                let Some(w) = worst.filter(|w| self.running[*w].job.rank > rank) else {
+                    return;
+                };
                 let old = self.running.remove(w);
-                self.waiting.push(Work { held: vec![], own: 0, read: 0, ..old });
+                self.waiting.push(Work {
+                    held: vec![],
+                    own: 0,
+                    read: 0,
+                    ..old
+                });
                 self.put_back += 1;
             }
             let w = self.waiting.remove(i);
@@ -176,27 +219,53 @@
         self.seq += 1;
         let mut made = vec![];
         let mut ms = self.params.step_ms;
-        let ids: Vec<u64> = self.running.iter().filter(|w| w.ready()).map(|w| w.job.id).collect();
+        let ids: Vec<u64> = self
+            .running
+            .iter()
+            .filter(|w| w.ready())
+            .map(|w| w.job.id)
+            .collect();
         ms += self.params.step_ms_per_slot * ids.len() as f64;
         let piece = self.read(&mut made);
         ms += piece as f64 / self.params.prompt_tokens_per_ms;
         let each = self.params.event_tokens;
         for id in ids {
             let of = |w: &&mut Work| w.job.id == id;
-            let Some((rank, came)) = self.running.iter().find(|w| w.job.id == id).map(|w| (w.job.rank, w.came)) else { continue };
+            let Some((rank, came)) = self
+                .running
+                .iter()
+                .find(|w| w.job.id == id)
+                .map(|w| (w.job.rank, w.came))
+            else {
+                continue;
+            };
             if !self.room(1, rank, came) {
                 continue;
             }
-            let Some(w) = self.running.iter_mut().find(of) else { continue };
+            let Some(w) = self.running.iter_mut().find(of) else {
+                continue;
+            };
             (w.made, w.own) = (w.made + 1, w.own + 1);
             // The first token is an event of its own; later ones come a few together.
             if (w.made - 1) % each == 0 {
                 let n = (w.made - 1) / each + 1;
-                made.push(Made::Event { id, n, last: n >= w.job.events });
+                made.push(Made::Event {
+                    id,
+                    n,
+                    last: n >= w.job.events,
+                });
             }
         }
-        let over: Vec<u64> =
-            made.iter().filter_map(|m| if let Made::Event { id, last: true, .. } = m { Some(*id) } else { None }).collect();
+        let over: Vec<u64> = made
+            .iter()
+            .filter_map(|m| {
+                if let Made::Event { id, last: true, .. } = m {
+                    Some(*id)
+                } else {
+                    None
+                }
+            })
+            .collect();
         self.running.retain(|w| !over.contains(&w.job.id));
         (ms, made)
     }
@@ -204,12 +273,22 @@
     /// Reads a piece of the prompts that wait to be read, the most urgent first; gives its tokens.
     fn read(&mut self, made: &mut Vec<Made>) -> u64 {
         let mut left = self.params.piece_tokens;
-        let mut order: Vec<(u32, u64, u64)> =
-            self.running.iter().filter(|w| !w.ready()).map(|w| (w.job.rank, w.came, w.job.id)).collect();
+        let mut order: Vec<(u32, u64, u64)> = self
+            .running
+            .iter()
+            .filter(|w| !w.ready())
+            .map(|w| (w.job.rank, w.came, w.job.id))
+            .collect();
         order.sort_unstable();
         for (rank, came, id) in order {
             while left > 0 {
-                let Some(i) = self.running.iter().position(|w| w.job.id == id && !w.ready()) else { break };
+                let Some(i) = self
+                    .running
+                    .iter()
+                    .position(|w| w.job.id == id && !w.ready())
+                else {
+                    break;
+                };
                 let (w, now) = (&self.running[i], self.seq);
                 let next = chains(&w.job.parts).get(w.held.len()).copied();
                 // Somebody else has read it, perhaps only just: it is held and not read.
@@ -226,7 +305,9 @@
                 if n > 0 && !self.room(n, rank, came) {
                     return self.params.piece_tokens - left;
                 }
-                let Some(w) = self.running.iter_mut().find(|w| w.job.id == id) else { break };
+                let Some(w) = self.running.iter_mut().find(|w| w.job.id == id) else {
+                    break;
+                };
                 left -= n;
                 match next {
                     None => w.own += n,
@@ -236,7 +317,14 @@
                         w.held.push(chain);
                         let depth = w.held.len();
                         self.kept_sum += tokens;
-                        self.kept.insert(chain, Kept { tokens, used: now, depth });
+                        self.kept.insert(
+                            chain,
+                            Kept {
+                                tokens,
+                                used: now,
+                                depth,
+                            },
+                        );
                         made.push(Made::Read { chain, tokens });
                     }
                 }
--- a/fleet-simulator/src/world/engine/model/tests.rs
+++ b/fleet-simulator/src/world/engine/model/tests.rs
@@ -4,12 +4,28 @@
 
 fn engine(slots: u32, cache_tokens: u64) -> Engine {
     let (step_ms, step_ms_per_slot, prompt_tokens_per_ms) = (5.0, 0.5, 50.0);
-    let p =
-        EngineParams { slots, waiting: 9, cache_tokens, step_ms, step_ms_per_slot, prompt_tokens_per_ms, ..Default::default() };
-    Engine::new(EngineParams { piece_tokens: 1_000, event_tokens: 4, ..p })
+    let p = EngineParams {
+        slots,
+        waiting: 9,
+        cache_tokens,
+        step_ms,
+        step_ms_per_slot,
+        prompt_tokens_per_ms,
+        ..Default::default()
+    };
+    Engine::new(EngineParams {
+        piece_tokens: 1_000,
+        event_tokens: 4,
+        ..p
+    })
 }
 fn job(id: u64, rank: u32, shared: Part, own: u32) -> Job {
-    Job { id, rank, parts: vec![shared, (id + 1_000, own)], events: 3 }
+    Job {
+        id,
+        rank,
+        parts: vec![shared, (id + 1_000, own)],
+        events: 3,
+    }
 }
 /// Runs until nothing is left: ms, shared tokens read, and the order in which requests ended.
 fn run(e: &mut Engine) -> (f64, u64, Vec<u64>) {
@@ -19,7 +35,12 @@
             break;
         }
         let (t, made) = e.step();
-        assert!(e.used() <= e.params.cache_tokens, "{} of {}", e.used(), e.params.cache_tokens);
+        assert!(
+            e.used() <= e.params.cache_tokens,
+            "{} of {}",
+            e.used(),
+            e.params.cache_tokens
+        );
         ms += t;
         for m in made {
             match m {
--- a/fleet-simulator/src/world/faults.rs
+++ b/fleet-simulator/src/world/faults.rs
@@ -16,7 +16,11 @@
         // With the guard off a lost disk passes for a voter that has caught up.
         let keep = |k: &String| self.off == Some(Guard::BlankDisk) && k == "\0members";
         d.rows.retain(|k, _| keep(k));
-        d.id = if self.off == Some(Guard::BlankDisk) { d.id } else { id };
+        d.id = if self.off == Some(Guard::BlankDisk) {
+            d.id
+        } else {
+            id
+        };
     }
     pub(super) fn kill_agent(&mut self, at: usize) {
         self.edges[at].agent = None;
@@ -54,27 +58,50 @@
 
     /// All that a region has goes at once, what the platform lists of it too.
     fn lose_region(&mut self, zone: usize, ms: Option<Ms>) {
-        let zone = self.d.spec.zones[zone % self.d.spec.zones.len()].name.clone();
+        let zone = self.d.spec.zones[zone % self.d.spec.zones.len()]
+            .name
+            .clone();
         self.lost_zones.insert(zone.clone());
-        for i in (0..self.ctl.len()).filter(|i| self.ctl[*i].zone == zone).collect::<Vec<_>>() {
+        for i in (0..self.ctl.len())
+            .filter(|i| self.ctl[*i].zone == zone)
+            .collect::<Vec<_>>()
+        {
             self.kill_control(i);
-            ms.into_iter().for_each(|ms| self.after(ms, Ev::Start(To::Control(i))));
+            ms.into_iter()
+                .for_each(|ms| self.after(ms, Ev::Start(To::Control(i))));
         }
-        for i in (0..self.edges.len()).filter(|i| self.edges[*i].zone == zone).collect::<Vec<_>>() {
+        for i in (0..self.edges.len())
+            .filter(|i| self.edges[*i].zone == zone)
+            .collect::<Vec<_>>()
+        {
             self.kill_edge(i, ms);
         }
-        let ids: Vec<String> = self.reps.values().filter(|r| r.r.zone == zone).map(|r| r.r.id.clone()).collect();
+        let ids: Vec<String> = self
+            .reps
+            .values()
+            .filter(|r| r.r.zone == zone)
+            .map(|r| r.r.id.clone())
+            .collect();
         ids.iter().for_each(|id| self.replica_down(id, None));
-        ms.into_iter().for_each(|ms| self.after(ms, Ev::RegionBack { zone: zone.clone() }));
+        ms.into_iter()
+            .for_each(|ms| self.after(ms, Ev::RegionBack { zone: zone.clone() }));
     }
     pub(super) fn region_back(&mut self, zone: &str) {
         self.lost_zones.remove(zone);
     }
 
     fn set_clock(&mut self, name: String, thousandths: i64) {
-        let (now, k) = (self.now, if self.off == Some(Guard::Clocks) { 8 * thousandths } else { thousandths });
+        let (now, k) = (
+            self.now,
+            if self.off == Some(Guard::Clocks) {
+                8 * thousandths
+            } else {
+                thousandths
+            },
+        );
         let (since, off, old) = self.clocks.get(&name).copied().unwrap_or((now, 0, 0));
-        self.clocks.insert(name, (now, off + (now - since) as i64 * old / 1_000, k));
+        self.clocks
+            .insert(name, (now, off + (now - since) as i64 * old / 1_000, k));
     }
 
     pub(super) fn fault(&mut self, f: Fault) {
@@ -119,11 +146,19 @@
                 self.h.stalls.push((now, now + ms));
             }
             Fault::Cut { a, b, ms, one_way } => {
-                let (es, cs) = (self.edges.iter().all(|e| a.contains(&e.name)), self.ctl.iter().all(|c| b.contains(&c.p.name.0)));
+                let (es, cs) = (
+                    self.edges.iter().all(|e| a.contains(&e.name)),
+                    self.ctl.iter().all(|c| b.contains(&c.p.name.0)),
+                );
                 if es && cs {
                     self.h.apart.push((now, now + ms));
                 }
-                self.cuts.push(Cut { a, b, until: now + ms, one_way });
+                self.cuts.push(Cut {
+                    a,
+                    b,
+                    until: now + ms,
+                    one_way,
+                });
             }
             Fault::DiskSlow { at, sync, ms } => self.ctl[at].disk.slow = (sync, now + ms),
             Fault::DiskFull { at, ms } => self.ctl[at].disk.full_until = now + ms,
@@ -157,15 +192,24 @@
             Fault::TotalLoss { down } => {
                 self.lose_control(down);
                 self.lose_edges(down);
-                self.h.losses.push(Loss { from: now, up: now + down });
+                self.h.losses.push(Loss {
+                    from: now,
+                    up: now + down,
+                });
             }
             Fault::LoseControl { down } => {
                 self.lose_control(down);
-                self.h.losses.push(Loss { from: now, up: now + down });
+                self.h.losses.push(Loss {
+                    from: now,
+                    up: now + down,
+                });
             }
             Fault::LoseEdges { down } => {
                 self.lose_edges(down);
-                self.h.losses.push(Loss { from: now, up: now + down });
+                self.h.losses.push(Loss {
+                    from: now,
+                    up: now + down,
+                });
             }
             Fault::LoseRegion { zone, ms } => self.lose_region(zone, ms),
             Fault::ReplaceEdge { at, down } => {
@@ -176,19 +220,40 @@
                 self.after(down, Ev::Start(To::Agent(at)));
                 self.after(down, Ev::Start(To::Proxy(at)));
             }
-            Fault::Network { extra, lost, twice, ms } => self.net = Net { extra, lost, twice, until: now + ms },
+            Fault::Network {
+                extra,
+                lost,
+                twice,
+                ms,
+            } => {
+                self.net = Net {
+                    extra,
+                    lost,
+                    twice,
+                    until: now + ms,
+                }
+            }
             Fault::Clock { name, thousandths } => self.set_clock(name, thousandths),
             Fault::CutHolder { ms, thousandths } => {
                 let names: Vec<String> = self.ctl.iter().map(|c| c.p.name.to_string()).collect();
-                let Some(holder) = self.holders().pop() else { return };
+                let Some(holder) = self.holders().pop() else {
+                    return;
+                };
                 for n in names.iter().cloned() {
                     let slow = n == holder;
                     self.set_clock(n, if slow { -thousandths } else { thousandths });
                 }
                 let others = names.into_iter().filter(|n| *n != holder).collect();
-                self.cuts.push(Cut { a: vec![holder], b: others, until: now + ms, one_way: false });
+                self.cuts.push(Cut {
+                    a: vec![holder],
+                    b: others,
+                    until: now + ms,
+                    one_way: false,
+                });
+            }
+            Fault::Misbehave { wrong, percent, ms } => {
+                self.wrong = Some((wrong, percent, now + ms))
             }
-            Fault::Misbehave { wrong, percent, ms } => self.wrong = Some((wrong, percent, now + ms)),
             Fault::ReplicaLeaves { nth, gone_in } => {
                 let Some(id) = self.nth(nth) else { return };
                 if let Some(r) = self.reps.get_mut(&id) {
@@ -218,7 +283,10 @@
             }
             Fault::RacePlans { targets } => {
                 let all: Vec<usize> = (0..self.ctl.len()).collect();
-                targets.into_iter().zip(all.into_iter().cycle().skip(1)).for_each(|(t, i)| self.plan(i, t));
+                targets
+                    .into_iter()
+                    .zip(all.into_iter().cycle().skip(1))
+                    .for_each(|(t, i)| self.plan(i, t));
             }
             Fault::RaceZone { zone } => {
                 self.zone(zone, true);
@@ -233,7 +301,13 @@
             }
             Fault::KillSwitch { on } => {
                 let Some(i) = self.any() else { return };
-                self.write(i, KILL_SWITCH_KEY, None, serde_json::to_vec(&on).unwrap_or_default(), What::Other);
+                self.write(
+                    i,
+                    KILL_SWITCH_KEY,
+                    None,
+                    serde_json::to_vec(&on).unwrap_or_default(),
+                    What::Other,
+                );
             }
             Fault::Evacuate { zone } => self.zone(zone, true),
             Fault::Restore { zone } => self.zone(zone, false),
@@ -252,9 +326,26 @@
                     self.plan(i, target);
                 }
             }
-            Fault::Bad { version, lane, zone, percent, how } => {
-                self.h.bad.push(Bad { at: now, version: version.clone(), lane: lane.clone(), zone: zone.clone() });
-                self.bad.push(Badness { version, lane, zone, percent, how });
+            Fault::Bad {
+                version,
+                lane,
+                zone,
+                percent,
+                how,
+            } => {
+                self.h.bad.push(Bad {
+                    at: now,
+                    version: version.clone(),
+                    lane: lane.clone(),
+                    zone: zone.clone(),
+                });
+                self.bad.push(Badness {
+                    version,
+                    lane,
+                    zone,
+                    percent,
+                    how,
+                });
             }
             Fault::Crowd { times, ms } => {
                 self.crowd = (times, now + ms);
--- a/fleet-simulator/src/world/placing.rs
+++ b/fleet-simulator/src/world/placing.rs
@@ -16,11 +16,19 @@
             }
             let ready = r.loaded.get(&r.r.version).copied().unwrap_or(Ms::MAX);
             // What was there when the day began is warm.
-            let cold_ms =
-                if ready > TRAFFIC_FROM { (ready.saturating_add(SLOW_START_DURATION)).saturating_sub(self.now) } else { 0 };
+            let cold_ms = if ready > TRAFFIC_FROM {
+                (ready.saturating_add(SLOW_START_DURATION)).saturating_sub(self.now)
+            } else {
+                0
+            };
             // It tells an engine's places too.
             let slots = self.d.engine.as_ref().map_or(r.r.slots, |e| e.params.slots);
-            PlatformReplica { loaded: ready <= self.now, cold_ms, slots, ..r.r.clone() }
+            PlatformReplica {
+                loaded: ready <= self.now,
+                cold_ms,
+                slots,
+                ..r.r.clone()
+            }
         };
         self.reps.values().map(row).collect()
     }
@@ -54,19 +62,40 @@
         let (target, version) = (self.h.orders[order].2.clone(), self.orders_taken[order]);
         let service = self.d.spec.services[0].name.clone();
         let told = self.any().and_then(|i| {
-            let b = self.ctl[i].brain.as_ref().filter(|b| b.is_settled())?.state_table();
+            let b = self.ctl[i]
+                .brain
+                .as_ref()
+                .filter(|b| b.is_settled())?
+                .state_table();
             let plan: ReleasePlan = b.read(&format!("{PLAN_PREFIX}{service}"))?;
-            let n = b.get(&format!("{PLAN_PREFIX}{service}")).map(|c| c.version).filter(|n| *n == version)?;
-            Some(rollout_status(b.read(&format!("{ROLLOUT_PREFIX}{service}")).as_ref(), Some((n, &plan))).0)
+            let n = b
+                .get(&format!("{PLAN_PREFIX}{service}"))
+                .map(|c| c.version)
+                .filter(|n| *n == version)?;
+            Some(
+                rollout_status(
+                    b.read(&format!("{ROLLOUT_PREFIX}{service}")).as_ref(),
+                    Some((n, &plan)),
+                )
+                .0,
+            )
         });
         let of = |w: &World, new: bool| -> Vec<String> {
-            w.reps.values().filter(|r| (r.r.version == target) == new).map(|r| r.r.id.clone()).collect()
+            w.reps
+                .values()
+                .filter(|r| (r.r.version == target) == new)
+                .map(|r| r.r.id.clone())
+                .collect()
         };
         match told {
             Some(RolloutStatus::Completed) => {
                 self.h.standings.push((self.now, true));
                 for id in of(self, false) {
-                    if self.reps.get(&id).is_some_and(|r| r.work.values().any(|w| !w.readers.is_empty())) {
+                    if self
+                        .reps
+                        .get(&id)
+                        .is_some_and(|r| r.work.values().any(|w| !w.readers.is_empty()))
+                    {
                         self.h.stopped.push((self.now, id.clone()));
                     }
                     self.replica_down(&id, None);
@@ -85,7 +114,9 @@
     /// A new replica of another release, then the old one drains and goes.
     pub(super) fn release(&mut self, nth: usize, version: &str) {
         let Some(id) = self.nth(nth) else { return };
-        let Some(r) = self.reps.get_mut(&id).filter(|r| r.up) else { return };
+        let Some(r) = self.reps.get_mut(&id).filter(|r| r.up) else {
+            return;
+        };
         let (service, zone) = (r.r.service.clone(), r.r.zone.clone());
         (r.r.state, r.leaving) = (PlatformReplicaState::Draining, true);
         self.start_replica(&service, &zone, version, true);
--- a/fleet-simulator/src/world/replicas.rs
+++ b/fleet-simulator/src/world/replicas.rs
@@ -5,7 +5,11 @@
 impl World {
     /// ms. Loading a version, now.
     fn loading(&self) -> Ms {
-        if self.load.1 > self.now { self.load.0 } else { LOAD }
+        if self.load.1 > self.now {
+            self.load.0
+        } else {
+            LOAD
+        }
     }
 
     pub(super) fn start_replica(&mut self, service: &str, zone: &str, version: &str, cold: bool) {
@@ -15,7 +19,11 @@
         let load = self.loading();
         self.next_rep += 1;
         let id = format!("{zone}-{:02}", self.next_rep);
-        let state = if cold { PlatformReplicaState::Starting } else { PlatformReplicaState::Running };
+        let state = if cold {
+            PlatformReplicaState::Starting
+        } else {
+            PlatformReplicaState::Running
+        };
         let r = PlatformReplica {
             id: id.clone(),
             zone: zone.into(),
@@ -52,18 +60,38 @@
 
     pub(super) fn replica_ready(&mut self, id: &str, born: u64) {
         let now = self.now;
-        let Some(r) = self.reps.get_mut(id).filter(|r| r.born == born && r.up) else { return };
+        let Some(r) = self.reps.get_mut(id).filter(|r| r.born == born && r.up) else {
+            return;
+        };
         // One that drains goes on draining, whatever befell it.
-        r.r.state = if self.places && r.leaving { PlatformReplicaState::Draining } else { PlatformReplicaState::Running };
+        r.r.state = if self.places && r.leaving {
+            PlatformReplicaState::Draining
+        } else {
+            PlatformReplicaState::Running
+        };
         let per_s = self.d.engine.as_ref().map(|e| e.cold_rate);
-        self.h.cold.push(Cold { at: now, replica: id.into(), version: None, places: SLOTS, per_s });
+        self.h.cold.push(Cold {
+            at: now,
+            replica: id.into(),
+            version: None,
+            places: SLOTS,
+            per_s,
+        });
     }
 
     /// A version that was ordered is loaded beside another: its caches are cold.
     pub(super) fn version_loaded(&mut self, id: &str, born: u64, version: String) {
         let now = self.now;
-        if self.reps.get(id).is_some_and(|r| r.born == born && r.up && r.loaded.get(&version).is_some_and(|t| *t <= now)) {
-            self.h.cold.push(Cold { at: now, replica: id.into(), version: Some(version), places: SLOTS, per_s: None });
+        if self.reps.get(id).is_some_and(|r| {
+            r.born == born && r.up && r.loaded.get(&version).is_some_and(|t| *t <= now)
+        }) {
+            self.h.cold.push(Cold {
+                at: now,
+                replica: id.into(),
+                version: Some(version),
+                places: SLOTS,
+                per_s: None,
+            });
         }
     }
 
@@ -71,7 +99,9 @@
     pub(super) fn replica_down(&mut self, id: &str, back: Option<Ms>) {
         self.say(id, "goes down");
         self.engine_down(id);
-        let Some(r) = self.reps.get_mut(id) else { return };
+        let Some(r) = self.reps.get_mut(id) else {
+            return;
+        };
         r.up = false;
         r.busy.clear();
         let lost: Vec<(u64, u64, Ms)> = r.work.values().flat_map(|w| w.readers.clone()).collect();
@@ -81,7 +111,14 @@
             self.h.runs[x].end_ms = self.now;
         }
         for (flow, life, ms) in lost {
-            self.after(ms, Ev::Line { flow, life, line: lost_line("replica_lost") });
+            self.after(
+                ms,
+                Ev::Line {
+                    flow,
+                    life,
+                    line: lost_line("replica_lost"),
+                },
+            );
         }
         match back {
             Some(ms) => self.after(ms, Ev::ReplicaBack { id: id.into() }),
@@ -93,14 +130,22 @@
 
     pub(super) fn replica_back(&mut self, id: &str) {
         let (now, load) = (self.now, self.loading());
-        let Some(r) = self.reps.get_mut(id).filter(|r| !r.up) else { return };
+        let Some(r) = self.reps.get_mut(id).filter(|r| !r.up) else {
+            return;
+        };
         r.up = true;
         r.born = 1_000_000 + now;
         r.cache.clear();
         r.r.state = PlatformReplicaState::Starting;
         r.loaded = [(r.r.version.clone(), now + load)].into();
         let born = r.born;
-        self.after(load, Ev::ReplicaReady { id: id.into(), born });
+        self.after(
+            load,
+            Ev::ReplicaReady {
+                id: id.into(),
+                born,
+            },
+        );
     }
 
     pub(super) fn take_order(&mut self, from: usize, service: &str, epoch: u64, order: Order) {
@@ -111,13 +156,20 @@
             return;
         }
         match order {
-            Order::Replica { id, action, version, addr } => {
+            Order::Replica {
+                id,
+                action,
+                version,
+                addr,
+            } => {
                 let Some(r) = self.reps.get(&id) else { return };
                 let rep = (id.clone(), r.r.zone.clone());
                 if !r.up || r.r.addr != addr || r.dark > now || self.cut(&m, &rep) {
                     return;
                 }
-                let Some(r) = self.reps.get_mut(&id) else { return };
+                let Some(r) = self.reps.get_mut(&id) else {
+                    return;
+                };
                 if epoch < r.epoch {
                     return;
                 }
@@ -140,7 +192,9 @@
                     }
                 }
             }
-            _ if epoch < self.platform_epoch || self.silent > now || self.cut(&m, &("platform".into(), "platform".into())) => {}
+            _ if epoch < self.platform_epoch
+                || self.silent > now
+                || self.cut(&m, &("platform".into(), "platform".into())) => {}
             Order::Start { zone, version } => {
                 self.platform_epoch = epoch;
                 self.start_replica(service, &zone, &version, true);
@@ -168,9 +222,21 @@
         let now = self.now;
         let fault = |c: &str| CallFault::new(c, "call_replica", "x");
         let Some(f) = self.flows.get(&id) else { return };
-        let edge = (self.edges[f.edge].name.clone(), self.edges[f.edge].zone.clone());
+        let edge = (
+            self.edges[f.edge].name.clone(),
+            self.edges[f.edge].zone.clone(),
+        );
         let (q, until) = (f.q.clone(), f.until);
-        let not_begun = |w: &mut World, ms: Ms, e: NotBegun| w.after(ms, Ev::Begun { flow: id, life, got: Err(e) });
+        let not_begun = |w: &mut World, ms: Ms, e: NotBegun| {
+            w.after(
+                ms,
+                Ev::Begun {
+                    flow: id,
+                    life,
+                    got: Err(e),
+                },
+            )
+        };
         let Some(r) = self.reps.get(&p.replica) else {
             return not_begun(self, 2, NotBegun::NotRun(fault("replica_gone")));
         };
@@ -186,20 +252,30 @@
         if lost && self.rng.bool() {
             return not_begun(self, OPEN_LIMIT, NotBegun::Unknown(fault("replica_lost")));
         }
-        let Some(r) = self.reps.get(&p.replica) else { return };
+        let Some(r) = self.reps.get(&p.replica) else {
+            return;
+        };
         // A dark replica's machine takes the bytes and says nothing.
         if r.dark > now {
             let lies = r.says_well > now;
             if lies {
                 self.h.spoiled.push((now, p.replica.clone()));
             }
-            return not_begun(self, until.saturating_sub(now).max(1), NotBegun::Unknown(fault("replica_lost")));
+            return not_begun(
+                self,
+                until.saturating_sub(now).max(1),
+                NotBegun::Unknown(fault("replica_lost")),
+            );
         }
         let crowd = u64::from(r.busy.values().sum::<u32>().saturating_sub(SLOTS));
         let ms = self.latency(&edge.1, &rep.1);
-        let Some(r) = self.reps.get_mut(&p.replica) else { return };
+        let Some(r) = self.reps.get_mut(&p.replica) else {
+            return;
+        };
         if let Some(at) = &q.resume {
-            let found = r.work.iter_mut().find(|(x, _)| self.h.runs[**x].run == at.run && self.h.runs[**x].request == q.request);
+            let found = r.work.iter_mut().find(|(x, _)| {
+                self.h.runs[**x].run == at.run && self.h.runs[**x].request == q.request
+            });
             let Some((x, w)) = found else {
                 let joins = matches!(self.wrong, Some((Wrong::Joins, _, until)) if until > now);
                 if joins {
@@ -210,13 +286,34 @@
             w.readers.push((id, life, ms));
             let (x, text, made) = (*x, w.text.clone(), w.made);
             let run = self.h.runs[x].run.clone();
-            self.after(ms, Ev::Begun { flow: id, life, got: Ok(()) });
+            self.after(
+                ms,
+                Ev::Begun {
+                    flow: id,
+                    life,
+                    got: Ok(()),
+                },
+            );
             let start = self.start_line(&q, &run, &p, true);
-            self.after(ms, Ev::Line { flow: id, life, line: start });
+            self.after(
+                ms,
+                Ev::Line {
+                    flow: id,
+                    life,
+                    line: start,
+                },
+            );
             let all: Vec<String> = text.split_inclusive(';').map(str::to_string).collect();
             for n in at.after + 1..=made {
                 let line = piece_line(n, &all[n as usize - 1]);
-                self.after(ms, Ev::Line { flow: id, life, line });
+                self.after(
+                    ms,
+                    Ev::Line {
+                        flow: id,
+                        life,
+                        line,
+                    },
+                );
             }
             return;
         }
@@ -229,12 +326,20 @@
             return not_begun(self, ms, no("busy"));
         }
         *r.busy.entry(p.version.clone()).or_default() += 1;
-        let keys: Vec<String> = q.prefixes.iter().map(|x| format!("{} {x}", p.version)).collect();
+        let keys: Vec<String> = q
+            .prefixes
+            .iter()
+            .map(|x| format!("{} {x}", p.version))
+            .collect();
         let warm = keys.is_empty() || keys.iter().any(|k| r.cache.contains(k));
         for (k, p) in keys.into_iter().zip(&q.prefixes) {
             if !r.cache.contains(&k) {
                 let homes = self.flows.get(&id).map_or(vec![], |f| f.told.homes.clone());
-                self.h.cached.push(Cached { zone: r.r.zone.clone(), prefix: p.clone(), homes });
+                self.h.cached.push(Cached {
+                    zone: r.r.zone.clone(),
+                    prefix: p.clone(),
+                    homes,
+                });
             }
             r.cache.retain(|x| *x != k);
             r.cache.push_back(k);
@@ -242,10 +347,15 @@
         while r.cache.len() > CACHE {
             r.cache.pop_front();
         }
-        let lane = self.d.spec.services[0].lanes.iter().find(|l| l.name == q.lane);
+        let lane = self.d.spec.services[0]
+            .lanes
+            .iter()
+            .find(|l| l.name == q.lane);
         let expected = lane.map_or(200, |l| l.expected_ms);
         let total = if expected > 1_000 { 12 } else { 4 };
-        let each = expected * 3 / 4 * if warm { 1 } else { 2 } * (SLOTS as u64 + crowd) / SLOTS as u64 / total;
+        let each = expected * 3 / 4 * if warm { 1 } else { 2 } * (SLOTS as u64 + crowd)
+            / SLOTS as u64
+            / total;
         let taken = r.busy.values().sum::<u32>();
         let on = |b: &&Badness| {
             b.version == p.version
@@ -253,11 +363,19 @@
                 && b.zone.as_ref().is_none_or(|z| *z == rep.1)
                 && (b.how != How::FailsBusy || taken * 2 >= SLOTS)
         };
-        let bad: Vec<How> = self.bad.iter().filter(on).filter(|b| self.rng.u32(..100) < b.percent).map(|b| b.how).collect();
+        let bad: Vec<How> = self
+            .bad
+            .iter()
+            .filter(on)
+            .filter(|b| self.rng.u32(..100) < b.percent)
+            .map(|b| b.how)
+            .collect();
         let slow = bad.contains(&How::Slow);
         let each = if slow { each * SLOW_TIMES } else { each };
         let grey = self.spoils(&p.replica);
-        let Some(r) = self.reps.get_mut(&p.replica) else { return };
+        let Some(r) = self.reps.get_mut(&p.replica) else {
+            return;
+        };
         let fail_at = match bad.iter().find(|h| **h != How::Slow) {
             Some(How::FailsLate) => Some(total - 1),
             Some(_) => Some(self.rng.u64(..total)),
@@ -268,9 +386,20 @@
         let run = format!("{}-{:x}-{record}", p.replica, r.born);
         let zone = r.r.zone.clone();
         let born = r.born;
-        let wrong = self.wrong.filter(|w| w.2 > now && self.rng.u32(..100) < w.1).map(|w| w.0);
+        let wrong = self
+            .wrong
+            .filter(|w| w.2 > now && self.rng.u32(..100) < w.1)
+            .map(|w| w.0);
         let readers = if lost { vec![] } else { vec![(id, life, ms)] };
-        let w = Work { total, made: 0, each, fail_at, readers, text: String::new(), spoiler: Spoiler::new(wrong, total) };
+        let w = Work {
+            total,
+            made: 0,
+            each,
+            fail_at,
+            readers,
+            text: String::new(),
+            spoiler: Spoiler::new(wrong, total),
+        };
         r.work.insert(record, w);
         self.h.runs.push(Run {
             run: run.clone(),
@@ -290,14 +419,41 @@
         if lost {
             not_begun(self, OPEN_LIMIT, NotBegun::Unknown(fault("replica_lost")));
         } else {
-            self.after(ms, Ev::Begun { flow: id, life, got: Ok(()) });
+            self.after(
+                ms,
+                Ev::Begun {
+                    flow: id,
+                    life,
+                    got: Ok(()),
+                },
+            );
             let start = self.start_line(&q, &run, &p, warm);
-            self.after(ms, Ev::Line { flow: id, life, line: start });
+            self.after(
+                ms,
+                Ev::Line {
+                    flow: id,
+                    life,
+                    line: start,
+                },
+            );
         }
-        self.after(each, Ev::Produce { id: p.replica.clone(), born, run: record });
+        self.after(
+            each,
+            Ev::Produce {
+                id: p.replica.clone(),
+                born,
+                run: record,
+            },
+        );
     }
 
-    pub(super) fn start_line(&self, q: &RunRequest, run: &str, p: &Placed, warm: bool) -> StreamLine {
+    pub(super) fn start_line(
+        &self,
+        q: &RunRequest,
+        run: &str,
+        p: &Placed,
+        warm: bool,
+    ) -> StreamLine {
         let s = StreamStart {
             request: q.request.clone(),
             run: run.into(),
@@ -305,18 +461,33 @@
             version: p.version.clone(),
             warm,
         };
-        StreamLine { start: Some(s), piece: None, end: None }
+        StreamLine {
+            start: Some(s),
+            piece: None,
+            end: None,
+        }
     }
 
     pub(super) fn produce(&mut self, id: &str, born: u64, run: usize) {
         let now = self.now;
-        let Some(r) = self.reps.get_mut(id).filter(|r| r.up && r.born == born) else { return };
+        let Some(r) = self.reps.get_mut(id).filter(|r| r.up && r.born == born) else {
+            return;
+        };
         if r.dark > now {
             let ms = r.dark - now;
-            return self.after(ms, Ev::Produce { id: id.into(), born, run });
+            return self.after(
+                ms,
+                Ev::Produce {
+                    id: id.into(),
+                    born,
+                    run,
+                },
+            );
         }
         let zone = r.r.zone.clone();
-        let Some(w) = r.work.get_mut(&run) else { return };
+        let Some(w) = r.work.get_mut(&run) else {
+            return;
+        };
         let over = if w.fail_at == Some(w.made) || w.made == w.total {
             true
         } else {
@@ -331,7 +502,8 @@
         } else {
             let failed = w.fail_at.is_some();
             let rec = &mut self.h.runs[run];
-            (rec.done, rec.failed, rec.digest, rec.end_ms) = (!failed, failed, text_digest(&w.text), now);
+            (rec.done, rec.failed, rec.digest, rec.end_ms) =
+                (!failed, failed, text_digest(&w.text), now);
             let version = rec.version.clone();
             if let Some(r) = self.reps.get_mut(id) {
                 r.work.remove(&run);
@@ -339,12 +511,22 @@
                     *n = n.saturating_sub(1);
                 }
             }
-            let fault = failed.then(|| CallFault::new("replica_failed", "generate", "the version failed"));
-            let outcome = if failed { Outcome::Unknown } else { Outcome::Answered };
+            let fault =
+                failed.then(|| CallFault::new("replica_failed", "generate", "the version failed"));
+            let outcome = if failed {
+                Outcome::Unknown
+            } else {
+                Outcome::Answered
+            };
             StreamLine {
                 start: None,
                 piece: None,
-                end: Some(StreamEnd { outcome, pieces: w.made, digest: Some(text_digest(&w.text)), fault }),
+                end: Some(StreamEnd {
+                    outcome,
+                    pieces: w.made,
+                    digest: Some(text_digest(&w.text)),
+                    fault,
+                }),
             }
         };
         let lines = w.spoiler.lines(w.made, over, line);
@@ -352,38 +534,95 @@
             x.spoiler = w.spoiler.clone();
         }
         for (flow, life, ms) in &w.readers {
-            let Some((edge, until)) = self.flows.get(flow).map(|f| (f.edge, f.until)) else { continue };
+            let Some((edge, until)) = self.flows.get(flow).map(|f| (f.edge, f.until)) else {
+                continue;
+            };
             let e = (self.edges[edge].name.clone(), self.edges[edge].zone.clone());
             // A line that meets a cut is lost with the stream: what follows must not hide the gap.
             if self.cut(&(id.into(), zone.clone()), &e) || self.loses() {
                 let left = until.saturating_sub(now).max(1);
-                self.after(left, Ev::Line { flow: *flow, life: *life, line: lost_line("replica_lost") });
+                self.after(
+                    left,
+                    Ev::Line {
+                        flow: *flow,
+                        life: *life,
+                        line: lost_line("replica_lost"),
+                    },
+                );
                 if let Some(w) = self.reps.get_mut(id).and_then(|r| r.work.get_mut(&run)) {
                     w.readers.retain(|x| x.0 != *flow);
                 }
                 continue;
             }
             if w.spoiler.closes(w.made) {
-                self.after(*ms + 1, Ev::Line { flow: *flow, life: *life, line: lost_line("replica_lost") });
+                self.after(
+                    *ms + 1,
+                    Ev::Line {
+                        flow: *flow,
+                        life: *life,
+                        line: lost_line("replica_lost"),
+                    },
+                );
             }
             for l in &lines {
-                self.after(*ms, Ev::Line { flow: *flow, life: *life, line: l.clone() });
+                self.after(
+                    *ms,
+                    Ev::Line {
+                        flow: *flow,
+                        life: *life,
+                        line: l.clone(),
+                    },
+                );
             }
         }
         if !over {
-            self.after(w.each, Ev::Produce { id: id.into(), born, run });
+            self.after(
+                w.each,
+                Ev::Produce {
+                    id: id.into(),
+                    born,
+                    run,
+                },
+            );
         }
     }
 
     /// A resume of a run that this replica no longer has is answered by another run, numbered on.
     fn join(&mut self, id: u64, life: u64, q: &RunRequest, p: &Placed, ms: Ms) {
         let after = q.resume.as_ref().map_or(0, |r| r.after);
-        self.after(ms, Ev::Begun { flow: id, life, got: Ok(()) });
+        self.after(
+            ms,
+            Ev::Begun {
+                flow: id,
+                life,
+                got: Ok(()),
+            },
+        );
         let start = self.start_line(q, &format!("{}-joined-{id}", p.replica), p, false);
-        let end = StreamEnd { outcome: Outcome::Answered, pieces: after + 1, digest: None, fault: None };
-        let lines = [start, piece_line(after + 1, "joined"), StreamLine { start: None, piece: None, end: Some(end) }];
+        let end = StreamEnd {
+            outcome: Outcome::Answered,
+            pieces: after + 1,
+            digest: None,
+            fault: None,
+        };
+        let lines = [
+            start,
+            piece_line(after + 1, "joined"),
+            StreamLine {
+                start: None,
+                piece: None,
+                end: Some(end),
+            },
+        ];
         for line in lines {
-            self.after(ms, Ev::Line { flow: id, life, line });
+            self.after(
+                ms,
+                Ev::Line {
+                    flow: id,
+                    life,
+                    line,
+                },
+            );
         }
     }
 }
--- a/fleet-simulator/src/wrong.rs
+++ b/fleet-simulator/src/wrong.rs
@@ -42,11 +42,27 @@
 ];
 
 pub fn piece_line(n: u64, text: &str) -> StreamLine {
-    StreamLine { start: None, piece: Some(StreamPiece { n, text: text.into() }), end: None }
+    StreamLine {
+        start: None,
+        piece: Some(StreamPiece {
+            n,
+            text: text.into(),
+        }),
+        end: None,
+    }
 }
 fn end_line(pieces: u64) -> StreamLine {
-    let end = StreamEnd { outcome: Outcome::Answered, pieces, digest: None, fault: None };
-    StreamLine { start: None, piece: None, end: Some(end) }
+    let end = StreamEnd {
+        outcome: Outcome::Answered,
+        pieces,
+        digest: None,
+        fault: None,
+    };
+    StreamLine {
+        start: None,
+        piece: None,
+        end: Some(end),
+    }
 }
 fn other_start() -> StreamLine {
     let s = StreamStart {
@@ -56,7 +72,11 @@
         version: "v1".into(),
         warm: false,
     };
-    StreamLine { start: Some(s), piece: None, end: None }
+    StreamLine {
+        start: Some(s),
+        piece: None,
+        end: None,
+    }
 }
 
 /// Turns one run's lines into what a replica that misbehaves sends in their place.
@@ -71,7 +91,11 @@
 impl Spoiler {
     /// `total`: the pieces that the run makes.
     pub fn new(wrong: Option<Wrong>, total: u64) -> Self {
-        Spoiler { wrong, total, kept: None }
+        Spoiler {
+            wrong,
+            total,
+            kept: None,
+        }
     }
 
     /// `made`: pieces made by now; `over`: this is the end mark.
@@ -89,14 +113,19 @@
             }
             Some(Wrong::Swaps) if past => std::iter::once(l).chain(self.kept.take()).collect(),
             Some(Wrong::Glues) if past && self.kept.is_some() => {
-                let text = |l: &StreamLine| l.piece.as_ref().map_or(String::new(), |p| p.text.clone());
+                let text =
+                    |l: &StreamLine| l.piece.as_ref().map_or(String::new(), |p| p.text.clone());
                 let both = self.kept.take().map_or(String::new(), |k| text(&k)) + &text(&l);
                 vec![piece_line(made - u64::from(!over), &both)]
             }
             Some(Wrong::Crosses) if half => vec![l, other_start()],
             Some(Wrong::EndsEarly) if half => vec![l, end_line(self.total)],
             Some(Wrong::GoesOn) if over => vec![l, piece_line(made + 1, "more")],
-            Some(Wrong::Garbage) if half => vec![StreamLine { start: None, piece: None, end: None }],
+            Some(Wrong::Garbage) if half => vec![StreamLine {
+                start: None,
+                piece: None,
+                end: None,
+            }],
             _ => vec![l],
         }
     }
--- a/fleet-simulator/src/wrong/tests.rs
+++ b/fleet-simulator/src/wrong/tests.rs
@@ -7,7 +7,9 @@
 fn each_way_sends_something_else_than_the_run() {
     let run = |wrong| {
         let mut s = Spoiler::new(wrong, 4);
-        let mut sent: Vec<StreamLine> = (1..=4).flat_map(|n| s.lines(n, false, piece_line(n, "x"))).collect();
+        let mut sent: Vec<StreamLine> = (1..=4)
+            .flat_map(|n| s.lines(n, false, piece_line(n, "x")))
+            .collect();
         sent.extend(s.lines(4, true, end_line(4)));
         sent
     };
--- a/fleet-simulator/tests/never.rs
+++ b/fleet-simulator/tests/never.rs
@@ -26,7 +26,9 @@
 /// Runs the cases on all cores and gives those with violations, with how to replay them.
 fn failing(cases: Vec<(&'static str, &'static str, u64)>) -> Vec<String> {
     let n = thread::available_parallelism().map_or(4, |n| n.get());
-    let parts: Vec<Vec<_>> = (0..n).map(|i| cases.iter().skip(i).step_by(n).copied().collect()).collect();
+    let parts: Vec<Vec<_>> = (0..n)
+        .map(|i| cases.iter().skip(i).step_by(n).copied().collect())
+        .collect();
     let run = |part: Vec<(&str, &str, u64)>| {
         let mut bad = vec![];
         for (d, name, seed) in part {
@@ -45,7 +47,11 @@
 
 #[gtest]
 fn every_schedule_holds_for_both_deployments() {
-    let cases = DEPLOYMENTS.iter().flat_map(|d| NAMES.iter().flat_map(move |n| (1..=SEEDS).map(move |s| (*d, n.0, s))));
+    let cases = DEPLOYMENTS.iter().flat_map(|d| {
+        NAMES
+            .iter()
+            .flat_map(move |n| (1..=SEEDS).map(move |s| (*d, n.0, s)))
+    });
     expect_that!(failing(cases.collect()), is_empty());
 }
 
@@ -53,7 +59,15 @@
 /// each: a run takes as long as dozens of the small ones.
 #[gtest]
 fn grown_fleets_hold() {
-    let names = ["grey", "lying", "flapping", "long_spec", "two_losses", "engine_grey", "engine_lying"];
+    let names = [
+        "grey",
+        "lying",
+        "flapping",
+        "long_spec",
+        "two_losses",
+        "engine_grey",
+        "engine_lying",
+    ];
     expect_that!(failing(names.map(|n| ("grown", n, 1)).to_vec()), is_empty());
 }
 
@@ -150,11 +164,18 @@
     ];
     let seen = |(off, d, name, checker): (Guard, &'static str, &'static str, &'static str)| {
         // Not every seed brings it about; a dozen do.
-        let happened = (1..=12).any(|s| found(d, name, s, Some(off)).iter().any(|f| f.starts_with(checker)));
+        let happened = (1..=12).any(|s| {
+            found(d, name, s, Some(off))
+                .iter()
+                .any(|f| f.starts_with(checker))
+        });
         (!happened).then(|| format!("{off:?} off: {checker} never failed in {d} {name}"))
     };
     let missed: Vec<String> = thread::scope(|s| {
-        let all: Vec<_> = cases.into_iter().map(|c| s.spawn(move || seen(c))).collect();
+        let all: Vec<_> = cases
+            .into_iter()
+            .map(|c| s.spawn(move || seen(c)))
+            .collect();
         all.into_iter().filter_map(|t| t.join().unwrap()).collect()
     });
     expect_that!(missed, is_empty());
@@ -163,9 +184,15 @@
 /// Leases allow for clocks that drift by so much; a day with more shows it nearly always, not by luck.
 #[gtest]
 fn clocks_that_run_too_far_apart_are_seen_in_nearly_each_seed() {
-    let one = |s: u64| found("registry", "clocks", s, Some(Guard::Clocks)).iter().any(|f| f.starts_with("one_holder"));
+    let one = |s: u64| {
+        found("registry", "clocks", s, Some(Guard::Clocks))
+            .iter()
+            .any(|f| f.starts_with("one_holder"))
+    };
     let seen: usize = thread::scope(|s| {
-        let all: Vec<_> = (1..=12).map(|n| s.spawn(move || usize::from(one(n)))).collect();
+        let all: Vec<_> = (1..=12)
+            .map(|n| s.spawn(move || usize::from(one(n))))
+            .collect();
         all.into_iter().map(|t| t.join().unwrap()).sum()
     });
     expect_that!(seen, ge(10));
--- a/fleet-tools/src/bin/soak.rs
+++ b/fleet-tools/src/bin/soak.rs
@@ -70,7 +70,10 @@
     Ok(Options {
         seed: m.get_one("seed").copied().unwrap_or(1),
         long: Duration::from_secs_f64(minutes * 60.0),
-        processes: m.get_one::<u64>("processes").copied().unwrap_or(PROCESSES.0) as usize,
+        processes: m
+            .get_one::<u64>("processes")
+            .copied()
+            .unwrap_or(PROCESSES.0) as usize,
         program,
     })
 }
@@ -94,14 +97,27 @@
     };
     let findings = check(&observed);
     let minutes = o.long.as_secs_f64() / 60.0;
-    let again = format!("soak --seed {} --minutes {minutes} --processes {}", o.seed, o.processes);
-    let report = Report { observed: &observed, findings: &findings, again, logs: logs.display().to_string() };
-    println!("{}", serde_json::to_string(&totals(&observed, findings.len())).unwrap_or_default());
+    let again = format!(
+        "soak --seed {} --minutes {minutes} --processes {}",
+        o.seed, o.processes
+    );
+    let report = Report {
+        observed: &observed,
+        findings: &findings,
+        again,
+        logs: logs.display().to_string(),
+    };
+    println!(
+        "{}",
+        serde_json::to_string(&totals(&observed, findings.len())).unwrap_or_default()
+    );
     println!("{}", report.page());
     if let Some(folder) = m.get_one::<PathBuf>("report") {
         let json = serde_json::to_vec(&report).unwrap_or_default();
         let written = std::fs::create_dir_all(folder)
-            .and_then(|()| std::fs::write(folder.join(format!("soak-{}.md", o.seed)), report.page()))
+            .and_then(|()| {
+                std::fs::write(folder.join(format!("soak-{}.md", o.seed)), report.page())
+            })
             .and_then(|()| std::fs::write(folder.join(format!("soak-{}.json", o.seed)), json));
         if let Err(e) = written {
             eprintln!("writing the report: {e}");
@@ -112,5 +128,9 @@
         let _ = std::fs::remove_dir_all(&logs);
     }
     let counts = |b: Basis| b == Basis::Order || !m.get_flag("order-only");
-    if findings.iter().any(|f| counts(f.basis)) { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if findings.iter().any(|f| counts(f.basis)) {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    }
 }
--- a/fleet-tools/src/bin/stand-in-platform.rs
+++ b/fleet-tools/src/bin/stand-in-platform.rs
@@ -12,8 +12,8 @@
 use daemon_parts::http::{Answer, call, json_config, no_such_path};
 use fleet_tools::replica::{BEHAVE, Behaviour, HARM, Harm};
 use remote_calls::{
-    Fault, OrderAction, OrderAnswer, PlatformDrain, PlatformList, PlatformReplica, PlatformReplicaState, PlatformStart,
-    PlatformStarted, ReplicaOrder, ReplicaReport, calls,
+    Fault, OrderAction, OrderAnswer, PlatformDrain, PlatformList, PlatformReplica,
+    PlatformReplicaState, PlatformStart, PlatformStarted, ReplicaOrder, ReplicaReport, calls,
 };
 
 /// How often replicas are looked after.
@@ -45,7 +45,11 @@
     fn fence(&mut self, service: &str, epoch: u64) -> Result<(), Fault> {
         let at = self.epochs.entry(service.into()).or_insert(0);
         if epoch < *at {
-            return Err(Fault::new("stale_epoch", "fence", format!("epoch {epoch} is behind {at}")));
+            return Err(Fault::new(
+                "stale_epoch",
+                "fence",
+                format!("epoch {epoch} is behind {at}"),
+            ));
         }
         *at = epoch;
         Ok(())
@@ -56,10 +60,23 @@
         *n += 1;
         let id = format!("{}-{}", q.zone, n);
         let addr = fleet_tools::fleet::free().map_err(|e| fault(e.to_string()))?;
-        let exe = std::env::current_exe().map_err(|e| fault(e.to_string()))?.with_file_name("stand-in-replica");
+        let exe = std::env::current_exe()
+            .map_err(|e| fault(e.to_string()))?
+            .with_file_name("stand-in-replica");
         let b = serde_json::to_string(&self.behaviour).unwrap_or_default();
         let mut c = Process::new(exe);
-        c.args(["--id", &id, "--zone", &q.zone, "--http", &addr, "--service", &q.service, "--version", &q.version]);
+        c.args([
+            "--id",
+            &id,
+            "--zone",
+            &q.zone,
+            "--http",
+            &addr,
+            "--service",
+            &q.service,
+            "--version",
+            &q.version,
+        ]);
         c.args(["--load-ms", &self.load_ms, "--behaviour", &b]);
         self.lanes.iter().for_each(|l| {
             c.args(["--lane", l]);
@@ -91,7 +108,12 @@
 async fn start(p: Shared, q: web::Json<PlatformStart>) -> Reply {
     let mut s = p.lock();
     s.fence(&q.service, q.epoch)?;
-    if s.replicas.values().filter(|r| r.0.zone == q.zone && r.0.service == q.service).count() >= ZONE_MAX {
+    if s.replicas
+        .values()
+        .filter(|r| r.0.zone == q.zone && r.0.service == q.service)
+        .count()
+        >= ZONE_MAX
+    {
         return Err(Fault::new("full", "start_replica", "the zone has no room").into());
     }
     let id = s.start(&q)?;
@@ -102,10 +124,15 @@
     let mut s = p.lock();
     s.fence(&q.service, q.epoch)?;
     let Some(r) = s.replicas.get_mut(&q.replica) else {
-        return Err(Fault::new("not_found", "drain", "no such replica").field("replica").into());
+        return Err(Fault::new("not_found", "drain", "no such replica")
+            .field("replica")
+            .into());
     };
     r.0.state = PlatformReplicaState::Draining;
-    Ok(HttpResponse::Ok().json(OrderAnswer { epoch: q.epoch, done: false }))
+    Ok(HttpResponse::Ok().json(OrderAnswer {
+        epoch: q.epoch,
+        done: false,
+    }))
 }
 
 async fn behave(p: Shared, q: web::Json<Vec<Behaviour>>) -> HttpResponse {
@@ -116,7 +143,10 @@
     };
     let b = p.lock().behaviour.clone();
     for a in all {
-        let _ = awc::Client::default().put(format!("http://{a}{BEHAVE}")).send_json(&b).await;
+        let _ = awc::Client::default()
+            .put(format!("http://{a}{BEHAVE}"))
+            .send_json(&b)
+            .await;
     }
     HttpResponse::Ok().finish()
 }
@@ -140,11 +170,13 @@
         tokio::time::sleep(LOOK_EVERY).await;
         let all: Vec<PlatformReplica> = {
             let mut s = p.lock();
-            s.replicas.retain(|_, (_, child)| matches!(child.try_wait(), Ok(None)));
+            s.replicas
+                .retain(|_, (_, child)| matches!(child.try_wait(), Ok(None)));
             s.replicas.values().map(|r| r.0.clone()).collect()
         };
         for r in all {
-            let report = call::<(), ReplicaReport>(&c, &r.addr, calls::REPORT, None, LOOK_EVERY).await;
+            let report =
+                call::<(), ReplicaReport>(&c, &r.addr, calls::REPORT, None, LOOK_EVERY).await;
             if r.state == PlatformReplicaState::Starting
                 && report.is_ok()
                 && let Some(x) = p.lock().replicas.get_mut(&r.id)
@@ -156,7 +188,12 @@
             }
             // Its own word to the replica carries the highest epoch it knows.
             let epoch = p.lock().epochs.get(&r.service).copied().unwrap_or(0);
-            let o = ReplicaOrder { service: r.service.clone(), epoch, action: OrderAction::Drain, version: r.version.clone() };
+            let o = ReplicaOrder {
+                service: r.service.clone(),
+                epoch,
+                action: OrderAction::Drain,
+                version: r.version.clone(),
+            };
             let _ = call::<_, OrderAnswer>(&c, &r.addr, calls::ORDER, Some(&o), LOOK_EVERY).await;
             if report.is_ok_and(|x| x.leaving && x.busy == 0)
                 && let Some((_, mut child)) = p.lock().replicas.remove(&r.id)
@@ -174,13 +211,35 @@
         .about("Stands in for the platform")
         .arg(Arg::new("http").long("http").required(true))
         .arg(Arg::new("load-ms").long("load-ms").default_value("800"))
-        .arg(Arg::new("start").long("start").action(ArgAction::Append).help("SERVICE:ZONE:VERSION:COUNT to begin with"))
-        .arg(Arg::new("lane").long("lane").action(ArgAction::Append).help("NAME:MS:PIECES, passed to replicas"))
+        .arg(
+            Arg::new("start")
+                .long("start")
+                .action(ArgAction::Append)
+                .help("SERVICE:ZONE:VERSION:COUNT to begin with"),
+        )
+        .arg(
+            Arg::new("lane")
+                .long("lane")
+                .action(ArgAction::Append)
+                .help("NAME:MS:PIECES, passed to replicas"),
+        )
         .get_matches();
-    let many = |n: &str| m.get_many::<String>(n).unwrap_or_default().cloned().collect::<Vec<_>>();
+    let many = |n: &str| {
+        m.get_many::<String>(n)
+            .unwrap_or_default()
+            .cloned()
+            .collect::<Vec<_>>()
+    };
     let load_ms = m.get_one::<String>("load-ms").cloned().unwrap_or_default();
     let (replicas, epochs, next) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-    let mut s = State { replicas, epochs, behaviour: vec![], lanes: many("lane"), load_ms, next };
+    let mut s = State {
+        replicas,
+        epochs,
+        behaviour: vec![],
+        lanes: many("lane"),
+        load_ms,
+        next,
+    };
     for x in many("start") {
         let v: Vec<&str> = x.split(':').collect();
         let [service, zone, version, n] = v[..] else {
@@ -188,7 +247,12 @@
             std::process::exit(daemon_parts::params::EXIT_PARAMS)
         };
         for _ in 0..n.parse().unwrap_or(0) {
-            let q = PlatformStart { service: service.into(), zone: zone.into(), version: version.into(), epoch: 0 };
+            let q = PlatformStart {
+                service: service.into(),
+                zone: zone.into(),
+                version: version.into(),
+                epoch: 0,
+            };
             if let Err(e) = s.start(&q) {
                 eprintln!("{e}");
             }
--- a/fleet-tools/src/caller.rs
+++ b/fleet-tools/src/caller.rs
@@ -6,7 +6,9 @@
 use daemon_parts::{clock, http::call, limits::CALL_LIMIT};
 use fleet_simulator::history::Told;
 use futures_util::StreamExt;
-use remote_calls::{Fault, NominateRequest, Nomination, Outcome, ResumePoint, RunRequest, StreamLine, calls};
+use remote_calls::{
+    Fault, NominateRequest, Nomination, Outcome, ResumePoint, RunRequest, StreamLine, calls,
+};
 
 use coordination::rendezvous::text_digest;
 
@@ -102,7 +104,11 @@
 pub async fn stream(c: &Client, proxy: &str, q: &RunRequest, t: &mut Told, all: &mut String) {
     let limit = Duration::from_millis(q.time_left_ms + 2_000);
     t.outcome = "unknown".into();
-    let sent = c.post(format!("http://{proxy}{}", calls::RUN.1)).timeout(limit).send_json(q).await;
+    let sent = c
+        .post(format!("http://{proxy}{}", calls::RUN.1))
+        .timeout(limit)
+        .send_json(q)
+        .await;
     let mut a = match sent {
         Ok(a) => a,
         Err(e) => return t.code = format!("lost: {e}"),
@@ -119,7 +125,9 @@
         buffer.extend_from_slice(&b);
         while let Some(i) = buffer.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = buffer.drain(..=i).collect();
-            let Ok(l) = serde_json::from_slice::<StreamLine>(&line) else { return t.code = "bad_line".into() };
+            let Ok(l) = serde_json::from_slice::<StreamLine>(&line) else {
+                return t.code = "bad_line".into();
+            };
             if let Some(s) = l.start {
                 if !t.runs.contains(&s.run) {
                     t.runs.push(s.run.clone());
@@ -137,7 +145,12 @@
                 t.digest = text_digest(all);
                 // A stream that was resumed is whole only if all its pieces are what the replica says it sent.
                 let own = e.digest.is_none_or(|d| d == t.digest);
-                t.outcome = if e.outcome == Outcome::Answered && own { "answered" } else { "unknown" }.into();
+                t.outcome = if e.outcome == Outcome::Answered && own {
+                    "answered"
+                } else {
+                    "unknown"
+                }
+                .into();
                 t.code = e.fault.map_or(String::new(), |f| f.code);
                 return;
             }
@@ -148,6 +161,10 @@
 /// Goes on with a stream that broke off, from the last piece received.
 pub async fn go_on(c: &Client, proxy: &str, q: &RunRequest, t: &mut Told, all: &mut String) {
     let mut q = q.clone();
-    q.resume = Some(ResumePoint { run: t.run.clone(), replica: t.replica.clone(), after: t.pieces.len() as u64 });
+    q.resume = Some(ResumePoint {
+        run: t.run.clone(),
+        replica: t.replica.clone(),
+        after: t.pieces.len() as u64,
+    });
     stream(c, proxy, &q, t, all).await;
 }
--- a/fleet-tools/src/fleet.rs
+++ b/fleet-tools/src/fleet.rs
@@ -47,7 +47,12 @@
 pub fn free() -> std::io::Result<String> {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let (n, id) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let ip = Ipv4Addr::new(127, 1 + (id % 200) as u8, (n >> 8) as u8 + (id / 200 % 100) as u8, n as u8);
+    let ip = Ipv4Addr::new(
+        127,
+        1 + (id % 200) as u8,
+        (n >> 8) as u8 + (id / 200 % 100) as u8,
+        n as u8,
+    );
     Ok(TcpListener::bind((ip, 0))?.local_addr()?.to_string())
 }
 
@@ -57,12 +62,19 @@
     let dir = exe.parent().unwrap_or(Path::new("."));
     // Tests stand one folder below the programs.
     let at = dir.join(n);
-    Ok(if at.exists() { at } else { dir.join("..").join(n) })
+    Ok(if at.exists() {
+        at
+    } else {
+        dir.join("..").join(n)
+    })
 }
 
 impl Process {
     pub fn start(&mut self, folder: &Path) -> std::io::Result<()> {
-        let log = File::options().create(true).append(true).open(folder.join(format!("{}.log", self.name)))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(folder.join(format!("{}.log", self.name)))?;
         let c = Command::new(program(self.program)?)
             .args(&self.args)
             .stdin(Stdio::null())
@@ -91,7 +103,9 @@
         }
     }
     pub fn running(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 }
 
@@ -116,20 +130,40 @@
     pub fn start(d: Deployment, folder: &Path, log: &str) -> std::io::Result<Fleet> {
         std::fs::create_dir_all(folder)?;
         let client = Client::builder().disable_timeout().finish();
-        let mut f = Fleet { d, folder: folder.into(), processes: BTreeMap::new(), client, link: Link::default(), relays: vec![] };
+        let mut f = Fleet {
+            d,
+            folder: folder.into(),
+            processes: BTreeMap::new(),
+            client,
+            link: Link::default(),
+            relays: vec![],
+        };
         let platform = free()?;
         let mut args = vec!["--http".to_string(), platform.clone()];
         for s in &f.d.spec.services {
             for z in &s.zones {
-                args.extend(["--start".into(), format!("{}:{}:{}:{}", s.name, z.zone, s.version, z.replicas)]);
+                args.extend([
+                    "--start".into(),
+                    format!("{}:{}:{}:{}", s.name, z.zone, s.version, z.replicas),
+                ]);
             }
             for l in &s.lanes {
                 // A warm answer takes a little less than what the spec expects; long lanes stream more pieces.
                 let pieces = if l.expected_ms > 1_000 { 24 } else { 4 };
-                args.extend(["--lane".into(), format!("{}:{}:{pieces}", l.name, l.expected_ms * 3 / 4)]);
+                args.extend([
+                    "--lane".into(),
+                    format!("{}:{}:{pieces}", l.name, l.expected_ms * 3 / 4),
+                ]);
             }
         }
-        f.add("platform", "", "stand-in-platform", platform.clone(), String::new(), args);
+        f.add(
+            "platform",
+            "",
+            "stand-in-platform",
+            platform.clone(),
+            String::new(),
+            args,
+        );
         let control: Vec<(String, String, String, String)> =
             f.d.control
                 .iter()
@@ -150,19 +184,42 @@
                 ("platform", &platform),
                 ("log", log),
             ]);
-            seeds.iter().for_each(|s| a.extend(["--seed".into(), s.clone()]));
-            members.iter().for_each(|m| a.extend(["--member".into(), m.clone()]));
+            seeds
+                .iter()
+                .for_each(|s| a.extend(["--seed".into(), s.clone()]));
+            members
+                .iter()
+                .for_each(|m| a.extend(["--member".into(), m.clone()]));
             f.add(n, z, "control-daemon", http.clone(), listen.clone(), a);
         }
-        let edges: Vec<String> = f.d.edges.iter().flat_map(|e| std::iter::repeat_n(e.zone.clone(), e.count)).collect();
+        let edges: Vec<String> =
+            f.d.edges
+                .iter()
+                .flat_map(|e| std::iter::repeat_n(e.zone.clone(), e.count))
+                .collect();
         for (i, z) in edges.iter().enumerate() {
             let (n, listen) = (format!("edge-{}", i + 1), free()?);
             let bind = f.relayed(&n, &listen)?;
-            let mut a = args_of(&[("name", &n), ("zone", z), ("listen", &listen), ("bind", &bind), ("log", log)]);
-            seeds.iter().for_each(|s| a.extend(["--seed".into(), s.clone()]));
+            let mut a = args_of(&[
+                ("name", &n),
+                ("zone", z),
+                ("listen", &listen),
+                ("bind", &bind),
+                ("log", log),
+            ]);
+            seeds
+                .iter()
+                .for_each(|s| a.extend(["--seed".into(), s.clone()]));
             f.add(&n, z, "edge-agent", String::new(), listen.clone(), a);
             let (own, http, p) = (free()?, free()?, format!("proxy-{}", i + 1));
-            let a = args_of(&[("name", &p), ("zone", z), ("listen", &own), ("http", &http), ("agent", &listen), ("log", log)]);
+            let a = args_of(&[
+                ("name", &p),
+                ("zone", z),
+                ("listen", &own),
+                ("http", &http),
+                ("agent", &listen),
+                ("log", log),
+            ]);
             f.add(&p, z, "edge-proxy", http, own, a);
         }
         let folder = f.folder.clone();
@@ -190,16 +247,38 @@
         }
     }
 
-    fn add(&mut self, name: &str, zone: &str, program: &'static str, http: String, listen: String, args: Vec<String>) {
-        let p = Process { name: name.into(), zone: zone.into(), http, listen, args, program, child: None };
+    fn add(
+        &mut self,
+        name: &str,
+        zone: &str,
+        program: &'static str,
+        http: String,
+        listen: String,
+        args: Vec<String>,
+    ) {
+        let p = Process {
+            name: name.into(),
+            zone: zone.into(),
+            http,
+            listen,
+            args,
+            program,
+            child: None,
+        };
         self.processes.insert(name.into(), p);
     }
 
     pub fn control(&self) -> Vec<&Process> {
-        self.processes.values().filter(|p| p.program == "control-daemon").collect()
+        self.processes
+            .values()
+            .filter(|p| p.program == "control-daemon")
+            .collect()
     }
     pub fn proxies(&self) -> Vec<&Process> {
-        self.processes.values().filter(|p| p.program == "edge-proxy").collect()
+        self.processes
+            .values()
+            .filter(|p| p.program == "edge-proxy")
+            .collect()
     }
     pub fn restart(&mut self, name: &str) -> std::io::Result<()> {
         let folder = self.folder.clone();
@@ -215,9 +294,12 @@
     pub fn limit(&mut self, name: &str, bytes: Option<u64>) -> std::io::Result<()> {
         let file = self.folder.join(format!("{name}.params.json"));
         std::fs::write(&file, format!("{{\"data_limit\": {}}}", bytes.unwrap_or(0)))?;
-        let Some(p) = self.processes.get_mut(name) else { return Err(std::io::ErrorKind::NotFound.into()) };
+        let Some(p) = self.processes.get_mut(name) else {
+            return Err(std::io::ErrorKind::NotFound.into());
+        };
         if !p.args.iter().any(|a| a == "--params") {
-            p.args.extend(["--params".into(), file.display().to_string()]);
+            p.args
+                .extend(["--params".into(), file.display().to_string()]);
         }
         self.restart(name)
     }
@@ -226,9 +308,13 @@
         let (listen, http, folder) = (free()?, free()?, self.folder.clone());
         let bind = self.relayed(name, &listen)?;
         self.run_relays();
-        let Some(p) = self.processes.get_mut(name) else { return Err(std::io::ErrorKind::NotFound.into()) };
+        let Some(p) = self.processes.get_mut(name) else {
+            return Err(std::io::ErrorKind::NotFound.into());
+        };
         p.kill();
-        [("--listen", &listen), ("--bind", &bind), ("--http", &http)].iter().for_each(|(flag, v)| p.set(flag, v));
+        [("--listen", &listen), ("--bind", &bind), ("--http", &http)]
+            .iter()
+            .for_each(|(flag, v)| p.set(flag, v));
         (p.listen, p.http) = (listen, http);
         let _ = std::fs::remove_dir_all(folder.join(name));
         p.start(&folder)
@@ -242,14 +328,25 @@
         self.run_relays();
         for kind in ["edge", "proxy"] {
             let (old, name) = (format!("{kind}-{n}"), format!("{kind}-{new}"));
-            let Some(mut p) = self.processes.remove(&old) else { return Err(std::io::ErrorKind::NotFound.into()) };
+            let Some(mut p) = self.processes.remove(&old) else {
+                return Err(std::io::ErrorKind::NotFound.into());
+            };
             p.kill();
             let edge = [("--name", &name), ("--listen", &agent), ("--bind", &bind)];
-            let proxy = [("--name", &name), ("--listen", &own), ("--http", &http), ("--agent", &agent)];
+            let proxy = [
+                ("--name", &name),
+                ("--listen", &own),
+                ("--http", &http),
+                ("--agent", &agent),
+            ];
             let flags: &[(&str, &String)] = if kind == "edge" { &edge } else { &proxy };
             flags.iter().for_each(|(flag, v)| p.set(flag, v));
             p.name = name.clone();
-            (p.listen, p.http) = if kind == "edge" { (agent.clone(), String::new()) } else { (own.clone(), http.clone()) };
+            (p.listen, p.http) = if kind == "edge" {
+                (agent.clone(), String::new())
+            } else {
+                (own.clone(), http.clone())
+            };
             p.start(&folder)?;
             self.processes.insert(name, p);
         }
@@ -259,13 +356,20 @@
     /// Gives its id.
     pub async fn harm(&self, nth: usize, signal: i32) -> Option<String> {
         let p = self.processes.get("platform")?;
-        let sent = self.client.post(format!("http://{}{HARM}", p.http)).send_json(&Harm { nth, signal }).await;
+        let sent = self
+            .client
+            .post(format!("http://{}{HARM}", p.http))
+            .send_json(&Harm { nth, signal })
+            .await;
         sent.ok()?.json().await.ok()
     }
 
     /// Operators' calls to this fleet.
     pub fn operator(&self) -> Operator {
-        Operator { client: self.client.clone(), control: self.control().iter().map(|p| p.http.clone()).collect() }
+        Operator {
+            client: self.client.clone(),
+            control: self.control().iter().map(|p| p.http.clone()).collect(),
+        }
     }
     /// Puts the deployment's spec as the first one. As operators do: what became of a write that is unknown is found out
     /// by sending it again, unchanged.
@@ -279,17 +383,37 @@
         }
     }
     pub async fn behave(&self, b: &[Behaviour]) {
-        let Some(p) = self.processes.get("platform") else { return };
-        let _ = self.client.put(format!("http://{}{}", p.http, crate::replica::BEHAVE)).send_json(&b).await;
+        let Some(p) = self.processes.get("platform") else {
+            return;
+        };
+        let _ = self
+            .client
+            .put(format!("http://{}{}", p.http, crate::replica::BEHAVE))
+            .send_json(&b)
+            .await;
     }
 
     /// What callers were told, with every replica's own record, for the checkers.
     pub async fn history(&self, told: Vec<Told>) -> Result<History, Fault> {
-        let Some(p) = self.processes.get("platform") else { return Ok(History::default()) };
-        let l: PlatformList = call::<(), _>(&self.client, &p.http, calls::PLATFORM_LIST, None, OPERATOR_LIMIT).await?;
-        let mut h = History { asked: told.len() as u64, end_ms: clock::now(), ..History::default() };
+        let Some(p) = self.processes.get("platform") else {
+            return Ok(History::default());
+        };
+        let l: PlatformList = call::<(), _>(
+            &self.client,
+            &p.http,
+            calls::PLATFORM_LIST,
+            None,
+            OPERATOR_LIMIT,
+        )
+        .await?;
+        let mut h = History {
+            asked: told.len() as u64,
+            end_ms: clock::now(),
+            ..History::default()
+        };
         for r in &l.replicas {
-            let runs: ReplicaRuns = call::<(), _>(&self.client, &r.addr, calls::RUNS, None, OPERATOR_LIMIT).await?;
+            let runs: ReplicaRuns =
+                call::<(), _>(&self.client, &r.addr, calls::RUNS, None, OPERATOR_LIMIT).await?;
             h.runs.extend(runs.runs.into_iter().map(|x| Run {
                 run: x.run,
                 request: x.request,
@@ -311,7 +435,12 @@
     }
 
     /// Waits until something holds; the time is a bound on trouble, not a measure.
-    pub async fn until<F: AsyncFn(&Fleet) -> bool>(&self, what: &str, limit: Duration, f: F) -> Result<u64, String> {
+    pub async fn until<F: AsyncFn(&Fleet) -> bool>(
+        &self,
+        what: &str,
+        limit: Duration,
+        f: F,
+    ) -> Result<u64, String> {
         let at = clock::now();
         while clock::now() - at < limit.as_millis() as u64 {
             if f(self).await {
@@ -322,7 +451,14 @@
         Err(format!("not within {limit:?}: {what}"))
     }
     pub async fn healthy(&self, p: &Process) -> bool {
-        let r = call::<(), Health>(&self.client, &p.http, calls::HEALTH, None, Duration::from_millis(500)).await;
+        let r = call::<(), Health>(
+            &self.client,
+            &p.http,
+            calls::HEALTH,
+            None,
+            Duration::from_millis(500),
+        )
+        .await;
         r.is_ok_and(|h| h.ok)
     }
     /// Whether every control daemon has settled.
@@ -346,5 +482,8 @@
 }
 
 fn args_of(pairs: &[(&str, &str)]) -> Vec<String> {
-    pairs.iter().flat_map(|(k, v)| [format!("--{k}"), v.to_string()]).collect()
+    pairs
+        .iter()
+        .flat_map(|(k, v)| [format!("--{k}"), v.to_string()])
+        .collect()
 }
--- a/fleet-tools/src/link.rs
+++ b/fleet-tools/src/link.rs
@@ -49,7 +49,12 @@
         actix_rt::spawn(async move {
             loop {
                 match l.accept().await {
-                    Ok((s, _)) => drop(actix_rt::spawn(pass(link.clone(), s, name.clone(), to.clone()))),
+                    Ok((s, _)) => drop(actix_rt::spawn(pass(
+                        link.clone(),
+                        s,
+                        name.clone(),
+                        to.clone(),
+                    ))),
                     // Out of descriptors for a moment: the link must not end with it.
                     Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
                 }
