--- a/fleet-tools/src/replica.rs
+++ b/fleet-tools/src/replica.rs
@@ -14,8 +14,9 @@
 };
 use fleet_simulator::wrong::{Spoiler, Wrong};
 use remote_calls::{
-    Fault, GenerateRequest, LoadedWeights, OrderAction, OrderAnswer, Outcome, ReplicaOrder, ReplicaReport, ReplicaRunRecord,
-    ReplicaRuns, RunState, StreamEnd, StreamLine, StreamPiece, StreamStart, calls,
+    Fault, GenerateRequest, LoadedWeights, OrderAction, OrderAnswer, Outcome, ReplicaOrder,
+    ReplicaReport, ReplicaRunRecord, ReplicaRuns, RunState, StreamEnd, StreamLine, StreamPiece,
+    StreamStart, calls,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
@@ -164,7 +165,10 @@
             s.busy() == 0
         }
     };
-    Ok(HttpResponse::Ok().json(OrderAnswer { epoch: q.epoch, done }))
+    Ok(HttpResponse::Ok().json(OrderAnswer {
+        epoch: q.epoch,
+        done,
+    }))
 }
 
 /// A piece's text: nobody else would write it, and it tells whose it is.
@@ -180,7 +184,11 @@
     }
     let run = {
         let mut s = r.lock();
-        let no = |code: &str, m: &str| Err(Fault::new(code, "accept_run", m).outcome(Outcome::NotRun).into());
+        let no = |code: &str, m: &str| {
+            Err(Fault::new(code, "accept_run", m)
+                .outcome(Outcome::NotRun)
+                .into())
+        };
         if s.leaving {
             return no("leaving", "this replica is leaving");
         }
@@ -193,7 +201,10 @@
         }
         s.next += 1;
         let id = format!("{}-{:x}-{}", s.p.id, s.born, s.next);
-        let warm = q.prefixes.iter().any(|p| s.cache.contains(&format!("{} {p}", q.version)));
+        let warm = q
+            .prefixes
+            .iter()
+            .any(|p| s.cache.contains(&format!("{} {p}", q.version)));
         for p in &q.prefixes {
             let k = format!("{} {p}", q.version);
             s.cache.retain(|x| *x != k);
@@ -216,10 +227,27 @@
         };
         *s.busy.entry(q.version.clone()).or_default() += 1;
         if s.runs.len() < RECORDS {
-            let total = s.p.lanes.iter().find(|l| l.0 == q.lane).or(s.p.lanes.first()).map_or(4, |l| l.2);
-            let b = s.behaviour.iter().find(|b| b.version == q.version && fastrand::u32(0..100) < b.wrong_percent);
+            let total =
+                s.p.lanes
+                    .iter()
+                    .find(|l| l.0 == q.lane)
+                    .or(s.p.lanes.first())
+                    .map_or(4, |l| l.2);
+            let b = s
+                .behaviour
+                .iter()
+                .find(|b| b.version == q.version && fastrand::u32(0..100) < b.wrong_percent);
             let spoiler = Spoiler::new(b.and_then(|b| b.wrong), total);
-            s.runs.insert(id.clone(), Run { record, pieces: vec![], warm, spoiler, grown: watch::Sender::new(()) });
+            s.runs.insert(
+                id.clone(),
+                Run {
+                    record,
+                    pieces: vec![],
+                    warm,
+                    spoiler,
+                    grown: watch::Sender::new(()),
+                },
+            );
         }
         id
     };
@@ -231,15 +259,29 @@
 async fn work(r: Shared, q: GenerateRequest, id: String) {
     let (total, pieces, fails) = {
         let s = r.lock();
-        let lane = s.p.lanes.iter().find(|l| l.0 == q.lane).or(s.p.lanes.first()).cloned();
+        let lane =
+            s.p.lanes
+                .iter()
+                .find(|l| l.0 == q.lane)
+                .or(s.p.lanes.first())
+                .cloned();
         let (_, ms, n) = lane.unwrap_or((q.lane.clone(), 200, 4));
-        let b = s.behaviour.iter().find(|b| b.version == q.version && b.lane.as_ref().is_none_or(|l| *l == q.lane)).cloned();
+        let b = s
+            .behaviour
+            .iter()
+            .find(|b| b.version == q.version && b.lane.as_ref().is_none_or(|l| *l == q.lane))
+            .cloned();
         let warm = s.runs.get(&id).is_some_and(|x| x.warm) || q.prefixes.is_empty();
         // Reading a long prompt that is not in the cache doubles the time; a crowded replica is slower.
-        let crowd = 100 + 100 * u64::from(s.busy().saturating_sub(s.p.slots)) / u64::from(s.p.slots.max(1));
+        let crowd =
+            100 + 100 * u64::from(s.busy().saturating_sub(s.p.slots)) / u64::from(s.p.slots.max(1));
         let slow = 100 + u64::from(b.as_ref().map_or(0, |b| b.slow_percent));
         let fails = b.is_some_and(|b| fastrand::u32(0..100) < b.fail_percent);
-        (ms * if warm { 1 } else { 2 } * crowd * slow / 10_000, n, fails)
+        (
+            ms * if warm { 1 } else { 2 } * crowd * slow / 10_000,
+            n,
+            fails,
+        )
     };
     let at = fastrand::u64(0..pieces.max(1));
     let mut hash = String::new();
@@ -261,7 +303,11 @@
         *n = n.saturating_sub(1);
     }
     if let Some(x) = s.runs.get_mut(&id) {
-        x.record.state = if fails { RunState::Failed } else { RunState::Done };
+        x.record.state = if fails {
+            RunState::Failed
+        } else {
+            RunState::Done
+        };
         x.record.digest = coordination::rendezvous::text_digest(&hash);
         x.grown.send_replace(());
     }
@@ -269,69 +315,114 @@
 
 fn resume(r: &Shared, q: &GenerateRequest, run: &str, after: u64) -> Reply {
     let s = r.lock();
-    let gone = || Fault::new("no_run", "resume", "this replica has no such run").outcome(Outcome::Unknown);
+    let gone =
+        || Fault::new("no_run", "resume", "this replica has no such run").outcome(Outcome::Unknown);
     // Nobody reads another request's run.
-    let Some(x) = s.runs.get(run).filter(|x| x.record.request == q.request) else { return Err(gone().into()) };
+    let Some(x) = s.runs.get(run).filter(|x| x.record.request == q.request) else {
+        return Err(gone().into());
+    };
     if after > x.record.pieces {
-        return Err(Fault::new("bad_request", "resume", "no such piece was sent")
-            .field("resume.after")
-            .outcome(Outcome::Unknown)
-            .into());
+        return Err(
+            Fault::new("bad_request", "resume", "no such piece was sent")
+                .field("resume.after")
+                .outcome(Outcome::Unknown)
+                .into(),
+        );
     }
-    let (tell, warm, version, spoiler) = (x.grown.subscribe(), x.warm, x.record.version.clone(), x.spoiler.clone());
-    let start = StreamStart { request: q.request.clone(), run: run.into(), replica: s.p.id.clone(), version, warm };
+    let (tell, warm, version, spoiler) = (
+        x.grown.subscribe(),
+        x.warm,
+        x.record.version.clone(),
+        x.spoiler.clone(),
+    );
+    let start = StreamStart {
+        request: q.request.clone(),
+        run: run.into(),
+        replica: s.p.id.clone(),
+        version,
+        warm,
+    };
     drop(s);
-    let first = StreamLine { start: Some(start), piece: None, end: None };
-    let st = (r.clone(), run.to_string(), after, tell, Some(first), false, spoiler);
-    let lines = futures_util::stream::unfold(st, |(r, id, at, mut tell, first, over, mut sp)| async move {
-        if let Some(l) = first {
-            return Some((bytes(&[l]), (r, id, at, tell, None, over, sp)));
-        }
-        if over || sp.closes(at) {
-            return None;
-        }
-        loop {
-            tell.borrow_and_update();
-            let (l, over) = {
-                let s = r.lock();
-                let x = s.runs.get(&id)?;
-                match (x.pieces.get(at as usize), x.record.state) {
-                    (Some(t), _) => (
-                        Some(StreamLine { start: None, piece: Some(StreamPiece { n: at + 1, text: t.clone() }), end: None }),
-                        false,
-                    ),
-                    (None, RunState::Running) => (None, false),
-                    (None, st) => {
-                        let fault =
-                            (st == RunState::Failed).then(|| Fault::new("replica_failed", "generate", "the version failed"));
-                        let outcome = if fault.is_none() { Outcome::Answered } else { Outcome::Unknown };
-                        (
+    let first = StreamLine {
+        start: Some(start),
+        piece: None,
+        end: None,
+    };
+    let st = (
+        r.clone(),
+        run.to_string(),
+        after,
+        tell,
+        Some(first),
+        false,
+        spoiler,
+    );
+    let lines = futures_util::stream::unfold(
+        st,
+        |(r, id, at, mut tell, first, over, mut sp)| async move {
+            if let Some(l) = first {
+                return Some((bytes(&[l]), (r, id, at, tell, None, over, sp)));
+            }
+            if over || sp.closes(at) {
+                return None;
+            }
+            loop {
+                tell.borrow_and_update();
+                let (l, over) = {
+                    let s = r.lock();
+                    let x = s.runs.get(&id)?;
+                    match (x.pieces.get(at as usize), x.record.state) {
+                        (Some(t), _) => (
                             Some(StreamLine {
                                 start: None,
-                                piece: None,
-                                end: Some(StreamEnd {
-                                    outcome,
-                                    pieces: x.record.pieces,
-                                    digest: Some(x.record.digest.clone()),
-                                    fault,
+                                piece: Some(StreamPiece {
+                                    n: at + 1,
+                                    text: t.clone(),
                                 }),
+                                end: None,
                             }),
-                            true,
-                        )
+                            false,
+                        ),
+                        (None, RunState::Running) => (None, false),
+                        (None, st) => {
+                            let fault = (st == RunState::Failed).then(|| {
+                                Fault::new("replica_failed", "generate", "the version failed")
+                            });
+                            let outcome = if fault.is_none() {
+                                Outcome::Answered
+                            } else {
+                                Outcome::Unknown
+                            };
+                            (
+                                Some(StreamLine {
+                                    start: None,
+                                    piece: None,
+                                    end: Some(StreamEnd {
+                                        outcome,
+                                        pieces: x.record.pieces,
+                                        digest: Some(x.record.digest.clone()),
+                                        fault,
+                                    }),
+                                }),
+                                true,
+                            )
+                        }
                     }
+                };
+                if let Some(l) = l {
+                    let made = if over { at } else { at + 1 };
+                    let sent = sp.lines(made, over, l);
+                    return Some((bytes(&sent), (r, id, at + 1, tell, None, over, sp)));
+                }
+                if tell.changed().await.is_err() {
+                    return None;
                 }
-            };
-            if let Some(l) = l {
-                let made = if over { at } else { at + 1 };
-                let sent = sp.lines(made, over, l);
-                return Some((bytes(&sent), (r, id, at + 1, tell, None, over, sp)));
-            }
-            if tell.changed().await.is_err() {
-                return None;
             }
-        }
-    });
-    Ok(HttpResponse::Ok().content_type("application/x-ndjson").streaming(Box::pin(lines)))
+        },
+    );
+    Ok(HttpResponse::Ok()
+        .content_type("application/x-ndjson")
+        .streaming(Box::pin(lines)))
 }
 
 fn bytes(lines: &[StreamLine]) -> Result<Bytes, std::convert::Infallible> {
@@ -346,7 +437,11 @@
 async fn runs(r: Shared) -> HttpResponse {
     let s = r.lock();
     let runs = s.runs.values().map(|x| x.record.clone()).collect();
-    HttpResponse::Ok().json(ReplicaRuns { replica: s.p.id.clone(), zone: s.p.zone.clone(), runs })
+    HttpResponse::Ok().json(ReplicaRuns {
+        replica: s.p.id.clone(),
+        zone: s.p.zone.clone(),
+        runs,
+    })
 }
 
 async fn behave(r: Shared, q: web::Json<Vec<Behaviour>>) -> HttpResponse {
--- a/fleet-tools/src/soak/faults.rs
+++ b/fleet-tools/src/soak/faults.rs
@@ -59,7 +59,9 @@
     {
         let mut seen = s.seen.borrow_mut();
         let event = &mut seen.events[place];
-        event.ended_well = ended.as_ref().map(|ends| ends.iter().all(|(_, e)| e.success()));
+        event.ended_well = ended
+            .as_ref()
+            .map(|ends| ends.iter().all(|(_, e)| e.success()));
         event.statuses = ended.map_or(String::new(), |ends| format!("{ends:?}"));
     }
     run_again(s, machine, place, rng.u64(START.0..START.1)).await;
@@ -97,8 +99,14 @@
 }
 
 async fn healthy(control: &str) -> bool {
-    let q = Asked { method: "GET", path: "/v1/health".into(), ..Asked::default() };
-    send(control, &q, None).await.is_some_and(|a| status(&a) == 200)
+    let q = Asked {
+        method: "GET",
+        path: "/v1/health".into(),
+        ..Asked::default()
+    };
+    send(control, &q, None)
+        .await
+        .is_some_and(|a| status(&a) == 200)
 }
 
 /// One control machine at a time may be in trouble: so much is promised to be borne.
@@ -150,30 +158,47 @@
 
 /// Ends replicas and starts others in their places. `drains`: they say so first, and serve on for a while.
 async fn replicas(s: &Soak, count: usize, drains: bool, down: Ms, rng: &mut Rng) {
-    let all: Vec<String> =
-        s.world.borrow().replicas.iter().filter(|r| r.serves() && r.state == "available").map(|r| r.id.clone()).collect();
+    let all: Vec<String> = s
+        .world
+        .borrow()
+        .replicas
+        .iter()
+        .filter(|r| r.serves() && r.state == "available")
+        .map(|r| r.id.clone())
+        .collect();
     // Enough are left to serve.
     let most = (all.len() / 3).min(count);
     let chosen = rng.choose_multiple(all, most);
     let mut told = None;
     if drains {
         told = Some(s.now());
-        s.world.borrow_mut().each(|r| chosen.contains(&r.id), |r| r.state = "draining");
+        s.world
+            .borrow_mut()
+            .each(|r| chosen.contains(&r.id), |r| r.state = "draining");
         sleep(DRAIN + DRAIN_SLACK).await;
     }
     world::end(&s.world, |r| chosen.contains(&r.id)).await;
     let at = s.now();
-    let rows = chosen.iter().map(|id| ReplicaEnd { id: id.clone(), draining: told, at });
+    let rows = chosen.iter().map(|id| ReplicaEnd {
+        id: id.clone(),
+        draining: told,
+        at,
+    });
     s.seen.borrow_mut().replica_ends.extend(rows);
     sleep(ms(down)).await;
-    s.world.borrow_mut().each(|r| chosen.contains(&r.id), |r| r.listed = false);
+    s.world
+        .borrow_mut()
+        .each(|r| chosen.contains(&r.id), |r| r.listed = false);
     let places: Vec<_> = {
         let w = s.world.borrow();
         let gone = w.replicas.iter().filter(|r| chosen.contains(&r.id));
-        gone.map(|r| (r.service.clone(), r.zone.clone(), r.version.clone(), r.addr)).collect()
+        gone.map(|r| (r.service.clone(), r.zone.clone(), r.version.clone(), r.addr))
+            .collect()
     };
     // The platform starts no replica of a version that a release has taken away meanwhile.
-    for (service, zone, version, addr) in places.into_iter().filter(|p| !s.releases.is_retired(&p.2)) {
+    for (service, zone, version, addr) in
+        places.into_iter().filter(|p| !s.releases.is_retired(&p.2))
+    {
         if let Err(e) = world::start(&s.world, &service, &zone, &version, addr) {
             eprintln!("starting a replica again: {e}");
         }
@@ -185,7 +210,9 @@
     for group in edges.chunks(at_once) {
         for e in group {
             let (s, machine, seed) = (s.clone(), s.edge_at(*e), seed ^ *e as u64);
-            running.push(actix_rt::spawn(async move { restart(&s, machine, &mut Rng::with_seed(seed)).await }));
+            running.push(actix_rt::spawn(async move {
+                restart(&s, machine, &mut Rng::with_seed(seed)).await
+            }));
         }
         sleep(ms(gap)).await;
     }
@@ -219,7 +246,11 @@
 pub async fn carry_out(s: Rc<Soak>, a: Action, seed: u64) {
     let mut rng = Rng::with_seed(seed);
     match a {
-        Action::RestartEdges { edges, at_once, gap } => restart_edges(&s, edges, at_once, gap, seed).await,
+        Action::RestartEdges {
+            edges,
+            at_once,
+            gap,
+        } => restart_edges(&s, edges, at_once, gap, seed).await,
         Action::RestartCore { gap } => {
             for n in 0..s.d.core.len() {
                 alone(&s, restart(&s, n, &mut rng)).await;
--- a/fleet-tools/src/soak/history.rs
+++ b/fleet-tools/src/soak/history.rs
@@ -206,6 +206,9 @@
 
 impl Observed {
     pub fn region(&self, zone: &str) -> &str {
-        self.regions.iter().find(|r| r.0 == zone).map_or("", |r| &r.1)
+        self.regions
+            .iter()
+            .find(|r| r.0 == zone)
+            .map_or("", |r| &r.1)
     }
 }
--- a/fleet-tools/src/soak/operators.rs
+++ b/fleet-tools/src/soak/operators.rs
@@ -57,14 +57,25 @@
     pub pause: Duration,
 }
 
-const ORDERS: Pace = Pace { patience: PATIENCE, pause: AGAIN };
+const ORDERS: Pace = Pace {
+    patience: PATIENCE,
+    pause: AGAIN,
+};
 
 /// Asks one control daemon after the other until one's answer is what is waited for; none if it is given up.
-pub async fn ask_any<T>(s: &Soak, first: usize, pace: Pace, ask: impl AsyncFn(&str) -> Option<T>) -> Option<T> {
+pub async fn ask_any<T>(
+    s: &Soak,
+    first: usize,
+    pace: Pace,
+    ask: impl AsyncFn(&str) -> Option<T>,
+) -> Option<T> {
     let until = Instant::now() + pace.patience;
     for i in first.. {
         let controls = s.controls();
-        let answer = timeout(SILENT, ask(&controls[i % controls.len()])).await.ok().flatten();
+        let answer = timeout(SILENT, ask(&controls[i % controls.len()]))
+            .await
+            .ok()
+            .flatten();
         if answer.is_some() || Instant::now() > until {
             return answer;
         }
@@ -76,12 +87,17 @@
 /// Sends a change until it gets a clear answer.
 async fn order(s: &Soak, first: usize, on: u64, document: &Value, repeated: bool) -> Answered {
     let sent = s.now();
-    let answer = ask_any(s, first, ORDERS, async |control| match calls::put_configuration(control, on, document).await? {
-        200 => Some(Answered::Accepted),
-        408 | 429 => None,
-        400..500 => Some(Answered::Refused),
-        _ => None,
-    });
+    let answer = ask_any(
+        s,
+        first,
+        ORDERS,
+        async |control| match calls::put_configuration(control, on, document).await? {
+            200 => Some(Answered::Accepted),
+            408 | 429 => None,
+            400..500 => Some(Answered::Refused),
+            _ => None,
+        },
+    );
     let answer = answer.await.unwrap_or(Answered::Unclear);
     let change = Change {
         release: calls::release(document),
@@ -114,7 +130,8 @@
     for _ in 0..changes {
         let _turn = s.orders.turn.lock().await;
         let on = s.orders.release();
-        let d = s.d.document(on + rng.u64(1..4), Some(&format!("storm{}", rng.u32(..))));
+        let d =
+            s.d.document(on + rng.u64(1..4), Some(&format!("storm{}", rng.u32(..))));
         if order(s, rng.usize(0..64), on, &d, false).await == Answered::Accepted {
             s.orders.accepted(&d);
             if rng.u32(0..10) == 0 {
@@ -144,7 +161,11 @@
 /// Evacuates a zone for so long.
 pub async fn evacuate(s: &Soak, zone: usize, long: Ms, rng: &mut Rng) {
     for evacuated in [true, false] {
-        let taken = async |control: &str| calls::evacuate(control, s.d.zones[zone].0, evacuated).await.filter(|a| *a == 200);
+        let taken = async |control: &str| {
+            calls::evacuate(control, s.d.zones[zone].0, evacuated)
+                .await
+                .filter(|a| *a == 200)
+        };
         ask_any(s, rng.usize(0..64), ORDERS, taken).await;
         if evacuated {
             sleep(Duration::from_millis(long)).await;
@@ -162,7 +183,13 @@
         if let Ok(Some(d)) = timeout(SILENT, calls::get_configuration(&to)).await {
             // Control machines come first.
             let machine = s.machines.borrow().all[n].name.clone();
-            let read = Read { sent, at: s.now(), machine, release: calls::release(&d), document: d.to_string() };
+            let read = Read {
+                sent,
+                at: s.now(),
+                machine,
+                release: calls::release(&d),
+                document: d.to_string(),
+            };
             s.seen.borrow_mut().reads.push(read);
         }
         sleep(Duration::from_millis(rng.u64(READS.0..READS.1))).await;
@@ -209,11 +236,19 @@
 
 /// Whether a daemon tells a configuration at all; another than the newest acknowledged one is noted as wrong.
 async fn tells_newest(s: &Soak, n: usize, control: &str, wrong: &mut Vec<String>) -> bool {
-    let Some(told) = timeout(SILENT, calls::get_configuration(control)).await.ok().flatten() else { return false };
+    let Some(told) = timeout(SILENT, calls::get_configuration(control))
+        .await
+        .ok()
+        .flatten()
+    else {
+        return false;
+    };
     let newest = s.orders.newest.borrow();
     if told != *newest {
         let (told, acked) = (calls::release(&told), calls::release(&newest));
-        wrong.push(format!("control daemon {n} tells release {told}, {acked} was acknowledged last"));
+        wrong.push(format!(
+            "control daemon {n} tells release {told}, {acked} was acknowledged last"
+        ));
     }
     true
 }
--- a/fleet-tools/src/soak/plan.rs
+++ b/fleet-tools/src/soak/plan.rs
@@ -99,25 +99,63 @@
     match r.u32(0..100) {
         0..22 => {
             let share = r.f64().max(0.3);
-            Action::RestartEdges { edges: some(r, s.edges, share), at_once: r.usize(1..=3), gap: r.u64(200..1_600) }
+            Action::RestartEdges {
+                edges: some(r, s.edges, share),
+                at_once: r.usize(1..=3),
+                gap: r.u64(200..1_600),
+            }
         }
-        22..28 => Action::RestartCore { gap: r.u64(1_000..4_000) },
-        28..35 => Action::KillEdges { edges: some(r, s.edges, 0.3), down: r.u64(200..3_000) },
-        35..40 => Action::KillCore { machine: r.usize(0..s.core), down: r.u64(200..3_000) },
-        40..44 => Action::FreezeEdge { edge: r.usize(0..s.edges), long: r.u64(300..4_000) },
-        44..48 => Action::FreezeCore { machine: r.usize(0..s.core), long: r.u64(300..4_000) },
-        48..55 => Action::Hangups { times: r.u32(1..6), gap: r.u64(50..700) },
-        55..65 => Action::Storm { changes: r.u32(10..100), gap: r.u64(30..200) },
+        22..28 => Action::RestartCore {
+            gap: r.u64(1_000..4_000),
+        },
+        28..35 => Action::KillEdges {
+            edges: some(r, s.edges, 0.3),
+            down: r.u64(200..3_000),
+        },
+        35..40 => Action::KillCore {
+            machine: r.usize(0..s.core),
+            down: r.u64(200..3_000),
+        },
+        40..44 => Action::FreezeEdge {
+            edge: r.usize(0..s.edges),
+            long: r.u64(300..4_000),
+        },
+        44..48 => Action::FreezeCore {
+            machine: r.usize(0..s.core),
+            long: r.u64(300..4_000),
+        },
+        48..55 => Action::Hangups {
+            times: r.u32(1..6),
+            gap: r.u64(50..700),
+        },
+        55..65 => Action::Storm {
+            changes: r.u32(10..100),
+            gap: r.u64(30..200),
+        },
         65..71 => Action::Race,
-        71..78 => Action::Evacuate { zone: r.usize(0..s.zones), long: r.u64(1_000..6_000) },
-        78..83 => Action::CrashReplicas { count: r.usize(1..4), down: r.u64(300..3_000) },
-        83..86 => Action::DrainReplica { down: r.u64(300..3_000) },
-        86..90 => Action::Wipe { machine: r.usize(0..s.core) },
+        71..78 => Action::Evacuate {
+            zone: r.usize(0..s.zones),
+            long: r.u64(1_000..6_000),
+        },
+        78..83 => Action::CrashReplicas {
+            count: r.usize(1..4),
+            down: r.u64(300..3_000),
+        },
+        83..86 => Action::DrainReplica {
+            down: r.u64(300..3_000),
+        },
+        86..90 => Action::Wipe {
+            machine: r.usize(0..s.core),
+        },
         90..95 => Action::Release { bad: r.bool() },
         _ => {
             let share = 0.2 + 0.7 * r.f64();
             let core = r.bool().then(|| r.usize(0..s.core));
-            Action::Outage { edges: some(r, s.edges, share), down: r.u64(10_000..18_000), core }
+            Action::Outage {
+                edges: some(r, s.edges, share),
+                down: r.u64(10_000..18_000),
+                core,
+            }
         }
     }
 }
@@ -126,7 +164,14 @@
 pub fn draw(seed: u64, long: Ms, size: Size) -> Vec<Step> {
     let mut r = Rng::with_seed(seed);
     let all = (0..size.edges).collect();
-    let mut steps = vec![(r.u64(500..2_000), Action::RestartEdges { edges: all, at_once: 1, gap: r.u64(500..1_600) })];
+    let mut steps = vec![(
+        r.u64(500..2_000),
+        Action::RestartEdges {
+            edges: all,
+            at_once: 1,
+            gap: r.u64(500..1_600),
+        },
+    )];
     let mut at = 0;
     loop {
         at += r.u64(1..2 * PACE);
--- a/fleet-tools/src/soak/report.rs
+++ b/fleet-tools/src/soak/report.rs
@@ -43,7 +43,14 @@
         processes: o.processes,
         requests: o.tried.len(),
         answered: of(|e| matches!(e, End::Whole { status: 200 })),
-        refused: of(|e| matches!(e, End::Whole { status: 408 | 421 | 429 | 503 })),
+        refused: of(|e| {
+            matches!(
+                e,
+                End::Whole {
+                    status: 408 | 421 | 429 | 503
+                }
+            )
+        }),
         cut: of(|e| matches!(e, End::Cut { .. } | End::NoAnswer)),
         troubles: o.events.len(),
         changes: o.changes.len(),
@@ -63,22 +70,45 @@
         let o = self.observed;
         let t = totals(o, self.findings.len());
         let mut s = format!("# Soak, seed {}\n\n", o.seed);
-        let mut row = |name: &str, value: String| writeln!(s, "- {name}: {value}").unwrap_or_default();
+        let mut row =
+            |name: &str, value: String| writeln!(s, "- {name}: {value}").unwrap_or_default();
         row("processes", t.processes.to_string());
-        row("requests", format!("{} ({} answered, {} refused, {} cut or unanswered)", t.requests, t.answered, t.refused, t.cut));
+        row(
+            "requests",
+            format!(
+                "{} ({} answered, {} refused, {} cut or unanswered)",
+                t.requests, t.answered, t.refused, t.cut
+            ),
+        );
         let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
-        o.events.iter().for_each(|e| *kinds.entry(format!("{:?}", e.trouble)).or_default() += 1);
+        o.events
+            .iter()
+            .for_each(|e| *kinds.entry(format!("{:?}", e.trouble)).or_default() += 1);
         row("troubles of machines", format!("{kinds:?}"));
         row("replicas ended", o.replica_ends.len().to_string());
         row("changes of the configuration", t.changes.to_string());
-        let releases: Vec<String> = o.releases.iter().map(|r| format!("{} {:?}", r.version, r.end)).collect();
+        let releases: Vec<String> = o
+            .releases
+            .iter()
+            .map(|r| format!("{} {:?}", r.version, r.end))
+            .collect();
         row("releases", releases.join(", "));
-        row("configurations read, answers of the directory", format!("{}, {}", t.reads, t.resolutions));
+        row(
+            "configurations read, answers of the directory",
+            format!("{}, {}", t.reads, t.resolutions),
+        );
         let uses = |all: &[Usage]| {
             let memory = most(all, |u| u.memory_kb) >> 10;
-            format!("{memory} MB, {} descriptors, {} KB of disk", most(all, |u| u.descriptors), most(all, |u| u.disk) >> 10)
+            format!(
+                "{memory} MB, {} descriptors, {} KB of disk",
+                most(all, |u| u.descriptors),
+                most(all, |u| u.disk) >> 10
+            )
         };
-        row("largest process before and after", format!("{}; {}", uses(&o.usage_before), uses(&o.usage_after)));
+        row(
+            "largest process before and after",
+            format!("{}; {}", uses(&o.usage_before), uses(&o.usage_after)),
+        );
         row("play again", format!("`{}`", self.again));
         row("logs", self.logs.clone());
         writeln!(s, "\n## Findings: {}\n", self.findings.len()).unwrap_or_default();
--- a/fleet-tools/src/soak/resources.rs
+++ b/fleet-tools/src/soak/resources.rs
@@ -9,7 +9,8 @@
 fn memory_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.trim().trim_end_matches(" kB").parse().ok())
+        .unwrap_or(0)
 }
 
 fn descriptors(id: u32) -> u64 {
@@ -18,7 +19,10 @@
 
 fn disk(folder: &Path) -> u64 {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
-    files.filter_map(|f| f.metadata().ok()).map(|m| m.len()).sum()
+    files
+        .filter_map(|f| f.metadata().ok())
+        .map(|m| m.len())
+        .sum()
 }
 
 /// What every process uses now.
--- a/fleet-tools/src/soak/run.rs
+++ b/fleet-tools/src/soak/run.rs
@@ -83,8 +83,15 @@
     /// Notes what a directory told callers of a zone; gives the edges that it named.
     pub fn directed(&self, zone: &str, addresses: &[String]) -> Vec<usize> {
         let fronts = self.fronts();
-        let edges: Vec<usize> = addresses.iter().filter_map(|a| fronts.iter().position(|f| f == a)).collect();
-        self.seen.borrow_mut().directed.push(Directed { at: self.now(), zone: zone.into(), edges: edges.clone() });
+        let edges: Vec<usize> = addresses
+            .iter()
+            .filter_map(|a| fronts.iter().position(|f| f == a))
+            .collect();
+        self.seen.borrow_mut().directed.push(Directed {
+            at: self.now(),
+            zone: zone.into(),
+            edges: edges.clone(),
+        });
         edges
     }
     /// Index among all machines of the nth edge; control machines come first.
@@ -109,14 +116,25 @@
         let (from, edge) = (self.now(), machine.checked_sub(self.d.core.len()));
         let name = self.machines.borrow().all[machine].name.clone();
         let mut seen = self.seen.borrow_mut();
-        seen.events.push(Event { machine: name, edge, trouble, from, until: Ms::MAX, ended_well: None, statuses: String::new() });
+        seen.events.push(Event {
+            machine: name,
+            edge,
+            trouble,
+            from,
+            until: Ms::MAX,
+            ended_well: None,
+            statuses: String::new(),
+        });
         seen.events.len() - 1
     }
 
     async fn edge_serves(&self, front: &str, kind: Kind) -> bool {
         let t = prepare(self.d, (&self.world, &self.book), kind, &[Act::Run], None);
         let asked = tokio::time::timeout(Duration::from_secs(5), send(front, &t.asked, None)).await;
-        asked.ok().flatten().is_some_and(|a| status(&a) == 200 && a.whole)
+        asked
+            .ok()
+            .flatten()
+            .is_some_and(|a| status(&a) == 200 && a.whole)
     }
 
     /// Waits until every edge serves every kind of request; names those that do not.
@@ -139,7 +157,11 @@
 
     async fn control_answers(&self) -> bool {
         for c in self.controls() {
-            let q = Asked { method: "GET", path: "/v1/health".into(), ..Asked::default() };
+            let q = Asked {
+                method: "GET",
+                path: "/v1/health".into(),
+                ..Asked::default()
+            };
             if send(&c, &q, None).await.is_none() {
                 return false;
             }
@@ -149,7 +171,12 @@
 
     /// What came to replicas, and what ran, as the stand-in's log has it.
     fn arrived(&self) -> Vec<Arrived> {
-        let breaks = |a: Act| matches!(a, Act::Cut(_) | Act::Reset | Act::Garble | Act::Foreign | Act::Fail);
+        let breaks = |a: Act| {
+            matches!(
+                a,
+                Act::Cut(_) | Act::Reset | Act::Garble | Act::Foreign | Act::Fail
+            )
+        };
         let w = self.world.borrow();
         let row = |a: &world::Arrival| Arrived {
             id: a.round.clone(),
@@ -178,7 +205,11 @@
         seed: o.seed,
         processes: machines.all.iter().map(|m| m.processes.len()).sum(),
         grace: d.grace * 1_000,
-        regions: d.zones.iter().map(|(z, r)| (z.to_string(), r.to_string())).collect(),
+        regions: d
+            .zones
+            .iter()
+            .map(|(z, r)| (z.to_string(), r.to_string()))
+            .collect(),
         edge_zones: d.edges.iter().map(|z| z.to_string()).collect(),
         home: d.home().to_string(),
         ..Observed::default()
@@ -212,12 +243,17 @@
         return Err(format!("the fleet does not serve: {}", missing.join("; ")));
     }
     let m = s.machines.borrow();
-    m.all.iter().try_for_each(|x| m.write(x, false)).map_err(|e| e.to_string())
+    m.all
+        .iter()
+        .try_for_each(|x| m.write(x, false))
+        .map_err(|e| e.to_string())
 }
 
 async fn play(s: &Rc<Soak>, steps: Vec<Step>, seed: u64, long: Duration) {
     let n = (s.d.edges.len() * CALLERS.0).clamp(CALLERS.1, CALLERS.2);
-    let mut tasks: Vec<_> = (0..n).map(|i| actix_rt::spawn(callers::call(s.clone(), seed, i))).collect();
+    let mut tasks: Vec<_> = (0..n)
+        .map(|i| actix_rt::spawn(callers::call(s.clone(), seed, i)))
+        .collect();
     tasks.push(actix_rt::spawn(operators::read(s.clone(), seed)));
     tasks.push(actix_rt::spawn(operators::resolve(s.clone(), seed)));
     sleep(CALM).await;
@@ -226,7 +262,11 @@
     let mut actions = vec![];
     for (at, action) in steps {
         sleep(Duration::from_millis((begun + at).saturating_sub(s.now()))).await;
-        actions.push(actix_rt::spawn(faults::carry_out(s.clone(), action, seed ^ at)));
+        actions.push(actix_rt::spawn(faults::carry_out(
+            s.clone(),
+            action,
+            seed ^ at,
+        )));
     }
     for a in actions {
         let _ = a.await;
@@ -243,7 +283,11 @@
     let s = Rc::new(start(o).map_err(|e| e.to_string())?);
     let folder = s.machines.borrow().folder.clone();
     begin(&s).await?;
-    let size = Size { edges: s.d.edges.len(), core: s.d.core.len(), zones: s.d.zones.len() };
+    let size = Size {
+        edges: s.d.edges.len(),
+        core: s.d.core.len(),
+        zones: s.d.zones.len(),
+    };
     let steps = plan::draw(o.seed, o.long.as_millis() as Ms, size);
     play(&s, steps, o.seed, o.long).await;
     let missing = s.all_serve().await;
--- a/operator-command/src/main.rs
+++ b/operator-command/src/main.rs
@@ -10,7 +10,9 @@
     params::{EXIT_FAILED, EXIT_PARAMS},
 };
 use objects::Wanted;
-use remote_calls::{Accepted, Counters, Fault, Health, PlatformWarning, Spec, Status, WarnKind, calls, spec_check};
+use remote_calls::{
+    Accepted, Counters, Fault, Health, PlatformWarning, Spec, Status, WarnKind, calls, spec_check,
+};
 use serde::Serialize;
 
 /// Exit code when the outcome of a write is not known.
@@ -75,12 +77,17 @@
 
 fn read_file(m: &ArgMatches) -> Result<String, Fault> {
     let f = text(m, "file");
-    let t = if f == "-" { std::io::read_to_string(std::io::stdin()) } else { std::fs::read_to_string(&f) };
+    let t = if f == "-" {
+        std::io::read_to_string(std::io::stdin())
+    } else {
+        std::fs::read_to_string(&f)
+    };
     t.map_err(|e| Fault::new("bad_spec", "read_file", e.to_string()).field(f))
 }
 
 fn read_spec(m: &ArgMatches) -> Result<Spec, Fault> {
-    let bad = |e: serde_json::Error| Fault::new("bad_spec", "read_file", e.to_string()).field("file");
+    let bad =
+        |e: serde_json::Error| Fault::new("bad_spec", "read_file", e.to_string()).field("file");
     let s: Spec = serde_json::from_str(&read_file(m)?).map_err(bad)?;
     spec_check::check(&s)?;
     Ok(s)
@@ -92,7 +99,11 @@
 
 /// Prints an answer: as JSON, or in the given words.
 fn show<T: Serialize>(json: bool, v: &T, words: impl FnOnce(&T) -> String) {
-    let s = if json { serde_json::to_string_pretty(v).unwrap_or_default() } else { words(v) };
+    let s = if json {
+        serde_json::to_string_pretty(v).unwrap_or_default()
+    } else {
+        words(v)
+    };
     println!("{}", s.trim_end());
 }
 
@@ -108,26 +119,56 @@
     );
     o += "\nMEMBER       ADDRESS               LIVE   HEARD        EPOCH  SAME\n";
     for m in &s.members {
-        let heard = m.heard_ms_ago.map_or("never".into(), |ms| format!("{ms} ms ago"));
+        let heard = m
+            .heard_ms_ago
+            .map_or("never".into(), |ms| format!("{ms} ms ago"));
         let epoch = m.member_epoch.map_or(String::new(), |e| e.to_string());
         let same = m.same.map_or("", |same| if same { "yes" } else { "no" });
-        o += &format!("{:12} {:21} {:<6} {heard:12} {epoch:<6} {same}\n", m.name, m.addr, m.live);
+        o += &format!(
+            "{:12} {:21} {:<6} {heard:12} {epoch:<6} {same}\n",
+            m.name, m.addr, m.live
+        );
     }
     o += "\nKEY                      OWNER        EPOCH   VERSION  LEASE\n";
     for k in &s.keys {
         let p = k.permit_ms.map_or(String::new(), |p| format!("{p} ms"));
-        o += &format!("{:24} {:12} {:<7} {:<8} {p}\n", k.key, k.owner, k.epoch, k.version);
+        o += &format!(
+            "{:24} {:12} {:<7} {:<8} {p}\n",
+            k.key, k.owner, k.epoch, k.version
+        );
     }
     o += "\nEDGE         ZONE         HEARD       SPEC\n";
     s.edges.iter().for_each(|e| {
-        o += &format!("{:12} {:12} {:<11} {}\n", e.edge, e.zone, format!("{} ms ago", e.heard_ms_ago), e.spec_version)
+        o += &format!(
+            "{:12} {:12} {:<11} {}\n",
+            e.edge,
+            e.zone,
+            format!("{} ms ago", e.heard_ms_ago),
+            e.spec_version
+        )
     });
     o += "\nZONE         STATE\n";
-    s.zones.iter().for_each(|z| o += &format!("{:12} {}\n", z.zone, if z.evacuated { "evacuated" } else { "open" }));
+    s.zones.iter().for_each(|z| {
+        o += &format!(
+            "{:12} {}\n",
+            z.zone,
+            if z.evacuated { "evacuated" } else { "open" }
+        )
+    });
     for r in &s.rollouts {
-        let t = r.target.as_deref().map_or(String::new(), |t| format!(" target {t}"));
-        let by = if r.forecast > 0 { format!(" complete by {}", r.forecast) } else { String::new() };
-        o += &format!("\nROLLOUT {} phase {:?} stable {}{t}{by} alerts {:?}\n", r.service, r.phase, r.stable, r.alerts);
+        let t = r
+            .target
+            .as_deref()
+            .map_or(String::new(), |t| format!(" target {t}"));
+        let by = if r.forecast > 0 {
+            format!(" complete by {}", r.forecast)
+        } else {
+            String::new()
+        };
+        o += &format!(
+            "\nROLLOUT {} phase {:?} stable {}{t}{by} alerts {:?}\n",
+            r.service, r.phase, r.stable, r.alerts
+        );
         for g in &r.groups {
             let f = if g.allow_unload { " may unload" } else { "" };
             o += &format!(
@@ -140,9 +181,20 @@
         }
     }
     for c in &s.contexts {
-        o += &format!("\nSHARED CONTEXT {} version {} {} copies\n", c.service, c.version, c.parts.len());
+        o += &format!(
+            "\nSHARED CONTEXT {} version {} {} copies\n",
+            c.service,
+            c.version,
+            c.parts.len()
+        );
         for p in &c.parts {
-            o += &format!("  {:016x} {:>7} tokens  {:12} {}\n", p.chain, p.tokens, p.region, p.replicas.join(" "));
+            o += &format!(
+                "  {:016x} {:>7} tokens  {:12} {}\n",
+                p.chain,
+                p.tokens,
+                p.region,
+                p.replicas.join(" ")
+            );
         }
     }
     o
@@ -150,25 +202,43 @@
 
 async fn run(m: &ArgMatches) -> Result<(), Fault> {
     let json = m.get_flag("json");
-    let control = m.get_many::<String>("control").unwrap_or_default().cloned().collect();
+    let control = m
+        .get_many::<String>("control")
+        .unwrap_or_default()
+        .cloned()
+        .collect();
     let a = Operator::new(control);
     let accepted = |v: &Accepted| format!("accepted as version {}", v.version);
-    let Some((name, m)) = m.subcommand() else { return Ok(()) };
+    let Some((name, m)) = m.subcommand() else {
+        return Ok(());
+    };
     let expect = || m.get_one::<u64>("expect").copied();
     match name {
         "status" => show(json, &a.status().await?, status_words),
         "health" => show(json, &a.get::<Health>(calls::HEALTH).await?, |h| {
-            format!("{} {}: {}", h.process, if h.ok { "ok" } else { "not ok" }, h.detail)
+            format!(
+                "{} {}: {}",
+                h.process,
+                if h.ok { "ok" } else { "not ok" },
+                h.detail
+            )
         }),
         "counters" => show(json, &a.get::<Counters>(calls::COUNTERS).await?, |c| {
-            c.counters.iter().map(|c| format!("{:40} {}\n", c.name, c.value)).collect()
+            c.counters
+                .iter()
+                .map(|c| format!("{:40} {}\n", c.name, c.value))
+                .collect()
         }),
         "spec-check" => {
             read_spec(m)?;
             println!("the spec is valid");
         }
         "spec-get" => show(json, &a.spec().await?, |s| {
-            format!("version {}\n{}", s.version, serde_json::to_string_pretty(&s.spec).unwrap_or_default())
+            format!(
+                "version {}\n{}",
+                s.version,
+                serde_json::to_string_pretty(&s.spec).unwrap_or_default()
+            )
         }),
         "spec-put" => {
             let spec = read_spec(m)?;
@@ -179,30 +249,58 @@
             for w in objects::read(&read_file(m)?)? {
                 let r = match w {
                     Wanted::Spec(s) => a.put_spec(*s, None).await?,
-                    Wanted::Plan(service, target, within) => a.put_plan(&service, &target, within, None).await?,
+                    Wanted::Plan(service, target, within) => {
+                        a.put_plan(&service, &target, within, None).await?
+                    }
                     Wanted::Zone(zone, evacuated) => a.put_zone(&zone, evacuated).await?,
                 };
                 show(json, &r, accepted);
             }
         }
         "plan-get" => {
-            show(json, &a.plan(&text(m, "service")).await?, |s| match &s.plan {
-                Some(p) => format!("version {}: {} to {} by {}", s.version, p.service, p.target, p.complete_by),
-                None => "no plan".into(),
+            show(json, &a.plan(&text(m, "service")).await?, |s| {
+                match &s.plan {
+                    Some(p) => format!(
+                        "version {}: {} to {} by {}",
+                        s.version, p.service, p.target, p.complete_by
+                    ),
+                    None => "no plan".into(),
+                }
             });
         }
         "plan-put" => {
             let (service, target) = (text(m, "service"), text(m, "target"));
             let within = m.get_one::<u64>("within").copied().unwrap_or(0);
-            show(json, &a.put_plan(&service, &target, within, expect()).await?, accepted);
+            show(
+                json,
+                &a.put_plan(&service, &target, within, expect()).await?,
+                accepted,
+            );
         }
         "evacuate" | "restore" => {
-            show(json, &a.put_zone(&text(m, "zone"), name == "evacuate").await?, accepted);
+            show(
+                json,
+                &a.put_zone(&text(m, "zone"), name == "evacuate").await?,
+                accepted,
+            );
         }
-        "kill-switch" => show(json, &a.kill_switch(text(m, "state") == "on").await?, accepted),
+        "kill-switch" => show(
+            json,
+            &a.kill_switch(text(m, "state") == "on").await?,
+            accepted,
+        ),
         _ => {
-            let q = PlatformWarning { kind: WarnKind::Replica, id: text(m, "id"), leaves_in_ms: 0 };
-            show(json, &a.path::<_, Accepted>(calls::PLATFORM_WARN.0, calls::PLATFORM_WARN.1, Some(&q)).await?, accepted);
+            let q = PlatformWarning {
+                kind: WarnKind::Replica,
+                id: text(m, "id"),
+                leaves_in_ms: 0,
+            };
+            show(
+                json,
+                &a.path::<_, Accepted>(calls::PLATFORM_WARN.0, calls::PLATFORM_WARN.1, Some(&q))
+                    .await?,
+                accepted,
+            );
         }
     }
     Ok(())
--- a/operator-command/src/objects.rs
+++ b/operator-command/src/objects.rs
@@ -39,7 +39,10 @@
         Value::Array(a) => a,
         one => vec![one],
     };
-    all.into_iter().enumerate().map(|(i, v)| one(v).map_err(|f| at(i, f))).collect()
+    all.into_iter()
+        .enumerate()
+        .map(|(i, v)| one(v).map_err(|f| at(i, f)))
+        .collect()
 }
 
 fn at(i: usize, f: Fault) -> Fault {
@@ -50,17 +53,22 @@
 fn one(v: Value) -> Result<Wanted, Fault> {
     let bad = |f: &str, m: String| Fault::new("bad_spec", "read_object", m).field(f);
     let o: DynamicObject = serde_json::from_value(v).map_err(|e| bad("object", e.to_string()))?;
-    let Some(t) = o.types else { return Err(bad("kind", "needs apiVersion and kind".into())) };
+    let Some(t) = o.types else {
+        return Err(bad("kind", "needs apiVersion and kind".into()));
+    };
     if t.api_version != API {
         return Err(bad("apiVersion", format!("{} is not {API}", t.api_version)));
     }
-    let Some(name) = o.metadata.name else { return Err(bad("metadata.name", "is missing".into())) };
+    let Some(name) = o.metadata.name else {
+        return Err(bad("metadata.name", "is missing".into()));
+    };
     let Some(data) = o.data.as_object().filter(|d| d.keys().all(|k| k == "spec")) else {
         return Err(bad("object", "has fields besides spec".into()));
     };
     let body = data.get("spec").cloned().unwrap_or(Value::Null);
     fn take<T: DeserializeOwned>(v: Value) -> Result<T, Fault> {
-        serde_json::from_value(v).map_err(|e| Fault::new("bad_spec", "read_object", e.to_string()).field("spec"))
+        serde_json::from_value(v)
+            .map_err(|e| Fault::new("bad_spec", "read_object", e.to_string()).field("spec"))
     }
     match t.kind.as_str() {
         "Fleet" => {
@@ -68,9 +76,14 @@
             spec_check::check(&s)?;
             Ok(Wanted::Spec(Box::new(s)))
         }
-        "ReleasePlan" => take(body).map(|p: PlanBody| Wanted::Plan(name, p.target, p.complete_within_seconds)),
+        "ReleasePlan" => {
+            take(body).map(|p: PlanBody| Wanted::Plan(name, p.target, p.complete_within_seconds))
+        }
         "Zone" => take(body).map(|z: ZoneBody| Wanted::Zone(name, z.evacuated)),
-        k => Err(bad("kind", format!("no kind {k}; there are Fleet, ReleasePlan and Zone"))),
+        k => Err(bad(
+            "kind",
+            format!("no kind {k}; there are Fleet, ReleasePlan and Zone"),
+        )),
     }
 }
 
--- a/operator-command/src/objects/tests.rs
+++ b/operator-command/src/objects/tests.rs
@@ -8,16 +8,32 @@
     expect_that!(read(zone), ok(eq(&vec![Wanted::Zone("bern".into(), true)])));
     let plan = r#"{"apiVersion": "landingslip/v1", "kind": "ReleasePlan", "metadata": {"name": "desk"},
         "spec": {"target": "v2", "completeWithinSeconds": 60}}"#;
-    expect_that!(read(&format!("[{zone}, {plan}]")).map(|v| v.len()), ok(eq(&2)));
+    expect_that!(
+        read(&format!("[{zone}, {plan}]")).map(|v| v.len()),
+        ok(eq(&2))
+    );
     let cases = [
         (zone.replace("v1", "v9"), "[0].apiVersion"),
         (zone.replace("Zone", "Pod"), "[0].kind"),
-        (zone.replace("\"name\"", "\"namespace\""), "[0].metadata.name"),
+        (
+            zone.replace("\"name\"", "\"namespace\""),
+            "[0].metadata.name",
+        ),
         (zone.replace("evacuated", "empty"), "[0].spec"),
-        (zone.replace("\"spec\"", "\"status\": {}, \"spec\""), "[0].object"),
-        (format!("[{zone}, {}]", zone.replace("Zone", "Fleet")), "[1].spec"),
+        (
+            zone.replace("\"spec\"", "\"status\": {}, \"spec\""),
+            "[0].object",
+        ),
+        (
+            format!("[{zone}, {}]", zone.replace("Zone", "Fleet")),
+            "[1].spec",
+        ),
     ];
     for (text, field) in cases {
-        expect_that!(read(&text).unwrap_err().field.as_deref(), eq(Some(field)), "{text}");
+        expect_that!(
+            read(&text).unwrap_err().field.as_deref(),
+            eq(Some(field)),
+            "{text}"
+        );
     }
 }
--- a/remote-calls/src/lib.rs
+++ b/remote-calls/src/lib.rs
@@ -22,7 +22,11 @@
 
 /// A path with its one `{parameter}` filled in.
 pub fn fill(c: Call, v: &str) -> String {
-    let Some((a, rest)) = c.1.split_once('{') else { return c.1.to_string() };
-    let Some((_, b)) = rest.split_once('}') else { return c.1.to_string() };
+    let Some((a, rest)) = c.1.split_once('{') else {
+        return c.1.to_string();
+    };
+    let Some((_, b)) = rest.split_once('}') else {
+        return c.1.to_string();
+    };
     format!("{a}{v}{b}")
 }
--- a/remote-calls/src/spec_check.rs
+++ b/remote-calls/src/spec_check.rs
@@ -21,41 +21,98 @@
 type Check = Result<(), ValidateError>;
 
 fn label<P, C>(s: &str, _: &P, _: &C, _: bool) -> Check {
-    let ok = !s.is_empty() && s.len() <= 64 && s.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
-    if ok { Ok(()) } else { Err(ValidateError::new("must be 1 to 64 letters, digits, '-', '_' or '.'")) }
+    let ok = !s.is_empty()
+        && s.len() <= 64
+        && s.bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new(
+            "must be 1 to 64 letters, digits, '-', '_' or '.'",
+        ))
+    }
 }
 fn some<T, P, C>(v: &[T], _: &P, _: &C, _: bool) -> Check {
-    if v.is_empty() { Err(ValidateError::new("must not be empty")) } else { Ok(()) }
+    if v.is_empty() {
+        Err(ValidateError::new("must not be empty"))
+    } else {
+        Ok(())
+    }
 }
 fn percent<P, C>(v: &u32, _: &P, _: &C, _: bool) -> Check {
-    if *v <= 90 { Ok(()) } else { Err(ValidateError::new("must be at most 90")) }
+    if *v <= 90 {
+        Ok(())
+    } else {
+        Err(ValidateError::new("must be at most 90"))
+    }
 }
 fn canary<P, C>(v: &u32, _: &P, _: &C, _: bool) -> Check {
     let ok = (1..=CANARY_PERCENT_MAX).contains(v);
-    if ok { Ok(()) } else { Err(ValidateError::new(format!("must be 1 to {CANARY_PERCENT_MAX}"))) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new(format!(
+            "must be 1 to {CANARY_PERCENT_MAX}"
+        )))
+    }
 }
 fn limit<P, C>(v: &u64, _: &P, _: &C, _: bool) -> Check {
     let ok = (1..=TIME_LIMIT_MS_MAX).contains(v);
-    if ok { Ok(()) } else { Err(ValidateError::new(format!("must be 1 to {TIME_LIMIT_MS_MAX}"))) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new(format!(
+            "must be 1 to {TIME_LIMIT_MS_MAX}"
+        )))
+    }
 }
 fn mode<P, C>(v: &str, _: &P, _: &C, _: bool) -> Check {
     let ok = ["ignore", "read_only", "reconcile", "placed"].contains(&v);
-    if ok { Ok(()) } else { Err(ValidateError::new("must be ignore, read_only, reconcile or placed")) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new(
+            "must be ignore, read_only, reconcile or placed",
+        ))
+    }
 }
 fn kind<P, C>(v: &str, _: &P, _: &C, _: bool) -> Check {
     let ok = ["once", "repeatable", "stream", "stream_resumable"].contains(&v);
-    if ok { Ok(()) } else { Err(ValidateError::new("must be once, repeatable, stream or stream_resumable")) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new(
+            "must be once, repeatable, stream or stream_resumable",
+        ))
+    }
 }
 fn prefix<P, C>(v: &str, _: &P, _: &C, _: bool) -> Check {
     let ok = v.starts_with('/') && v.ends_with('/');
-    if ok { Ok(()) } else { Err(ValidateError::new("must begin and end with a slash")) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new("must begin and end with a slash"))
+    }
 }
 fn cache_share<P, C>(v: &u32, _: &P, _: &C, _: bool) -> Check {
     let ok = (1..=CACHE_PERCENT_MAX).contains(v);
-    if ok { Ok(()) } else { Err(ValidateError::new(format!("must be 1 to {CACHE_PERCENT_MAX}"))) }
+    if ok {
+        Ok(())
+    } else {
+        Err(ValidateError::new(format!(
+            "must be 1 to {CACHE_PERCENT_MAX}"
+        )))
+    }
 }
 fn count<P, C>(v: &u32, _: &P, _: &C, _: bool) -> Check {
-    if *v <= REPLICAS_MAX { Ok(()) } else { Err(ValidateError::new(format!("must be at most {REPLICAS_MAX}"))) }
+    if *v <= REPLICAS_MAX {
+        Ok(())
+    } else {
+        Err(ValidateError::new(format!(
+            "must be at most {REPLICAS_MAX}"
+        )))
+    }
 }
 
 #[derive(Config)]
@@ -179,7 +236,10 @@
 
 /// Repeated names, and names of things the spec does not have.
 fn references(s: &SpecFile) -> Result<(), Fault> {
-    fn unique<'a>(at: &str, names: impl Iterator<Item = &'a String>) -> Result<HashSet<&'a str>, Fault> {
+    fn unique<'a>(
+        at: &str,
+        names: impl Iterator<Item = &'a String>,
+    ) -> Result<HashSet<&'a str>, Fault> {
         let mut seen = HashSet::new();
         for (i, n) in names.enumerate() {
             if !seen.insert(n.as_str()) {
@@ -192,26 +252,49 @@
     unique("tiers", s.tiers.iter().map(|t| &t.name))?;
     unique("services", s.services.iter().map(|t| &t.name))?;
     for (i, v) in s.services.iter().enumerate() {
-        unique(&format!("services[{i}].lanes"), v.lanes.iter().map(|l| &l.name))?;
-        unique(&format!("services[{i}].zones"), v.zones.iter().map(|z| &z.zone))?;
+        unique(
+            &format!("services[{i}].lanes"),
+            v.lanes.iter().map(|l| &l.name),
+        )?;
+        unique(
+            &format!("services[{i}].zones"),
+            v.zones.iter().map(|z| &z.zone),
+        )?;
         for (j, l) in v.lanes.iter().enumerate() {
             if l.expected_ms > l.time_limit_ms {
-                return Err(fault(format!("services[{i}].lanes[{j}].expected_ms"), "is over the lane's time limit"));
+                return Err(fault(
+                    format!("services[{i}].lanes[{j}].expected_ms"),
+                    "is over the lane's time limit",
+                ));
             }
         }
         // The bound on copies is a part of what a replica keeps, which must then be told.
-        if v.context.as_ref().is_some_and(|c| c.on) && v.engine.as_ref().is_none_or(|e| e.cache_tokens == 0) {
-            return Err(fault(format!("services[{i}].context.on"), "needs engine.cache_tokens, what a replica keeps"));
+        if v.context.as_ref().is_some_and(|c| c.on)
+            && v.engine.as_ref().is_none_or(|e| e.cache_tokens == 0)
+        {
+            return Err(fault(
+                format!("services[{i}].context.on"),
+                "needs engine.cache_tokens, what a replica keeps",
+            ));
         }
         for (j, z) in v.zones.iter().enumerate() {
             if !zones.contains(z.zone.as_str()) {
-                return Err(fault(format!("services[{i}].zones[{j}].zone"), format!("no zone {}", z.zone)));
+                return Err(fault(
+                    format!("services[{i}].zones[{j}].zone"),
+                    format!("no zone {}", z.zone),
+                ));
             }
             if z.replicas == 0 {
-                return Err(fault(format!("services[{i}].zones[{j}].replicas"), "leaves the service no replica in this home"));
+                return Err(fault(
+                    format!("services[{i}].zones[{j}].replicas"),
+                    "leaves the service no replica in this home",
+                ));
             }
             if z.floor > z.replicas {
-                return Err(fault(format!("services[{i}].zones[{j}].floor"), "is over the count of replicas"));
+                return Err(fault(
+                    format!("services[{i}].zones[{j}].floor"),
+                    "is over the count of replicas",
+                ));
             }
         }
     }
@@ -223,14 +306,20 @@
     let mut places = HashSet::new();
     for (i, p) in s.paths.iter().enumerate() {
         if !places.insert((p.host.to_ascii_lowercase(), p.prefix.as_str())) {
-            return Err(fault(format!("paths[{i}].prefix"), "stands twice for its host"));
+            return Err(fault(
+                format!("paths[{i}].prefix"),
+                "stands twice for its host",
+            ));
         }
         if p.split.iter().all(|x| x.weight == 0) {
             return Err(fault(format!("paths[{i}].split"), "its weights sum to 0"));
         }
         for (j, x) in p.split.iter().enumerate() {
             if !s.services.iter().any(|v| v.name == x.service) {
-                return Err(fault(format!("paths[{i}].split[{j}].service"), format!("no service {}", x.service)));
+                return Err(fault(
+                    format!("paths[{i}].split[{j}].service"),
+                    format!("no service {}", x.service),
+                ));
             }
         }
     }
@@ -241,11 +330,14 @@
 pub fn check(spec: &Spec) -> Result<(), Fault> {
     let text = serde_json::to_string(spec).map_err(|e| fault("spec", e.to_string()))?;
     let mut l = ConfigLoader::<SpecFile>::new();
-    l.code(text, "spec.json").map_err(|e| fault("spec", e.to_string()))?;
+    l.code(text, "spec.json")
+        .map_err(|e| fault("spec", e.to_string()))?;
     match l.load() {
         Ok(r) => references(&r.config),
         Err(ConfigError::Validator { error, .. }) => {
-            let Some(e) = error.errors.first() else { return Err(fault("spec", "is not valid")) };
+            let Some(e) = error.errors.first() else {
+                return Err(fault("spec", "is not valid"));
+            };
             Err(fault(e.path.to_string(), e.message.clone()))
         }
         Err(e) => Err(fault("spec", e.to_string())),
--- a/remote-calls/src/spec_check/tests.rs
+++ b/remote-calls/src/spec_check/tests.rs
@@ -19,10 +19,26 @@
     let cases: [(&str, serde_json::Value, &str); 7] = [
         ("/canary_percent", 11.into(), "canary_percent"),
         ("/services/0/name", "a b".into(), "services[0].name"),
-        ("/services/0/zones/0/zone", "basel".into(), "services[0].zones[0].zone"),
-        ("/services/0/zones/0/replicas", 0.into(), "services[0].zones[0].replicas"),
-        ("/services/0/zones/0/floor", 3.into(), "services[0].zones[0].floor"),
-        ("/services/0/lanes/0/expected_ms", 26000.into(), "services[0].lanes[0].expected_ms"),
+        (
+            "/services/0/zones/0/zone",
+            "basel".into(),
+            "services[0].zones[0].zone",
+        ),
+        (
+            "/services/0/zones/0/replicas",
+            0.into(),
+            "services[0].zones[0].replicas",
+        ),
+        (
+            "/services/0/zones/0/floor",
+            3.into(),
+            "services[0].zones[0].floor",
+        ),
+        (
+            "/services/0/lanes/0/expected_ms",
+            26000.into(),
+            "services[0].lanes[0].expected_ms",
+        ),
         ("/tiers", serde_json::json!([]), "tiers"),
     ];
     // Copies of shared context are bounded by what a replica keeps.
@@ -34,8 +50,14 @@
     };
     expect_that!(check(&context(1000, 20)), ok(anything()));
     let at = |s: Spec| check(&s).map_err(|f| f.field.unwrap_or_default());
-    expect_that!(at(context(1000, 0)), err(eq("services[0].context.share_percent")));
-    expect_that!(at(context(1000, 51)), err(eq("services[0].context.share_percent")));
+    expect_that!(
+        at(context(1000, 0)),
+        err(eq("services[0].context.share_percent"))
+    );
+    expect_that!(
+        at(context(1000, 51)),
+        err(eq("services[0].context.share_percent"))
+    );
     expect_that!(at(context(0, 20)), err(eq("services[0].context.on")));
     // Lanes that are reached by host and path are checked with the same care.
     let path = |edit: fn(&mut serde_json::Value)| {
@@ -46,10 +68,15 @@
     };
     expect_that!(path(|_| ()), ok(anything()));
     for (at, f) in [
-        ("paths[0].prefix", (|p| p["prefix"] = "p/".into()) as fn(&mut serde_json::Value)),
+        (
+            "paths[0].prefix",
+            (|p| p["prefix"] = "p/".into()) as fn(&mut serde_json::Value),
+        ),
         ("paths[0].time_limit_ms", |p| p["time_limit_ms"] = 0.into()),
         ("paths[0].split", |p| p["split"][0]["weight"] = 0.into()),
-        ("paths[0].split[0].service", |p| p["split"][0]["service"] = "other".into()),
+        ("paths[0].split[0].service", |p| {
+            p["split"][0]["service"] = "other".into()
+        }),
     ] {
         expect_that!(path(f).unwrap_err().field.as_deref(), eq(Some(at)));
     }
--- a/remote-calls/tests/schema.rs
+++ b/remote-calls/tests/schema.rs
@@ -39,9 +39,18 @@
             let values: Vec<&str> = values.iter().filter_map(Value::as_str).collect();
             lines.push(format!("{name} = {}", values.join(" | ")));
         }
-        let required: Vec<&str> = definition["required"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
+        let required: Vec<&str> = definition["required"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(Value::as_str)
+            .collect();
         for (property, schema) in definition["properties"].as_object().into_iter().flatten() {
-            let optional = if required.contains(&property.as_str()) { "" } else { "?" };
+            let optional = if required.contains(&property.as_str()) {
+                ""
+            } else {
+                "?"
+            };
             lines.push(format!("{name}.{property}{optional}: {}", type_of(schema)));
         }
     }
--- a/runbook-runner/src/runbook.rs
+++ b/runbook-runner/src/runbook.rs
@@ -101,7 +101,11 @@
 /// Reads a runbook, with the line of what is wrong.
 pub fn read(text: &str, set: &BTreeMap<String, String>) -> Result<Runbook, String> {
     let raw: Runbook = serde_json::from_str(text).map_err(|e| format!("line {}: {e}", e.line()))?;
-    let line = |what: &str| text.lines().position(|l| l.contains(what)).map_or(1, |i| i + 1);
+    let line = |what: &str| {
+        text.lines()
+            .position(|l| l.contains(what))
+            .map_or(1, |i| i + 1)
+    };
     for n in &raw.takes {
         if !set.contains_key(n) {
             return Err(format!("line {}: needs --set {n}=...", line("\"takes\"")));
@@ -116,22 +120,44 @@
         let v = serde_json::to_string(v).unwrap_or_default();
         filled = filled.replace(&format!("{{{n}}}"), v.trim_matches('"'));
     }
-    let b: Runbook = serde_json::from_str(&filled).map_err(|e| format!("line {}: {e}", e.line()))?;
+    let b: Runbook =
+        serde_json::from_str(&filled).map_err(|e| format!("line {}: {e}", e.line()))?;
     if b.steps.is_empty() {
         return Err(format!("line {}: has no step", line("\"steps\"")));
     }
     for s in &b.steps {
         let quoted = serde_json::to_string(&s.name).unwrap_or_default();
-        let at = filled.lines().position(|l| l.contains("\"name\"") && l.contains(&quoted)).map_or(1, |i| i + 1);
+        let at = filled
+            .lines()
+            .position(|l| l.contains("\"name\"") && l.contains(&quoted))
+            .map_or(1, |i| i + 1);
         if s.otherwise.is_some() && s.wait.is_none() {
-            return Err(format!("line {at}: step {:?} calls; only waits have an otherwise", s.name));
+            return Err(format!(
+                "line {at}: step {:?} calls; only waits have an otherwise",
+                s.name
+            ));
         }
         match (&s.call, &s.wait) {
             (Some(_), None) if s.within_s == 0 => {}
             (None, Some(_)) if (1..=WITHIN_MAX).contains(&s.within_s) => {}
-            (None, Some(_)) => return Err(format!("line {at}: step {:?} needs within_s of 1 to {WITHIN_MAX}", s.name)),
-            (Some(_), None) => return Err(format!("line {at}: step {:?} calls; only waits take within_s", s.name)),
-            _ => return Err(format!("line {at}: step {:?} must either call or wait", s.name)),
+            (None, Some(_)) => {
+                return Err(format!(
+                    "line {at}: step {:?} needs within_s of 1 to {WITHIN_MAX}",
+                    s.name
+                ));
+            }
+            (Some(_), None) => {
+                return Err(format!(
+                    "line {at}: step {:?} calls; only waits take within_s",
+                    s.name
+                ));
+            }
+            _ => {
+                return Err(format!(
+                    "line {at}: step {:?} must either call or wait",
+                    s.name
+                ));
+            }
         }
     }
     Ok(b)
--- a/runbook-runner/src/runbook/tests.rs
+++ b/runbook-runner/src/runbook/tests.rs
@@ -9,7 +9,11 @@
     for f in std::fs::read_dir(dir).unwrap() {
         let text = std::fs::read_to_string(f.unwrap().path()).unwrap();
         let takes: Runbook = serde_json::from_str(&text).unwrap();
-        let set = takes.takes.iter().map(|t| (t.clone(), "x".to_string())).collect();
+        let set = takes
+            .takes
+            .iter()
+            .map(|t| (t.clone(), "x".to_string()))
+            .collect();
         expect_that!(read(&text, &set), ok(anything()));
         n += 1;
     }
@@ -17,13 +21,22 @@
     let none = BTreeMap::new();
     let bad = [
         ("{\"about\": \"\",\n\"steps\": []}", "line 2: has no step"),
-        ("{\"about\": \"\",\n\"steps\": [\n{\"name\": \"a\"}]}", "line 3: step \"a\" must either call or wait"),
+        (
+            "{\"about\": \"\",\n\"steps\": [\n{\"name\": \"a\"}]}",
+            "line 3: step \"a\" must either call or wait",
+        ),
         (
             "{\"about\": \"\",\n\"steps\": [\n{\"name\": \"a\", \"wait\": {\"members\": {\"live\": 3}}}]}",
             "line 3: step \"a\" needs within_s",
         ),
-        ("{\"about\": \"\",\n\"steps\": [{\"name\": \"a\",\n\"call\": {\"reboot\": {}}}]}", "line 3: unknown variant `reboot`"),
-        ("{\"about\": \"\", \"takes\": [\"zone\"],\n\"steps\": []}", "line 1: needs --set zone"),
+        (
+            "{\"about\": \"\",\n\"steps\": [{\"name\": \"a\",\n\"call\": {\"reboot\": {}}}]}",
+            "line 3: unknown variant `reboot`",
+        ),
+        (
+            "{\"about\": \"\", \"takes\": [\"zone\"],\n\"steps\": []}",
+            "line 1: needs --set zone",
+        ),
     ];
     for (text, why) in bad {
         expect_that!(read(text, &none), err(starts_with(why)));
--- a/wire-messages/src/fields.rs
+++ b/wire-messages/src/fields.rs
@@ -7,13 +7,25 @@
 use crate::{MAX_FRAME, MAX_LIST, MAX_NAME};
 
 /// How many follow, as a varint. It is held against its limit before anything is read for it.
-fn read_count<R: io::Read + io::Seek>(r: &mut R, e: Endian, what: &str, most: usize) -> BinResult<usize> {
+fn read_count<R: io::Read + io::Seek>(
+    r: &mut R,
+    e: Endian,
+    what: &str,
+    most: usize,
+) -> BinResult<usize> {
     let n = usize::try_from(Varint::read_options(r, e, ())?.0).unwrap_or(usize::MAX);
-    if n > most { Err(too_long(r.stream_position()?, what, n)) } else { Ok(n) }
+    if n > most {
+        Err(too_long(r.stream_position()?, what, n))
+    } else {
+        Ok(n)
+    }
 }
 
 fn too_long(at: u64, what: &str, n: usize) -> binrw::Error {
-    binrw::Error::AssertFail { pos: at, message: format!("{what} of {n} is over its limit") }
+    binrw::Error::AssertFail {
+        pos: at,
+        message: format!("{what} of {n} is over its limit"),
+    }
 }
 
 fn read_bytes<R: io::Read + io::Seek>(r: &mut R, n: usize) -> BinResult<Vec<u8>> {
@@ -27,7 +39,9 @@
 }
 
 /// A short UTF-8 label.
-#[derive(Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
+)]
 #[serde(transparent)]
 pub struct Name(pub String);
 
@@ -62,7 +76,12 @@
     fn read_options<R: io::Read + io::Seek>(r: &mut R, e: Endian, _: ()) -> BinResult<Self> {
         let n = read_count(r, e, "name", MAX_NAME)?;
         let at = r.stream_position()?;
-        String::from_utf8(read_bytes(r, n)?).map(Name).map_err(|e| binrw::Error::Custom { pos: at, err: Box::new(e.to_string()) })
+        String::from_utf8(read_bytes(r, n)?)
+            .map(Name)
+            .map_err(|e| binrw::Error::Custom {
+                pos: at,
+                err: Box::new(e.to_string()),
+            })
     }
 }
 impl BinWrite for Name {
@@ -131,7 +150,10 @@
     type Args<'a> = ();
     fn read_options<R: io::Read + io::Seek>(r: &mut R, e: Endian, _: ()) -> BinResult<Self> {
         let n = read_count(r, e, "list", MAX_LIST)?;
-        (0..n).map(|_| T::read_options(r, e, ())).collect::<BinResult<Vec<T>>>().map(List)
+        (0..n)
+            .map(|_| T::read_options(r, e, ()))
+            .collect::<BinResult<Vec<T>>>()
+            .map(List)
     }
 }
 impl<T: for<'a> BinWrite<Args<'a> = ()>> BinWrite for List<T> {
@@ -170,7 +192,10 @@
                 return Ok(Varint(n));
             }
         }
-        Err(binrw::Error::AssertFail { pos: r.stream_position()?, message: "no whole number of 64 bits".into() })
+        Err(binrw::Error::AssertFail {
+            pos: r.stream_position()?,
+            message: "no whole number of 64 bits".into(),
+        })
     }
 }
 impl BinWrite for Varint {
--- a/wire-messages/src/fields/tests.rs
+++ b/wire-messages/src/fields/tests.rs
@@ -16,19 +16,34 @@
 
 #[test]
 fn a_varint_comes_back_and_takes_a_byte_for_each_seven_bits() {
-    let edges = (0..64).flat_map(|i| [(1u64 << i) - 1, 1 << i, (1 << i) + 1]).chain([u64::MAX]);
+    let edges = (0..64)
+        .flat_map(|i| [(1u64 << i) - 1, 1 << i, (1 << i) + 1])
+        .chain([u64::MAX]);
     for n in edges {
         let b = written(n);
-        assert_eq!(b.len(), (u64::BITS - (n | 1).leading_zeros()).div_ceil(7) as usize, "{n}");
+        assert_eq!(
+            b.len(),
+            (u64::BITS - (n | 1).leading_zeros()).div_ceil(7) as usize,
+            "{n}"
+        );
         assert_eq!(read(&b), Some(n), "{n}");
-        assert!((0..b.len()).all(|i| read(&b[..i]).is_none()), "{n} cut short");
+        assert!(
+            (0..b.len()).all(|i| read(&b[..i]).is_none()),
+            "{n} cut short"
+        );
     }
 }
 
 #[test]
 fn a_varint_is_written_in_one_way_only() {
     // Longer than it must be, more than 64 bits, and without an end.
-    for b in [vec![0x80, 0], vec![0xff, 0x80, 0], [vec![0xff; 9], vec![2]].concat(), vec![0x80; 11], vec![0xff; 11]] {
+    for b in [
+        vec![0x80, 0],
+        vec![0xff, 0x80, 0],
+        [vec![0xff; 9], vec![2]].concat(),
+        vec![0x80; 11],
+        vec![0xff; 11],
+    ] {
         assert_eq!(read(&b), None, "{b:?}");
     }
 }
@@ -45,8 +60,13 @@
             first_chunk_log_sum: n / 11,
             ..OutcomeCounters::default()
         };
-        let t =
-            OutcomeCounters { failed_replicas: !n, recent_ended: n / 13, recent_failed: n / 17, recent_slow: n / 19, ..counts };
+        let t = OutcomeCounters {
+            failed_replicas: !n,
+            recent_ended: n / 13,
+            recent_failed: n / 17,
+            recent_slow: n / 19,
+            ..counts
+        };
         let poll = Poll {
             sent_at: n,
             after_position: n / 2,
@@ -55,10 +75,17 @@
             counters: List(vec![t]),
             ..Poll::default()
         };
-        let e = Envelope { from: "e".into(), addr: "e".into(), msg: poll.into() };
+        let e = Envelope {
+            from: "e".into(),
+            addr: "e".into(),
+            msg: poll.into(),
+        };
         let v = encode(&e).unwrap();
         assert_eq!(decode(&v[4..]), Ok(e.clone()));
-        assert!((4..v.len()).all(|i| decode(&v[4..i]).is_err()), "{n} cut short");
+        assert!(
+            (4..v.len()).all(|i| decode(&v[4..i]).is_err()),
+            "{n} cut short"
+        );
     }
 }
 
@@ -68,9 +95,21 @@
     for n in [MAX_NAME + 1, MAX_LIST + 1, MAX_FRAME + 1, usize::MAX] {
         let mut b = written(n as u64);
         b.extend([0; 8]);
-        assert_eq!(Name::read_be(&mut Cursor::new(&b)).is_err_and(refused), n > MAX_NAME, "{n}");
-        assert_eq!(List::<u64>::read_be(&mut Cursor::new(&b)).is_err_and(refused), n > MAX_LIST, "{n}");
-        assert_eq!(Blob::read_be(&mut Cursor::new(&b)).is_err_and(refused), n > MAX_FRAME, "{n}");
+        assert_eq!(
+            Name::read_be(&mut Cursor::new(&b)).is_err_and(refused),
+            n > MAX_NAME,
+            "{n}"
+        );
+        assert_eq!(
+            List::<u64>::read_be(&mut Cursor::new(&b)).is_err_and(refused),
+            n > MAX_LIST,
+            "{n}"
+        );
+        assert_eq!(
+            Blob::read_be(&mut Cursor::new(&b)).is_err_and(refused),
+            n > MAX_FRAME,
+            "{n}"
+        );
     }
     for n in [0, 1, 127, 128, MAX_NAME] {
         let name = Name("x".repeat(n));
--- a/wire-messages/src/frame.rs
+++ b/wire-messages/src/frame.rs
@@ -21,7 +21,10 @@
         match self {
             FrameFault::TooLong(n) => write!(f, "frame of {n} bytes is over {MAX_FRAME}"),
             FrameFault::Malformed(s) => write!(f, "malformed frame: {s}"),
-            FrameFault::Version(v) => write!(f, "message version {v} from the peer, this process speaks {WIRE}"),
+            FrameFault::Version(v) => write!(
+                f,
+                "message version {v} from the peer, this process speaks {WIRE}"
+            ),
             FrameFault::Trailing(n) => write!(f, "{n} bytes left after the message"),
         }
     }
@@ -31,15 +34,21 @@
 /// Checks the length prefix before anything is read for it.
 pub fn read_length(b: [u8; 4]) -> Result<usize, FrameFault> {
     let n = u32::from_be_bytes(b) as usize;
-    if n > MAX_FRAME { Err(FrameFault::TooLong(n)) } else { Ok(n) }
+    if n > MAX_FRAME {
+        Err(FrameFault::TooLong(n))
+    } else {
+        Ok(n)
+    }
 }
 
 /// The frame's bytes, length prefix included.
 pub fn encode(e: &Envelope) -> Result<Vec<u8>, FrameFault> {
     let mut c = Cursor::new(vec![0u8; 4]);
     c.set_position(4);
-    WIRE.write_be(&mut c).map_err(|e| FrameFault::Malformed(e.to_string()))?;
-    e.write_be(&mut c).map_err(|e| FrameFault::Malformed(e.to_string()))?;
+    WIRE.write_be(&mut c)
+        .map_err(|e| FrameFault::Malformed(e.to_string()))?;
+    e.write_be(&mut c)
+        .map_err(|e| FrameFault::Malformed(e.to_string()))?;
     let mut v = c.into_inner();
     let n = v.len() - 4;
     if n > MAX_FRAME {
@@ -59,7 +68,11 @@
     }
     let e = Envelope::read_be(&mut c).map_err(|e| FrameFault::Malformed(e.to_string()))?;
     let left = b.len() - c.position() as usize;
-    if left > 0 { Err(FrameFault::Trailing(left)) } else { Ok(e) }
+    if left > 0 {
+        Err(FrameFault::Trailing(left))
+    } else {
+        Ok(e)
+    }
 }
 
 #[cfg(test)]
--- a/wire-messages/src/frame/tests.rs
+++ b/wire-messages/src/frame/tests.rs
@@ -6,7 +6,11 @@
     let e = Envelope {
         from: "c1".into(),
         addr: "127.0.0.1:1".into(),
-        msg: Message::Prepare(Prepare { key: "spec".into(), epoch: 7, member_epoch: 1 }),
+        msg: Message::Prepare(Prepare {
+            key: "spec".into(),
+            epoch: 7,
+            member_epoch: 1,
+        }),
     };
     let v = encode(&e).unwrap();
     assert_eq!(read_length(v[..4].try_into().unwrap()), Ok(v.len() - 4));
@@ -26,5 +30,8 @@
     let mut w = v[4..].to_vec();
     w.push(0);
     assert_eq!(decode(&w), Err(FrameFault::Trailing(1)));
-    assert!(matches!(read_length([0xff; 4]), Err(FrameFault::TooLong(_))));
+    assert!(matches!(
+        read_length([0xff; 4]),
+        Err(FrameFault::TooLong(_))
+    ));
 }
--- a/wire-messages/tests/frames.rs
+++ b/wire-messages/tests/frames.rs
@@ -61,7 +61,11 @@
 }
 
 fn envelope(msg: Message) -> Envelope {
-    Envelope { from: "sender".into(), addr: "127.0.0.1:4100".into(), msg }
+    Envelope {
+        from: "sender".into(),
+        addr: "127.0.0.1:4100".into(),
+        msg,
+    }
 }
 
 fn hexadecimal(bytes: &[u8]) -> String {
@@ -70,7 +74,10 @@
 
 fn from_hexadecimal(text: &str) -> Vec<u8> {
     let digits: Vec<char> = text.chars().collect();
-    digits.chunks(2).map(|pair| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|pair| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap())
+        .collect()
 }
 
 fn frame_line(msg: Message) -> String {
@@ -82,7 +89,11 @@
 fn every_message_is_written_as_the_fixture_has_it() {
     let written: Vec<String> = instances().into_iter().map(frame_line).collect();
     if std::env::var_os("WRITE_FRAMES").is_some() {
-        std::fs::write(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/frames.hex"), written.join("\n") + "\n").unwrap();
+        std::fs::write(
+            concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/frames.hex"),
+            written.join("\n") + "\n",
+        )
+        .unwrap();
         panic!("the fixture was written anew; run again without WRITE_FRAMES");
     }
     let expected: Vec<&str> = FIXTURE.lines().collect();
@@ -107,6 +118,9 @@
 
 #[test]
 fn the_fixture_has_every_message() {
-    let names: std::collections::BTreeSet<&str> = FIXTURE.lines().filter_map(|line| line.split(' ').next()).collect();
+    let names: std::collections::BTreeSet<&str> = FIXTURE
+        .lines()
+        .filter_map(|line| line.split(' ').next())
+        .collect();
     assert_eq!(names.len(), NUMBER_OF_MESSAGES);
 }
