--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -200,7 +200,7 @@
             event(events::DISK_BLANK, &self.p.name, "");
         } else {
             event(
-                events::DISK_BACK,
+                events::DISK_RECOVERED,
                 &self.p.name,
                 &format!("{} rows", rows.len()),
             );
@@ -225,11 +225,11 @@
     ) {
         // The process may have slept between the decision and here.
         if clock::now() >= until {
-            event(events::LEASE_LAPSED, &service, "an order was dropped");
+            event(events::LEASE_EXPIRED, &service, "an order was dropped");
             return;
         }
         let text = format!("{order:?}");
-        event(events::ORDER, &service, &text);
+        event(events::REPLICA_ORDER, &service, &text);
         let (c, platform) = (self.client.clone(), self.platform.clone());
         let f = async move {
             let r = match order {
@@ -284,7 +284,7 @@
                 }
             };
             if let Err(e) = r {
-                event(events::ORDER_FAILED, &service, &format!("{text}: {e}"));
+                event(events::REPLICA_ORDER_FAILED, &service, &format!("{text}: {e}"));
             }
         };
         ctx.spawn(f.into_actor(self));
@@ -352,7 +352,7 @@
             me.listing = false;
             match (r, &mut me.c) {
                 (Ok(l), Some(c)) => c.on_replica_list(l, now),
-                (Err(e), _) => event(events::LIST_FAILED, &me.platform, &e.to_string()),
+                (Err(e), _) => event(events::REPLICA_LIST_FAILED, &me.platform, &e.to_string()),
                 _ => {}
             }
         });
@@ -374,7 +374,7 @@
         if c.disk_healthy != ok {
             c.disk_healthy = ok;
             let e = if ok {
-                events::DISK_BACK
+                events::DISK_RECOVERED
             } else {
                 events::DISK_FAILED
             };
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -434,7 +434,7 @@
         // Once compared, a write under way does not unsettle: it is this life's own news.
         self.is_settled |= was && self.registers.voting;
         if self.is_settled && !was {
-            out.push(log_event(events::SETTLED, &self.config.name, ""));
+            out.push(log_event(events::STATE_COMMITTED, &self.config.name, ""));
         }
         self.finish(now, out)
     }
@@ -458,7 +458,7 @@
                 && self.stalled_loops.insert(s.name.clone())
             {
                 out.push(log_event(
-                    events::LOOP_RESTS,
+                    events::ROLLOUT_LOOP_STALLED,
                     &s.name,
                     format!("{} ms", now - at),
                 ));
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -57,7 +57,7 @@
                     .strip_prefix(DRAINING_PREFIX)
                     .filter(|_| !c.value.0.is_empty())
                 {
-                    out.push(log_event(events::LEAVING, r, ""));
+                    out.push(log_event(events::REPLICA_DRAINING, r, ""));
                 }
                 self.feed_position += 1;
                 let fed = self.feed.entry(c.key.clone()).or_default();
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -41,12 +41,12 @@
                     let e = Expect::Version(c.version);
                     self.registers
                         .propose(NO_CALLER, &key, e, Blob::default(), now, out);
-                    out.push(log_event(events::CONTEXT_OFF, &s.name, ""));
+                    out.push(log_event(events::CONTEXT_DISABLED, &s.name, ""));
                 }
                 continue;
             };
             let d = self.context_roles.entry(s.name.clone()).or_insert_with(|| {
-                out.push(log_event(events::CONTEXT_DUTY, &s.name, ""));
+                out.push(log_event(events::CONTEXT_ROLE_ACQUIRED, &s.name, ""));
                 ContextRole {
                     held_since: now,
                     written_at: 0,
@@ -103,7 +103,7 @@
             d.written_at = now;
             let (was, n) = (old.map_or(0, |o| o.parts.len()), next.parts.len());
             out.push(log_event(
-                events::CONTEXT_MOVED,
+                events::CONTEXT_PLACEMENT_CHANGED,
                 &s.name,
                 format!("{was} to {n} copies"),
             ));
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -218,7 +218,7 @@
             longest_ms: longest,
         } = silent;
         let text = format!("edges={edges} longest_ms={longest} polled={polled} live={live}");
-        log_event(events::SILENT_EDGES_NAMED, caller.region, text)
+        log_event(events::UNREACHABLE_EDGES_LISTED, caller.region, text)
     }
 
     /// How long ago an edge was last heard of, by its own polls or by gossip.
@@ -259,7 +259,7 @@
             .map(|(region, n)| format!("{region}:{n}"))
             .collect();
         log_event(
-            events::CALLERS_SENT_FAR,
+            events::CALLERS_ROUTED_REMOTE,
             caller.region,
             format!("{text} serving={}", serving.join(",")),
         )
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -35,11 +35,11 @@
 
 fn alert_event(alert: &str) -> Event {
     match alert {
-        "stuck" => events::STUCK,
-        "plan_late" => events::PLAN_LATE,
-        "stable_fails" => events::STABLE_FAILS,
+        "stuck" => events::ROLLOUT_STUCK,
+        "plan_late" => events::PLAN_OVERDUE,
+        "stable_fails" => events::STABLE_UNHEALTHY,
         "plan_at_risk" => events::PLAN_AT_RISK,
-        _ => events::UNLOAD_WAITS,
+        _ => events::UNLOAD_BLOCKED,
     }
 }
 
@@ -47,7 +47,7 @@
 fn log_changes(service: &str, old: &RolloutRecord, next: &RolloutRecord, out: &mut Effects) {
     if next.phase != old.phase {
         out.push(log_event(
-            events::PHASE,
+            events::ROLLOUT_PHASE,
             service,
             format!("{:?} to {:?}", old.phase, next.phase),
         ));
@@ -219,7 +219,7 @@
         };
         let stepped = l.step(old, &inputs);
         if let Some(version) = l.bad_version.take() {
-            out.push(log_event(events::BAD_VERSION, &service.name, version));
+            out.push(log_event(events::VERSION_UNHEALTHY, &service.name, version));
         }
         self.loops.insert(service.name.clone(), l);
         stepped
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -161,7 +161,7 @@
         self.registers.voting = true;
         // Until others know that it votes they take its keys.
         self.next_heartbeat = 0;
-        out.push(log_event(events::GENESIS, &self.config.name, ""));
+        out.push(log_event(events::BOOTSTRAPPED, &self.config.name, ""));
         out.push(Effect::Persist {
             rows: vec![self.registers.members_row()],
             then: vec![],
@@ -359,7 +359,7 @@
         };
         let names: Vec<&str> = next.iter().map(|v| &*v.name).collect();
         out.push(log_event(
-            events::PLACE_GIVEN,
+            events::VOTERS_CHANGED,
             &self.config.name,
             names.join(" "),
         ));
--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -487,7 +487,7 @@
         {
             self.is_ready = true;
             out.push(log_event(
-                events::STARTER_READY,
+                events::EDGE_READY,
                 &self.membership.me().name,
                 "",
             ));
@@ -571,7 +571,7 @@
             }
         }
         if got > 0 {
-            out.push(log_event(events::MENDED, addr, format!("{got} keys")));
+            out.push(log_event(events::STATE_REPAIRED, addr, format!("{got} keys")));
         }
     }
 
@@ -623,7 +623,7 @@
         };
         if rule != self.serving_rule {
             out.push(log_event(
-                events::RULE,
+                events::SERVING_RULE_CHANGED,
                 &self.membership.me().name,
                 format!("{} to {rule}", self.serving_rule),
             ));
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -230,7 +230,7 @@
         if now.saturating_sub(k.heartbeat_at) <= gone {
             k.live = true;
             out.push(log_event(
-                events::NODE_FOUND,
+                events::NODE_REACHABLE,
                 name,
                 if new {
                     k.node.addr.to_string()
@@ -387,7 +387,7 @@
             .filter(|k| k.live && now.saturating_sub(k.heartbeat_at) > gone)
         {
             k.live = false;
-            out.push(log_event(events::NODE_GONE, &k.node.name, ""));
+            out.push(log_event(events::NODE_UNREACHABLE, &k.node.name, ""));
         }
         self.known
             .retain(|_, k| now.saturating_sub(k.heartbeat_at) < NODE_RETENTION);
--- a/coordination/src/register/owner.rs
+++ b/coordination/src/register/owner.rs
@@ -417,7 +417,7 @@
             version: best.version,
         };
         out.push(log_event(
-            events::OWNER,
+            events::KEY_OWNED,
             &self.name,
             format!("{key} epoch {} version {}", o.epoch, best.version),
         ));
@@ -459,7 +459,7 @@
         if m.accepted == 0 {
             if m.promised_epoch > o.epoch {
                 out.push(log_event(
-                    events::DEPOSED,
+                    events::OWNERSHIP_LOST,
                     from,
                     format!("{} epoch {}", m.key, o.epoch),
                 ));
@@ -484,7 +484,7 @@
         };
         if let Some(token) = w.token {
             out.push(log_event(
-                events::ACCEPTED,
+                events::WRITE_COMMITTED,
                 &self.name,
                 format!("{} version {}", m.key, w.version),
             ));
--- a/coordination/src/register/voters.rs
+++ b/coordination/src/register/voters.rs
@@ -37,7 +37,7 @@
         (self.member_epoch, self.previous_voter_count, self.voters) =
             (member_epoch, before, voters);
         out.push(log_event(
-            events::MEMBERS,
+            events::MEMBER_EPOCH,
             &self.name,
             format!("epoch {member_epoch}"),
         ));
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -159,7 +159,7 @@
             .all
             .iter()
             .flat_map(|d| &d.notes)
-            .filter(|n| n.1 == "DEPOSED")
+            .filter(|n| n.1 == "OWNERSHIP_LOST")
             .count();
     }
     expect_that!((deposed, late), eq((0, 0)));
--- a/daemon-parts/src/channels.rs
+++ b/daemon-parts/src/channels.rs
@@ -60,7 +60,7 @@
         let kind = e.msg.name();
         let b = match encode(&e) {
             Ok(b) => b,
-            Err(f) => return event(events::CHANNEL_BAD_FRAME, to, &format!("own {kind}: {f}")),
+            Err(f) => return event(events::INVALID_FRAME, to, &format!("own {kind}: {f}")),
         };
         // A writer that had nothing to write has ended: daemons come and go, and those that went cost nothing.
         if self.out.get(to).is_none_or(mpsc::Sender::is_closed) {
@@ -110,7 +110,7 @@
         }
         let Some(s) = open.as_mut() else { continue };
         if !matches!(timeout(WRITE_LIMIT, s.write_all(&b)).await, Ok(Ok(()))) {
-            event(events::CHANNEL_LOST, &to, "while writing");
+            event(events::CONNECTION_LOST, &to, "while writing");
             open = None;
         }
     }
@@ -137,7 +137,7 @@
             let _ = incoming(&s);
             actix_rt::spawn(async move {
                 if let Err(why) = read_frames(s, inbox).await {
-                    event(events::CHANNEL_BAD_FRAME, &peer.to_string(), &why);
+                    event(events::INVALID_FRAME, &peer.to_string(), &why);
                 }
                 drop(p);
             });
--- a/daemon-parts/src/params.rs
+++ b/daemon-parts/src/params.rs
@@ -240,7 +240,7 @@
         }
         Ok(p) => p,
         Err(faults) => {
-            let e = coordination::events::PARAMS_BAD;
+            let e = coordination::events::SETTINGS_INVALID;
             faults
                 .iter()
                 .for_each(|f| eprintln!("{} {} {f}", e.number, e.name));
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -185,7 +185,7 @@
         // Only the agent beside this proxy tells it anything.
         if m.0.addr != self.agent {
             return event(
-                coordination::events::CHANNEL_BAD_FRAME,
+                coordination::events::INVALID_FRAME,
                 &m.0.addr,
                 "is not this proxy's agent",
             );
@@ -298,7 +298,7 @@
     fn handle(&mut self, m: Done, _: &mut Self::Context) {
         let suspect = hold(&self.brain).done(&m.0, m.1, clock::now());
         if let Some(v) = suspect {
-            event(coordination::events::SUSPECT, &m.0.replica, &v);
+            event(coordination::events::VERSION_SUSPECTED, &m.0.replica, &v);
         }
         self.wake();
     }
--- a/edge-proxy/src/answer.rs
+++ b/edge-proxy/src/answer.rs
@@ -200,7 +200,7 @@
 
     /// The replica cut its answer off. A stream goes on at another, behind the last whole event.
     async fn cut(&mut self, why: String) -> Result<(), String> {
-        event(events::ROUND_FAILED, &self.flight.placed.replica, &why);
+        event(events::ATTEMPT_FAILED, &self.flight.placed.replica, &why);
         self.flight.end(PassEnd::Failed);
         self.channel = None;
         let Some(e) = self.events.as_mut().filter(|e| e.resumable()) else {
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -111,7 +111,7 @@
             Step::Call(p) => {
                 let x = round::begin(&client(), &r.q, &p, until).await;
                 if let Err(e) = &x {
-                    event(events::ROUND_FAILED, &p.replica, &e.to_string());
+                    event(events::ATTEMPT_FAILED, &p.replica, &e.to_string());
                     let _ = b.send(Done(p, e.ended())).await;
                 }
                 Got::Begun(x.map(|round| begun = Some(round)))
@@ -164,9 +164,9 @@
     });
     let r = r.await.map_err(|a| a.1)?;
     let e = if r.is_ok() {
-        events::SECOND_ROUND
+        events::RETRIED
     } else {
-        events::NO_BUDGET
+        events::RETRY_BUDGET_EXHAUSTED
     };
     event(e, "caller", request);
     r
@@ -191,7 +191,7 @@
                     .as_ref()
                     .and_then(|e| e.fault.as_ref())
                     .map(|f| f.to_string());
-                event(events::ROUND_FAILED, &p.replica, &f.unwrap_or_default());
+                event(events::ATTEMPT_FAILED, &p.replica, &f.unwrap_or_default());
                 (l, Some(Ended::Failed))
             }
         };
--- a/edge-proxy/src/pass.rs
+++ b/edge-proxy/src/pass.rs
@@ -107,10 +107,10 @@
             return Err(self.give_up("no further round is allowed"));
         }
         if !hold(&self.brain).second_pass(&self.service, clock::now()) {
-            event(events::NO_BUDGET, "caller", &self.ask.round);
+            event(events::RETRY_BUDGET_EXHAUSTED, "caller", &self.ask.round);
             return Err(self.give_up("the budget for further rounds is spent"));
         }
-        event(events::SECOND_ROUND, "caller", &self.ask.round);
+        event(events::RETRIED, "caller", &self.ask.round);
         self.drawn = true;
         Ok(())
     }
@@ -201,11 +201,11 @@
             // That is our own bound: the replica is none the worse for it.
             Unopened::Full => f.end(PassEnd::Full),
             Unopened::Lost(why) => {
-                event(events::ROUND_FAILED, &f.placed.replica, &why);
+                event(events::ATTEMPT_FAILED, &f.placed.replica, &why);
                 f.end(PassEnd::Unreachable);
             }
             Unopened::Dark(why) => {
-                event(events::ROUND_FAILED, &f.placed.replica, &why);
+                event(events::ATTEMPT_FAILED, &f.placed.replica, &why);
                 f.end(PassEnd::Dark);
             }
         }
@@ -228,7 +228,7 @@
             f.end(PassEnd::Dropped);
             return Round::End(too_large());
         }
-        event(events::ROUND_FAILED, &f.placed.replica, why);
+        event(events::ATTEMPT_FAILED, &f.placed.replica, why);
         f.end(PassEnd::Failed);
         self.tried.push(f.placed.replica.clone());
         self.perhaps = true;
@@ -261,7 +261,7 @@
                 body,
             }));
         }
-        event(events::ROUND_FAILED, &f.placed.replica, "it did not run it");
+        event(events::ATTEMPT_FAILED, &f.placed.replica, "it did not run it");
         f.end(if told.other {
             PassEnd::Other
         } else {
--- a/edge-proxy/src/shared.rs
+++ b/edge-proxy/src/shared.rs
@@ -46,7 +46,7 @@
         }
         let suspect = hold(&self.brain).passed(&self.placed, e, clock::now());
         if let Some(v) = suspect {
-            event(events::SUSPECT, &self.placed.replica, &v);
+            event(events::VERSION_SUSPECTED, &self.placed.replica, &v);
         }
     }
 }
--- a/edge-proxy/src/stopping.rs
+++ b/edge-proxy/src/stopping.rs
@@ -96,7 +96,7 @@
             taken.saturating_sub(asked),
             clock::now() - asked
         );
-        event(events::REQUESTS_CUT, "", &text);
+        event(events::REQUESTS_ABORTED, "", &text);
     }
     s.over.send_replace(true);
     h.pause().await;
