--- a/wire-messages/src/fields.rs
+++ b/wire-messages/src/fields.rs
@@ -1,4 +1,4 @@
-//! The three field shapes that `binrw` has no bounded form of: text, bytes and lists.
+//! The field shapes that `binrw` has no bounded form of: text, bytes, lists and numbers of variable length.
 
 use std::{fmt, io, io::Read, ops::Deref};
 
@@ -6,39 +6,39 @@
 
 use crate::{MAX_FRAME, MAX_LIST, MAX_NAME};
 
-/// How many follow, as a varint. It is held against its limit before anything is read for it.
-fn read_count<R: io::Read + io::Seek>(
-    r: &mut R,
-    e: Endian,
+/// Reads a length as a [`Varint`] and compares it with its limit before anything is read or reserved for it.
+fn read_length<R: io::Read + io::Seek>(
+    reader: &mut R,
+    endian: Endian,
     what: &str,
-    most: usize,
+    limit: usize,
 ) -> BinResult<usize> {
-    let n = usize::try_from(Varint::read_options(r, e, ())?.0).unwrap_or(usize::MAX);
-    if n > most {
-        Err(too_long(r.stream_position()?, what, n))
-    } else {
-        Ok(n)
+    let encoded = Varint::read_options(reader, endian, ())?.0;
+    let length = usize::try_from(encoded).unwrap_or(usize::MAX);
+    if length > limit {
+        return Err(too_long(reader.stream_position()?, what, length));
     }
+    Ok(length)
 }
 
-fn too_long(at: u64, what: &str, n: usize) -> binrw::Error {
+fn too_long(position: u64, what: &str, length: usize) -> binrw::Error {
     binrw::Error::AssertFail {
-        pos: at,
-        message: format!("{what} of {n} is over its limit"),
+        pos: position,
+        message: format!("{what} of {length} is over its limit"),
     }
 }
 
-fn read_bytes<R: io::Read + io::Seek>(r: &mut R, n: usize) -> BinResult<Vec<u8>> {
-    // Grow with what really arrives, so that a lying length cannot reserve memory.
-    let mut v = Vec::new();
-    io::Read::take(r, n as u64).read_to_end(&mut v)?;
-    if v.len() < n {
+fn read_bytes<R: io::Read + io::Seek>(reader: &mut R, length: usize) -> BinResult<Vec<u8>> {
+    // The buffer grows with what really arrives, so that a false length cannot reserve memory.
+    let mut bytes = Vec::new();
+    io::Read::take(reader, length as u64).read_to_end(&mut bytes)?;
+    if bytes.len() < length {
         return Err(binrw::Error::Io(io::ErrorKind::UnexpectedEof.into()));
     }
-    Ok(v)
+    Ok(bytes)
 }
 
-/// A short UTF-8 label.
+/// A short UTF-8 label of at most [`MAX_NAME`] bytes.
 #[derive(
     Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
@@ -51,75 +51,102 @@
         &self.0
     }
 }
+
 impl std::borrow::Borrow<str> for Name {
     fn borrow(&self) -> &str {
         &self.0
     }
 }
+
 impl<T: Into<String>> From<T> for Name {
-    fn from(s: T) -> Self {
-        Name(s.into())
+    fn from(text: T) -> Self {
+        Name(text.into())
     }
 }
+
 impl fmt::Debug for Name {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
+
 impl fmt::Display for Name {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
+
 impl BinRead for Name {
     type Args<'a> = ();
-    fn read_options<R: io::Read + io::Seek>(r: &mut R, e: Endian, _: ()) -> BinResult<Self> {
-        let n = read_count(r, e, "name", MAX_NAME)?;
-        let at = r.stream_position()?;
-        String::from_utf8(read_bytes(r, n)?)
+    fn read_options<R: io::Read + io::Seek>(
+        reader: &mut R,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<Self> {
+        let length = read_length(reader, endian, "name", MAX_NAME)?;
+        let position = reader.stream_position()?;
+        let bytes = read_bytes(reader, length)?;
+        String::from_utf8(bytes)
             .map(Name)
-            .map_err(|e| binrw::Error::Custom {
-                pos: at,
-                err: Box::new(e.to_string()),
+            .map_err(|error| binrw::Error::Custom {
+                pos: position,
+                err: Box::new(error.to_string()),
             })
     }
 }
+
 impl BinWrite for Name {
     type Args<'a> = ();
-    fn write_options<W: io::Write + io::Seek>(&self, w: &mut W, e: Endian, _: ()) -> BinResult<()> {
+    fn write_options<W: io::Write + io::Seek>(
+        &self,
+        writer: &mut W,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<()> {
         if self.0.len() > MAX_NAME {
             return Err(too_long(0, "name", self.0.len()));
         }
-        Varint(self.0.len() as u64).write_options(w, e, ())?;
-        Ok(w.write_all(self.0.as_bytes())?)
+        Varint(self.0.len() as u64).write_options(writer, endian, ())?;
+        Ok(writer.write_all(self.0.as_bytes())?)
     }
 }
 
-/// Opaque bytes: the value of a key.
+/// Opaque bytes: the value of a key, of at most [`MAX_FRAME`] bytes.
 #[derive(Clone, Default, PartialEq, Eq, Hash)]
 pub struct Blob(pub Vec<u8>);
 
 impl fmt::Debug for Blob {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}B", self.0.len())
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{}B", self.0.len())
     }
 }
+
 impl BinRead for Blob {
     type Args<'a> = ();
-    fn read_options<R: io::Read + io::Seek>(r: &mut R, e: Endian, _: ()) -> BinResult<Self> {
-        let n = read_count(r, e, "blob", MAX_FRAME)?;
-        read_bytes(r, n).map(Blob)
+    fn read_options<R: io::Read + io::Seek>(
+        reader: &mut R,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<Self> {
+        let length = read_length(reader, endian, "blob", MAX_FRAME)?;
+        read_bytes(reader, length).map(Blob)
     }
 }
+
 impl BinWrite for Blob {
     type Args<'a> = ();
-    fn write_options<W: io::Write + io::Seek>(&self, w: &mut W, e: Endian, _: ()) -> BinResult<()> {
-        Varint(self.0.len() as u64).write_options(w, e, ())?;
-        Ok(w.write_all(&self.0)?)
+    fn write_options<W: io::Write + io::Seek>(
+        &self,
+        writer: &mut W,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<()> {
+        Varint(self.0.len() as u64).write_options(writer, endian, ())?;
+        Ok(writer.write_all(&self.0)?)
     }
 }
 
-/// A bounded list of messages' parts.
+/// A list of at most [`MAX_LIST`] items.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct List<T>(pub Vec<T>);
 
@@ -128,17 +155,20 @@
         List(Vec::new())
     }
 }
+
 impl<T> Deref for List<T> {
     type Target = Vec<T>;
     fn deref(&self) -> &Vec<T> {
         &self.0
     }
 }
+
 impl<T> FromIterator<T> for List<T> {
-    fn from_iter<I: IntoIterator<Item = T>>(i: I) -> Self {
-        List(i.into_iter().collect())
+    fn from_iter<I: IntoIterator<Item = T>>(items: I) -> Self {
+        List(items.into_iter().collect())
     }
 }
+
 impl<T> IntoIterator for List<T> {
     type Item = T;
     type IntoIter = std::vec::IntoIter<T>;
@@ -146,67 +176,94 @@
         self.0.into_iter()
     }
 }
+
 impl<T: for<'a> BinRead<Args<'a> = ()>> BinRead for List<T> {
     type Args<'a> = ();
-    fn read_options<R: io::Read + io::Seek>(r: &mut R, e: Endian, _: ()) -> BinResult<Self> {
-        let n = read_count(r, e, "list", MAX_LIST)?;
-        (0..n)
-            .map(|_| T::read_options(r, e, ()))
+    fn read_options<R: io::Read + io::Seek>(
+        reader: &mut R,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<Self> {
+        let length = read_length(reader, endian, "list", MAX_LIST)?;
+        (0..length)
+            .map(|_| T::read_options(reader, endian, ()))
             .collect::<BinResult<Vec<T>>>()
             .map(List)
     }
 }
+
 impl<T: for<'a> BinWrite<Args<'a> = ()>> BinWrite for List<T> {
     type Args<'a> = ();
-    fn write_options<W: io::Write + io::Seek>(&self, w: &mut W, e: Endian, _: ()) -> BinResult<()> {
+    fn write_options<W: io::Write + io::Seek>(
+        &self,
+        writer: &mut W,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<()> {
         if self.0.len() > MAX_LIST {
             return Err(too_long(0, "list", self.0.len()));
         }
-        Varint(self.0.len() as u64).write_options(w, e, ())?;
-        self.0.iter().try_for_each(|x| x.write_options(w, e, ()))
+        Varint(self.0.len() as u64).write_options(writer, endian, ())?;
+        self.0
+            .iter()
+            .try_for_each(|item| item.write_options(writer, endian, ()))
     }
 }
 
-/// A whole number that is small most of the time: seven bits a byte, the lowest first, as LEB128 has it.
+/// An unsigned number that is small most of the time, as LEB128: seven bits a byte, the lowest first. Each number has
+/// exactly one encoding; longer ones are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Varint(pub u64);
 
 impl Varint {
-    /// Bits that a byte carries, and the mark that another follows.
+    /// Bits of the number in one byte.
     const BITS: u32 = 7;
-    const MORE: u8 = 1 << Self::BITS;
+    /// Set in a byte that is not the last.
+    const CONTINUES: u8 = 1 << Self::BITS;
 }
+
 impl BinRead for Varint {
     type Args<'a> = ();
-    fn read_options<R: io::Read + io::Seek>(r: &mut R, e: Endian, _: ()) -> BinResult<Self> {
-        let mut n = 0u64;
-        for at in (0..u64::BITS).step_by(Self::BITS as usize) {
-            let b = u8::read_options(r, e, ())?;
-            let part = u64::from(b & !Self::MORE);
-            // What does not fit was not written below, nor was a number longer than it must be.
-            if (part << at) >> at != part || (b == 0 && at > 0) {
+    fn read_options<R: io::Read + io::Seek>(
+        reader: &mut R,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<Self> {
+        let mut number = 0u64;
+        for shift in (0..u64::BITS).step_by(Self::BITS as usize) {
+            let byte = u8::read_options(reader, endian, ())?;
+            let bits = u64::from(byte & !Self::CONTINUES);
+            let overflows = (bits << shift) >> shift != bits;
+            let is_padding = byte == 0 && shift > 0;
+            if overflows || is_padding {
                 break;
             }
-            n |= part << at;
-            if b & Self::MORE == 0 {
-                return Ok(Varint(n));
+            number |= bits << shift;
+            if byte & Self::CONTINUES == 0 {
+                return Ok(Varint(number));
             }
         }
         Err(binrw::Error::AssertFail {
-            pos: r.stream_position()?,
-            message: "no whole number of 64 bits".into(),
+            pos: reader.stream_position()?,
+            message: "not an unsigned number of 64 bits".into(),
         })
     }
 }
+
 impl BinWrite for Varint {
     type Args<'a> = ();
-    fn write_options<W: io::Write + io::Seek>(&self, w: &mut W, e: Endian, _: ()) -> BinResult<()> {
-        let mut n = self.0;
-        while n >= u64::from(Self::MORE) {
-            (n as u8 | Self::MORE).write_options(w, e, ())?;
-            n >>= Self::BITS;
+    fn write_options<W: io::Write + io::Seek>(
+        &self,
+        writer: &mut W,
+        endian: Endian,
+        _: (),
+    ) -> BinResult<()> {
+        let mut number = self.0;
+        while number >= u64::from(Self::CONTINUES) {
+            (number as u8 | Self::CONTINUES).write_options(writer, endian, ())?;
+            number >>= Self::BITS;
         }
-        (n as u8).write_options(w, e, ())
+        (number as u8).write_options(writer, endian, ())
     }
 }
 
--- a/wire-messages/src/fields/tests.rs
+++ b/wire-messages/src/fields/tests.rs
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn a_varint_comes_back_and_takes_a_byte_for_each_seven_bits() {
-    let edges = (0..64)
+fn a_varint_round_trips_in_one_byte_for_each_seven_bits() {
+    let boundaries = (0..64)
         .flat_map(|i| [(1u64 << i) - 1, 1 << i, (1 << i) + 1])
         .chain([u64::MAX]);
-    for n in edges {
+    for n in boundaries {
         let b = written(n);
         assert_eq!(
             b.len(),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_varint_is_written_in_one_way_only() {
+fn a_varint_has_exactly_one_encoding() {
     // Longer than it must be, more than 64 bits, and without an end.
     for b in [
         vec![0x80, 0],
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_tally_returns_whole_whatever_its_counts() {
+fn outcome_counters_round_trip_whatever_their_values() {
     for n in [0, 1, 127, 128, 1 << 40, u64::MAX] {
         let counts = OutcomeCounters {
             sent: n,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_length_over_its_limit_is_refused_before_anything_is_read_for_it() {
+fn a_length_over_its_limit_is_refused_before_its_bytes_are_read() {
     let refused = |e: binrw::Error| e.to_string().contains("over its limit");
     for n in [MAX_NAME + 1, MAX_LIST + 1, MAX_FRAME + 1, usize::MAX] {
         let mut b = written(n as u64);
--- a/wire-messages/src/frame/tests.rs
+++ b/wire-messages/src/frame/tests.rs
@@ -2,7 +2,7 @@
 use crate::*;
 
 #[test]
-fn a_frame_returns_whole_and_garbage_never_panics() {
+fn a_frame_round_trips_and_malformed_bytes_never_panic() {
     let e = Envelope {
         from: "c1".into(),
         addr: "127.0.0.1:1".into(),
@@ -26,12 +26,12 @@
     }
     let mut w = v[4..].to_vec();
     w[1] += 1;
-    assert_eq!(decode(&w), Err(FrameFault::Version(WIRE + 1)));
+    assert_eq!(decode(&w), Err(FrameError::Version(WIRE_VERSION + 1)));
     let mut w = v[4..].to_vec();
     w.push(0);
-    assert_eq!(decode(&w), Err(FrameFault::Trailing(1)));
+    assert_eq!(decode(&w), Err(FrameError::Trailing(1)));
     assert!(matches!(
         read_length([0xff; 4]),
-        Err(FrameFault::TooLong(_))
+        Err(FrameError::TooLong(_))
     ));
 }
--- a/wire-messages/src/lib.rs
+++ b/wire-messages/src/lib.rs
@@ -1,21 +1,27 @@
-//! Messages between landingslip's own processes, in `binrw`, every length bounded.
-//! The types hold no I/O; `daemon-parts` moves them over TCP and the simulator over virtual time.
+//! Messages between landingslip's own processes, in `binrw`, with a bound on every length.
+//!
+//! The types do no I/O: `daemon-parts` moves frames over TCP, the simulator over virtual time. Start at [`Message`];
+//! [`encode`] and [`decode`] turn an [`Envelope`] into a frame and back. `tests/frames.rs` holds every message to its bytes.
+
+#![deny(missing_docs)]
 
 mod fields;
 mod frame;
 mod messages;
+mod parts;
 
 use fields::Varint;
 pub use fields::{Blob, List, Name};
-pub use frame::{FrameFault, decode, encode, read_length};
+pub use frame::{FrameError, decode, encode, read_length};
 pub use messages::*;
+pub use parts::*;
 
-/// Version of the messages. It rises with every change to one of them; processes of different versions do not
-/// read each other, so a fleet is upgraded edge by edge and voter by voter (docs/operators.md).
-pub const WIRE: u16 = 12;
-/// Largest frame a peer may send, in bytes: the largest document that operators may send, and all other keys.
+/// Version of the messages. It rises with every change to one of them. Processes of different versions do not read each
+/// other, so a fleet is upgraded edge by edge and voter by voter (docs/operators.md).
+pub const WIRE_VERSION: u16 = 12;
+/// Largest body of a frame, in bytes: the largest document that operators may send, and all other keys.
 pub const MAX_FRAME: usize = 8 << 20;
-/// Largest name, in bytes: names are machine, key and version labels.
+/// Largest [`Name`], in bytes: names are labels of machines, keys and versions.
 pub const MAX_NAME: usize = 512;
-/// Most items in one list: a frame of all keys of a fleet stays far below.
+/// Most items in one [`List`]: an update with all keys of a fleet stays far below.
 pub const MAX_LIST: usize = 1 << 16;
--- a/wire-messages/tests/frames.rs
+++ b/wire-messages/tests/frames.rs
@@ -1,7 +1,7 @@
 //! The bytes of every message, as processes of this wire version write them.
 //!
 //! Each field of each message holds a value of its own, so that a field that is moved, dropped or read as another one
-//! changes the bytes. A change to a message that is meant raises [`WIRE`] and writes the fixture
+//! changes the bytes. A change to a message that is meant raises [`WIRE_VERSION`] and writes the fixture
 //! anew: `WRITE_FRAMES=1 cargo test --package wire-messages --test frames`.
 
 use wire_messages::*;
