--- a/remote-calls/src/fault.rs
+++ b/remote-calls/src/fault.rs
@@ -1,8 +1,9 @@
-//! Short ways to build the one error shape of every call.
+//! Builders for [`Fault`], the one shape in which every call reports an error.
 
 use crate::{Fault, Outcome};
 
 impl Fault {
+    /// A fault with a stable `code`, the `step` that failed, and a message for people.
     pub fn new(code: &str, step: &str, message: impl Into<String>) -> Self {
         Fault {
             code: code.into(),
@@ -15,38 +16,53 @@
             version: None,
         }
     }
-    pub fn field(mut self, f: impl Into<String>) -> Self {
-        self.field = Some(f.into());
+
+    /// Names the field of the request or document that is at fault.
+    pub fn field(mut self, field: impl Into<String>) -> Self {
+        self.field = Some(field.into());
         self
     }
-    pub fn peer(mut self, p: impl Into<String>) -> Self {
-        self.peer = Some(p.into());
+
+    /// Names the process that was called.
+    pub fn peer(mut self, peer: impl Into<String>) -> Self {
+        self.peer = Some(peer.into());
         self
     }
-    pub fn outcome(mut self, o: Outcome) -> Self {
-        self.outcome = Some(o);
+
+    /// Says whether the request has run.
+    pub fn outcome(mut self, outcome: Outcome) -> Self {
+        self.outcome = Some(outcome);
         self
     }
-    pub fn retry(mut self, ms: u64) -> Self {
-        self.retry_after_ms = Some(ms);
+
+    /// Asks the caller to retry after so many ms.
+    pub fn retry(mut self, after_ms: u64) -> Self {
+        self.retry_after_ms = Some(after_ms);
         self
     }
-    pub fn version(mut self, v: u64) -> Self {
-        self.version = Some(v);
+
+    /// Names the version that is current.
+    pub fn version(mut self, version: u64) -> Self {
+        self.version = Some(version);
         self
     }
 }
 
 impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{} at {}: {}", self.code, self.step, self.message)?;
-        if let Some(p) = &self.field {
-            write!(f, " (field {p})")?;
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(
+            formatter,
+            "{} at {}: {}",
+            self.code, self.step, self.message
+        )?;
+        if let Some(field) = &self.field {
+            write!(formatter, " (field {field})")?;
         }
-        if let Some(p) = &self.peer {
-            write!(f, " (peer {p})")?;
+        if let Some(peer) = &self.peer {
+            write!(formatter, " (peer {peer})")?;
         }
         Ok(())
     }
 }
+
 impl std::error::Error for Fault {}
--- a/remote-calls/src/lib.rs
+++ b/remote-calls/src/lib.rs
@@ -1,12 +1,21 @@
-//! Every remote call of landingslip: types and paths are built from `schema/calls.openapi.json`,
-//! and the operator's spec is read and checked here.
+//! The product's JSON interface: types and paths are built from `schema/calls.openapi.json` by `build.rs`, and the
+//! operator's spec is checked in [`spec_check`].
+//!
+//! The daemons serve these calls, `operator-command` and `runbook-runner` make them, and replicas and platforms that speak
+//! the product's own interface answer them. `tests/schema.rs` holds every path, type and property to its spelling.
+
+#![deny(missing_docs)]
 
 mod fault;
 pub mod spec_check;
 
 pub use types::*;
 
-#[allow(clippy::all, missing_docs)]
+#[allow(
+    clippy::all,
+    missing_docs,
+    reason = "generated from the schema, whose descriptions are the documentation"
+)]
 mod types {
     include!(concat!(env!("OUT_DIR"), "/types.rs"));
 }
@@ -20,13 +29,14 @@
     include!(concat!(env!("OUT_DIR"), "/paths.rs"));
 }
 
-/// A path with its one `{parameter}` filled in.
-pub fn fill(c: Call, v: &str) -> String {
-    let Some((a, rest)) = c.1.split_once('{') else {
-        return c.1.to_string();
+/// The path of a call with its one `{parameter}` replaced by a value; a path without one as it is.
+pub fn fill(call: Call, value: &str) -> String {
+    let (_, path) = call;
+    let Some((before, rest)) = path.split_once('{') else {
+        return path.to_string();
     };
-    let Some((_, b)) = rest.split_once('}') else {
-        return c.1.to_string();
+    let Some((_, after)) = rest.split_once('}') else {
+        return path.to_string();
     };
-    format!("{a}{v}{b}")
+    format!("{before}{value}{after}")
 }
