--- a/operator-command/src/objects/tests.rs
+++ b/operator-command/src/objects/tests.rs
@@ -5,7 +5,13 @@
 #[gtest]
 fn objects_end_in_the_same_checks_and_faults_name_their_place() {
     let zone = r#"{"apiVersion": "landingslip/v1", "kind": "Zone", "metadata": {"name": "bern"}, "spec": {"evacuated": true}}"#;
-    expect_that!(read(zone), ok(eq(&vec![Wanted::Zone("bern".into(), true)])));
+    expect_that!(
+        read(zone),
+        ok(eq(&vec![Object::Zone {
+            zone: "bern".into(),
+            evacuated: true
+        }]))
+    );
     let plan = r#"{"apiVersion": "landingslip/v1", "kind": "ReleasePlan", "metadata": {"name": "desk"},
         "spec": {"target": "v2", "completeWithinSeconds": 60}}"#;
     expect_that!(
