--- a/runbook-runner/src/runbook.rs
+++ b/runbook-runner/src/runbook.rs
@@ -1,30 +1,37 @@
-//! A runbook: named steps, each an operator call or a condition to wait for. Read and checked whole
-//! before the first step.
+//! A runbook: named steps, each an operator call or a condition to wait for. It is read and checked as a whole before
+//! the first step.
 
-use daemon_parts::limits::WITHIN_MAX;
 use std::collections::BTreeMap;
 
+use daemon_parts::limits::WITHIN_MAX;
 use serde::Deserialize;
 
+/// A runbook as its file has it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Runbook {
+    /// What it does, for people.
     pub about: String,
     /// Names that `--set` must give; they stand in the steps as `{name}`.
-    #[serde(default)]
-    pub takes: Vec<String>,
+    #[serde(default, rename = "takes")]
+    pub parameters: Vec<String>,
+    /// The steps, in order.
     pub steps: Vec<Step>,
 }
 
+/// One step: either a call or a wait.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
+    /// Its name, for people and the log.
     pub name: String,
+    /// The call to make.
     #[serde(default)]
     pub call: Option<Call>,
+    /// The condition to wait for.
     #[serde(default)]
-    pub wait: Option<Wait>,
-    /// s. Bound on a wait.
+    pub wait: Option<Condition>,
+    /// Bound on a wait, in seconds.
     #[serde(default)]
     pub within_s: u64,
     /// Made when the wait fails, before the runbook stops: the way back.
@@ -36,51 +43,39 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Call {
-    Evacuate {
-        zone: String,
-    },
-    Restore {
-        zone: String,
-    },
+    /// Takes all requests off a zone.
+    Evacuate { zone: String },
+    /// Lets a zone take requests again.
+    Restore { zone: String },
+    /// Moves a service to a version.
     Plan {
         service: String,
         target: String,
         complete_within_s: u64,
     },
-    KillSwitch {
-        on: bool,
-    },
+    /// Stops or allows all rollout activity.
+    KillSwitch { on: bool },
     /// Puts the accepted spec again: proves that a majority of disks takes writes.
     TouchSpec {},
 }
 
+/// What a step waits for.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Wait {
+pub enum Condition {
     /// The daemon asked has settled, and so many members are live.
-    Members {
-        live: usize,
-    },
-    /// The daemon asked hears a majority, and so many members are live, in its member epoch, and hold what it holds.
-    CaughtUp {
-        members: usize,
-    },
-    /// Every edge lately heard honours the accepted spec.
-    Honoured {
-        edges: usize,
-    },
-    Zone {
-        zone: String,
-        evacuated: bool,
-    },
+    Members { live: usize },
+    /// The daemon asked hears a majority, and so many members are live, in its member epoch, and have committed what it
+    /// has.
+    CaughtUp { members: usize },
+    /// Every edge lately heard from honours the accepted spec.
+    Honoured { edges: usize },
+    /// The zone is evacuated, or is not.
+    Zone { zone: String, evacuated: bool },
     /// No edge has a stream open on the zone's replicas any more.
-    Empty {
-        zone: String,
-    },
-    /// An edge of this name is heard and honours the accepted spec.
-    Edge {
-        edge: String,
-    },
+    Empty { zone: String },
+    /// An edge of this name is heard from and honours the accepted spec.
+    Edge { edge: String },
     /// The service is steady on this version.
     Stable {
         service: String,
@@ -89,78 +84,93 @@
         #[serde(default)]
         stop_on: Vec<String>,
     },
-    /// So many copies of a service's popular shared context stand at most; 0: none.
-    Copies {
-        service: String,
-        most: usize,
-    },
+    /// At most so many copies of a service's popular shared context are placed; 0: none.
+    Copies { service: String, most: usize },
     /// The member epoch has risen above what it was when the runbook began.
     MembersChanged {},
 }
 
-/// Reads a runbook, with the line of what is wrong.
-pub fn read(text: &str, set: &BTreeMap<String, String>) -> Result<Runbook, String> {
-    let raw: Runbook = serde_json::from_str(text).map_err(|e| format!("line {}: {e}", e.line()))?;
-    let line = |what: &str| {
-        text.lines()
-            .position(|l| l.contains(what))
-            .map_or(1, |i| i + 1)
-    };
-    for n in &raw.takes {
-        if !set.contains_key(n) {
-            return Err(format!("line {}: needs --set {n}=...", line("\"takes\"")));
+/// Reads a runbook and replaces its parameters by the values given.
+///
+/// # Errors
+/// The line of what is wrong, and why.
+pub fn read(text: &str, values: &BTreeMap<String, String>) -> Result<Runbook, String> {
+    check_parameters(&parse(text)?, text, values)?;
+    let filled = fill(text, values);
+    let runbook = parse(&filled)?;
+    if runbook.steps.is_empty() {
+        let line = line_of(text, "\"steps\"");
+        return Err(format!("line {line}: has no step"));
+    }
+    for step in &runbook.steps {
+        check_step(step, &filled)?;
+    }
+    Ok(runbook)
+}
+
+fn parse(text: &str) -> Result<Runbook, String> {
+    serde_json::from_str(text).map_err(|error| format!("line {}: {error}", error.line()))
+}
+
+/// Number of the first line that contains a text, 1 if none does.
+fn line_of(text: &str, wanted: &str) -> usize {
+    text.lines()
+        .position(|line| line.contains(wanted))
+        .map_or(1, |index| index + 1)
+}
+
+fn check_parameters(
+    runbook: &Runbook,
+    text: &str,
+    values: &BTreeMap<String, String>,
+) -> Result<(), String> {
+    let line = line_of(text, "\"takes\"");
+    for name in &runbook.parameters {
+        if !values.contains_key(name) {
+            return Err(format!("line {line}: needs --set {name}=..."));
         }
     }
-    if let Some(n) = set.keys().find(|n| !raw.takes.contains(n)) {
-        return Err(format!("line {}: does not take {n}", line("\"takes\"")));
+    match values
+        .keys()
+        .find(|name| !runbook.parameters.contains(name))
+    {
+        Some(name) => Err(format!("line {line}: does not take {name}")),
+        None => Ok(()),
     }
+}
+
+fn fill(text: &str, values: &BTreeMap<String, String>) -> String {
     let mut filled = text.to_string();
-    for (n, v) in set {
+    for (name, value) in values {
         // As JSON text without its quotes, so that a value cannot break out of its string.
-        let v = serde_json::to_string(v).unwrap_or_default();
-        filled = filled.replace(&format!("{{{n}}}"), v.trim_matches('"'));
+        let value = serde_json::to_string(value).unwrap_or_default();
+        filled = filled.replace(&format!("{{{name}}}"), value.trim_matches('"'));
     }
-    let b: Runbook =
-        serde_json::from_str(&filled).map_err(|e| format!("line {}: {e}", e.line()))?;
-    if b.steps.is_empty() {
-        return Err(format!("line {}: has no step", line("\"steps\"")));
+    filled
+}
+
+fn check_step(step: &Step, text: &str) -> Result<(), String> {
+    let invalid = |reason: String| {
+        let line = line_of_step(step, text);
+        Err(format!("line {line}: step {:?} {reason}", step.name))
+    };
+    if step.otherwise.is_some() && step.wait.is_none() {
+        return invalid("calls; only waits have an otherwise".into());
     }
-    for s in &b.steps {
-        let quoted = serde_json::to_string(&s.name).unwrap_or_default();
-        let at = filled
-            .lines()
-            .position(|l| l.contains("\"name\"") && l.contains(&quoted))
-            .map_or(1, |i| i + 1);
-        if s.otherwise.is_some() && s.wait.is_none() {
-            return Err(format!(
-                "line {at}: step {:?} calls; only waits have an otherwise",
-                s.name
-            ));
-        }
-        match (&s.call, &s.wait) {
-            (Some(_), None) if s.within_s == 0 => {}
-            (None, Some(_)) if (1..=WITHIN_MAX).contains(&s.within_s) => {}
-            (None, Some(_)) => {
-                return Err(format!(
-                    "line {at}: step {:?} needs within_s of 1 to {WITHIN_MAX}",
-                    s.name
-                ));
-            }
-            (Some(_), None) => {
-                return Err(format!(
-                    "line {at}: step {:?} calls; only waits take within_s",
-                    s.name
-                ));
-            }
-            _ => {
-                return Err(format!(
-                    "line {at}: step {:?} must either call or wait",
-                    s.name
-                ));
-            }
-        }
+    match (&step.call, &step.wait) {
+        (Some(_), None) if step.within_s == 0 => Ok(()),
+        (None, Some(_)) if (1..=WITHIN_MAX).contains(&step.within_s) => Ok(()),
+        (None, Some(_)) => invalid(format!("needs within_s of 1 to {WITHIN_MAX}")),
+        (Some(_), None) => invalid("calls; only waits take within_s".into()),
+        _ => invalid("must either call or wait".into()),
     }
-    Ok(b)
+}
+
+fn line_of_step(step: &Step, text: &str) -> usize {
+    let quoted = serde_json::to_string(&step.name).unwrap_or_default();
+    text.lines()
+        .position(|line| line.contains("\"name\"") && line.contains(&quoted))
+        .map_or(1, |index| index + 1)
 }
 
 #[cfg(test)]
--- a/runbook-runner/src/runbook/tests.rs
+++ b/runbook-runner/src/runbook/tests.rs
@@ -8,9 +8,9 @@
     let mut n = 0;
     for f in std::fs::read_dir(dir).unwrap() {
         let text = std::fs::read_to_string(f.unwrap().path()).unwrap();
-        let takes: Runbook = serde_json::from_str(&text).unwrap();
-        let set = takes
-            .takes
+        let runbook: Runbook = serde_json::from_str(&text).unwrap();
+        let set = runbook
+            .parameters
             .iter()
             .map(|t| (t.clone(), "x".to_string()))
             .collect();
