--- a/operator-command/src/objects/tests.rs
+++ b/operator-command/src/objects/tests.rs
@@ -15,7 +15,7 @@
     let plan = r#"{"apiVersion": "landingslip/v1", "kind": "ReleasePlan", "metadata": {"name": "desk"},
         "spec": {"target": "v2", "completeWithinSeconds": 60}}"#;
     expect_that!(
-        read(&format!("[{zone}, {plan}]")).map(|v| v.len()),
+        read(&format!("[{zone}, {plan}]")).map(|objects| objects.len()),
         ok(eq(&2))
     );
     let cases = [
--- a/remote-calls/src/lib.rs
+++ b/remote-calls/src/lib.rs
@@ -13,6 +13,8 @@
 
 #[allow(
     clippy::all,
+    clippy::min_ident_chars,
+    clippy::missing_errors_doc,
     missing_docs,
     reason = "generated from the schema, whose descriptions are the documentation"
 )]
--- a/remote-calls/src/spec_check.rs
+++ b/remote-calls/src/spec_check.rs
@@ -1,6 +1,6 @@
 //! Checks an operator's spec, as a whole: it passes or is refused with the first field that is wrong.
 //!
-//! [`document`] reads each part by itself, with `schematic`; [`references`] compares parts with each other.
+//! `document` reads each part by itself, with `schematic`; `references` compares parts with each other.
 
 mod document;
 mod references;
--- a/runbook-runner/src/runbook/tests.rs
+++ b/runbook-runner/src/runbook/tests.rs
@@ -5,19 +5,19 @@
 #[gtest]
 fn shipped_runbooks_are_valid_and_malformed_ones_name_line_and_reason() {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/runbooks");
-    let mut n = 0;
-    for f in std::fs::read_dir(dir).unwrap() {
-        let text = std::fs::read_to_string(f.unwrap().path()).unwrap();
+    let mut shipped = 0;
+    for file in std::fs::read_dir(dir).unwrap() {
+        let text = std::fs::read_to_string(file.unwrap().path()).unwrap();
         let runbook: Runbook = serde_json::from_str(&text).unwrap();
         let set = runbook
             .parameters
             .iter()
-            .map(|t| (t.clone(), "x".to_string()))
+            .map(|name| (name.clone(), "x".to_string()))
             .collect();
         expect_that!(read(&text, &set), ok(anything()));
-        n += 1;
+        shipped += 1;
     }
-    expect_that!(n, ge(6));
+    expect_that!(shipped, ge(6));
     let none = BTreeMap::new();
     let bad = [
         ("{\"about\": \"\",\n\"steps\": []}", "line 2: has no step"),
--- a/wire-messages/src/frame.rs
+++ b/wire-messages/src/frame.rs
@@ -42,7 +42,7 @@
 
 impl std::error::Error for FrameError {}
 
-fn malformed(error: binrw::Error) -> FrameError {
+fn malformed(error: impl std::fmt::Display) -> FrameError {
     FrameError::Malformed(error.to_string())
 }
 
