--- a/daemon-parts/src/channels.rs
+++ b/daemon-parts/src/channels.rs
@@ -1,7 +1,8 @@
-//! Channels between processes: frames over TCP, one channel a direction, each with a bounded buffer.
-//! What cannot be sent is dropped; the state machines above expect that and repeat themselves.
+//! Channels between processes: frames over TCP, one connection for each direction, each with a bounded buffer.
+//!
+//! A message that cannot be sent is dropped: the state machines expect that and send again.
 
-use std::{collections::HashMap, io, time::Duration};
+use std::{collections::HashMap, io, sync::Arc, time::Duration};
 
 use actix::Recipient;
 use coordination::events;
@@ -10,7 +11,7 @@
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
-    sync::mpsc,
+    sync::{Semaphore, mpsc},
     time::timeout,
 };
 use wire_messages::{Envelope, Message, Name, decode, encode, read_length};
@@ -23,7 +24,7 @@
     logging::{StartFault, event},
 };
 
-/// A message that came in.
+/// A message that was received.
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct Incoming(pub Envelope);
@@ -33,136 +34,158 @@
     name: Name,
     addr: Name,
     inbox: Recipient<Incoming>,
-    out: HashMap<Name, mpsc::Sender<Vec<u8>>>,
+    writers: HashMap<Name, mpsc::Sender<Vec<u8>>>,
 }
 
 impl Channels {
+    /// `name` and `addr`: of this process; `inbox`: takes messages that it sends to itself.
     pub fn new(name: &str, addr: &str, inbox: Recipient<Incoming>) -> Self {
         Channels {
             name: name.into(),
             addr: addr.into(),
             inbox,
-            out: HashMap::new(),
+            writers: HashMap::new(),
         }
     }
 
+    /// Queues a message for the process at `to`, or drops it where the queue is full.
     pub fn send(&mut self, to: &Name, msg: Message) {
-        let e = Envelope {
+        let envelope = Envelope {
             from: self.name.clone(),
             addr: self.addr.clone(),
             msg,
         };
-        // Ownership messages take the same way into the mailbox as all others.
+        // Messages to itself go through the mailbox like all others, so that they keep their order.
         if *to == self.addr {
-            self.inbox.do_send(Incoming(e));
+            self.inbox.do_send(Incoming(envelope));
             return;
         }
-        let kind = e.msg.name();
-        let b = match encode(&e) {
-            Ok(b) => b,
-            Err(f) => return event(events::INVALID_FRAME, to, &format!("own {kind}: {f}")),
+        let kind = envelope.msg.name();
+        let frame = match encode(&envelope) {
+            Ok(frame) => frame,
+            Err(error) => {
+                event(events::INVALID_FRAME, to, &format!("own {kind}: {error}"));
+                return;
+            }
         };
-        // A writer that had nothing to write has ended: daemons come and go, and those that went cost nothing.
-        if self.out.get(to).is_none_or(mpsc::Sender::is_closed) {
-            let (s, r) = mpsc::channel(CHANNEL_BUFFER);
-            actix_rt::spawn(write_all(to.clone(), r, WRITER_IDLE));
-            self.out.retain(|_, s| !s.is_closed());
-            self.out.insert(to.clone(), s);
-        }
-        if self.out[to].try_send(b).is_err() {
+        if self.writer(to).try_send(frame).is_err() {
             event(events::BUFFER_FULL, to, kind);
         }
     }
+
+    /// The queue of the writer to a process. A writer that had nothing to write for long has ended: daemons come and
+    /// go, and those that are gone cost nothing.
+    fn writer(&mut self, to: &Name) -> &mpsc::Sender<Vec<u8>> {
+        if self.writers.get(to).is_none_or(mpsc::Sender::is_closed) {
+            let (sender, receiver) = mpsc::channel(CHANNEL_BUFFER);
+            actix_rt::spawn(write_frames(to.clone(), receiver, WRITER_IDLE));
+            self.writers.retain(|_, writer| !writer.is_closed());
+            self.writers.insert(to.clone(), sender);
+        }
+        &self.writers[to]
+    }
 }
 
-/// Sets up a channel that this process writes. What a cut holds up the system would send again after ever longer
-/// pauses, up to as long again as the cut was; a channel that is given up and opened anew works a moment after it.
-fn outgoing(s: &TcpStream) -> io::Result<()> {
-    s.set_nodelay(true)?;
-    SockRef::from(s).set_tcp_user_timeout(Some(SENT_LIMIT))
+/// Sets up a connection that this process writes. After a network partition the kernel would retransmit at ever longer
+/// intervals, up to the partition's own length; a connection that is given up and opened anew works at once.
+fn configure_outgoing(stream: &TcpStream) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    SockRef::from(stream).set_tcp_user_timeout(Some(SENT_LIMIT))
 }
 
-/// Sets up a channel that this process reads: one whose writer is gone without a word ends soon, and its place is free.
-fn incoming(s: &TcpStream) -> io::Result<()> {
-    let k = TcpKeepalive::new()
+/// Sets up a connection that this process reads: one whose writer died without closing it ends soon and frees its slot.
+fn configure_incoming(stream: &TcpStream) -> io::Result<()> {
+    let keepalive = TcpKeepalive::new()
         .with_time(PEER_QUIET)
         .with_interval(PROBE_EVERY)
         .with_retries(PEER_PROBES);
-    SockRef::from(s).set_tcp_keepalive(&k)
+    SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
 
-async fn write_all(to: Name, mut r: mpsc::Receiver<Vec<u8>>, idle: Duration) {
-    let mut open: Option<TcpStream> = None;
-    while let Ok(Some(b)) = timeout(idle, r.recv()).await {
-        if open.is_none() {
-            open = match timeout(CONNECT_LIMIT, TcpStream::connect(&*to)).await {
-                Ok(Ok(s)) => {
-                    // A system that lacks an option serves all the same, only later after a cut.
-                    let _ = outgoing(&s);
-                    Some(s)
-                }
-                // What waited meanwhile is as stale as this one.
-                _ => {
-                    while r.try_recv().is_ok() {}
-                    continue;
-                }
-            };
+async fn connect(to: &Name) -> Option<TcpStream> {
+    let connected = timeout(CONNECT_LIMIT, TcpStream::connect(&**to)).await;
+    let Ok(Ok(stream)) = connected else {
+        return None;
+    };
+    // A system that lacks an option serves all the same, only later after a partition.
+    let _ = configure_outgoing(&stream);
+    Some(stream)
+}
+
+/// Writes queued frames until the queue was empty for `idle`.
+async fn write_frames(to: Name, mut queue: mpsc::Receiver<Vec<u8>>, idle: Duration) {
+    let mut connection: Option<TcpStream> = None;
+    while let Ok(Some(frame)) = timeout(idle, queue.recv()).await {
+        if connection.is_none() {
+            connection = connect(&to).await;
         }
-        let Some(s) = open.as_mut() else { continue };
-        if !matches!(timeout(WRITE_LIMIT, s.write_all(&b)).await, Ok(Ok(()))) {
+        let Some(stream) = connection.as_mut() else {
+            // What was queued meanwhile is as stale as this frame.
+            while queue.try_recv().is_ok() {}
+            continue;
+        };
+        let written = timeout(WRITE_LIMIT, stream.write_all(&frame)).await;
+        if !matches!(written, Ok(Ok(()))) {
             event(events::CONNECTION_LOST, &to, "while writing");
-            open = None;
+            connection = None;
         }
     }
 }
 
-/// Binds the port and reads frames into the inbox.
+/// Binds the port and reads frames into the inbox from then on.
+///
+/// # Errors
+/// The port could not be bound.
 pub async fn listen(addr: &str, inbox: Recipient<Incoming>) -> Result<(), Report<StartFault>> {
-    let l = TcpListener::bind(addr)
+    let listener = TcpListener::bind(addr)
         .await
         .change_context(StartFault("bind the port for our processes"))
         .attach(addr.to_string())?;
-    let free = std::sync::Arc::new(tokio::sync::Semaphore::new(CHANNELS));
-    actix_rt::spawn(async move {
-        loop {
-            let Ok((s, peer)) = l.accept().await else {
-                tokio::time::sleep(CONNECT_LIMIT).await;
-                continue;
-            };
-            // Over the limit a channel is closed at once, so that strangers cannot hold memory.
-            let Ok(p) = free.clone().try_acquire_owned() else {
-                continue;
-            };
-            let inbox = inbox.clone();
-            let _ = incoming(&s);
-            actix_rt::spawn(async move {
-                if let Err(why) = read_frames(s, inbox).await {
-                    event(events::INVALID_FRAME, &peer.to_string(), &why);
-                }
-                drop(p);
-            });
-        }
-    });
+    actix_rt::spawn(accept_connections(listener, inbox));
     Ok(())
 }
 
-async fn read_frames(mut s: TcpStream, inbox: Recipient<Incoming>) -> Result<(), String> {
+async fn accept_connections(listener: TcpListener, inbox: Recipient<Incoming>) {
+    let slots = Arc::new(Semaphore::new(CHANNELS));
+    loop {
+        let Ok((stream, peer)) = listener.accept().await else {
+            tokio::time::sleep(CONNECT_LIMIT).await;
+            continue;
+        };
+        // Over the limit a connection is closed at once, so that strangers cannot hold memory.
+        let Ok(slot) = slots.clone().try_acquire_owned() else {
+            continue;
+        };
+        let inbox = inbox.clone();
+        let _ = configure_incoming(&stream);
+        actix_rt::spawn(async move {
+            if let Err(reason) = read_frames(stream, inbox).await {
+                event(events::INVALID_FRAME, &peer.to_string(), &reason);
+            }
+            drop(slot);
+        });
+    }
+}
+
+/// Reads frames until the connection ends or is idle for long; an error where its bytes are not frames.
+async fn read_frames(mut stream: TcpStream, inbox: Recipient<Incoming>) -> Result<(), String> {
     loop {
-        let mut head = [0; 4];
-        match timeout(IDLE_LIMIT, s.read_exact(&mut head)).await {
-            Ok(Ok(_)) => {}
-            _ => return Ok(()),
+        let mut prefix = [0; 4];
+        let read = timeout(IDLE_LIMIT, stream.read_exact(&mut prefix)).await;
+        if !matches!(read, Ok(Ok(_))) {
+            return Ok(());
         }
-        let n = read_length(head).map_err(|f| f.to_string())?;
-        let mut b = Vec::new();
+        let length = read_length(prefix).map_err(|error| error.to_string())?;
+        let mut body = Vec::new();
         // Memory grows with what arrives, not with what the length claims.
-        let got = timeout(WRITE_LIMIT, (&mut s).take(n as u64).read_to_end(&mut b)).await;
-        if !matches!(got, Ok(Ok(m)) if m == n) {
-            return Err(format!("frame of {n} bytes was cut short"));
+        let mut limited = (&mut stream).take(length as u64);
+        let read = timeout(WRITE_LIMIT, limited.read_to_end(&mut body)).await;
+        if !matches!(read, Ok(Ok(bytes)) if bytes == length) {
+            return Err(format!("frame of {length} bytes was cut short"));
         }
-        let e = decode(&b).map_err(|f| f.to_string())?;
-        let kind = e.msg.name();
-        if inbox.try_send(Incoming(e)).is_err() {
+        let envelope = decode(&body).map_err(|error| error.to_string())?;
+        let kind = envelope.msg.name();
+        if inbox.try_send(Incoming(envelope)).is_err() {
             event(events::BUFFER_FULL, "inbox", kind);
         }
     }
--- a/daemon-parts/src/channels/tests.rs
+++ b/daemon-parts/src/channels/tests.rs
@@ -20,8 +20,8 @@
 fn what_is_sent_and_not_acknowledged_ends_its_channel_long_before_a_bound() {
     run(async {
         let (a, b) = pair().await;
-        outgoing(&a).unwrap();
-        incoming(&b).unwrap();
+        configure_outgoing(&a).unwrap();
+        configure_incoming(&b).unwrap();
         let (a, b) = (SockRef::from(&a), SockRef::from(&b));
         expect_that!(a.tcp_user_timeout().unwrap(), some(eq(SENT_LIMIT)));
         expect_true!(a.tcp_nodelay().unwrap());
@@ -48,7 +48,7 @@
         let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to: Name = l.local_addr().unwrap().to_string().as_str().into();
         let (s, r) = mpsc::channel(CHANNEL_BUFFER);
-        let end = actix_rt::spawn(write_all(to.clone(), r, Duration::MAX));
+        let end = actix_rt::spawn(write_frames(to.clone(), r, Duration::MAX));
         let mut got = [0; 1];
         for turn in [1, 2] {
             // The first message on a channel that its peer closed is lost, the next opens another.
@@ -65,7 +65,7 @@
         drop(s);
         end.await.unwrap();
         let (s, r) = mpsc::channel(CHANNEL_BUFFER);
-        write_all(to, r, Duration::ZERO).await;
+        write_frames(to, r, Duration::ZERO).await;
         expect_true!(s.is_closed());
     });
 }
--- a/daemon-parts/src/http.rs
+++ b/daemon-parts/src/http.rs
@@ -1,39 +1,47 @@
-//! HTTP by `actix-web` and `awc`: faults as answers, JSON that is checked, calls as tools make them.
+//! HTTP by `actix-web` and `awc`: faults as responses, JSON that is checked, and calls as daemons and tools make them.
 
 use std::time::Duration;
 
-use actix_web::{HttpRequest, HttpResponse, ResponseError, http::StatusCode, web};
+use actix_web::{
+    HttpRequest, HttpResponse, ResponseError, error::JsonPayloadError, http::StatusCode, web,
+};
 use remote_calls::{Call, Fault};
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::limits::BODY_MAX;
 
-/// A fault with its status.
+/// A response may be so many times larger than a request's body: a status of a whole fleet is.
+const RESPONSE_FACTOR: usize = 64;
+
+/// A fault as a response, with its status.
 #[derive(Debug)]
 pub struct Answer(pub StatusCode, pub Fault);
 
 impl std::fmt::Display for Answer {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        self.1.fmt(f)
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        self.1.fmt(formatter)
     }
 }
+
 impl ResponseError for Answer {
     fn status_code(&self) -> StatusCode {
         self.0
     }
+
     fn error_response(&self) -> HttpResponse {
-        let mut r = HttpResponse::build(self.0);
+        let mut response = HttpResponse::build(self.0);
         if let Some(ms) = self.1.retry_after_ms {
-            // The header counts whole seconds; the body keeps the spread.
-            r.insert_header(("Retry-After", ms.div_ceil(1_000).max(1).to_string()));
+            // The header has whole seconds; the body keeps the spread.
+            let seconds = ms.div_ceil(1_000).max(1);
+            response.insert_header(("Retry-After", seconds.to_string()));
         }
-        r.json(&self.1)
+        response.json(&self.1)
     }
 }
 
-/// The status of each code that a fault may have.
-pub fn status(f: &Fault) -> StatusCode {
-    match f.code.as_str() {
+/// The status that belongs to the code of a fault.
+pub fn status(fault: &Fault) -> StatusCode {
+    match fault.code.as_str() {
         "bad_request" | "bad_spec" | "bad_json" | "bad_plan" => StatusCode::BAD_REQUEST,
         "too_large" => StatusCode::PAYLOAD_TOO_LARGE,
         "not_found" => StatusCode::NOT_FOUND,
@@ -46,85 +54,93 @@
 }
 
 impl From<Fault> for Answer {
-    fn from(f: Fault) -> Self {
-        Answer(status(&f), f)
+    fn from(fault: Fault) -> Self {
+        Answer(status(&fault), fault)
     }
 }
 
-/// JSON bodies: limited, unknown fields rejected by the types, faults in the one shape.
+/// How JSON bodies are read: limited, unknown fields rejected by the types, faults in the one shape.
 pub fn json_config() -> web::JsonConfig {
     web::JsonConfig::default()
         .limit(BODY_MAX)
         .content_type_required(false)
-        .error_handler(|e, _: &HttpRequest| {
-            use actix_web::error::JsonPayloadError as J;
-            let f = match &e {
-                J::OverflowKnownLength { .. } | J::Overflow { .. } => {
-                    Fault::new("too_large", "read_body", e.to_string())
-                }
-                // The first words of serde's message name the field.
-                _ => {
-                    let m = e.to_string();
-                    let field = m.split('`').nth(1).map(str::to_string);
-                    let f = Fault::new("bad_json", "read_body", m);
-                    match field {
-                        Some(x) => f.field(x),
-                        None => f,
-                    }
-                }
-            };
-            Answer::from(f).into()
-        })
+        .error_handler(|error, _: &HttpRequest| Answer::from(body_fault(&error)).into())
+}
+
+fn body_fault(error: &JsonPayloadError) -> Fault {
+    let message = error.to_string();
+    match error {
+        JsonPayloadError::OverflowKnownLength { .. } | JsonPayloadError::Overflow { .. } => {
+            Fault::new("too_large", "read_body", message)
+        }
+        _ => {
+            // The first quoted word of serde's message names the field.
+            let field = message.split('`').nth(1).map(str::to_string);
+            let fault = Fault::new("bad_json", "read_body", message);
+            match field {
+                Some(field) => fault.field(field),
+                None => fault,
+            }
+        }
+    }
 }
 
-/// The answer to a path nobody knows.
-pub async fn no_such_path(r: HttpRequest) -> Result<HttpResponse, Answer> {
-    Err(Fault::new(
-        "not_found",
-        "find_path",
-        format!("no call {} {}", r.method(), r.path()),
-    )
-    .into())
+/// The response to a path that is not served.
+///
+/// # Errors
+/// Always: a fault with code `not_found`.
+pub async fn no_such_path(request: HttpRequest) -> Result<HttpResponse, Answer> {
+    let message = format!("no call {} {}", request.method(), request.path());
+    Err(Fault::new("not_found", "find_path", message).into())
 }
 
-/// Why a call gave no value: the peer's own fault, or ours of reaching it.
+/// Makes a call and reads its response.
+///
+/// # Errors
+/// The peer's own fault, or one with code `unreachable` where it gave none.
 pub async fn call<B: Serialize, T: DeserializeOwned>(
-    c: &awc::Client,
+    client: &awc::Client,
     addr: &str,
     (method, path): Call,
     body: Option<&B>,
     limit: Duration,
 ) -> Result<T, Fault> {
-    call_path(c, addr, method, path, body, limit).await
+    call_path(client, addr, method, path, body, limit).await
 }
 
-/// As `call`, with the path's parameter filled in.
+/// As [`call`], with the path's parameter filled in.
+///
+/// # Errors
+/// As [`call`].
 pub async fn call_path<B: Serialize, T: DeserializeOwned>(
-    c: &awc::Client,
+    client: &awc::Client,
     addr: &str,
     method: &str,
     path: &str,
     body: Option<&B>,
     limit: Duration,
 ) -> Result<T, Fault> {
-    let m = method.parse().unwrap_or(awc::http::Method::GET);
-    let lost = |step: &str, e: String| Fault::new("unreachable", step, e).peer(addr);
-    let r = c.request(m, format!("http://{addr}{path}")).timeout(limit);
+    let unreachable =
+        |step: &str, reason: String| Fault::new("unreachable", step, reason).peer(addr);
+    let method = method.parse().unwrap_or(awc::http::Method::GET);
+    let request = client
+        .request(method, format!("http://{addr}{path}"))
+        .timeout(limit);
     let sent = match body {
-        Some(b) => r.send_json(b).await,
-        None => r.send().await,
+        Some(body) => request.send_json(body).await,
+        None => request.send().await,
     };
-    let mut a = sent.map_err(|e| lost("send_call", e.to_string()))?;
-    let b = a
+    let mut response = sent.map_err(|error| unreachable("send_call", error.to_string()))?;
+    let bytes = response
         .body()
-        .limit(64 * BODY_MAX)
+        .limit(RESPONSE_FACTOR * BODY_MAX)
         .await
-        .map_err(|e| lost("read_answer", e.to_string()))?;
-    if !a.status().is_success() {
-        let f = serde_json::from_slice::<Fault>(&b);
-        return Err(f
-            .unwrap_or_else(|_| lost("read_answer", format!("status {}", a.status())))
-            .peer(addr));
+        .map_err(|error| unreachable("read_answer", error.to_string()))?;
+    if !response.status().is_success() {
+        let fault = serde_json::from_slice::<Fault>(&bytes).unwrap_or_else(|_| {
+            unreachable("read_answer", format!("status {}", response.status()))
+        });
+        return Err(fault.peer(addr));
     }
-    serde_json::from_slice(&b).map_err(|e| lost("read_answer", e.to_string()))
+    serde_json::from_slice(&bytes).map_err(|error| unreachable("read_answer", error.to_string()))
 }
--- a/daemon-parts/src/look.rs
+++ b/daemon-parts/src/look.rs
@@ -1,13 +1,14 @@
-//! A command that looks at what an actor owns, and may change it, in the owner's own turn.
+//! A command that inspects what an actor owns, and may change it, in the owner's own turn.
 
 use actix::Message;
 use coordination::Ms;
 
-type Glance<A, T> = Box<dyn FnOnce(&mut A, Ms) -> T + Send>;
+type Inspection<A, T> = Box<dyn FnOnce(&mut A, Ms) -> T + Send>;
 
-pub struct Look<A, T>(pub Glance<A, T>);
+/// Runs a function on the actor's state with the time.
+pub struct Look<A, T>(pub Inspection<A, T>);
 
 impl<A, T: Send + 'static> Message for Look<A, T> {
-    /// Err: the owner has nothing to look at now.
+    /// An error where the owner has no state at the moment.
     type Result = Result<T, ()>;
 }
--- a/daemon-parts/src/operator.rs
+++ b/daemon-parts/src/operator.rs
@@ -9,13 +9,22 @@
 
 use crate::{clock, http::call_path, limits::OPERATOR_LIMIT};
 
+/// A client of the control daemons.
 pub struct Operator {
+    /// Makes the calls.
     pub client: Client,
-    /// Addresses of control daemons, in the order they are asked.
+    /// Addresses of control daemons, in the order in which they are asked.
     pub control: Vec<String>,
 }
 
+/// Whether a call may have been carried out although it failed: only a connection that was never made is certain to have
+/// carried nothing.
+fn may_have_arrived(fault: &Fault) -> bool {
+    fault.code == "unreachable" && !fault.message.contains("onnect")
+}
+
 impl Operator {
+    /// A client of the control daemons at these addresses.
     pub fn new(control: Vec<String>) -> Self {
         Operator {
             client: Client::builder().disable_timeout().finish(),
@@ -23,73 +32,99 @@
         }
     }
 
+    /// Makes a call at the first control daemon that answers. A write is not repeated at another daemon where the first
+    /// may have taken it.
+    ///
+    /// # Errors
+    /// The daemon's fault; code `unknown` where the response to a write was lost, `unreachable` where no daemon answers.
     pub async fn path<B: Serialize, T: DeserializeOwned>(
         &self,
         method: &str,
         path: &str,
-        b: Option<&B>,
+        body: Option<&B>,
     ) -> Result<T, Fault> {
         let mut last = Fault::new("unreachable", "call_control", "no control daemon is named");
-        for a in &self.control {
-            if a.parse::<std::net::SocketAddr>().is_err() {
-                return Err(Fault::new(
-                    "bad_request",
-                    "call_control",
-                    format!("{a:?} is no IP:port"),
-                )
-                .field("control"));
+        for addr in &self.control {
+            if addr.parse::<std::net::SocketAddr>().is_err() {
+                let message = format!("{addr:?} is no IP:port");
+                return Err(Fault::new("bad_request", "call_control", message).field("control"));
             }
-            match call_path(&self.client, a, method, path, b, OPERATOR_LIMIT).await {
-                // Only a connection that was never made is certain to have carried nothing.
-                Err(f)
-                    if b.is_some() && f.code == "unreachable" && !f.message.contains("onnect") =>
-                {
-                    return Err(Fault::new(
-                        "unknown",
-                        "read_answer",
-                        "the answer was lost; read the key to find out",
-                    )
-                    .peer(a));
+            match call_path(&self.client, addr, method, path, body, OPERATOR_LIMIT).await {
+                Err(fault) if body.is_some() && may_have_arrived(&fault) => {
+                    let message = "the answer was lost; read the key to find out";
+                    return Err(Fault::new("unknown", "read_answer", message).peer(addr));
+                }
+                Err(fault) if fault.code == "unreachable" || fault.code == "disk_failed" => {
+                    last = fault;
                 }
-                Err(f) if f.code == "unreachable" || f.code == "disk_failed" => last = f,
-                r => return r,
+                answer => return answer,
             }
         }
         Err(last)
     }
-    pub async fn get<T: DeserializeOwned>(&self, c: Call) -> Result<T, Fault> {
-        self.path::<(), T>(c.0, c.1, None).await
+
+    /// Makes a call without a body.
+    ///
+    /// # Errors
+    /// As [`Operator::path`].
+    pub async fn get<T: DeserializeOwned>(&self, (method, path): Call) -> Result<T, Fault> {
+        self.path::<(), T>(method, path, None).await
     }
-    async fn put<B: Serialize>(&self, c: Call, at: &str, b: &B) -> Result<Accepted, Fault> {
-        self.path(c.0, &fill(c, at), Some(b)).await
+
+    async fn put<B: Serialize>(
+        &self,
+        call: Call,
+        parameter: &str,
+        body: &B,
+    ) -> Result<Accepted, Fault> {
+        self.path(call.0, &fill(call, parameter), Some(body)).await
     }
+
+    /// The status of the fleet.
+    ///
+    /// # Errors
+    /// As [`Operator::path`].
     pub async fn status(&self) -> Result<Status, Fault> {
         self.get(calls::STATUS).await
     }
+
+    /// The accepted spec and its version.
+    ///
+    /// # Errors
+    /// As [`Operator::path`].
     pub async fn spec(&self) -> Result<SpecState, Fault> {
         self.get(calls::SPEC_GET).await
     }
-    /// Replaces the spec; without `expect` the version read just before must still stand.
+
+    /// Replaces the spec. Without `expect` the version read just before must still stand.
+    ///
+    /// # Errors
+    /// As [`Operator::path`]; code `conflict` where another version stands.
     pub async fn put_spec(&self, spec: Spec, expect: Option<u64>) -> Result<Accepted, Fault> {
         let expect_version = match expect {
-            Some(v) => v,
+            Some(version) => version,
             None => self.spec().await?.version,
         };
-        self.put(
-            calls::SPEC_PUT,
-            "",
-            &SpecPut {
-                expect_version,
-                spec,
-            },
-        )
-        .await
+        let body = SpecPut {
+            expect_version,
+            spec,
+        };
+        self.put(calls::SPEC_PUT, "", &body).await
     }
+
+    /// The release plan of a service and its version.
+    ///
+    /// # Errors
+    /// As [`Operator::path`].
     pub async fn plan(&self, service: &str) -> Result<PlanState, Fault> {
-        self.path::<(), _>(calls::PLAN_GET.0, &fill(calls::PLAN_GET, service), None)
-            .await
+        let path = fill(calls::PLAN_GET, service);
+        self.path::<(), _>(calls::PLAN_GET.0, &path, None).await
     }
+
     /// Moves a service to a version within so many seconds.
+    ///
+    /// # Errors
+    /// As [`Operator::path`]; code `conflict` where another version of the plan stands.
     pub async fn put_plan(
         &self,
         service: &str,
@@ -98,7 +133,7 @@
         expect: Option<u64>,
     ) -> Result<Accepted, Fault> {
         let expect_version = match expect {
-            Some(v) => v,
+            Some(version) => version,
             None => self.plan(service).await?.version,
         };
         let plan = ReleasePlan {
@@ -107,27 +142,29 @@
             complete_by: clock::wall_s() + within,
             within_s: Some(within),
         };
-        self.put(
-            calls::PLAN_PUT,
-            service,
-            &PlanPut {
-                expect_version,
-                plan,
-            },
-        )
-        .await
+        let body = PlanPut {
+            expect_version,
+            plan,
+        };
+        self.put(calls::PLAN_PUT, service, &body).await
     }
+
+    /// Evacuates a zone, or restores it.
+    ///
+    /// # Errors
+    /// As [`Operator::path`].
     pub async fn put_zone(&self, zone: &str, evacuated: bool) -> Result<Accepted, Fault> {
-        self.put(
-            calls::ZONE_PUT,
-            zone,
-            &ZoneState {
-                zone: zone.into(),
-                evacuated,
-            },
-        )
-        .await
+        let body = ZoneState {
+            zone: zone.into(),
+            evacuated,
+        };
+        self.put(calls::ZONE_PUT, zone, &body).await
     }
+
+    /// Stops all rollout activity, or allows it.
+    ///
+    /// # Errors
+    /// As [`Operator::path`].
     pub async fn kill_switch(&self, on: bool) -> Result<Accepted, Fault> {
         self.put(calls::KILL_SWITCH_PUT, "", &KillSwitch { on })
             .await
--- a/daemon-parts/src/params.rs
+++ b/daemon-parts/src/params.rs
@@ -1,4 +1,4 @@
-//! A program's params: a JSON file, flags over it, all faults named at once.
+//! A program's settings: a JSON file, flags that override it, and all errors reported at once.
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf};
 
@@ -14,11 +14,13 @@
 /// Exit code of a program that failed.
 pub const EXIT_FAILED: i32 = 1;
 
+/// Settings of a daemon; each program needs some of them.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Params {
     /// This process's lasting name.
     pub name: String,
+    /// Zone that its machine stands in.
     pub zone: String,
     /// Where other processes of ours reach it.
     pub listen: String,
@@ -42,21 +44,30 @@
     pub directory: String,
     /// Control daemons only: most bytes the database may grow to; 0 sets no bound.
     pub data_limit: u64,
+    /// Log level: error, warn, info or debug.
     pub log: String,
     /// Region of each zone; a zone that is not named is its own region.
     pub regions: BTreeMap<String, String>,
-    /// Control daemons only: the whole system starts for the first time and the seeds found it.
+    /// Control daemons only: the whole system starts for the first time, and the daemons at the seeds bootstrap it.
     pub founding: bool,
-    /// Edges only: a daemon cut off from the control plane serves stable versions on by what it knew last.
+    /// Edges only: a daemon that is partitioned from the control plane goes on serving stable versions by its last state.
     pub serve_on: bool,
+    /// Times and shares that operators promise their callers.
     pub bounds: Bounds,
     /// Proxies only: which mechanisms of placement are in force.
     pub policy: Policy,
 }
 
-/// A field a program needs.
+/// A field that a program needs.
 pub type Need = &'static str;
 
+/// Longest name, in bytes.
+const NAME_BYTES_MAX: usize = 64;
+/// Seeds that a process is given.
+const SEEDS: usize = 3;
+/// Control daemons that must be named at least.
+const MIN_MEMBERS: usize = 3;
+
 const FLAGS: [(&str, &str); 9] = [
     ("name", "This process's lasting name"),
     ("zone", "The zone this machine stands in"),
@@ -69,9 +80,9 @@
     ("log", "Log level: error, warn, info, debug"),
 ];
 
-/// The command line every daemon has.
+/// The command line that every daemon has.
 pub fn command(name: &'static str, about: &'static str) -> Command {
-    let flags = FLAGS.map(|(n, h)| Arg::new(n).long(n).help(h));
+    let flags = FLAGS.map(|(name, help)| Arg::new(name).long(name).help(help));
     Command::new(name)
         .about(about)
         .version(env!("CARGO_PKG_VERSION"))
@@ -104,7 +115,10 @@
 
 /// The flag of proxies that leaves mechanisms of placement out.
 pub fn without_flag() -> Arg {
-    let known: Vec<&str> = Mechanism::ALL.iter().map(|m| m.name()).collect();
+    let known: Vec<&str> = Mechanism::ALL
+        .iter()
+        .map(|mechanism| mechanism.name())
+        .collect();
     Arg::new("without")
         .long("without")
         .value_name("MECHANISM")
@@ -116,134 +130,178 @@
             known.join(", ")
         ))
 }
+
 /// The policy by the flag, if it was given.
-pub fn policy_flag(m: &ArgMatches) -> Option<Policy> {
-    let all = m.try_get_many::<Mechanism>("without").ok().flatten()?;
-    Some(Policy::without(all.copied()))
+pub fn policy_flag(matches: &ArgMatches) -> Option<Policy> {
+    let left_out = matches
+        .try_get_many::<Mechanism>("without")
+        .ok()
+        .flatten()?;
+    Some(Policy::without(left_out.copied()))
 }
 
-fn from_file(m: &ArgMatches) -> Result<Params, String> {
-    let Some(f) = m.get_one::<String>("params") else {
+fn from_file(matches: &ArgMatches) -> Result<Params, String> {
+    let Some(file) = matches.get_one::<String>("params") else {
         return Ok(Params::default());
     };
-    let text = std::fs::read_to_string(f).map_err(|e| format!("params: {f}: {e}"))?;
-    serde_json::from_str(&text).map_err(|e| format!("params: {f}: {e}"))
+    let text = std::fs::read_to_string(file).map_err(|error| format!("params: {file}: {error}"))?;
+    serde_json::from_str(&text).map_err(|error| format!("params: {file}: {error}"))
 }
 
-/// Reads and checks; all faults come back together.
-pub fn read(m: &ArgMatches, needs: &[Need]) -> Result<Params, Vec<String>> {
-    let mut p = from_file(m).map_err(|e| vec![e])?;
-    let text = |n: &str| m.get_one::<String>(n).cloned();
-    let over = |to: &mut String, n: &str| {
-        if let Some(v) = text(n) {
-            *to = v;
-        }
-    };
-    over(&mut p.name, "name");
-    over(&mut p.zone, "zone");
-    over(&mut p.listen, "listen");
-    over(&mut p.bind, "bind");
-    over(&mut p.http, "http");
-    over(&mut p.platform, "platform");
-    over(&mut p.agent, "agent");
-    over(&mut p.log, "log");
-    // The bound is only in the file: it belongs to the disk, not to one start.
-    p.data = text("data").map(PathBuf::from).or(p.data);
-    let many = |n: &str| {
-        m.get_many::<String>(n)
-            .map(|v| v.cloned().collect::<Vec<_>>())
-    };
-    p.seeds = many("seed").unwrap_or(p.seeds);
-    p.members = many("member").unwrap_or(p.members);
-    p.policy = policy_flag(m).unwrap_or(p.policy);
-    if p.bind.is_empty() {
-        p.bind = p.listen.clone();
-    }
-    if p.log.is_empty() {
-        p.log = "info".into();
-    }
-    let faults = check(&p, needs);
-    if faults.is_empty() {
-        Ok(p)
+/// Reads the file and the flags, and checks the result.
+///
+/// # Errors
+/// Every error that was found.
+pub fn read(matches: &ArgMatches, needs: &[Need]) -> Result<Params, Vec<String>> {
+    let mut params = from_file(matches).map_err(|error| vec![error])?;
+    apply_flags(&mut params, matches);
+    if params.bind.is_empty() {
+        params.bind = params.listen.clone();
+    }
+    if params.log.is_empty() {
+        params.log = "info".into();
+    }
+    let errors = check(&params, needs);
+    if errors.is_empty() {
+        Ok(params)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-/// Every fault of the params. Needing `founders` instead of `seeds` and `members`, the daemons at the seeds found
-/// the system, and no names are given.
-pub fn check(p: &Params, needs: &[Need]) -> Vec<String> {
-    let mut bad = Vec::new();
-    let mut label = |n: &str, v: &str| {
-        let ok = !v.is_empty()
-            && v.len() <= 64
-            && v.bytes()
-                .all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b));
-        if needs.contains(&n) && !ok {
-            bad.push(format!("{n}: must be 1 to 64 letters, digits, '-' or '_'"));
-        }
-    };
-    label("name", &p.name);
-    label("zone", &p.zone);
-    let addr = |n: &str, v: &str| match v.parse::<SocketAddr>() {
-        _ if !needs.contains(&n) => None,
-        Ok(a) if a.port() > 0 => None,
-        _ => Some(format!("{n}: {v:?} is no IP:port")),
+/// Overrides the file's settings by the flags that were given. The bound on the data folder is in the file only: it
+/// belongs to the disk, not to one start.
+fn apply_flags(params: &mut Params, matches: &ArgMatches) {
+    let text = |name: &str| matches.get_one::<String>(name).cloned();
+    let list = |name: &str| {
+        let values = matches.get_many::<String>(name)?;
+        Some(values.cloned().collect::<Vec<_>>())
     };
-    let all = [
-        ("listen", &p.listen),
-        ("http", &p.http),
-        ("platform", &p.platform),
-        ("agent", &p.agent),
+    let fields = [
+        (&mut params.name, "name"),
+        (&mut params.zone, "zone"),
+        (&mut params.listen, "listen"),
+        (&mut params.bind, "bind"),
+        (&mut params.http, "http"),
+        (&mut params.platform, "platform"),
+        (&mut params.agent, "agent"),
+        (&mut params.log, "log"),
     ];
-    bad.extend(all.iter().filter_map(|(n, v)| addr(n, v)));
-    if p.bind != p.listen && p.bind.parse::<SocketAddr>().is_err() {
-        bad.push(format!("bind: {:?} is no IP:port", p.bind));
-    }
-    if needs.contains(&"seeds") || needs.contains(&"founders") {
-        // Founders stand at the seeds, and a small system has fewer than three of them.
-        if p.seeds.len() > 3 || p.seeds.is_empty() {
-            bad.push(format!("seeds: give one to three, not {}", p.seeds.len()));
-        } else if p.seeds.len() < 3 && !needs.contains(&"founders") {
-            bad.push(format!("seeds: give three, not {}", p.seeds.len()));
-        }
-        let no_addr = p
-            .seeds
-            .iter()
-            .filter(|s| !s.parse::<SocketAddr>().is_ok_and(|a| a.port() > 0));
-        bad.extend(no_addr.map(|s| format!("seeds: {s:?} is no IP:port")));
-    }
-    if needs.contains(&"members") {
-        if p.members.len() < 3 || p.members.len().is_multiple_of(2) {
-            bad.push(format!(
-                "members: give an odd count of at least three, not {}",
-                p.members.len()
-            ));
-        }
-        if !p.members.contains(&p.name) {
-            bad.push(format!("members: do not name this daemon {:?}", p.name));
+    for (field, name) in fields {
+        if let Some(value) = text(name) {
+            *field = value;
         }
     }
-    if needs.contains(&"data") && p.data.is_none() {
-        bad.push("data: name the data folder".into());
+    if let Some(folder) = text("data") {
+        params.data = Some(PathBuf::from(folder));
+    }
+    if let Some(seeds) = list("seed") {
+        params.seeds = seeds;
+    }
+    if let Some(members) = list("member") {
+        params.members = members;
+    }
+    if let Some(policy) = policy_flag(matches) {
+        params.policy = policy;
+    }
+}
+
+/// Every error in the settings. A program that needs `founders` instead of `seeds` and `members` is bootstrapped by the
+/// daemons at the seeds, and no names are given.
+pub fn check(params: &Params, needs: &[Need]) -> Vec<String> {
+    let mut errors = Vec::new();
+    errors.extend(check_name("name", &params.name, needs));
+    errors.extend(check_name("zone", &params.zone, needs));
+    errors.extend(check_address("listen", &params.listen, needs));
+    errors.extend(check_address("http", &params.http, needs));
+    errors.extend(check_address("platform", &params.platform, needs));
+    errors.extend(check_address("agent", &params.agent, needs));
+    if params.bind != params.listen && params.bind.parse::<SocketAddr>().is_err() {
+        errors.push(format!("bind: {:?} is no IP:port", params.bind));
+    }
+    errors.extend(check_seeds(params, needs));
+    errors.extend(check_members(params, needs));
+    if needs.contains(&"data") && params.data.is_none() {
+        errors.push("data: name the data folder".into());
+    }
+    errors
+}
+
+fn check_name(field: &str, name: &str, needs: &[Need]) -> Option<String> {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
+    let valid = !name.is_empty() && name.len() <= NAME_BYTES_MAX && name.bytes().all(allowed);
+    if valid || !needs.contains(&field) {
+        return None;
+    }
+    Some(format!(
+        "{field}: must be 1 to 64 letters, digits, '-' or '_'"
+    ))
+}
+
+fn is_address(text: &str) -> bool {
+    text.parse::<SocketAddr>()
+        .is_ok_and(|address| address.port() > 0)
+}
+
+fn check_address(field: &str, address: &str, needs: &[Need]) -> Option<String> {
+    if !needs.contains(&field) || is_address(address) {
+        return None;
+    }
+    Some(format!("{field}: {address:?} is no IP:port"))
+}
+
+fn check_seeds(params: &Params, needs: &[Need]) -> Vec<String> {
+    let bootstraps = needs.contains(&"founders");
+    if !needs.contains(&"seeds") && !bootstraps {
+        return Vec::new();
+    }
+    let mut errors = Vec::new();
+    let count = params.seeds.len();
+    // The daemons that bootstrap a system are at the seeds, and a small system has fewer than three of them.
+    if count > SEEDS || count == 0 {
+        errors.push(format!("seeds: give one to three, not {count}"));
+    } else if count < SEEDS && !bootstraps {
+        errors.push(format!("seeds: give three, not {count}"));
+    }
+    let invalid = params.seeds.iter().filter(|seed| !is_address(seed));
+    errors.extend(invalid.map(|seed| format!("seeds: {seed:?} is no IP:port")));
+    errors
+}
+
+fn check_members(params: &Params, needs: &[Need]) -> Vec<String> {
+    if !needs.contains(&"members") {
+        return Vec::new();
+    }
+    let mut errors = Vec::new();
+    let count = params.members.len();
+    if count < MIN_MEMBERS || count.is_multiple_of(2) {
+        errors.push(format!(
+            "members: give an odd count of at least three, not {count}"
+        ));
+    }
+    if !params.members.contains(&params.name) {
+        errors.push(format!(
+            "members: do not name this daemon {:?}",
+            params.name
+        ));
     }
-    bad
+    errors
 }
 
-/// Reads the params or ends the program: with the faults, or after `--check-params`.
-pub fn read_or_exit(c: Command, needs: &[Need]) -> Params {
-    let m = c.get_matches();
-    match read(&m, needs) {
-        Ok(_) if m.get_flag("check-params") => {
+/// Reads the settings or ends the program: with the errors, or after `--check-params`.
+pub fn read_or_exit(command: Command, needs: &[Need]) -> Params {
+    let matches = command.get_matches();
+    match read(&matches, needs) {
+        Ok(_) if matches.get_flag("check-params") => {
             println!("params are valid");
             std::process::exit(0)
         }
-        Ok(p) => p,
-        Err(faults) => {
-            let e = coordination::events::SETTINGS_INVALID;
-            faults
-                .iter()
-                .for_each(|f| eprintln!("{} {} {f}", e.number, e.name));
+        Ok(params) => params,
+        Err(errors) => {
+            let event = coordination::events::SETTINGS_INVALID;
+            for error in errors {
+                eprintln!("{} {} {error}", event.number, event.name);
+            }
             std::process::exit(EXIT_PARAMS)
         }
     }
--- a/daemon-parts/src/stop.rs
+++ b/daemon-parts/src/stop.rs
@@ -8,13 +8,17 @@
 use crate::logging::{StartFault, event};
 
 /// The signals that ask a process to stop. Listened to before the first port is served: until then a signal ends the
-/// process at once, when it has taken nothing yet.
+/// process at once, when it has accepted nothing yet.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
+    /// Listens to both signals from now on.
+    ///
+    /// # Errors
+    /// The handlers could not be installed.
     pub fn listen() -> Result<Self, Report<StartFault>> {
         let listen = |kind| signal(kind).change_context(StartFault("listen to signals"));
         Ok(StopSignals {
@@ -25,12 +29,15 @@
 
     /// Returns when the process is asked to stop.
     pub async fn asked(&mut self, name: &str) {
-        tokio::select! { _ = self.terminate.recv() => (), _ = self.interrupt.recv() => () }
+        tokio::select! {
+            _ = self.terminate.recv() => (),
+            _ = self.interrupt.recv() => (),
+        }
         event(events::STOPPING, name, "");
     }
 }
 
-/// Runs a daemon's HTTP server until the process is asked to stop; after the farewell open calls are let end.
+/// Runs a daemon's HTTP server until the process is asked to stop. Then `farewell` runs, and calls in flight may end.
 pub async fn serve(
     server: Server,
     mut signals: StopSignals,
@@ -38,12 +45,12 @@
     ports: &str,
     farewell: impl Future<Output = ()>,
 ) {
-    let h = server.handle();
+    let handle = server.handle();
     let served = actix_rt::spawn(server);
     event(events::STARTED, name, ports);
     signals.asked(name).await;
     farewell.await;
-    h.stop(true).await;
+    handle.stop(true).await;
     let _ = served.await;
     event(events::STOPPED, name, "");
 }
