--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -593,7 +593,7 @@
         self.controls
             .iter()
             .flatten_brains()
-            .filter(|c| c.registers.voting)
+            .filter(|c| c.registers.members.voting)
             .count()
     }
 
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -230,15 +230,17 @@
         regs.set_addr(&p.name, &p.addr);
         regs.spec_parser = p.spec_parser;
         // Kept on disk: a founder that is started again is no longer told that it founds, nor with whom.
-        let marked =
-            regs.member_epoch == 0 && regs.voters.is_empty() && p.bootstrap && p.members.is_empty();
+        let marked = regs.members.member_epoch == 0
+            && regs.members.voters.is_empty()
+            && p.bootstrap
+            && p.members.is_empty();
         if marked {
             regs.bootstrap_with(&p.seeds);
         }
         let mut c = Control {
             config: p,
             disk_id: disk,
-            started_blank: regs.member_epoch == 0,
+            started_blank: regs.members.member_epoch == 0,
             bootstrap_unsaved: marked,
             registers: regs,
             membership,
@@ -426,13 +428,13 @@
             .retain(|_, t| now.saturating_sub(*t) < 2 * FORWARD_TIMEOUT);
         self.unconditional_writes.retain(|_, o| o.is_awaited(now));
         self.retry_forwarded(now, &mut out);
-        let need = self.registers.voters.len() / 2;
+        let need = self.registers.members.voters.len() / 2;
         let was = self.is_settled;
-        self.is_settled = self.registers.voting
+        self.is_settled = self.registers.members.voting
             && self.compared_with.len() >= need
             && self.registers.all_committed();
         // Once compared, a write under way does not unsettle: it is this life's own news.
-        self.is_settled |= was && self.registers.voting;
+        self.is_settled |= was && self.registers.members.voting;
         if self.is_settled && !was {
             out.push(log_event(events::STATE_COMMITTED, &self.config.name, ""));
         }
@@ -471,9 +473,12 @@
             return;
         }
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        let state = match (self.registers.member_epoch, self.registers.voting) {
+        let state = match (
+            self.registers.members.member_epoch,
+            self.registers.members.voting,
+        ) {
             _ if self.stopping => PeerState::Stopping,
-            (0, _) if !self.registers.voters.is_empty() => PeerState::Bootstrapping,
+            (0, _) if !self.registers.members.voters.is_empty() => PeerState::Bootstrapping,
             (0, _) => PeerState::Blank,
             (_, true) if self.disk_healthy => PeerState::Voter,
             _ if self.is_listed_voter() => PeerState::CatchingUp,
@@ -484,7 +489,7 @@
         };
         let zone = self.config.zone.clone();
         let b = Heartbeat {
-            member_epoch: self.registers.member_epoch,
+            member_epoch: self.registers.members.member_epoch,
             disk_id: self.disk_id,
             zone,
             state,
@@ -495,20 +500,21 @@
                 .iter()
                 .filter(|(_, p)| now.saturating_sub(p.heard_at) <= NODE_TIMEOUT)
         };
-        let votes = |n: &Name| self.registers.voters.iter().any(|v| v.name == *n);
+        let votes = |n: &Name| self.registers.members.voters.iter().any(|v| v.name == *n);
         let mut to: BTreeSet<Name> = self
             .registers
+            .members
             .voters
             .iter()
             .map(|v| self.registers.addr(v))
             .collect();
         // Daemons that stand by have nothing to tell each other.
-        if self.registers.voting || self.registers.member_epoch == 0 {
+        if self.registers.members.voting || self.registers.members.member_epoch == 0 {
             to.extend(self.membership.live(CONTROL_ROLE).map(|n| n.addr.clone()));
             to.extend(fresh().map(|(_, p)| p.addr.clone()));
         }
         // Until it knows the voters, only its seeds lead there.
-        if self.registers.member_epoch == 0 {
+        if self.registers.members.member_epoch == 0 {
             to.extend(self.config.seeds.iter().cloned());
         }
         to.remove(&self.config.addr);
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -201,7 +201,7 @@
             selected_services: self.selected_services.keys().cloned().collect(),
             is_snapshot: full.into(),
             is_settled: self.is_settled.into(),
-            voter_count: self.registers.voters.len() as u32,
+            voter_count: self.registers.members.voters.len() as u32,
             changes: List(changes),
             leases: self.current_leases(now),
         }
--- a/coordination/src/control/fleet_contact.rs
+++ b/coordination/src/control/fleet_contact.rs
@@ -51,6 +51,7 @@
         };
         let heard = self
             .registers
+            .members
             .voters
             .iter()
             .filter(|v| hears(&v.name))
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -95,6 +95,7 @@
             // One that stands by may step in as a voter before the duty is free to take.
             let others = self
                 .registers
+                .members
                 .voters
                 .iter()
                 .filter(|v| v.name != *me && live(&v.name));
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -73,7 +73,7 @@
     /// not have noticed yet that another holds it, and no more daemons hold duties than there are voters.
     pub fn call_rate_share(&self, rate: f64) -> f64 {
         let duties = self.spec.as_ref().map_or(1, |s| s.services.len().max(1));
-        call_rate_share(rate, self.registers.voters.len(), duties)
+        call_rate_share(rate, self.registers.members.voters.len(), duties)
     }
 
     /// Whether the platform has this replica, as far as this daemon or the records tell.
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -24,6 +24,7 @@
         });
         let members = self
             .registers
+            .members
             .voters
             .iter()
             .map(|v| self.member_status(v, live(&v.name), now));
@@ -81,7 +82,7 @@
         });
         Status {
             daemon: self.config.name.to_string(),
-            member_epoch: self.registers.member_epoch.into(),
+            member_epoch: self.registers.members.member_epoch.into(),
             settled: self.is_settled,
             quorum: Some(self.hears_majority(now)),
             disk_ok: self.disk_healthy,
@@ -113,7 +114,7 @@
                 peer.map(|p| now.saturating_sub(p.heard_at))
             },
             member_epoch: if own {
-                Some(self.registers.member_epoch.into())
+                Some(self.registers.members.member_epoch.into())
             } else {
                 peer.map(|p| p.heartbeat.member_epoch.into())
             },
@@ -127,12 +128,13 @@
 
     /// Whether this daemon votes and hears a majority of the voters, itself among them.
     fn hears_majority(&self, now: Ms) -> bool {
-        self.registers.voting && self.registers.is_majority(self.live_voter_count(now))
+        self.registers.members.voting && self.registers.is_majority(self.live_voter_count(now))
     }
 
     fn live_voter_count(&self, now: Ms) -> usize {
         let live = self.live_voters(now);
         self.registers
+            .members
             .voters
             .iter()
             .filter(|v| live(&v.name))
@@ -140,8 +142,12 @@
     }
 
     pub fn health(&self) -> HealthAnswer {
-        let stands_by = self.registers.member_epoch > 0 && !self.is_listed_voter();
-        let detail = match (self.disk_healthy, self.registers.voting, self.is_settled) {
+        let stands_by = self.registers.members.member_epoch > 0 && !self.is_listed_voter();
+        let detail = match (
+            self.disk_healthy,
+            self.registers.members.voting,
+            self.is_settled,
+        ) {
             (false, ..) => "the disk does not take writes",
             _ if stands_by => "stands by without a vote",
             (_, false, _) => "does not vote yet",
@@ -156,7 +162,7 @@
     }
 
     pub fn counters(&self, now: Ms) -> Vec<(&'static str, u64)> {
-        let voters = || self.registers.voters.iter();
+        let voters = || self.registers.members.voters.iter();
         let differ = |v: &&Voter| {
             self.differences
                 .get(&v.name)
@@ -178,7 +184,7 @@
                     .filter(|s| s.committed_version != s.version)
                     .count() as u64,
             ),
-            ("member_epoch", self.registers.member_epoch.into()),
+            ("member_epoch", self.registers.members.member_epoch.into()),
             ("quorum", self.hears_majority(now).into()),
             ("voters", voters().count() as u64),
             ("voters_live", self.live_voter_count(now) as u64),
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -14,6 +14,7 @@
     /// Whether this very disk is a voter's.
     pub(super) fn is_listed_voter(&self) -> bool {
         self.registers
+            .members
             .voters
             .iter()
             .any(|v| v.disk_id == self.disk_id)
@@ -26,7 +27,7 @@
             .filter(|(_, p)| {
                 now.saturating_sub(p.heard_at) <= PEER_TIMEOUT
                     && p.heartbeat.state == PeerState::Voter
-                    && p.heartbeat.member_epoch == self.registers.member_epoch
+                    && p.heartbeat.member_epoch == self.registers.members.member_epoch
             })
             .map(|(n, _)| n.clone())
             .collect();
@@ -48,7 +49,10 @@
         self.disk_heard_at.insert(m.disk_id, now);
         let blank = matches!(m.state, PeerState::Blank | PeerState::Bootstrapping);
         let same = m.committed_digest == self.registers.committed_digest();
-        if m.state == PeerState::Voter && m.member_epoch == self.registers.member_epoch && same {
+        if m.state == PeerState::Voter
+            && m.member_epoch == self.registers.members.member_epoch
+            && same
+        {
             self.compared_with.insert(from.clone());
         }
         let missed = !same
@@ -57,27 +61,32 @@
         if same {
             self.differences.remove(from);
         }
-        let behind =
-            m.member_epoch > self.registers.member_epoch || (m.state == PeerState::Voter && missed);
+        let behind = m.member_epoch > self.registers.members.member_epoch
+            || (m.state == PeerState::Voter && missed);
         if behind && !blank && now >= self.next_slots_request {
             self.next_slots_request = now + HEARTBEAT_INTERVAL / 4;
             out.push(send(
                 addr,
                 SlotsRequest {
-                    member_epoch: self.registers.member_epoch,
+                    member_epoch: self.registers.members.member_epoch,
                     known: self.registers.slot_metadata(),
                 },
             ));
         }
         // The first voters are offered again to a member that was named among them but has not stored it.
         if blank
-            && self.registers.member_epoch == 1
-            && self.registers.voters.iter().any(|v| v.disk_id == m.disk_id)
+            && self.registers.members.member_epoch == 1
+            && self
+                .registers
+                .members
+                .voters
+                .iter()
+                .any(|v| v.disk_id == m.disk_id)
         {
             out.push(send(
                 addr,
                 Bootstrap {
-                    voters: List(self.registers.voters.clone()),
+                    voters: List(self.registers.members.voters.clone()),
                 },
             ));
         }
@@ -132,8 +141,8 @@
         out: &mut Effects,
     ) {
         self.registers.rewrite_uncommitted(&m.known, now, out);
-        let r = &self.registers;
-        let slots = r.slots_differing_from(&m.known);
+        let slots = self.registers.slots_differing_from(&m.known);
+        let r = &self.registers.members;
         let m = SlotsReply {
             member_epoch: r.member_epoch,
             voting: if r.voting { 1 } else { u8::from(r.retired) * 2 },
@@ -149,7 +158,9 @@
 
     pub(super) fn on_bootstrap(&mut self, m: Bootstrap, out: &mut Effects) {
         // Only a disk that is blank and named takes it; a later blank disk has another number.
-        if self.registers.member_epoch == 0 && m.voters.iter().any(|v| v.disk_id == self.disk_id) {
+        if self.registers.members.member_epoch == 0
+            && m.voters.iter().any(|v| v.disk_id == self.disk_id)
+        {
             self.begin_as_voter(m.voters.0, out);
         }
     }
@@ -158,7 +169,7 @@
         self.registers.adopt_members(1, 0, voters, out);
         // Nobody ever voted before: there is no lease to wait out.
         self.registers.skip_lease_wait();
-        self.registers.voting = true;
+        self.registers.members.voting = true;
         // Until others know that it votes they take its keys.
         self.next_heartbeat = 0;
         out.push(log_event(events::BOOTSTRAPPED, &self.config.name, ""));
@@ -178,21 +189,21 @@
         self.registers.repair(&m.slots, out);
         self.adopt_committed_voters(out);
         // The first voters stand under no key.
-        if self.registers.member_epoch == 0
+        if self.registers.members.member_epoch == 0
             && m.member_epoch == 1
             && m.voters.iter().any(|v| v.disk_id == self.disk_id)
         {
             self.begin_as_voter(m.voters.0, out);
-        } else if m.member_epoch > self.registers.member_epoch {
+        } else if m.member_epoch > self.registers.members.member_epoch {
             self.adopt_voters(m.member_epoch, m.previous_voter_count, m.voters.0, out);
         }
-        if m.member_epoch != self.registers.member_epoch {
+        if m.member_epoch != self.registers.members.member_epoch {
             return;
         }
         if m.voting == 1 {
             self.compared_with.insert(from.clone());
         }
-        if self.registers.voting || !self.is_listed_voter() || m.voting == 0 {
+        if self.registers.members.voting || !self.is_listed_voter() || m.voting == 0 {
             return;
         }
         let mut rows = self.registers.catch_up(&m.slots);
@@ -203,7 +214,7 @@
             out.push(log_event(
                 events::VOTING,
                 &self.config.name,
-                format!("member epoch {}", self.registers.member_epoch),
+                format!("member epoch {}", self.registers.members.member_epoch),
             ));
         }
         rows.push(self.registers.members_row());
@@ -214,8 +225,8 @@
     /// more can be taken under it, and whatever was taken stands with one of those. Who voted in it or has itself read
     /// so many counts. Where their number is not known, all others.
     fn voters_to_read(&self) -> usize {
-        match self.registers.previous_voter_count {
-            0 => self.registers.voters.len() - 1,
+        match self.registers.members.previous_voter_count {
+            0 => self.registers.members.voters.len() - 1,
             n => n as usize / 2 + 1,
         }
     }
@@ -247,19 +258,20 @@
         voters: Vec<Voter>,
         out: &mut Effects,
     ) {
-        if member_epoch <= self.registers.member_epoch {
+        if member_epoch <= self.registers.members.member_epoch {
             return;
         }
         // Whoever lost its place and was given one again may lack what was taken in between.
-        let kept = voters
-            .iter()
-            .any(|v| v.disk_id == self.disk_id && v.since_epoch <= self.registers.member_epoch);
-        let left =
-            !kept && self.registers.voting && member_epoch == self.registers.member_epoch + 1;
+        let kept = voters.iter().any(|v| {
+            v.disk_id == self.disk_id && v.since_epoch <= self.registers.members.member_epoch
+        });
+        let left = !kept
+            && self.registers.members.voting
+            && member_epoch == self.registers.members.member_epoch + 1;
         self.registers
             .adopt_members(member_epoch, before, voters, out);
-        self.registers.voting &= kept;
-        self.registers.retired = left;
+        self.registers.members.voting &= kept;
+        self.registers.members.retired = left;
         self.caught_up_from.clear();
         // Until others know that it counts the same votes it is not live to them.
         (self.next_join, self.next_heartbeat, self.voters_changed_at) = (0, 0, self.tick_time);
@@ -276,7 +288,7 @@
         live: &dyn Fn(&str) -> bool,
         out: &mut Effects,
     ) {
-        if now < self.next_voter_change || !self.registers.voting {
+        if now < self.next_voter_change || !self.registers.members.voting {
             return;
         }
         self.next_voter_change = now + 2 * HEARTBEAT_INTERVAL;
@@ -299,12 +311,13 @@
                 .filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT)
         };
         let votes = |v: &Voter| v.name == self.config.name || live(&v.name);
-        let member_epoch = self.registers.member_epoch;
+        let member_epoch = self.registers.members.member_epoch;
         // A newcomer is still reading: another change would have it begin anew.
         let reads = |p: &Peer| {
             p.heartbeat.state == PeerState::CatchingUp
                 && self
                     .registers
+                    .members
                     .voters
                     .iter()
                     .any(|v| v.disk_id == p.heartbeat.disk_id && v.since_epoch == member_epoch)
@@ -323,6 +336,7 @@
                     | PeerState::Learner
             ) && !self
                 .registers
+                .members
                 .voters
                 .iter()
                 .any(|v| v.disk_id == p.heartbeat.disk_id)
@@ -347,7 +361,7 @@
             ),
         };
         let s = voter_placement::VoterChange {
-            voters: &self.registers.voters,
+            voters: &self.registers.members.voters,
             unheard_for: &silent,
             candidates: candidates.collect(),
             regions: &self.config.regions,
@@ -363,7 +377,7 @@
             &self.config.name,
             names.join(" "),
         ));
-        let value = voter_placement::encode(self.registers.voters.len() as u32, &next);
+        let value = voter_placement::encode(self.registers.members.voters.len() as u32, &next);
         self.registers.propose(
             NO_CALLER,
             &MEMBERS_KEY.into(),
@@ -376,18 +390,19 @@
 
     /// What a daemon that does not vote yet does about it.
     pub(super) fn request_missing_slots(&mut self, now: Ms, out: &mut Effects) {
-        if self.registers.voting || now < self.next_join {
+        if self.registers.members.voting || now < self.next_join {
             return;
         }
         self.next_join = now + HEARTBEAT_INTERVAL;
         if self.is_listed_voter() {
             let ask = SlotsRequest {
-                member_epoch: self.registers.member_epoch,
+                member_epoch: self.registers.members.member_epoch,
                 known: self.registers.slot_metadata(),
             };
             // Also those that have just lost their places: what they voted may stand with them alone.
             let mut to: BTreeMap<Name, Name> = self
                 .registers
+                .members
                 .voters
                 .iter()
                 .map(|v| (v.name.clone(), self.registers.addr(v)))
@@ -416,7 +431,7 @@
     /// The first voters, once all of them are here with blank disks and this daemon is the one to write them down:
     /// the first by name where names are given, else the one at the first of the seeds.
     fn bootstrap_voters(&self, fresh: &[(&Name, &Peer)]) -> Option<Vec<Voter>> {
-        if self.registers.member_epoch > 0 {
+        if self.registers.members.member_epoch > 0 {
             return None;
         }
         let (name, addr, zone) = (
@@ -447,7 +462,12 @@
                 ),
                 true => (
                     &self.config.addr,
-                    self.registers.voters.iter().map(|v| &v.addr).collect(),
+                    self.registers
+                        .members
+                        .voters
+                        .iter()
+                        .map(|v| &v.addr)
+                        .collect(),
                     PeerState::Bootstrapping,
                 ),
             };
--- a/coordination/src/register/acceptor.rs
+++ b/coordination/src/register/acceptor.rs
@@ -1,227 +1,241 @@
-//! What a voter does with a key: promises, accepts, learns what is committed, and lets a holder keep a duty.
+//! The acceptor's part: a voter promises epochs, accepts values, learns what is committed, and grants leases.
+//!
+//! A reply that others count on leaves only after the slot is synced: it is in the `then` of an [`Effect::Persist`].
 
 use wire_messages::{
-    Accept, Accepted, Change, LeasesRenewed, List, Name, Prepare, Promise, ReleaseLeases,
+    Accept, Accepted, Change, LeasesRenewed, List, Name, OwnedKey, Prepare, Promise, ReleaseLeases,
     RenewLeases, ReplacedValue, Slot,
 };
 
-use super::{Registers, change, is_leased};
+use super::{
+    Registers,
+    slots::{AcceptedStamp, committed_change},
+};
 use crate::{Effect, Effects, Ms, Row, effect::send};
 
+/// A promise to take nothing from lower epochs any more.
+fn granted_promise(epoch: u64, member_epoch: u32, slot: Slot) -> Promise {
+    Promise {
+        epoch,
+        member_epoch,
+        granted: 1,
+        retry_after_ms: 0,
+        slot,
+    }
+}
+
+/// A refusal to promise. `slot` shows which epoch was promised instead, `lease_wait` for how long a lease is in the way.
+fn refused_promise(epoch: u64, member_epoch: u32, slot: Slot, lease_wait: Ms) -> Promise {
+    Promise {
+        epoch,
+        member_epoch,
+        granted: 0,
+        retry_after_ms: lease_wait as u32,
+        slot,
+    }
+}
+
 impl Registers {
-    pub fn on_prepare(&mut self, to: &Name, m: Prepare, now: Ms, out: &mut Effects) {
-        let member_epoch = self.member_epoch;
-        self.highest_epoch = self.highest_epoch.max(m.epoch);
-        // A disk that may lack what it once confirmed must not vote, and other member epochs count other votes.
-        if !self.voting || m.member_epoch != member_epoch {
-            if m.member_epoch < member_epoch {
-                out.push(send(
-                    to,
-                    Promise {
-                        epoch: m.epoch,
-                        member_epoch,
-                        granted: 0,
-                        retry_after_ms: 0,
-                        slot: Slot {
-                            key: m.key,
-                            ..Slot::default()
-                        },
-                    },
-                ));
+    /// Answers a proposer that wants to own a key.
+    pub fn on_prepare(
+        &mut self,
+        proposer_addr: &Name,
+        prepare: Prepare,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        let Prepare {
+            key,
+            epoch,
+            member_epoch,
+        } = prepare;
+        let own_member_epoch = self.members.member_epoch;
+        self.epochs.observe(epoch);
+        if !self.members.votes_in(member_epoch) {
+            // The refusal tells a proposer of an older member epoch that there is a newer one.
+            if member_epoch < own_member_epoch {
+                let no_slot = Slot {
+                    key,
+                    ..Slot::default()
+                };
+                let refusal = refused_promise(epoch, own_member_epoch, no_slot, 0);
+                out.push(send(proposer_addr, refusal));
             }
             return;
         }
-        let wait = self.lease_wait(&m.key, to, now);
-        let s = self.slot_mut(&m.key);
-        if wait > 0 || m.epoch < s.promised_epoch {
-            let slot = s.clone();
-            out.push(send(
-                to,
-                Promise {
-                    epoch: m.epoch,
-                    member_epoch,
-                    granted: 0,
-                    retry_after_ms: wait as u32,
-                    slot,
-                },
-            ));
+        let lease_wait = self.lease_grants.wait(&key, proposer_addr, now);
+        let slot = self.slots.entry(&key);
+        if lease_wait > 0 || epoch < slot.promised_epoch {
+            let refusal = refused_promise(epoch, own_member_epoch, slot.clone(), lease_wait);
+            out.push(send(proposer_addr, refusal));
             return;
         }
-        s.promised_epoch = m.epoch;
-        let slot = s.clone();
-        // Its own promise tells this daemon that the key is no longer its own.
-        if self
-            .ownerships
-            .get(&m.key)
-            .is_some_and(|o| o.epoch < m.epoch)
-        {
-            self.relinquish(&m.key, out);
-        }
-        let then = vec![send(
-            to,
-            Promise {
-                epoch: m.epoch,
-                member_epoch,
-                granted: 1,
-                retry_after_ms: 0,
-                slot: slot.clone(),
-            },
-        )];
+        slot.promised_epoch = epoch;
+        let slot = slot.clone();
+        // Once this voter's promise is out a majority may have made the proposer the owner.
+        self.relinquish_below(&key, epoch, out);
+        let promise = granted_promise(epoch, own_member_epoch, slot.clone());
         out.push(Effect::Persist {
             rows: vec![Row::Slot(slot)],
-            then,
+            then: vec![send(proposer_addr, promise)],
         });
     }
 
-    /// ms. For how long nobody but the holder may take the key, as this voter let it keep a duty or may have.
-    fn lease_wait(&self, key: &Name, from: &Name, now: Ms) -> Ms {
-        if !is_leased(key) {
-            return 0;
-        }
-        let granted = self
-            .grants
-            .get(key)
-            .filter(|g| g.0 != *from)
-            .map_or(0, |g| g.2);
-        granted.max(self.abstain_until).saturating_sub(now)
-    }
-
-    pub fn on_accept(&mut self, to: &Name, m: Accept, out: &mut Effects) {
-        let member_epoch = self.member_epoch;
-        self.highest_epoch = self.highest_epoch.max(m.epoch);
-        if !self.voting || m.member_epoch != member_epoch {
+    /// Stores an owner's value, unless a higher epoch was promised.
+    pub fn on_accept(&mut self, owner_addr: &Name, accept: Accept, out: &mut Effects) {
+        let member_epoch = self.members.member_epoch;
+        self.epochs.observe(accept.epoch);
+        if !self.members.votes_in(accept.member_epoch) {
             return;
         }
-        let s = self.slot_mut(&m.key);
-        let mut a = Accepted {
-            key: m.key.clone(),
-            epoch: m.epoch,
-            version: m.version,
-            promised_epoch: s.promised_epoch,
+        let slot = self.slots.entry(&accept.key);
+        let mut reply = Accepted {
+            key: accept.key.clone(),
+            epoch: accept.epoch,
+            version: accept.version,
+            promised_epoch: slot.promised_epoch,
             member_epoch,
             accepted: 0,
         };
-        // A value of a later epoch may be known here without a promise: what is not stored is not acknowledged.
-        if m.epoch < s.promised_epoch.max(s.accepted_epoch) {
-            a.promised_epoch = s.promised_epoch.max(s.accepted_epoch);
-            out.push(send(to, a));
+        // A commit may have brought a value of a higher epoch than was promised here. A lower one is not stored beside
+        // it, and what is not stored must not be acknowledged.
+        let lowest_epoch = slot.promised_epoch.max(slot.accepted_epoch);
+        if accept.epoch < lowest_epoch {
+            reply.promised_epoch = lowest_epoch;
+            out.push(send(owner_addr, reply));
             return;
         }
-        a.accepted = 1;
-        // A delayed copy of an older write of the same owner must not put the newer one back.
-        if (m.epoch, m.version) >= (s.accepted_epoch, s.version) {
-            (
-                s.promised_epoch,
-                s.accepted_epoch,
-                s.version,
-                s.value,
-                s.replaced,
-            ) = (m.epoch, m.epoch, m.version, m.value, m.replaced);
+        reply.accepted = 1;
+        let offered = AcceptedStamp {
+            epoch: accept.epoch,
+            version: accept.version,
+        };
+        // A delayed copy of an older write of the same owner must not overwrite the newer one.
+        if offered >= AcceptedStamp::of(slot) {
+            slot.promised_epoch = accept.epoch;
+            slot.accepted_epoch = accept.epoch;
+            slot.version = accept.version;
+            slot.value = accept.value;
+            slot.replaced = accept.replaced;
         }
-        let slot = s.clone();
-        // This version was known to be committed before something newer, which no majority took, stood in its place.
-        if slot.committed_version == slot.version && slot.accepted_epoch == m.epoch {
-            self.newly_committed.push(change(&slot));
+        let slot = slot.clone();
+        // This version was known to be committed until a newer one, which no majority accepted, replaced it here.
+        if slot.committed_version == slot.version && slot.accepted_epoch == accept.epoch {
+            self.newly_committed.push(committed_change(&slot));
         }
         out.push(Effect::Persist {
             rows: vec![Row::Slot(slot)],
-            then: vec![send(to, a)],
+            then: vec![send(owner_addr, reply)],
         });
     }
 
-    /// Learns a committed value.
-    pub fn on_commit(&mut self, c: &Change, past: &[ReplacedValue], out: &mut Effects) {
-        self.highest_epoch = self.highest_epoch.max(c.epoch);
-        let s = self.slot_mut(&c.key);
-        if (c.epoch, c.version) < (s.accepted_epoch, s.version)
-            || (s.accepted_epoch, s.version, s.committed_version) == (c.epoch, c.version, c.version)
-        {
+    /// Learns a committed value, and what it replaced. An older one than the slot holds changes nothing.
+    pub fn on_commit(&mut self, change: &Change, replaced: &[ReplacedValue], out: &mut Effects) {
+        self.epochs.observe(change.epoch);
+        let slot = self.slots.entry(&change.key);
+        let committed = AcceptedStamp {
+            epoch: change.epoch,
+            version: change.version,
+        };
+        let accepted = AcceptedStamp::of(slot);
+        let already_known = accepted == committed && slot.committed_version == change.version;
+        if committed < accepted || already_known {
             return;
         }
-        (s.accepted_epoch, s.version, s.committed_version, s.value) =
-            (c.epoch, c.version, c.version, c.value.clone());
-        s.replaced = List(past.to_vec());
-        let slot = s.clone();
+        slot.accepted_epoch = change.epoch;
+        slot.version = change.version;
+        slot.committed_version = change.version;
+        slot.value = change.value.clone();
+        slot.replaced = List(replaced.to_vec());
         out.push(Effect::Persist {
-            rows: vec![Row::Slot(slot)],
+            rows: vec![Row::Slot(slot.clone())],
             then: vec![],
         });
-        self.newly_committed.push(c.clone());
+        self.newly_committed.push(change.clone());
     }
 
-    pub fn on_renew(&mut self, to: &Name, m: RenewLeases, now: Ms, out: &mut Effects) {
-        if !self.voting || m.member_epoch != self.member_epoch {
+    /// Confirms an owner's keys, and grants leases of those that are leased.
+    pub fn on_renew(
+        &mut self,
+        owner_addr: &Name,
+        renewal: RenewLeases,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        if !self.members.votes_in(renewal.member_epoch) {
             return;
         }
-        let (mut keys, mut rows) = (List::default(), vec![]);
-        for h in m.keys {
-            let promised = self.slots.get(&h.key).map_or(0, |s| s.promised_epoch);
-            // Told at once: a holder whom nobody renews any more must not rest on a key that nobody else takes.
-            if promised > h.epoch {
-                out.push(send(
-                    to,
-                    Accepted {
-                        key: h.key,
-                        epoch: h.epoch,
-                        version: 0,
-                        promised_epoch: promised,
-                        member_epoch: self.member_epoch,
-                        accepted: 0,
-                    },
-                ));
-                continue;
-            }
-            // An owner that others made one without this voter: it may need its word once one of those is gone.
-            if promised < h.epoch {
-                if self.lease_wait(&h.key, to, now) > 0 {
-                    continue;
-                }
-                self.highest_epoch = self.highest_epoch.max(h.epoch);
-                if self
-                    .ownerships
-                    .get(&h.key)
-                    .is_some_and(|o| o.epoch < h.epoch)
-                {
-                    self.relinquish(&h.key, out);
-                }
-                let s = self.slot_mut(&h.key);
-                s.promised_epoch = h.epoch;
-                rows.push(Row::Slot(s.clone()));
+        let mut confirmed = List::default();
+        let mut rows = vec![];
+        for owned in renewal.keys {
+            if self.confirm(owner_addr, &owned, now, &mut rows, out) {
+                let OwnedKey { key, epoch } = &owned;
+                self.lease_grants.grant(key, owner_addr, *epoch, now);
+                confirmed.0.push(owned);
             }
-            self.grants.insert(
-                h.key.clone(),
-                (to.clone(), h.epoch, now + self.lease_duration),
-            );
-            keys.0.push(h);
         }
-        let told = send(
-            to,
+        let reply = send(
+            owner_addr,
             LeasesRenewed {
-                keys,
-                request_sent_at: m.sent_at,
-                member_epoch: self.member_epoch,
+                keys: confirmed,
+                request_sent_at: renewal.sent_at,
+                member_epoch: self.members.member_epoch,
             },
         );
         if rows.is_empty() {
-            return out.push(told);
+            out.push(reply);
+            return;
         }
         out.push(Effect::Persist {
             rows,
-            then: vec![told],
+            then: vec![reply],
         });
     }
 
-    /// A holder has given its duties up: nobody need wait its leases out.
-    pub fn on_release(&mut self, from: &Name, m: ReleaseLeases) {
-        for h in m.keys {
-            // A renewal of a later ownership stands.
-            if self
-                .grants
-                .get(&h.key)
-                .is_some_and(|g| g.0 == *from && g.1 <= h.epoch)
-            {
-                self.grants.remove(&h.key);
+    /// Whether this voter takes a daemon for the owner of a key from now on. `rows` gets a promise that this implies.
+    fn confirm(
+        &mut self,
+        owner_addr: &Name,
+        owned: &OwnedKey,
+        now: Ms,
+        rows: &mut Vec<Row>,
+        out: &mut Effects,
+    ) -> bool {
+        let promised_epoch = self.slots.promised_epoch(&owned.key);
+        // A former owner learns at once that it is one: otherwise it would rest on a key that nobody renews for it, and
+        // that nobody else acquires.
+        if promised_epoch > owned.epoch {
+            let denial = Accepted {
+                key: owned.key.clone(),
+                epoch: owned.epoch,
+                version: 0,
+                promised_epoch,
+                member_epoch: self.members.member_epoch,
+                accepted: 0,
+            };
+            out.push(send(owner_addr, denial));
+            return false;
+        }
+        // Other voters made this owner. Its majority may need this voter once one of them is gone, so that the
+        // confirmation has to bind like a promise.
+        if promised_epoch < owned.epoch {
+            if self.lease_grants.wait(&owned.key, owner_addr, now) > 0 {
+                return false;
             }
+            self.epochs.observe(owned.epoch);
+            self.relinquish_below(&owned.key, owned.epoch, out);
+            let slot = self.slots.entry(&owned.key);
+            slot.promised_epoch = owned.epoch;
+            rows.push(Row::Slot(slot.clone()));
+        }
+        true
+    }
+
+    /// A holder has relinquished its keys: nobody needs to wait for its leases to end.
+    pub fn on_release(&mut self, holder_addr: &Name, release: ReleaseLeases) {
+        for owned in release.keys {
+            self.lease_grants
+                .release(&owned.key, holder_addr, owned.epoch);
         }
     }
 }
--- /dev/null
+++ b/coordination/src/register/proposer.rs
@@ -0,0 +1,293 @@
+//! The proposer's part: an owner serves its key's requests one by one, and has each value accepted by a majority.
+
+use wire_messages::{Accepted, Blob, Commit, Name, Slot};
+
+use super::{
+    Expect, Registers,
+    ownership::{InFlightWrite, Ownership, OwnershipPhase, PendingRequest},
+    prior_writes::PriorOutcome,
+    slots::AcceptedStamp,
+};
+use crate::{
+    Effect, Effects, Ms, WriteOutcome,
+    effect::{log_event, send},
+    events,
+};
+
+/// Requests that may wait for one key; operators that race are a handful.
+const MAX_PENDING_REQUESTS: usize = 32;
+
+/// The effect that answers a request.
+pub(super) fn finished(token: u64, outcome: WriteOutcome) -> Effect {
+    Effect::WriteFinished { token, outcome }
+}
+
+impl Registers {
+    /// Submits a write to a key that this daemon owns or is to own. It ends in an [`Effect::WriteFinished`] with this
+    /// token, or in `displaced`.
+    pub fn propose(
+        &mut self,
+        token: u64,
+        key: &Name,
+        expect: impl Into<Expect>,
+        value: Blob,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        let request = PendingRequest {
+            token,
+            expect: expect.into(),
+            value: Some(value),
+            received_at: now,
+        };
+        self.enqueue(request, key, now, out);
+    }
+
+    /// Asks for the newest version of a key that this daemon owns or is to own. It ends like a write.
+    pub fn read(&mut self, token: u64, key: &Name, now: Ms, out: &mut Effects) {
+        let request = PendingRequest {
+            token,
+            expect: Expect::Any,
+            value: None,
+            received_at: now,
+        };
+        self.enqueue(request, key, now, out);
+    }
+
+    fn enqueue(&mut self, request: PendingRequest, key: &Name, now: Ms, out: &mut Effects) {
+        if !self.members.voting {
+            let reason = WriteOutcome::NotAccepted("this daemon does not vote");
+            out.push(finished(request.token, reason));
+            return;
+        }
+        if !self.ownerships.contains_key(key) {
+            self.acquire(key, now, out);
+        }
+        let Some(ownership) = self.ownerships.get_mut(key) else {
+            return;
+        };
+        if ownership.pending.len() >= MAX_PENDING_REQUESTS {
+            let reason = WriteOutcome::NotAccepted("too many writes wait for this key");
+            out.push(finished(request.token, reason));
+            return;
+        }
+        ownership.pending.push_back(request);
+        self.advance(key, now, out);
+    }
+
+    /// Works through a key's pending requests, until a write is in flight or the voters must confirm the ownership
+    /// first.
+    pub(super) fn advance(&mut self, key: &Name, now: Ms, out: &mut Effects) {
+        while let Some((version, request)) = self.next_request(key) {
+            let (received_at, expect) = (request.received_at, request.expect);
+            let is_read = request.value.is_none();
+            let is_repeated = request
+                .value
+                .as_ref()
+                .is_some_and(|value| self.is_current(key, version, expect, value));
+            if !is_read && !is_repeated && self.matches_expectation(key, version, expect) {
+                self.write_next(key, version, now, out);
+                return;
+            }
+            // Only an owner that a majority has confirmed since the request came may say what is current: one that was
+            // deposed without having heard of it would answer with an older value.
+            if !self.is_confirmed_since(key, received_at) {
+                self.confirm_ownership(key, received_at, now, out);
+                return;
+            }
+            let Some(request) = self.pop_request(key) else {
+                return;
+            };
+            let outcome = match request.value {
+                Some(value) if !is_repeated => {
+                    match self.prior_outcome(key, version, expect, &value) {
+                        PriorOutcome::Accepted(prior_version) => {
+                            WriteOutcome::Accepted(prior_version)
+                        }
+                        PriorOutcome::Never => WriteOutcome::Conflict(version),
+                        PriorOutcome::Forgotten => WriteOutcome::Unknown,
+                    }
+                }
+                _ => WriteOutcome::Accepted(version),
+            };
+            out.push(finished(request.token, outcome));
+        }
+    }
+
+    /// The first pending request of a key with the key's version, if the key is owned and no write is in flight.
+    fn next_request(&self, key: &Name) -> Option<(u64, &PendingRequest)> {
+        let ownership = self.ownerships.get(key)?;
+        match (&ownership.phase, &ownership.in_flight) {
+            (OwnershipPhase::Owning { version }, None) => {
+                Some((*version, ownership.pending.front()?))
+            }
+            _ => None,
+        }
+    }
+
+    fn pop_request(&mut self, key: &Name) -> Option<PendingRequest> {
+        self.ownerships.get_mut(key)?.pending.pop_front()
+    }
+
+    fn is_confirmed_since(&self, key: &Name, since: Ms) -> bool {
+        self.ownerships
+            .get(key)
+            .and_then(|ownership| self.confirmed_at(ownership))
+            .is_some_and(|confirmed_at| confirmed_at >= since)
+    }
+
+    /// Whether what a write expects is current.
+    fn matches_expectation(&mut self, key: &Name, version: u64, expect: Expect) -> bool {
+        match expect {
+            Expect::Any => true,
+            Expect::Version(expected) | Expect::UnchangedSince(expected) => expected == version,
+            Expect::Release(expected) => self.release_at(key, version) == Some(expected),
+        }
+    }
+
+    /// Whether a write's value is current already, as what the write would have made of it: an operator that got no
+    /// clear answer repeats its order, and a daemon a write whose owner went.
+    fn is_current(&self, key: &Name, version: u64, expect: Expect, value: &Blob) -> bool {
+        let is_same_value = version > 0
+            && self
+                .slots
+                .at_version(key, version)
+                .is_some_and(|slot| slot.value == *value);
+        let is_same_version = match expect {
+            Expect::Version(expected) => expected + 1 == version,
+            Expect::Any | Expect::Release(_) | Expect::UnchangedSince(_) => true,
+        };
+        is_same_value && is_same_version
+    }
+
+    /// Offers the first pending write to the voters' disks, as the version after `version`.
+    fn write_next(&mut self, key: &Name, version: u64, now: Ms, out: &mut Effects) {
+        let replaced = self.replaced_by_next(key, version);
+        let Some(mut request) = self.pop_request(key) else {
+            return;
+        };
+        let Some(value) = request.value.take() else {
+            return;
+        };
+        let Some(ownership) = self.ownerships.get_mut(key) else {
+            return;
+        };
+        let write = InFlightWrite::new(request, value, version + 1, replaced, now);
+        let accept = write.accept_message(key, ownership.epoch, self.members.member_epoch);
+        ownership.in_flight = Some(write);
+        self.broadcast(accept, out);
+    }
+
+    /// Counts a voter's acceptance; with a majority of them the write is committed. A refusal for a higher epoch ends
+    /// the ownership.
+    pub fn on_accepted(&mut self, voter: &Name, reply: Accepted, now: Ms, out: &mut Effects) {
+        self.epochs.observe(reply.promised_epoch);
+        let counts =
+            reply.member_epoch == self.members.member_epoch && self.members.has_voter(voter);
+        let Some(ownership) = self
+            .ownerships
+            .get_mut(&reply.key)
+            .filter(|ownership| counts && ownership.epoch == reply.epoch)
+        else {
+            return;
+        };
+        if reply.accepted == 0 {
+            if reply.promised_epoch > ownership.epoch {
+                out.push(log_event(
+                    events::OWNERSHIP_LOST,
+                    voter,
+                    format!("{} epoch {}", reply.key, ownership.epoch),
+                ));
+                self.relinquish(&reply.key, out);
+            }
+            return;
+        }
+        let majority = self.members.majority();
+        if let Some(write) = take_if_accepted(ownership, voter, reply.version, majority) {
+            let epoch = ownership.epoch;
+            ownership.phase = OwnershipPhase::Owning {
+                version: write.version,
+            };
+            self.commit(&reply.key, epoch, write, out);
+            self.advance(&reply.key, now, out);
+        }
+    }
+
+    /// A majority has a write on disk: answers its request and lets everybody know.
+    fn commit(&mut self, key: &Name, epoch: u64, write: InFlightWrite, out: &mut Effects) {
+        if let Some(token) = write.token {
+            out.push(log_event(
+                events::WRITE_COMMITTED,
+                &self.name,
+                format!("{key} version {}", write.version),
+            ));
+            out.push(finished(token, WriteOutcome::Accepted(write.version)));
+        }
+        let commit = Commit {
+            change: write.committed_change(key, epoch),
+            replaced: write.replaced,
+        };
+        self.on_commit(&commit.change, &commit.replaced, out);
+        for voter in &self.members.voters {
+            if voter.name != self.name {
+                out.push(send(&self.addr(voter), commit.clone()));
+            }
+        }
+        out.extend(self.followers.iter().map(|addr| send(addr, commit.clone())));
+    }
+
+    /// Writes committed values again where another voter has accepted something newer that is not committed: an owner
+    /// that died left it there, and that voter accepts nothing older in its place.
+    pub fn rewrite_uncommitted(&mut self, voter_slots: &[Slot], now: Ms, out: &mut Effects) {
+        let uncommitted = voter_slots
+            .iter()
+            .filter(|slot| slot.committed_version != slot.version);
+        for voter_slot in uncommitted {
+            self.rewrite_over(voter_slot, now, out);
+        }
+    }
+
+    fn rewrite_over(&mut self, voter_slot: &Slot, now: Ms, out: &mut Effects) {
+        let key = &voter_slot.key;
+        let Some(own_slot) = self
+            .slots
+            .get(key)
+            .filter(|own_slot| AcceptedStamp::of(voter_slot) > AcceptedStamp::of(own_slot))
+        else {
+            return;
+        };
+        let Some(ownership) = self.ownerships.get_mut(key).filter(|ownership| {
+            ownership.in_flight.is_none() && ownership.epoch > voter_slot.accepted_epoch
+        }) else {
+            return;
+        };
+        let OwnershipPhase::Owning { version } = ownership.phase else {
+            return;
+        };
+        if own_slot.version != version || version == 0 {
+            return;
+        }
+        let rewrite = InFlightWrite::rewrite(own_slot, now);
+        let accept = rewrite.accept_message(key, ownership.epoch, self.members.member_epoch);
+        ownership.in_flight = Some(rewrite);
+        self.broadcast(accept, out);
+    }
+}
+
+/// Notes that a voter has a version on disk, and takes the write out of flight once a majority does.
+fn take_if_accepted(
+    ownership: &mut Ownership,
+    voter: &Name,
+    version: u64,
+    majority: usize,
+) -> Option<InFlightWrite> {
+    let write = ownership
+        .in_flight
+        .as_mut()
+        .filter(|write| write.version == version)?;
+    write.accepted_by.insert(voter.clone());
+    if write.accepted_by.len() < majority {
+        return None;
+    }
+    ownership.in_flight.take()
+}
--- /dev/null
+++ b/coordination/src/register/slots.rs
@@ -0,0 +1,131 @@
+//! The acceptor's slots: of each key the highest promise and the newest accepted value, as they are on disk.
+
+use std::collections::BTreeMap;
+
+use wire_messages::{Blob, Change, List, Name, Slot};
+use xxhash_rust::xxh3::xxh3_64;
+
+/// Orders the accepted values of a key: by the epoch of the owner that proposed one, then by version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AcceptedStamp {
+    pub(super) epoch: u64,
+    pub(super) version: u64,
+}
+
+impl AcceptedStamp {
+    pub(super) fn of(slot: &Slot) -> Self {
+        AcceptedStamp {
+            epoch: slot.accepted_epoch,
+            version: slot.version,
+        }
+    }
+}
+
+/// Whether a slot's value is known to be committed.
+pub(super) fn is_committed(slot: &Slot) -> bool {
+    slot.committed_version == slot.version && slot.version > 0
+}
+
+/// A slot's value as a committed change.
+pub(super) fn committed_change(slot: &Slot) -> Change {
+    Change {
+        key: slot.key.clone(),
+        epoch: slot.accepted_epoch,
+        version: slot.version,
+        value: slot.value.clone(),
+    }
+}
+
+fn without_value(slot: &Slot) -> Slot {
+    Slot {
+        key: slot.key.clone(),
+        value: Blob::default(),
+        replaced: List::default(),
+        ..*slot
+    }
+}
+
+/// What two voters compare of a slot: all but the value, which these determine.
+#[derive(PartialEq, Eq)]
+struct SlotState {
+    promised_epoch: u64,
+    accepted: AcceptedStamp,
+    committed_version: u64,
+}
+
+impl SlotState {
+    fn of(slot: &Slot) -> Self {
+        SlotState {
+            promised_epoch: slot.promised_epoch,
+            accepted: AcceptedStamp::of(slot),
+            committed_version: slot.committed_version,
+        }
+    }
+}
+
+#[derive(Clone, Debug, Default)]
+pub(super) struct Slots {
+    pub(super) by_key: BTreeMap<Name, Slot>,
+}
+
+impl Slots {
+    pub(super) fn get(&self, key: &str) -> Option<&Slot> {
+        self.by_key.get(key)
+    }
+
+    /// The slot of a key where it holds this very version.
+    pub(super) fn at_version(&self, key: &str, version: u64) -> Option<&Slot> {
+        self.get(key).filter(|slot| slot.version == version)
+    }
+
+    /// The slot of a key; an empty one is made where there is none.
+    pub(super) fn entry(&mut self, key: &Name) -> &mut Slot {
+        self.by_key.entry(key.clone()).or_insert_with(|| Slot {
+            key: key.clone(),
+            ..Slot::default()
+        })
+    }
+
+    pub(super) fn insert(&mut self, slot: Slot) {
+        self.by_key.insert(slot.key.clone(), slot);
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Slot> {
+        self.by_key.values()
+    }
+
+    /// The epoch that was promised for a key; 0 where none was.
+    pub(super) fn promised_epoch(&self, key: &str) -> u64 {
+        self.get(key).map_or(0, |slot| slot.promised_epoch)
+    }
+
+    pub(super) fn metadata(&self) -> List<Slot> {
+        self.iter().map(without_value).collect()
+    }
+
+    /// The slots that differ from those of another voter.
+    pub(super) fn differing_from(&self, others: &[Slot]) -> List<Slot> {
+        let others: BTreeMap<&str, SlotState> = others
+            .iter()
+            .map(|slot| (&*slot.key, SlotState::of(slot)))
+            .collect();
+        self.iter()
+            .filter(|slot| others.get(&*slot.key) != Some(&SlotState::of(slot)))
+            .cloned()
+            .collect()
+    }
+
+    /// Whether no slot has an accepted value that is not known to be committed.
+    pub(super) fn all_committed(&self) -> bool {
+        self.iter()
+            .all(|slot| slot.committed_version == slot.version)
+    }
+
+    /// One digest over key, epoch and version of all that is committed.
+    pub(super) fn committed_digest(&self) -> u64 {
+        self.iter()
+            .filter(|slot| is_committed(slot))
+            .map(|slot| format!("{} {} {}", slot.key, slot.accepted_epoch, slot.version))
+            .fold(0, |digest, stamp| digest ^ xxh3_64(stamp.as_bytes()))
+    }
+}
--- a/coordination/src/register/tests.rs
+++ b/coordination/src/register/tests.rs
@@ -1,8 +1,10 @@
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
 use googletest::prelude::*;
-use wire_messages::{Message, OwnedKey};
+use wire_messages::{Blob, Message, OwnedKey, ReplacedValue};
 
-use super::*;
-use crate::{Effect, Effects, WriteOutcome, timing::LEASE_DURATION};
+use super::{ownership::OwnershipPhase, *};
+use crate::{Effect, WriteOutcome, timing::LEASE_DURATION};
 
 const NODES: usize = 3;
 
@@ -228,6 +230,10 @@
     }
 }
 
+fn slot<'a>(registers: &'a Registers, key: &str) -> &'a Slot {
+    registers.slots.get(key).unwrap()
+}
+
 type Sends = Vec<(Name, Message)>;
 
 /// Syncs what is to be synced on a disk, and gives all that is then sent.
@@ -315,11 +321,11 @@
     write(&mut n, &mut disks, 0, "never", [1, 2], &[1]);
     n[0] = Registers::new(name(0), disks[0].clone(), LEASE_DURATION, 1);
     write(&mut n, &mut disks, 0, "accepted", [0, 2], &[0, 2]);
-    expect_that!(n[0].slots[&key].committed_version, eq(1));
+    expect_that!(slot(&n[0], &key).committed_version, eq(1));
     // The third takes over with the second's vote, which comes first, and its own.
     write(&mut n, &mut disks, 2, "next", [1, 2], &[1, 2]);
     expect_that!(
-        String::from_utf8_lossy(&n[2].slots[&key].value.0),
+        String::from_utf8_lossy(&slot(&n[2], &key).value.0),
         eq("accepted")
     );
 }
@@ -341,7 +347,7 @@
             .nodes
             .iter()
             .flatten()
-            .filter_map(|n| n.slots.get(&Name::from("k")))
+            .filter_map(|n| n.slots.get("k"))
             .map(|s| s.version)
             .max();
         expect_that!(held, ge(Some(newest)), "seed {seed}");
@@ -413,13 +419,13 @@
         told.as_ref().map(|a| (a.accepted, a.promised_epoch)),
         some(eq((0, 9)))
     );
-    expect_that!(n.slots[&Name::from("k")].value.0, eq(b"newer"));
+    expect_that!(slot(&n, "k").value.0, eq(b"newer"));
     // Its own epoch and later ones are stored.
     for (epoch, version) in [(9, 4), (11, 5)] {
         let mut out = vec![];
         n.on_accept(&name(1), accept("k", epoch, version, "next"), &mut out);
         expect_that!(accepted(&out).map(|a| a.accepted), some(eq(1)));
-        expect_that!(n.slots[&Name::from("k")].version, eq(version));
+        expect_that!(slot(&n, "k").version, eq(version));
     }
 }
 
@@ -435,7 +441,7 @@
             some(eq((1, version)))
         );
     }
-    expect_that!(n.slots[&Name::from("k")].value.0, eq(b"b"));
+    expect_that!(slot(&n, "k").value.0, eq(b"b"));
 }
 
 /// A newcomer takes over from each former voter what may stand with that one alone: the highest promise, the newest
@@ -455,7 +461,7 @@
         value: Blob(value.into()),
         replaced: past.clone(),
     };
-    let of = |n: &Registers| n.slots[&Name::from("k")].clone();
+    let of = |n: &Registers| n.slots.get("k").unwrap().clone();
     let mut n = voter(0);
     // The highest promise and the newest value stand with different voters, in either order.
     let rows = n.catch_up(&[
@@ -475,7 +481,7 @@
         "what no majority is known to have taken is told to nobody"
     );
     expect_that!(
-        n.highest_epoch,
+        n.epochs.highest(),
         eq(12),
         "its own epochs are above all that it read of"
     );
@@ -541,21 +547,21 @@
     put(&mut n, "b", 5, 1, 20);
     expect_that!(
         [
-            n.release(&"a".into(), 1),
-            n.release(&"b".into(), 1),
-            n.release(&"a".into(), 0)
+            n.release_at(&"a".into(), 1),
+            n.release_at(&"b".into(), 1),
+            n.release_at(&"a".into(), 0)
         ],
         each(some(anything()))
     );
     expect_that!(
-        (n.release(&"a".into(), 1), n.release(&"b".into(), 1)),
+        (n.release_at(&"a".into(), 1), n.release_at(&"b".into(), 1)),
         eq((Some(10), Some(20)))
     );
     put(&mut n, "a", 6, 1, 11);
-    expect_that!(n.release(&"a".into(), 1), some(eq(11)));
+    expect_that!(n.release_at(&"a".into(), 1), some(eq(11)));
     put(&mut n, "a", 6, 2, 12);
     expect_that!(
-        (n.release(&"a".into(), 1), n.release(&"a".into(), 2)),
+        (n.release_at(&"a".into(), 1), n.release_at(&"a".into(), 2)),
         eq((None, Some(12)))
     );
 }
@@ -726,14 +732,8 @@
     );
     let phase = OwnershipPhase::Owning { version: 3 };
     let own = Ownership {
-        epoch: 7,
         phase,
-        in_flight: None,
-        pending: VecDeque::new(),
-        not_before: 0,
-        superseded: false,
-        confirmed_by: BTreeMap::new(),
-        confirmation_sent_at: 0,
+        ..Ownership::preparing(7, VecDeque::new(), 0, 0)
     };
     n.ownerships.insert(key.clone(), own);
     let mut out = vec![];
@@ -773,7 +773,7 @@
     expect_that!(told(2, 7, 100, 1), eq(true));
     // A voter that has promised another owner says so and keeps no later one out.
     let mut v = voter(1);
-    v.slot_mut(&key).promised_epoch = 8;
+    v.slots.entry(&key).promised_epoch = 8;
     let mut out = vec![];
     v.on_renew(
         &name(0),
--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -72,7 +72,7 @@
             "{:?} {:?} {} {:?} {:?}",
             r.slots.get(key),
             r.ownerships.get(key),
-            r.highest_epoch,
+            r.epochs.highest(),
             self.disk,
             self.unsynced
         );
@@ -119,7 +119,7 @@
             let mut regs = voter(i);
             regs.skip_lease_wait();
             if without == Without::Majority {
-                regs.voters.retain(|v| v.name == name(i));
+                regs.members.voters.retain(|v| v.name == name(i));
             }
             let row = regs.members_row();
             Arc::new(Node {
@@ -244,7 +244,7 @@
             }
             Message::Accept(m) => {
                 if without == Without::PromiseKept {
-                    let slot = regs.slot_mut(&m.key);
+                    let slot = regs.slots.entry(&m.key);
                     (slot.promised_epoch, slot.accepted_epoch) = (
                         slot.promised_epoch.min(m.epoch),
                         slot.accepted_epoch.min(m.epoch),
@@ -291,7 +291,7 @@
         match (
             without,
             regs.ownerships.get_mut(KEY),
-            regs.slots.get_mut(KEY),
+            regs.slots.by_key.get_mut(KEY),
         ) {
             (Without::ConfirmedRead, Some(own), _) => {
                 own.confirmed_by = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect()
--- a/coordination/src/register/tests/rules.rs
+++ b/coordination/src/register/tests/rules.rs
@@ -68,7 +68,7 @@
         accepted(&out).map(|a| (a.accepted, a.promised_epoch)),
         some(eq((0, 7)))
     );
-    expect_that!(n.slots[&Name::from(KEY)].version, eq(0));
+    expect_that!(slot(&n, KEY).version, eq(0));
 }
 
 /// An owner that was made without this voter's word counts on it once it has confirmed: earlier ones are refused then.
@@ -161,11 +161,11 @@
     let mut n = voter(0);
     let mut out = vec![];
     n.adopt_members(3, 3, voters()[..2].to_vec(), &mut out);
-    expect_that!((n.member_epoch, n.voters.len()), eq((3, 2)));
+    expect_that!((n.members.member_epoch, n.members.voters.len()), eq((3, 2)));
     for old in [1, 2, 3] {
         n.adopt_members(old, 3, voters(), &mut out);
         expect_that!(
-            (n.member_epoch, n.voters.len()),
+            (n.members.member_epoch, n.members.voters.len()),
             eq((3, 2)),
             "member epoch {old}"
         );
@@ -232,7 +232,7 @@
                 &mut vec![],
             );
         }
-        n.highest_epoch = 1 << 30;
+        n.epochs.observe(1 << 30);
         n.acquire(&KEY.into(), 1, &mut vec![]);
         let epoch = n.ownerships[KEY].epoch;
         let mut out = vec![];
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -1,165 +1,151 @@
-//! What time brings: keys are taken and handed over, messages sent again, leases renewed and writes given up.
+//! What happens as time passes: keys are acquired and handed over, messages sent again, leases renewed, and requests
+//! timed out.
 
-use std::collections::BTreeSet;
+use std::{
+    collections::{BTreeSet, VecDeque},
+    mem,
+};
 
-use wire_messages::{Accept, List, Name, OwnedKey, RenewLeases};
+use wire_messages::{List, Name};
 
-use super::{Ownership, OwnershipPhase, Registers, is_leased};
-use crate::{
-    Effect, Effects, Ms, WriteOutcome, effect::log_event, events, register::owner::RESEND_INTERVAL,
-    timing::HEARTBEAT_INTERVAL,
+use super::{
+    Registers,
+    keys::is_leased,
+    ownership::{OwnershipPhase, PendingRequest, RESEND_INTERVAL},
+    proposer::finished,
 };
+use crate::{Effects, Ms, WriteOutcome, effect::log_event, events, timing::HEARTBEAT_INTERVAL};
 
-/// ms. Duty holders renew three times within a lease's life.
+/// ms. Lease holders renew three times within a lease's duration.
 const RENEW_INTERVAL: Ms = 700;
-/// ms. An operator's write is answered by then: accepted, not accepted or unknown.
+/// ms. A request is answered by then: accepted, not accepted or unknown.
 const WRITE_TIMEOUT: Ms = 2_000;
 
 impl Registers {
-    /// Takes, hands over, resends, renews and times out. `wanted`: keys that must have an owner.
+    /// Brings every key to its preferred owner, and what is owned here forward. `is_live` tells which daemons live,
+    /// `wanted` names keys that must have an owner.
     pub fn tick(
         &mut self,
         now: Ms,
-        live: &dyn Fn(&str) -> bool,
+        is_live: &dyn Fn(&str) -> bool,
         wanted: &[Name],
         out: &mut Effects,
     ) {
-        if !self.voting {
+        if !self.members.voting {
             return;
         }
-        // Whose a key is changes with the voters that live, which beats tell; what is owned here is seen to each time.
-        let look = now >= self.next_ownership_check;
-        let keys: BTreeSet<Name> = if look {
-            self.next_ownership_check = now + HEARTBEAT_INTERVAL / 2;
-            self.slots
-                .keys()
-                .chain(wanted)
-                .chain(self.ownerships.keys())
-                .cloned()
-                .collect()
-        } else {
-            let at_work = |o: &Ownership| {
-                o.in_flight.is_some()
-                    || !o.pending.is_empty()
-                    || matches!(o.phase, OwnershipPhase::Preparing { .. })
-            };
-            self.ownerships
-                .iter()
-                .filter(|(k, o)| is_leased(k) || at_work(o))
-                .map(|(k, _)| k.clone())
-                .collect()
-        };
-        let mut renew = List::default();
-        for key in keys {
-            let mine = self
-                .preferred_owner(&key, live)
-                .is_some_and(|v| v.name == self.name);
-            let Some(o) = self.ownerships.get_mut(&key) else {
-                if mine {
+        let mut renewals = List::default();
+        for key in self.keys_due(now, wanted) {
+            let is_preferred = self
+                .preferred_owner(&key, is_live)
+                .is_some_and(|voter| voter.name == self.name);
+            let Some(ownership) = self.ownerships.get(&key) else {
+                if is_preferred {
                     self.acquire(&key, now, out);
                 }
                 continue;
             };
-            if !mine && o.in_flight.is_none() {
+            // A write in flight is finished first: only its owner can say how it ended.
+            if !is_preferred && ownership.in_flight.is_none() {
                 self.relinquish(&key, out);
                 continue;
             }
-            self.time_out(&key, now, out);
+            self.time_out_requests(&key, now, out);
             self.resend(&key, now, out);
-            if let Some(o) = self.ownerships.get(&key)
-                && let OwnershipPhase::Owning { .. } = o.phase
+            if let Some(ownership) = self.ownerships.get(&key)
+                && ownership.is_owning()
                 && is_leased(&key)
             {
-                renew.0.push(OwnedKey {
-                    key,
-                    epoch: o.epoch,
-                });
+                renewals.0.push(ownership.owned_key(&key));
             }
         }
-        if now >= self.next_renew && !renew.is_empty() {
-            self.next_renew = now + RENEW_INTERVAL;
-            self.broadcast(
-                RenewLeases {
-                    keys: renew,
-                    sent_at: now,
-                    member_epoch: self.member_epoch,
-                },
-                out,
-            );
+        if now >= self.next_renewal && !renewals.is_empty() {
+            self.next_renewal = now + RENEW_INTERVAL;
+            self.broadcast_renewal(renewals, now, out);
         }
     }
 
-    fn time_out(&mut self, key: &Name, now: Ms, out: &mut Effects) {
-        let Some(o) = self.ownerships.get_mut(key) else {
+    /// The keys to look at in this tick. Who should own a key changes with the voters that live, which heartbeats tell;
+    /// in between only keys that are owned here under a lease, or have work, need any care.
+    fn keys_due(&mut self, now: Ms, wanted: &[Name]) -> BTreeSet<Name> {
+        if now < self.next_ownership_check {
+            return self
+                .ownerships
+                .iter()
+                .filter(|(key, ownership)| is_leased(key) || ownership.is_busy())
+                .map(|(key, _)| key.clone())
+                .collect();
+        }
+        self.next_ownership_check = now + HEARTBEAT_INTERVAL / 2;
+        self.slots
+            .iter()
+            .map(|slot| &slot.key)
+            .chain(wanted)
+            .chain(self.ownerships.keys())
+            .cloned()
+            .collect()
+    }
+
+    /// Answers requests that have waited too long. What was offered to disks is unknown, as it may yet be committed;
+    /// what was not is not accepted and never will be.
+    fn time_out_requests(&mut self, key: &Name, now: Ms, out: &mut Effects) {
+        let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
         };
-        if let Some(w) = o
+        let is_overdue = |received_at: Ms| now.saturating_sub(received_at) > WRITE_TIMEOUT;
+        if let Some(write) = ownership
             .in_flight
             .as_mut()
-            .filter(|w| now.saturating_sub(w.received_at) > WRITE_TIMEOUT)
-            && let Some(token) = w.token.take()
+            .filter(|write| is_overdue(write.received_at))
+            && let Some(token) = write.token.take()
         {
             out.push(log_event(
                 events::WRITE_UNKNOWN,
                 &self.name,
-                format!("{key} version {}", w.version),
+                format!("{key} version {}", write.version),
             ));
-            out.push(Effect::WriteFinished {
-                token,
-                outcome: WriteOutcome::Unknown,
-            });
+            out.push(finished(token, WriteOutcome::Unknown));
         }
-        let no = WriteOutcome::NotAccepted("no majority of disks answered in time");
-        o.pending.retain(|a| {
-            let keep = now.saturating_sub(a.received_at) <= WRITE_TIMEOUT;
-            if !keep {
-                out.push(Effect::WriteFinished {
-                    token: a.token,
-                    outcome: no,
-                });
-            }
-            keep
-        });
+        let (overdue, pending): (VecDeque<PendingRequest>, VecDeque<PendingRequest>) =
+            mem::take(&mut ownership.pending)
+                .into_iter()
+                .partition(|request| is_overdue(request.received_at));
+        ownership.pending = pending;
+        let outcome = WriteOutcome::NotAccepted("no majority of disks answered in time");
+        out.extend(
+            overdue
+                .into_iter()
+                .map(|request| finished(request.token, outcome)),
+        );
     }
 
+    /// Sends again what voters have not answered.
     fn resend(&mut self, key: &Name, now: Ms, out: &mut Effects) {
-        let member_epoch = self.member_epoch;
-        let Some(o) = self.ownerships.get_mut(key) else {
+        let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
         };
-        if let OwnershipPhase::Preparing { sent, .. } = &o.phase {
-            if now < o.not_before || now.saturating_sub(*sent) < RESEND_INTERVAL {
+        if let OwnershipPhase::Preparing { sent_at, .. } = &mut ownership.phase {
+            if now < ownership.not_before || now.saturating_sub(*sent_at) < RESEND_INTERVAL {
                 return;
             }
-            if o.superseded {
-                return self.acquire(key, now, out);
-            }
-            let epoch = o.epoch;
-            if let OwnershipPhase::Preparing { sent, .. } = &mut o.phase {
-                *sent = now;
+            if ownership.superseded {
+                self.acquire(key, now, out);
+                return;
             }
-            return self.prepare(key, epoch, out);
-        }
-        if o.in_flight.is_none() && !o.pending.is_empty() {
-            return self.advance(key, now, out);
+            *sent_at = now;
+            let epoch = ownership.epoch;
+            self.prepare(key, epoch, out);
+            return;
         }
-        let Some(w) = o
-            .in_flight
-            .as_mut()
-            .filter(|w| now.saturating_sub(w.sent_at) >= RESEND_INTERVAL)
-        else {
+        let Some(write) = &mut ownership.in_flight else {
+            self.advance(key, now, out);
             return;
         };
-        w.sent_at = now;
-        let (value, past) = (w.value.clone(), w.replaced.clone());
-        let m = Accept {
-            key: key.clone(),
-            epoch: o.epoch,
-            version: w.version,
-            value,
-            replaced: past,
-            member_epoch,
-        };
-        self.broadcast(m, out);
+        if now.saturating_sub(write.sent_at) < RESEND_INTERVAL {
+            return;
+        }
+        write.sent_at = now;
+        let accept = write.accept_message(key, ownership.epoch, self.members.member_epoch);
+        self.broadcast(accept, out);
     }
 }
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -64,12 +64,12 @@
         let member_epoch = voting
             .iter()
             .filter_map(|i| self.f.brain(*i))
-            .map(|b| b.registers.member_epoch)
+            .map(|b| b.registers.members.member_epoch)
             .max();
         let all = |i: &usize| {
             self.f.brain(*i).is_some_and(|b| {
-                Some(b.registers.member_epoch) == member_epoch
-                    && b.registers.voters.len() == voting.len()
+                Some(b.registers.members.member_epoch) == member_epoch
+                    && b.registers.members.voters.len() == voting.len()
             })
         };
         !voting.is_empty() && voting.iter().all(all)
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -296,7 +296,7 @@
                     return;
                 };
                 if let Some(change) = &self.change {
-                    change(b.registers.member_epoch, &mut msg);
+                    change(b.registers.members.member_epoch, &mut msg);
                 }
                 let out = b.on_message(&from, &addr, *msg, now);
                 self.carry(i, out);
@@ -363,13 +363,14 @@
     /// Daemons that vote.
     pub fn voting(&self) -> Vec<usize> {
         (0..self.all.len())
-            .filter(|i| self.brain(*i).is_some_and(|b| b.registers.voting))
+            .filter(|i| self.brain(*i).is_some_and(|b| b.registers.members.voting))
             .collect()
     }
     /// Names of the voters as the daemon knows them.
     pub fn voters(&self, i: usize) -> BTreeSet<String> {
         self.brain(i).map_or(BTreeSet::new(), |b| {
             b.registers
+                .members
                 .voters
                 .iter()
                 .map(|v| v.name.to_string())
--- a/coordination/tests/newcomers.rs
+++ b/coordination/tests/newcomers.rs
@@ -65,12 +65,12 @@
         Message::SlotsReply(m),
         5_000,
     );
-    c.registers.voting
+    c.registers.members.voting
 }
 /// What a daemon says of itself to one that asks.
 fn says(c: &mut Control) -> Option<(u32, u8)> {
     let ask = SlotsRequest {
-        member_epoch: c.registers.member_epoch,
+        member_epoch: c.registers.members.member_epoch,
         known: List::default(),
     };
     let out: Effects = c.on_message(
@@ -128,7 +128,7 @@
     expect_false!(tells(&mut c, "a", 2, VOTES, with_place(2)));
     // The place is given anew; whoever tells of it is read at once.
     expect_false!(tells(&mut c, "b", 3, VOTES, with_place(3)));
-    expect_that!(c.registers.member_epoch, eq(3));
+    expect_that!(c.registers.members.member_epoch, eq(3));
     expect_true!(tells(&mut c, "a", 3, VOTES, with_place(3)));
 }
 
@@ -179,7 +179,7 @@
             }),
             5_000,
         );
-        (c.registers.voting, c.registers.member_epoch)
+        (c.registers.members.voting, c.registers.members.member_epoch)
     };
     expect_that!(told(with_place(1)), eq((true, 1)));
     expect_that!(told(without_place()), eq((false, 0)));
@@ -202,7 +202,7 @@
         5_000,
     );
     expect_that!(
-        (c.registers.voting, c.registers.member_epoch),
+        (c.registers.members.voting, c.registers.members.member_epoch),
         eq((false, 2))
     );
 }
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -512,10 +512,11 @@
         });
         f.add(3, &[a, b], false, &regions(8, 1));
         if f.until(6_000, |f| {
-            f.brain(a).is_some_and(|x| x.registers.member_epoch == 2)
+            f.brain(a)
+                .is_some_and(|x| x.registers.members.member_epoch == 2)
         })
         .is_none()
-            || f.brain(b).unwrap().registers.member_epoch != 1
+            || f.brain(b).unwrap().registers.members.member_epoch != 1
         {
             continue;
         }
