--- a/control-daemon/src/disk.rs
+++ b/control-daemon/src/disk.rs
@@ -305,11 +305,11 @@
         ))
     });
     if let Some((member_epoch, voters, voting, before)) = members.optional()? {
-        let (_, voters) = voter_placement::decode(voters.as_bytes()).unwrap_or_default();
+        let stored = voter_placement::decode(voters.as_bytes()).unwrap_or_default();
         rows.push(Row::Members {
             member_epoch,
             before,
-            voters,
+            voters: stored.voters,
             voting: voting == VOTES,
             left: voting == LEFT,
         });
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -243,12 +243,16 @@
         else {
             return;
         };
-        let (Some((before, voters)), member_epoch) =
-            (voter_placement::decode(&c.value.0), c.version as u32 + 1)
-        else {
+        let Some(stored) = voter_placement::decode(&c.value.0) else {
             return;
         };
-        self.adopt_voters(member_epoch, before, voters, out);
+        let member_epoch = c.version as u32 + 1;
+        self.adopt_voters(
+            member_epoch,
+            stored.previous_voter_count,
+            stored.voters,
+            out,
+        );
     }
 
     fn adopt_voters(
@@ -342,14 +346,17 @@
                 .any(|v| v.disk_id == p.heartbeat.disk_id)
         };
         let candidates = fresh().filter(|(_, p)| free(p)).map(|(n, p)| {
-            let v = Voter {
+            let voter = Voter {
                 name: n.clone(),
                 disk_id: p.heartbeat.disk_id,
                 addr: p.addr.clone(),
                 zone: p.heartbeat.zone.clone(),
                 since_epoch: member_epoch + 1,
             };
-            (v, p.heartbeat.state != PeerState::Learner)
+            voter_placement::Candidate {
+                voter,
+                started_blank: p.heartbeat.state != PeerState::Learner,
+            }
         });
         let silent = |v: &Voter| match v.disk_id == self.disk_id {
             true => 0,
--- a/coordination/src/regions.rs
+++ b/coordination/src/regions.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-/// The region of each zone, as the params name it.
+/// The region of each zone, as the settings name it.
 pub type Regions = BTreeMap<String, String>;
 
-/// A zone that no region is named for is its own.
+/// The region of a zone. A zone that the settings name no region for is a region of its own.
 pub fn region_of<'a>(regions: &'a Regions, zone: &'a str) -> &'a str {
     regions.get(zone).map_or(zone, String::as_str)
 }
--- a/coordination/src/rendezvous.rs
+++ b/coordination/src/rendezvous.rs
@@ -1,28 +1,32 @@
-//! Agreed orders: every node that knows the same names ranks them alike for a key.
+//! Rendezvous hashing: every node that knows the same names ranks them alike for a key.
+
+use std::cmp::Reverse;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Weight of `name` for `key`; the highest goes first.
+/// The weight of `name` for `key`; the highest goes first.
 pub fn rendezvous_weight(key: &str, name: &str) -> u64 {
-    xxh3_64_with_seed(name.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
+    let key_hash = xxh3_64_with_seed(key.as_bytes(), 0);
+    xxh3_64_with_seed(name.as_bytes(), key_hash)
 }
 
-/// The digest of a whole answer's text, as replicas tell it in their end mark.
+/// The digest of a complete answer's text, as replicas send it in their end mark: 16 hexadecimal digits.
 pub fn text_digest(text: &str) -> String {
     format!("{:016x}", rendezvous_weight(text, ""))
 }
 
-/// `names` in the agreed order for `key`.
-pub fn rendezvous_order<T>(key: &str, mut names: Vec<T>, by: fn(&T) -> &str) -> Vec<T> {
-    names.sort_by_key(|n| std::cmp::Reverse(rendezvous_weight(key, by(n))));
-    names
+/// `items` in the rendezvous order for `key`, by the name of each.
+pub fn rendezvous_order<T>(key: &str, mut items: Vec<T>, name_of: fn(&T) -> &str) -> Vec<T> {
+    items.sort_by_key(|item| Reverse(rendezvous_weight(key, name_of(item))));
+    items
 }
 
-/// One number from two.
-pub fn combine_hashes(a: u64, b: u64) -> u64 {
-    xxh3_64_with_seed(&b.to_le_bytes(), a)
+/// One hash from two; their order matters.
+pub fn combine_hashes(first: u64, second: u64) -> u64 {
+    xxh3_64_with_seed(&second.to_le_bytes(), first)
 }
-/// Weight of a number's `name`; the highest goes first.
-pub fn rendezvous_weight_of(key: u64, name: u64) -> u64 {
-    combine_hashes(key, name)
+
+/// The weight of a name for a key where both are hashes already; the highest goes first.
+pub fn rendezvous_weight_of(key_hash: u64, name_hash: u64) -> u64 {
+    combine_hashes(key_hash, name_hash)
 }
--- a/coordination/src/state_table.rs
+++ b/coordination/src/state_table.rs
@@ -1,8 +1,10 @@
-//! The blackboard: newest committed value of each key, merged by (epoch, version), never back.
+//! The replicated state table: the newest committed value of each key. Copies merge by (epoch, version), so that they
+//! converge whatever the order in which values arrive, and never go back.
 
 use std::collections::BTreeMap;
 
 use remote_calls::Spec;
+use serde::de::DeserializeOwned;
 use wire_messages::{Change, Name, RangeDigest};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -11,103 +13,115 @@
 /// Ranges that keys are split into for repair.
 const REPAIR_RANGES: u16 = 16;
 
-/// Reads the operator's document, as it is kept under its key, into a spec.
+/// Reads the operator's document, as it is stored under its key, into a spec.
 pub type SpecParser = fn(&[u8]) -> Option<Spec>;
 
-/// The reader of the product's own documents.
-pub fn parse_own_spec(b: &[u8]) -> Option<Spec> {
-    serde_json::from_slice(b).ok()
+/// The parser of the product's own documents.
+pub fn parse_own_spec(document: &[u8]) -> Option<Spec> {
+    serde_json::from_slice(document).ok()
 }
 
-/// Order of two values of one key.
+/// Orders the values of one key: epoch, then version.
 pub type VersionStamp = (u64, u64);
 
-pub fn version_stamp(c: &Change) -> VersionStamp {
-    (c.epoch, c.version)
+/// Where a value is in the order of its key's values.
+pub fn version_stamp(change: &Change) -> VersionStamp {
+    (change.epoch, change.version)
 }
+
 fn range_of(key: &str) -> u16 {
-    (xxh3_64(key.as_bytes()) % REPAIR_RANGES as u64) as u16
+    (xxh3_64(key.as_bytes()) % u64::from(REPAIR_RANGES)) as u16
+}
+
+fn is_cleared(change: &Change) -> bool {
+    change.value.0.is_empty()
 }
 
+/// A copy of the state table.
 #[derive(Clone, Default, Debug)]
 pub struct StateTable {
     entries: BTreeMap<Name, Change>,
 }
 
 impl StateTable {
+    /// The newest value of a key, cleared or not.
     pub fn get(&self, key: &str) -> Option<&Change> {
         self.entries.get(key)
     }
+
+    /// The newest values of all keys.
     pub fn entries(&self) -> impl Iterator<Item = &Change> {
         self.entries.values()
     }
-    /// The value of a key, as daemons write it; none if there is none or it was cleared.
-    pub fn read<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<T> {
-        let c = self.entries.get(key).filter(|c| !c.value.0.is_empty())?;
-        compressed::decode(&c.value.0)
+
+    /// The value of a key, as daemons write it; none if there is none, it was cleared, or it cannot be read.
+    pub fn read<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
+        let change = self.get(key).filter(|change| !is_cleared(change))?;
+        compressed::decode(&change.value.0)
     }
-    /// Values of all keys that begin with `head`, with the rest of the key.
-    pub fn with_prefix<'a>(&'a self, head: &'a str) -> impl Iterator<Item = (&'a str, &'a Change)> {
-        let from: Name = head.into();
+
+    /// The values of all keys that begin with `prefix`, with the rest of the key. Cleared ones are left out.
+    pub fn with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = (&'a str, &'a Change)> {
+        let first: Name = prefix.into();
         self.entries
-            .range(from..)
-            .take_while(move |(k, _)| k.starts_with(head))
-            .filter(|(_, c)| !c.value.0.is_empty())
-            .map(move |(k, c)| (&k[head.len()..], c))
+            .range(first..)
+            .take_while(move |(key, _)| key.starts_with(prefix))
+            .filter(|(_, change)| !is_cleared(change))
+            .map(move |(key, change)| (&key[prefix.len()..], change))
     }
-    /// Takes a value if it is newer; says whether it was.
-    pub fn merge(&mut self, c: &Change) -> bool {
+
+    /// Takes a value if it is newer; returns whether it was.
+    pub fn merge(&mut self, change: &Change) -> bool {
         // An equal or older stamp is never taken: that is how no copy ever goes back.
         if self
-            .entries
-            .get(&c.key)
-            .is_some_and(|o| version_stamp(o) >= version_stamp(c))
+            .get(&change.key)
+            .is_some_and(|current| version_stamp(current) >= version_stamp(change))
         {
             return false;
         }
-        self.entries.insert(c.key.clone(), c.clone());
+        self.entries.insert(change.key.clone(), change.clone());
         true
     }
-    /// A digest for each range of keys.
+
+    /// A digest over key, epoch and version of all values in each range of keys.
     pub fn range_digests(&self) -> Vec<RangeDigest> {
-        let mut d = vec![0u64; REPAIR_RANGES as usize];
-        for c in self.entries.values() {
-            let x = xxh3_64(format!("{} {} {}", c.key, c.epoch, c.version).as_bytes());
-            d[range_of(&c.key) as usize] ^= x;
+        let mut digests: Vec<RangeDigest> = (0..REPAIR_RANGES)
+            .map(|index| RangeDigest { index, digest: 0 })
+            .collect();
+        for change in self.entries() {
+            let stamp = format!("{} {} {}", change.key, change.epoch, change.version);
+            digests[usize::from(range_of(&change.key))].digest ^= xxh3_64(stamp.as_bytes());
         }
-        d.into_iter()
-            .enumerate()
-            .map(|(i, digest)| RangeDigest {
-                index: i as u16,
-                digest,
-            })
-            .collect()
+        digests
     }
-    /// Ranges in which another's digests differ.
-    pub fn differing_ranges(&self, other: &[RangeDigest]) -> Vec<RangeDigest> {
-        let mine = self.range_digests();
-        other
-            .iter()
-            .filter(|r| {
-                mine.get(r.index as usize)
-                    .is_some_and(|m| m.digest != r.digest)
-            })
-            .cloned()
-            .collect()
+
+    /// The ranges in which another copy's digests differ.
+    pub fn differing_ranges(&self, others: &[RangeDigest]) -> Vec<RangeDigest> {
+        let own = self.range_digests();
+        let differs = |other: &&RangeDigest| {
+            own.get(usize::from(other.index))
+                .is_some_and(|range| range.digest != other.digest)
+        };
+        others.iter().filter(differs).cloned().collect()
     }
+
     /// All values in the ranges.
     pub fn entries_in(&self, ranges: &[RangeDigest]) -> Vec<Change> {
-        self.entries
-            .values()
-            .filter(|c| ranges.iter().any(|r| r.index == range_of(&c.key)))
-            .cloned()
-            .collect()
+        let is_in_ranges = |change: &&Change| {
+            let index = range_of(&change.key);
+            ranges.iter().any(|range| range.index == index)
+        };
+        self.entries().filter(is_in_ranges).cloned().collect()
     }
+
     /// One digest over everything.
     pub fn digest(&self) -> u64 {
-        self.range_digests()
-            .iter()
-            .fold(0, |a, r| a ^ r.digest.rotate_left(r.index as u32))
+        self.range_digests().iter().fold(0, |digest, range| {
+            digest ^ range.digest.rotate_left(u32::from(range.index))
+        })
     }
 }
 
