--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -1,78 +1,94 @@
-//! A bounded exhaustive explorer of one key's register: every order in which messages arrive, late, twice or never,
-//! disks sync, voters crash, owners take the key and operators write, read and repeat, up to a depth. The registers are
-//! the production ones; what is modelled is the network, the disks and the operators.
+//! A bounded exhaustive model checker of one key's register: every order in which messages arrive, late, twice or never,
+//! disks sync, voters crash, owners acquire the key and operators write, read and repeat, up to a depth. The registers
+//! are the production ones; what is modelled is the network, the disks and the operators.
 //!
-//! States are told apart by a digest of all they hold that has a say in what follows, and each is gone through once, the
-//! nearest first. `EXPLORE_STATES=n` goes further than CI does; `--nocapture` prints how far.
+//! States are told apart by a digest of all they hold that affects what follows, and each is visited once, breadth
+//! first. `EXPLORE_STATES=n` goes further than CI does; `--nocapture` prints how far.
 
-use std::{collections::HashSet, sync::Arc};
+use std::{
+    collections::{BTreeMap, HashSet, VecDeque},
+    sync::Arc,
+};
 
 use googletest::prelude::*;
-use wire_messages::Message;
+use wire_messages::{Blob, Message};
 use xxhash_rust::xxh3::xxh3_128;
 
 use super::*;
-use crate::{WriteOutcome, timing::LEASE_DURATION};
+use crate::WriteOutcome;
 
 const KEY: &str = "spec";
 
 /// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Request {
-    /// A value on top of this version.
     Put {
         value: u8,
+        /// The version that it expects.
         on: u64,
     },
     Read,
 }
-use Request::*;
+use Request::{Put, Read};
 
-/// A request at one voter, when it came and how it ended: steps of the history.
+/// An outcome, and the step of the history at which it was reported.
+#[derive(Clone, Copy, Debug)]
+struct CallEnd {
+    step: u64,
+    outcome: WriteOutcome,
+}
+
+/// A request at one voter, and the steps of the history at which it began and ended.
 #[derive(Clone, Debug)]
 struct Call {
     at: usize,
     request: Request,
     began: Option<u64>,
-    ended: Option<(u64, WriteOutcome)>,
+    end: Option<CallEnd>,
 }
 
-/// A mechanism that is left out, to see that it is needed.
+/// A mechanism that is taken away, to see that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Without {
+enum Ablation {
     Nothing,
     /// A disk confirms before it has synced.
     SyncBeforeAnswer,
-    /// An owner tells what stands without asking whether it still is the owner.
+    /// An owner answers reads without asking whether it still is the owner.
     ConfirmedRead,
-    /// A new owner does not take over what voters accepted.
+    /// A new owner does not learn what voters accepted.
     AcceptedInPromise,
-    /// A voter takes what an owner offers that it has promised to leave.
+    /// A voter accepts what an owner offers below its promise.
     PromiseKept,
-    /// What replaced values were is not known.
-    Memory,
+    /// Which values were replaced is not known.
+    History,
     /// Each voter is a majority of its own.
     Majority,
 }
 
+/// Rows that wait for the disk, and the effects that follow once they are synced.
+#[derive(Clone, Debug)]
+struct UnsyncedRows {
+    rows: Vec<Row>,
+    then: Effects,
+}
+
 #[derive(Clone)]
 struct Node {
-    regs: Registers,
+    registers: Registers,
     disk: BTreeMap<String, Row>,
-    /// What waits for the disk, and what is sent once it is synced.
-    unsynced: VecDeque<(Vec<Row>, Effects)>,
-    /// Of all the above that has a say in what follows.
+    unsynced: VecDeque<UnsyncedRows>,
+    /// Of all the above that affects what follows.
     digest: u128,
 }
 
 impl Node {
-    fn seal(&mut self) {
-        let (r, key) = (&self.regs, KEY);
+    fn update_digest(&mut self) {
+        let registers = &self.registers;
         let text = format!(
             "{:?} {:?} {} {:?} {:?}",
-            r.slots.get(key),
-            r.ownerships.get(key),
-            r.epochs.highest(),
+            registers.slots.get(KEY),
+            registers.ownerships.get(KEY),
+            registers.epochs.highest(),
             self.disk,
             self.unsynced
         );
@@ -80,24 +96,25 @@
     }
 }
 
-/// A message under way. Messages are in the order of their digests: that in which they were sent says nothing of when they
-/// arrive.
+/// A message in flight. Messages are in the order of their digests: that in which they were sent says nothing of when
+/// they arrive.
 #[derive(Clone)]
-struct Sent {
+struct SentMessage {
     digest: u128,
     from: usize,
     to: usize,
-    msg: Arc<Message>,
+    message: Arc<Message>,
 }
 
 #[derive(Clone)]
 struct World {
-    without: Without,
+    ablation: Ablation,
     /// Steps of the history: each beginning and end of a call is one. It is the voters' clock as well.
     step: u64,
     nodes: Vec<Arc<Node>>,
-    wire: Vec<Sent>,
+    in_flight: Vec<SentMessage>,
     calls: Vec<Call>,
+    /// How many crashes and duplicated messages are still to come.
     crashes: u32,
     copies: u32,
 }
@@ -114,16 +131,19 @@
 }
 
 impl World {
-    fn new(without: Without, crashes: u32, copies: u32, calls: &[(usize, Request)]) -> Self {
-        let node = |i| {
-            let mut regs = voter(i);
-            regs.skip_lease_wait();
-            if without == Without::Majority {
-                regs.members.voters.retain(|v| v.name == name(i));
+    fn new(ablation: Ablation, crashes: u32, copies: u32, calls: &[(usize, Request)]) -> Self {
+        let node = |index| {
+            let mut registers = voter(index);
+            registers.skip_lease_wait();
+            if ablation == Ablation::Majority {
+                registers
+                    .members
+                    .voters
+                    .retain(|voter| voter.name == name(index));
             }
-            let row = regs.members_row();
+            let row = registers.members_row();
             Arc::new(Node {
-                regs,
+                registers,
                 disk: [("members".to_string(), row)].into(),
                 unsynced: VecDeque::new(),
                 digest: 0,
@@ -133,14 +153,14 @@
             at: *at,
             request: *request,
             began: None,
-            ended: None,
+            end: None,
         };
         let calls = calls.iter().map(call).collect();
         World {
-            without,
+            ablation,
             step: 1,
-            nodes: (0..NODES).map(node).collect(),
-            wire: vec![],
+            nodes: (0..VOTER_COUNT).map(node).collect(),
+            in_flight: vec![],
             calls,
             crashes,
             copies,
@@ -153,12 +173,14 @@
             .filter(|i| self.calls[*i].began.is_none())
             .map(Action::Call)
             .take(1);
-        let messages = (0..self.wire.len())
-            .filter(|i| *i == 0 || self.wire[*i].digest != self.wire[*i - 1].digest);
-        let syncs = (0..NODES)
+        let messages = (0..self.in_flight.len())
+            .filter(|i| *i == 0 || self.in_flight[*i].digest != self.in_flight[*i - 1].digest);
+        let syncs = (0..VOTER_COUNT)
             .filter(|i| !self.nodes[*i].unsynced.is_empty())
             .map(Action::Sync);
-        let crashes = (0..NODES).filter(|_| self.crashes > 0).map(Action::Crash);
+        let crashes = (0..VOTER_COUNT)
+            .filter(|_| self.crashes > 0)
+            .map(Action::Crash);
         let copies = messages
             .clone()
             .filter(|_| self.copies > 0)
@@ -171,20 +193,20 @@
             .collect()
     }
 
-    fn take(&mut self, a: Action) {
-        match a {
-            Action::Call(i) => self.call(i),
-            Action::Deliver(i) => {
-                let Sent { from, to, msg, .. } = self.wire.remove(i);
-                self.deliver(from, to, &msg);
+    fn apply(&mut self, action: Action) {
+        match action {
+            Action::Call(call) => self.call(call),
+            Action::Deliver(index) => {
+                let sent = self.in_flight.remove(index);
+                self.deliver(sent.from, sent.to, &sent.message);
             }
-            Action::DeliverCopy(i) => {
+            Action::DeliverCopy(index) => {
                 self.copies -= 1;
-                let Sent { from, to, msg, .. } = self.wire[i].clone();
-                self.deliver(from, to, &msg);
+                let sent = self.in_flight[index].clone();
+                self.deliver(sent.from, sent.to, &sent.message);
             }
-            Action::Sync(i) => self.sync(i),
-            Action::Crash(i) => self.crash(i),
+            Action::Sync(at) => self.sync(at),
+            Action::Crash(at) => self.crash(at),
         }
     }
 
@@ -192,126 +214,133 @@
         Arc::make_mut(&mut self.nodes[at])
     }
 
-    fn send(&mut self, from: usize, to: usize, msg: Message) {
-        let digest = xxh3_128(format!("{from} {to} {msg:?}").as_bytes());
-        let at = self.wire.partition_point(|s| s.digest < digest);
-        self.wire.insert(
-            at,
-            Sent {
-                digest,
-                from,
-                to,
-                msg: Arc::new(msg),
-            },
-        );
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let digest = xxh3_128(format!("{from} {to} {message:?}").as_bytes());
+        let index = self.in_flight.partition_point(|sent| sent.digest < digest);
+        let sent = SentMessage {
+            digest,
+            from,
+            to,
+            message: Arc::new(message),
+        };
+        self.in_flight.insert(index, sent);
     }
 
-    fn call(&mut self, i: usize) {
+    fn call(&mut self, index: usize) {
         self.step += 1;
-        let (step, at, request) = (self.step, self.calls[i].at, self.calls[i].request);
-        self.calls[i].began = Some(step);
+        let Call { at, request, .. } = self.calls[index];
+        let (step, token) = (self.step, index as u64 + 1);
+        self.calls[index].began = Some(step);
         let mut out = vec![];
-        let regs = &mut self.node(at).regs;
+        let registers = &mut self.node(at).registers;
         match request {
-            Put { value, on } => regs.propose(
-                i as u64 + 1,
+            Put { value, on } => registers.propose(
+                token,
                 &KEY.into(),
                 Some(on),
                 Blob(vec![value]),
                 step,
                 &mut out,
             ),
-            Read => regs.read(i as u64 + 1, &KEY.into(), step, &mut out),
+            Read => registers.read(token, &KEY.into(), step, &mut out),
         }
-        self.carry(at, out);
+        self.carry_out(at, out);
     }
 
-    fn deliver(&mut self, from: usize, to: usize, m: &Message) {
-        let (without, step, from) = (self.without, self.step, name(from));
-        let regs = &mut self.node(to).regs;
+    fn deliver(&mut self, from: usize, to: usize, message: &Message) {
+        let (ablation, step, from) = (self.ablation, self.step, name(from));
+        let registers = &mut self.node(to).registers;
         let mut out = vec![];
-        match m.clone() {
-            Message::Prepare(m) => regs.on_prepare(&from, m, step, &mut out),
-            Message::Promise(mut m) => {
-                if without == Without::AcceptedInPromise && from != name(to) {
-                    m.slot = Slot {
-                        key: m.slot.key,
-                        promised_epoch: m.slot.promised_epoch,
+        match message.clone() {
+            Message::Prepare(prepare) => registers.on_prepare(&from, prepare, step, &mut out),
+            Message::Promise(mut promise) => {
+                if ablation == Ablation::AcceptedInPromise && from != name(to) {
+                    promise.slot = Slot {
+                        key: promise.slot.key,
+                        promised_epoch: promise.slot.promised_epoch,
                         ..Slot::default()
                     };
                 }
-                regs.on_promise(&from, m, step, &mut out);
+                registers.on_promise(&from, promise, step, &mut out);
             }
-            Message::Accept(m) => {
-                if without == Without::PromiseKept {
-                    let slot = regs.slots.entry(&m.key);
-                    (slot.promised_epoch, slot.accepted_epoch) = (
-                        slot.promised_epoch.min(m.epoch),
-                        slot.accepted_epoch.min(m.epoch),
-                    );
+            Message::Accept(accept) => {
+                if ablation == Ablation::PromiseKept {
+                    let slot = registers.slots.entry(&accept.key);
+                    slot.promised_epoch = slot.promised_epoch.min(accept.epoch);
+                    slot.accepted_epoch = slot.accepted_epoch.min(accept.epoch);
                 }
-                regs.on_accept(&from, m, &mut out);
+                registers.on_accept(&from, accept, &mut out);
+            }
+            Message::Accepted(reply) => registers.on_accepted(&from, reply, step, &mut out),
+            Message::Commit(commit) => {
+                registers.on_commit(&commit.change, &commit.replaced, &mut out)
             }
-            Message::Accepted(m) => regs.on_accepted(&from, m, step, &mut out),
-            Message::Commit(m) => regs.on_commit(&m.change, &m.replaced, &mut out),
-            Message::RenewLeases(m) => regs.on_renew(&from, m, step, &mut out),
-            Message::LeasesRenewed(m) => regs.on_renewed(&from, m, step, &mut out),
+            Message::RenewLeases(renewal) => registers.on_renew(&from, renewal, step, &mut out),
+            Message::LeasesRenewed(renewed) => registers.on_renewed(&from, renewed, step, &mut out),
             _ => {}
         }
-        self.carry(to, out);
+        self.carry_out(to, out);
     }
 
-    fn carry(&mut self, at: usize, out: Effects) {
-        for e in out {
-            match e {
+    fn carry_out(&mut self, at: usize, out: Effects) {
+        for effect in out {
+            match effect {
                 // What a voter says to itself does not cross the network.
                 Effect::Send { to, msg } if to == name(at) => self.deliver(at, at, &msg),
                 Effect::Send { to, msg } => {
-                    let to = (0..NODES).find(|i| name(*i) == to).unwrap();
+                    let to = (0..VOTER_COUNT).find(|index| name(*index) == to).unwrap();
                     self.send(at, to, msg);
                 }
-                Effect::Persist { rows, then } => self.persist(at, rows, then),
+                Effect::Persist { rows, then } => self.persist(at, UnsyncedRows { rows, then }),
                 Effect::WriteFinished { token, outcome } => {
                     self.step += 1;
-                    self.calls[token as usize - 1].ended = Some((self.step, outcome));
+                    let step = self.step;
+                    self.calls[token as usize - 1].end = Some(CallEnd { step, outcome });
                 }
                 _ => {}
             }
         }
-        self.leave_out(at);
+        self.ablate(at);
         let node = self.node(at);
-        node.regs.newly_committed.clear();
-        node.seal();
+        node.registers.newly_committed.clear();
+        node.update_digest();
     }
 
     /// Takes away what a voter needs for the mechanism that is left out.
-    fn leave_out(&mut self, at: usize) {
-        let without = self.without;
-        let regs = &mut self.node(at).regs;
+    fn ablate(&mut self, at: usize) {
+        let ablation = self.ablation;
+        let registers = &mut self.node(at).registers;
         match (
-            without,
-            regs.ownerships.get_mut(KEY),
-            regs.slots.by_key.get_mut(KEY),
+            ablation,
+            registers.ownerships.get_mut(KEY),
+            registers.slots.by_key.get_mut(KEY),
         ) {
-            (Without::ConfirmedRead, Some(own), _) => {
-                own.confirmed_by = (0..NODES).map(|i| (name(i), Ms::MAX / 2)).collect()
+            (Ablation::ConfirmedRead, Some(ownership), _) => {
+                ownership.confirmed_by = (0..VOTER_COUNT)
+                    .map(|index| (name(index), Ms::MAX / 2))
+                    .collect();
             }
-            (Without::Memory, _, Some(slot)) => {
-                slot.replaced.0.iter_mut().for_each(|p| p.digest = 0)
+            (Ablation::History, _, Some(slot)) => {
+                for replaced in &mut slot.replaced.0 {
+                    replaced.digest = 0;
+                }
             }
             _ => {}
         }
     }
 
-    fn persist(&mut self, at: usize, rows: Vec<Row>, then: Effects) {
-        let early = match self.without {
-            Without::SyncBeforeAnswer => then.clone(),
+    fn persist(&mut self, at: usize, mut unsynced: UnsyncedRows) {
+        let early = match self.ablation {
+            Ablation::SyncBeforeAnswer => std::mem::take(&mut unsynced.then),
             _ => vec![],
         };
-        let then = if early.is_empty() { then } else { vec![] };
-        self.node(at).unsynced.push_back((rows, then));
-        self.carry(at, early);
-        // Without crashes to come a sync is nothing but another delay of what is sent after it.
+        self.node(at).unsynced.push_back(unsynced);
+        self.carry_out(at, early);
+        self.sync_if_no_crash_is_left(at);
+    }
+
+    /// Without crashes to come a sync is nothing but another delay of what is sent after it.
+    fn sync_if_no_crash_is_left(&mut self, at: usize) {
         while self.crashes == 0 && !self.nodes[at].unsynced.is_empty() {
             self.sync(at);
         }
@@ -319,18 +348,13 @@
 
     fn sync(&mut self, at: usize) {
         let node = self.node(at);
-        let Some((rows, then)) = node.unsynced.pop_front() else {
+        let Some(UnsyncedRows { rows, then }) = node.unsynced.pop_front() else {
             return;
         };
-        for r in rows {
-            let k = if let Row::Slot(s) = &r {
-                s.key.to_string()
-            } else {
-                "members".into()
-            };
-            node.disk.insert(k, r);
+        for row in rows {
+            node.disk.insert(row_key(&row), row);
         }
-        self.carry(at, then);
+        self.carry_out(at, then);
     }
 
     /// Loses what is not synced and all that is not on the disk, and starts again.
@@ -339,103 +363,61 @@
         let step = self.step;
         let node = self.node(at);
         node.unsynced.clear();
-        node.regs = Registers::new(
+        node.registers = Registers::new(
             name(at),
             node.disk.values().cloned().collect(),
             LEASE_DURATION,
             step,
         );
-        node.regs.skip_lease_wait();
-        node.regs.newly_committed.clear();
-        node.seal();
-        for i in 0..NODES {
-            while self.crashes == 0 && !self.nodes[i].unsynced.is_empty() {
-                self.sync(i);
-            }
+        node.registers.skip_lease_wait();
+        node.registers.newly_committed.clear();
+        node.update_digest();
+        for index in 0..VOTER_COUNT {
+            self.sync_if_no_crash_is_left(index);
         }
     }
 
-    /// What the history says that no register could: none if it is linearizable as far as told.
-    fn wrong(&self) -> Option<String> {
-        let told = |c: &Call| {
-            c.ended
-                .filter(|e| !matches!(e.1, WriteOutcome::Unknown | WriteOutcome::NotAccepted(_)))
-        };
-        let done: Vec<(&Call, u64, WriteOutcome)> = self
-            .calls
-            .iter()
-            .filter_map(|c| told(c).map(|e| (c, e.0, e.1)))
-            .collect();
-        let version = |o: &WriteOutcome| match o {
-            WriteOutcome::Accepted(v) | WriteOutcome::Conflict(v) => *v,
-            _ => 0,
-        };
-        for (c, _, o) in &done {
-            if let (Put { value, on }, WriteOutcome::Accepted(v)) = (c.request, o) {
-                if *v != on + 1 {
-                    return Some(format!("{c:?} is accepted as {v}"));
-                }
-                let twin = |d: &&(&Call, u64, WriteOutcome)| matches!((d.0.request, &d.2), (Put { value: x, .. }, WriteOutcome::Accepted(w)) if w == v && x != value);
-                if let Some(d) = done.iter().find(twin) {
-                    return Some(format!("{c:?} and {:?} are both accepted", d.0));
-                }
-                // The same order again is never refused once it was accepted.
-                let again = |d: &&(&Call, u64, WriteOutcome)| {
-                    d.0.request == c.request && matches!(d.2, WriteOutcome::Conflict(_))
-                };
-                if let Some(d) = done.iter().find(again) {
-                    return Some(format!("{c:?} is accepted and {:?} is refused", d.0));
-                }
-            }
-            if let (Put { on, .. }, WriteOutcome::Conflict(v)) = (c.request, o)
-                && *v == on
-            {
-                return Some(format!("{c:?} is refused though what it names stands"));
-            }
-        }
-        // What ended before another call began is seen by that one. An order that is told again keeps its version.
-        for (a, ended, told) in &done {
-            for (b, _, later) in done
-                .iter()
-                .filter(|(b, ..)| b.began.is_some_and(|t| t > *ended))
-            {
-                let repeats = a.request != Read
-                    && matches!((b.request, later), (Put { .. }, WriteOutcome::Accepted(_)));
-                if version(later) < version(told) && !repeats {
-                    return Some(format!("{a:?} ended before {b:?} began"));
-                }
-            }
-        }
-        self.two_values()
+    /// What the history holds that no register could have done; none if it is linearizable as far as it was reported.
+    fn violation(&self) -> Option<String> {
+        let done: Vec<DoneCall> = self.calls.iter().filter_map(DoneCall::of).collect();
+        done.iter()
+            .find_map(|call| call.contradiction(&done))
+            .or_else(|| lost_update(&done))
+            .or_else(|| self.ambiguous_version())
     }
 
     /// A version that is known to be committed has one value, wherever it is known, and never that of a write which was
-    /// refused.
-    fn two_values(&self) -> Option<String> {
-        let known = |n: &Arc<Node>| {
-            n.regs
-                .slots
-                .get(KEY)
-                .filter(|s| s.version > 0 && s.committed_version == s.version)
-                .cloned()
-        };
-        let all: Vec<Slot> = self.nodes.iter().filter_map(known).collect();
-        if let Some(two) = all.iter().find(|a| {
-            all.iter()
-                .any(|b| a.version == b.version && a.value != b.value)
+    /// rejected.
+    fn ambiguous_version(&self) -> Option<String> {
+        let committed: Vec<&Slot> = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.registers.slots.get(KEY))
+            .filter(|slot| slot.version > 0 && slot.committed_version == slot.version)
+            .collect();
+        if let Some(ambiguous) = committed.iter().find(|slot| {
+            committed
+                .iter()
+                .any(|other| slot.version == other.version && slot.value != other.value)
         }) {
-            return Some(format!("version {} has two values", two.version));
+            return Some(format!("version {} has two values", ambiguous.version));
         }
-        let stands = |c: &&Call| match (c.request, c.ended) {
-            (Put { value, on }, Some((_, WriteOutcome::Conflict(_)))) => all
+        let is_committed_though_rejected = |call: &&Call| match (call.request, call.end) {
+            (
+                Put { value, on },
+                Some(CallEnd {
+                    outcome: WriteOutcome::Conflict(_),
+                    ..
+                }),
+            ) => committed
                 .iter()
-                .any(|s| s.version == on + 1 && s.value.0 == [value]),
+                .any(|slot| slot.version == on + 1 && slot.value.0 == [value]),
             _ => false,
         };
         self.calls
             .iter()
-            .find(stands)
-            .map(|c| format!("{c:?} was refused and stands"))
+            .find(is_committed_though_rejected)
+            .map(|call| format!("{call:?} was rejected and is committed"))
     }
 
     fn digest(&self) -> u128 {
@@ -444,22 +426,108 @@
         let all = self
             .nodes
             .iter()
-            .map(|n| n.digest)
-            .chain(self.wire.iter().map(|s| s.digest))
+            .map(|node| node.digest)
+            .chain(self.in_flight.iter().map(|sent| sent.digest))
             .chain([history]);
         xxh3_128(&all.flat_map(u128::to_be_bytes).collect::<Vec<u8>>())
     }
 
     /// Whether a step has made no difference but that a message is gone: it might as well have been lost.
-    fn idles_after(&self, before: &World) -> bool {
-        let same = |(a, b): (&Arc<Node>, &Arc<Node>)| Arc::ptr_eq(a, b) || a.digest == b.digest;
+    fn changed_nothing_since(&self, before: &World) -> bool {
+        let is_same = |(node, before): (&Arc<Node>, &Arc<Node>)| {
+            Arc::ptr_eq(node, before) || node.digest == before.digest
+        };
         self.step == before.step
             && self.crashes == before.crashes
-            && self.wire.len() <= before.wire.len()
-            && self.nodes.iter().zip(&before.nodes).all(same)
+            && self.in_flight.len() <= before.in_flight.len()
+            && self.nodes.iter().zip(&before.nodes).all(is_same)
     }
 }
 
+/// A call that has ended with a clear outcome.
+#[derive(Clone, Copy)]
+struct DoneCall<'a> {
+    call: &'a Call,
+    end: CallEnd,
+}
+
+impl<'a> DoneCall<'a> {
+    fn of(call: &'a Call) -> Option<Self> {
+        let end = call.end.filter(|end| {
+            !matches!(
+                end.outcome,
+                WriteOutcome::Unknown | WriteOutcome::NotAccepted(_)
+            )
+        })?;
+        Some(DoneCall { call, end })
+    }
+
+    /// The version that was reported as current, or as written.
+    fn version(&self) -> u64 {
+        match self.end.outcome {
+            WriteOutcome::Accepted(version) | WriteOutcome::Conflict(version) => version,
+            WriteOutcome::NotAccepted(_) | WriteOutcome::Unknown => 0,
+        }
+    }
+
+    /// What is wrong with the outcome of a write, by itself or next to that of another.
+    fn contradiction(&self, done: &[DoneCall]) -> Option<String> {
+        let call = self.call;
+        let Put { value, on } = call.request else {
+            return None;
+        };
+        match self.end.outcome {
+            WriteOutcome::Accepted(version) if version != on + 1 => {
+                Some(format!("{call:?} is accepted as {version}"))
+            }
+            WriteOutcome::Accepted(version) => {
+                let is_rival = |other: &&DoneCall| matches!((other.call.request, other.end.outcome), (Put { value: other_value, .. }, WriteOutcome::Accepted(other_version)) if other_version == version && other_value != value);
+                if let Some(rival) = done.iter().find(is_rival) {
+                    return Some(format!("{call:?} and {:?} are both accepted", rival.call));
+                }
+                // The same order again is never rejected once it was accepted.
+                let is_rejected_repeat = |other: &&DoneCall| {
+                    other.call.request == call.request
+                        && matches!(other.end.outcome, WriteOutcome::Conflict(_))
+                };
+                done.iter()
+                    .find(is_rejected_repeat)
+                    .map(|repeat| format!("{call:?} is accepted and {:?} is rejected", repeat.call))
+            }
+            WriteOutcome::Conflict(version) if version == on => Some(format!(
+                "{call:?} is rejected though the version that it expects is current"
+            )),
+            _ => None,
+        }
+    }
+}
+
+/// A call that began after another had ended, and does not see what that one saw. A repeated order may: it is reported
+/// with the version as which it was accepted.
+fn lost_update(done: &[DoneCall]) -> Option<String> {
+    for earlier in done {
+        let began_later = |call: &&DoneCall| {
+            call.call
+                .began
+                .is_some_and(|began| began > earlier.end.step)
+        };
+        for later in done.iter().filter(began_later) {
+            let may_be_repeat = earlier.call.request != Read
+                && matches!(
+                    (later.call.request, later.end.outcome),
+                    (Put { .. }, WriteOutcome::Accepted(_))
+                );
+            if later.version() < earlier.version() && !may_be_repeat {
+                return Some(format!(
+                    "{:?} ended before {:?} began",
+                    earlier.call, later.call
+                ));
+            }
+        }
+    }
+    None
+}
+
 /// How a state came about, newest step first.
 type Trace = Option<Arc<Step>>;
 struct Step {
@@ -477,173 +545,211 @@
     all
 }
 
-/// What was gone through: all orders of so many steps, the states they led to, and what was wrong in the first that was.
+/// What was visited: all orders of so many steps, the states that they led to, and the first violation.
 struct Explored {
     depth: u32,
     states: usize,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
-/// Goes through all orders, the shortest first, until something is wrong, none is left, or a bound is met.
-fn explore(w: World, most_depth: u32, most_states: usize) -> Explored {
-    let mut seen = HashSet::from([w.digest()]);
-    let mut states: Vec<(World, Trace)> = vec![(w, None)];
-    for depth in 0..most_depth {
+/// Visits all orders, the shortest first, until something is violated, none is left, or a bound is reached.
+fn explore(world: World, max_depth: u32, max_states: usize) -> Explored {
+    let mut seen = HashSet::from([world.digest()]);
+    let mut states: Vec<(World, Trace)> = vec![(world, None)];
+    for depth in 0..max_depth {
         let mut next = vec![];
-        for (w, trace) in &states {
-            for action in w.actions() {
-                let mut after = w.clone();
-                after.take(action);
-                if after.idles_after(w) || !seen.insert(after.digest()) {
+        for (world, trace) in &states {
+            for action in world.actions() {
+                let mut after = world.clone();
+                after.apply(action);
+                if after.changed_nothing_since(world) || !seen.insert(after.digest()) {
                     continue;
                 }
                 let trace = Some(Arc::new(Step {
                     action,
                     before: trace.clone(),
                 }));
-                if let Some(wrong) = after.wrong() {
-                    let wrong = Some(format!("{wrong}\n{:#?}\n{:#?}", steps(&trace), after.calls));
+                if let Some(violation) = after.violation() {
                     return Explored {
                         depth: depth + 1,
                         states: seen.len(),
-                        wrong,
+                        violation: Some(format!(
+                            "{violation}\n{:#?}\n{:#?}",
+                            steps(&trace),
+                            after.calls
+                        )),
                     };
                 }
-                // Nothing more can be told once all calls have ended.
-                if after.calls.iter().any(|c| c.ended.is_none()) {
+                // Nothing more can be reported once all calls have ended.
+                if after.calls.iter().any(|call| call.end.is_none()) {
                     next.push((after, trace));
                 }
             }
-            if seen.len() >= most_states {
+            if seen.len() >= max_states {
                 return Explored {
                     depth,
                     states: seen.len(),
-                    wrong: None,
+                    violation: None,
                 };
             }
         }
         states = next;
     }
     Explored {
-        depth: most_depth,
+        depth: max_depth,
         states: seen.len(),
-        wrong: None,
+        violation: None,
     }
 }
 
-/// States that a run in CI goes through at most, for each scenario: some ten seconds.
-const STATES: usize = 150_000;
+/// States that a run in CI visits at most, for each scenario: some ten seconds.
+const MAX_STATES: usize = 150_000;
 
-const A: Request = Put { value: 1, on: 0 };
-const B: Request = Put { value: 2, on: 0 };
-const NEXT: Request = Put { value: 3, on: 1 };
+const FIRST_WRITE: Request = Put { value: 1, on: 0 };
+const RIVAL_WRITE: Request = Put { value: 2, on: 0 };
+const NEXT_WRITE: Request = Put { value: 3, on: 1 };
+
+/// What is explored.
+struct Scenario {
+    name: &'static str,
+    crashes: u32,
+    /// Messages that arrive twice.
+    copies: u32,
+    /// Which voter is asked for what, in the order in which the calls begin.
+    calls: &'static [(usize, Request)],
+}
 
-/// What is gone through: a name, crashes, messages that come twice, and calls in the order in which they begin.
-type Scenario = (&'static str, u32, u32, &'static [(usize, Request)]);
 const SCENARIOS: [Scenario; 6] = [
-    (
-        "two owners write on one version, and one reads",
-        0,
-        0,
-        &[(0, A), (1, B), (2, Read)],
-    ),
-    (
-        "an owner writes, is replaced, and both read",
-        0,
-        0,
-        &[(0, A), (1, Read), (0, Read)],
-    ),
-    (
-        "a write is repeated elsewhere after another replaced it",
-        0,
-        0,
-        &[(0, A), (0, NEXT), (1, A)],
-    ),
-    (
-        "one crashes while two owners write",
-        1,
-        0,
-        &[(0, A), (1, B)],
-    ),
-    (
-        "one crashes around a write and a reading",
-        1,
-        0,
-        &[(0, A), (1, Read)],
-    ),
-    (
-        "a message comes twice while two owners write",
-        0,
-        1,
-        &[(0, A), (1, B)],
-    ),
+    Scenario {
+        name: "two owners write on one version, and one reads",
+        crashes: 0,
+        copies: 0,
+        calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE), (2, Read)],
+    },
+    Scenario {
+        name: "an owner writes, is replaced, and both read",
+        crashes: 0,
+        copies: 0,
+        calls: &[(0, FIRST_WRITE), (1, Read), (0, Read)],
+    },
+    Scenario {
+        name: "a write is repeated elsewhere after another replaced it",
+        crashes: 0,
+        copies: 0,
+        calls: &[(0, FIRST_WRITE), (0, NEXT_WRITE), (1, FIRST_WRITE)],
+    },
+    Scenario {
+        name: "one crashes while two owners write",
+        crashes: 1,
+        copies: 0,
+        calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
+    },
+    Scenario {
+        name: "one crashes around a write and a read",
+        crashes: 1,
+        copies: 0,
+        calls: &[(0, FIRST_WRITE), (1, Read)],
+    },
+    Scenario {
+        name: "a message arrives twice while two owners write",
+        crashes: 0,
+        copies: 1,
+        calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
+    },
 ];
 
 /// No order of events is longer: each scenario ends before.
-const DEPTH: u32 = 64;
+const MAX_DEPTH: u32 = 64;
 
 #[gtest]
-fn no_order_of_messages_syncs_and_crashes_breaks_a_register() {
-    let states = std::env::var("EXPLORE_STATES")
+fn no_order_of_messages_syncs_and_crashes_violates_linearizability() {
+    let max_states = std::env::var("EXPLORE_STATES")
         .ok()
-        .and_then(|n| n.parse().ok())
-        .unwrap_or(STATES);
-    let run = |(name, crashes, copies, calls): Scenario| {
-        let from = std::time::Instant::now();
-        let e = explore(
-            World::new(Without::Nothing, crashes, copies, calls),
-            DEPTH,
-            states,
+        .and_then(|states| states.parse().ok())
+        .unwrap_or(MAX_STATES);
+    let run = |scenario: Scenario| {
+        let started = std::time::Instant::now();
+        let world = World::new(
+            Ablation::Nothing,
+            scenario.crashes,
+            scenario.copies,
+            scenario.calls,
         );
+        let explored = explore(world, MAX_DEPTH, max_states);
         println!(
-            "{name}: all orders of {} steps, {} states, {:.1} s",
-            e.depth,
-            e.states,
-            from.elapsed().as_secs_f64()
+            "{}: all orders of {} steps, {} states, {:.1} s",
+            scenario.name,
+            explored.depth,
+            explored.states,
+            started.elapsed().as_secs_f64()
         );
-        (name, e.wrong)
+        (scenario.name, explored.violation)
     };
-    let told: Vec<_> = std::thread::scope(|s| {
-        let all = SCENARIOS.map(|one| s.spawn(move || run(one)));
-        all.into_iter().map(|t| t.join().unwrap()).collect()
+    let violations: Vec<_> = std::thread::scope(|scope| {
+        let threads = SCENARIOS.map(|scenario| scope.spawn(move || run(scenario)));
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    for (name, wrong) in told {
-        expect_that!(wrong, none(), "{name}");
+    for (name, violation) in violations {
+        expect_that!(violation, none(), "{name}");
     }
 }
 
-/// Each mechanism is needed: without it the explorer comes upon what it is there for.
+/// Each mechanism is needed: once it is taken away the explorer finds the violation that it prevents.
 #[gtest]
-fn without_one_mechanism_some_order_breaks_a_register() {
-    type Case = (Without, u32, &'static [(usize, Request)]);
+fn each_mechanism_taken_away_violates_linearizability_in_some_order() {
+    type Case = (Ablation, u32, &'static [(usize, Request)]);
     let cases: [Case; 6] = [
-        (Without::SyncBeforeAnswer, 2, &[(0, A), (1, B)]),
-        (Without::ConfirmedRead, 0, &[(0, A), (1, NEXT), (0, Read)]),
-        (Without::AcceptedInPromise, 0, &[(0, A), (1, B)]),
-        (Without::PromiseKept, 0, &[(0, A), (1, B)]),
-        (Without::Memory, 0, &[(0, A), (0, NEXT), (1, A)]),
-        (Without::Majority, 0, &[(0, A), (1, B)]),
+        (
+            Ablation::SyncBeforeAnswer,
+            2,
+            &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
+        ),
+        (
+            Ablation::ConfirmedRead,
+            0,
+            &[(0, FIRST_WRITE), (1, NEXT_WRITE), (0, Read)],
+        ),
+        (
+            Ablation::AcceptedInPromise,
+            0,
+            &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
+        ),
+        (
+            Ablation::PromiseKept,
+            0,
+            &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
+        ),
+        (
+            Ablation::History,
+            0,
+            &[(0, FIRST_WRITE), (0, NEXT_WRITE), (1, FIRST_WRITE)],
+        ),
+        (Ablation::Majority, 0, &[(0, FIRST_WRITE), (1, RIVAL_WRITE)]),
     ];
-    let told: Vec<_> = std::thread::scope(|s| {
-        let run = |(without, crashes, calls): Case| {
-            (
-                without,
-                explore(World::new(without, crashes, 0, calls), DEPTH, 10 * STATES),
-            )
+    let explored: Vec<_> = std::thread::scope(|scope| {
+        let run = |(ablation, crashes, calls): Case| {
+            let world = World::new(ablation, crashes, 0, calls);
+            (ablation, explore(world, MAX_DEPTH, 10 * MAX_STATES))
         };
-        let all = cases.map(|one| s.spawn(move || run(one)));
-        all.into_iter().map(|t| t.join().unwrap()).collect()
+        let threads = cases.map(|case| scope.spawn(move || run(case)));
+        threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .collect()
     });
-    for (without, e) in told {
+    for (ablation, explored) in explored {
         println!(
-            "{without:?}: broken after {} steps, {} states",
-            e.depth, e.states
+            "{ablation:?}: violated after {} steps, {} states",
+            explored.depth, explored.states
         );
         expect_that!(
-            e.wrong,
+            explored.violation,
             some(anything()),
-            "{without:?} is not seen to be needed in {} steps",
-            e.depth
+            "{ablation:?} is not seen to be needed in {} steps",
+            explored.depth
         );
     }
 }
--- a/coordination/src/state_table/tests.rs
+++ b/coordination/src/state_table/tests.rs
@@ -3,43 +3,43 @@
 
 use super::*;
 
-fn change(k: &str, epoch: u64, version: u64) -> Change {
+fn change(key: &str, epoch: u64, version: u64) -> Change {
     Change {
-        key: k.into(),
+        key: key.into(),
         epoch,
         version,
         value: Blob(vec![epoch as u8, version as u8]),
     }
 }
 
+fn merge_all(table: &mut StateTable, changes: &[Change]) {
+    for change in changes {
+        table.merge(change);
+    }
+}
+
 #[gtest]
-fn copies_meet_whatever_the_order_and_never_go_back() {
+fn copies_converge_whatever_the_order_and_never_go_back() {
     let all: Vec<_> = (0..40)
-        .map(|i| change(&format!("k{}", i % 7), i / 9, i))
+        .map(|index| change(&format!("k{}", index % 7), index / 9, index))
         .collect();
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut a, mut b) = (StateTable::default(), StateTable::default());
-        let mut x = all.clone();
-        rng.shuffle(&mut x);
-        for c in &x[..20] {
-            let old = a.get(&c.key).map(version_stamp);
-            a.merge(c);
-            expect_that!(a.get(&c.key).map(version_stamp), ge(old));
+        let (mut first, mut second) = (StateTable::default(), StateTable::default());
+        let mut shuffled = all.clone();
+        rng.shuffle(&mut shuffled);
+        for change in &shuffled[..20] {
+            let before = first.get(&change.key).map(version_stamp);
+            first.merge(change);
+            expect_that!(first.get(&change.key).map(version_stamp), ge(before));
         }
-        x[20..].iter().for_each(|c| {
-            b.merge(c);
-        });
-        // One exchange of digests and ranges in each direction mends both.
-        let d = a.differing_ranges(&b.range_digests());
-        let (from_a, from_b) = (a.entries_in(&d), b.entries_in(&d));
-        from_b.iter().for_each(|c| {
-            a.merge(c);
-        });
-        from_a.iter().for_each(|c| {
-            b.merge(c);
-        });
-        expect_that!(a.digest(), eq(b.digest()));
-        expect_that!(a.differing_ranges(&b.range_digests()), is_empty());
+        merge_all(&mut second, &shuffled[20..]);
+        // One exchange of digests and ranges in each direction repairs both.
+        let ranges = first.differing_ranges(&second.range_digests());
+        let (from_first, from_second) = (first.entries_in(&ranges), second.entries_in(&ranges));
+        merge_all(&mut first, &from_second);
+        merge_all(&mut second, &from_first);
+        expect_that!(first.digest(), eq(second.digest()));
+        expect_that!(first.differing_ranges(&second.range_digests()), is_empty());
     }
 }
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -1,4 +1,4 @@
-//! Writes that compare the operator's release, and readings by a majority.
+//! Writes on an operator's release, and reads by a majority.
 
 mod fleet;
 
@@ -9,109 +9,135 @@
 
 /// A document of a release, in the product's own spelling; `mark` tells two of one release apart.
 fn document(release: u64, mark: u64) -> Vec<u8> {
-    let s = serde_json::json!({"zones": [{"name": "z0"}], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark,
+    let document = serde_json::json!({"zones": [{"name": "z0"}], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark,
         "release": release});
-    serde_json::to_vec(&s).unwrap()
+    serde_json::to_vec(&document).unwrap()
 }
 
-fn settled(seed: u64) -> Fleet {
-    let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-    f.until(10_000, |f| {
-        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
-    })
-    .expect("the fleet settles");
-    f
+fn settled_fleet(seed: u64) -> Fleet {
+    let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+    let all_settled = |fleet: &Fleet| {
+        (0..3).all(|daemon| {
+            fleet
+                .brain(daemon)
+                .is_some_and(|control| control.is_settled())
+        })
+    };
+    fleet.until(10_000, all_settled).expect("the fleet settles");
+    fleet
 }
 
-/// Takes a write to a daemon; the end is looked for later.
-fn send(f: &mut Fleet, i: usize, e: Expect, v: &[u8]) -> (usize, u64) {
-    let now = f.now;
-    let (t, out) = f.all[i]
-        .brain
-        .as_mut()
-        .unwrap()
-        .write(SPEC_KEY, e, v.to_vec(), now);
-    f.carry(i, out);
-    (i, t)
+/// A request that was made at a daemon: the daemon, and the token it gave.
+type Submitted = (usize, u64);
+
+/// Submits a write to a daemon; its outcome is looked for later.
+fn submit(fleet: &mut Fleet, daemon: usize, expect: Expect, value: &[u8]) -> Submitted {
+    let now = fleet.now;
+    let control = fleet.all[daemon].brain.as_mut().unwrap();
+    let (token, out) = control.write(SPEC_KEY, expect, value.to_vec(), now);
+    fleet.carry(daemon, out);
+    (daemon, token)
+}
+
+fn outcome(fleet: &mut Fleet, submitted: Submitted) -> Option<WriteOutcome> {
+    fleet.until(4_000, |fleet| fleet.ends.contains_key(&submitted));
+    fleet.ends.get(&submitted).map(|(_, outcome)| *outcome)
+}
+
+fn write(fleet: &mut Fleet, daemon: usize, expect: Expect, value: &[u8]) -> Option<WriteOutcome> {
+    let submitted = submit(fleet, daemon, expect, value);
+    outcome(fleet, submitted)
 }
-fn end(f: &mut Fleet, w: (usize, u64)) -> Option<WriteOutcome> {
-    f.until(4_000, |f| f.ends.contains_key(&w));
-    f.ends.get(&w).map(|e| e.1)
+
+fn read_newest(fleet: &mut Fleet, daemon: usize) -> Option<WriteOutcome> {
+    let now = fleet.now;
+    let control = fleet.all[daemon].brain.as_mut().unwrap();
+    let (token, out) = control.read_newest(SPEC_KEY, now);
+    fleet.carry(daemon, out);
+    outcome(fleet, (daemon, token))
 }
-fn put(f: &mut Fleet, i: usize, e: Expect, v: &[u8]) -> Option<WriteOutcome> {
-    let w = send(f, i, e, v);
-    end(f, w)
+
+/// The daemon that owns the spec's key.
+fn spec_owner(fleet: &Fleet) -> usize {
+    (0..3)
+        .find(|daemon| owns_spec(fleet, *daemon))
+        .expect("an owner")
 }
-fn newest(f: &mut Fleet, i: usize) -> Option<WriteOutcome> {
-    let now = f.now;
-    let (t, out) = f.all[i].brain.as_mut().unwrap().read_newest(SPEC_KEY, now);
-    f.carry(i, out);
-    end(f, (i, t))
+
+fn owns_spec(fleet: &Fleet, daemon: usize) -> bool {
+    let registers = &fleet.brain(daemon).unwrap().registers;
+    registers.held_until(SPEC_KEY, fleet.now).is_some()
 }
 
 #[gtest]
-fn a_release_builds_on_the_one_that_stands_and_its_repeat_is_accepted() {
-    let f = &mut settled(1);
-    expect_that!(newest(f, 1), some(eq(WriteOutcome::Accepted(0))));
+fn a_write_on_the_current_release_is_accepted_and_so_is_its_repeat() {
+    let fleet = &mut settled_fleet(1);
+    expect_that!(read_newest(fleet, 1), some(eq(WriteOutcome::Accepted(0))));
     expect_that!(
-        put(f, 0, Expect::Release(0), &document(3, 1)),
+        write(fleet, 0, Expect::Release(0), &document(3, 1)),
         some(eq(WriteOutcome::Accepted(1)))
     );
     // The same document again, at any daemon: nothing is written anew.
-    for i in 0..3 {
+    for daemon in 0..3 {
         expect_that!(
-            put(f, i, Expect::Release(0), &document(3, 1)),
+            write(fleet, daemon, Expect::Release(0), &document(3, 1)),
             some(eq(WriteOutcome::Accepted(1)))
         );
     }
     // Another one on top of the same release lost.
     expect_that!(
-        put(f, 1, Expect::Release(0), &document(3, 2)),
+        write(fleet, 1, Expect::Release(0), &document(3, 2)),
         some(eq(WriteOutcome::Conflict(1)))
     );
     expect_that!(
-        put(f, 2, Expect::Release(2), &document(8, 1)),
+        write(fleet, 2, Expect::Release(2), &document(8, 1)),
         some(eq(WriteOutcome::Conflict(1)))
     );
     expect_that!(
-        put(f, 2, Expect::Release(3), &document(8, 1)),
+        write(fleet, 2, Expect::Release(3), &document(8, 1)),
         some(eq(WriteOutcome::Accepted(2)))
     );
-    for i in 0..3 {
-        expect_that!(newest(f, i), some(eq(WriteOutcome::Accepted(2))));
+    for daemon in 0..3 {
+        expect_that!(
+            read_newest(fleet, daemon),
+            some(eq(WriteOutcome::Accepted(2)))
+        );
     }
-    f.run(1_000);
-    for i in 0..3 {
-        expect_that!(f.brain(i).unwrap().spec().map(|s| s.release), some(eq(8)));
+    fleet.run(1_000);
+    for daemon in 0..3 {
+        expect_that!(
+            fleet.brain(daemon).unwrap().spec().map(|spec| spec.release),
+            some(eq(8))
+        );
         // A repeat that comes after its successor is accepted as the version that it was; what lost is refused again.
         expect_that!(
-            put(f, i, Expect::Release(0), &document(3, 1)),
+            write(fleet, daemon, Expect::Release(0), &document(3, 1)),
             some(eq(WriteOutcome::Accepted(1)))
         );
         expect_that!(
-            put(f, i, Expect::Release(0), &document(3, 2)),
+            write(fleet, daemon, Expect::Release(0), &document(3, 2)),
             some(eq(WriteOutcome::Conflict(2)))
         );
     }
 }
 
 #[gtest]
-fn of_two_that_build_on_one_release_one_wins() {
+fn one_of_two_racing_writes_on_a_release_is_accepted() {
     for seed in 0..1_000 {
-        let f = &mut settled(seed);
+        let fleet = &mut settled_fleet(seed);
         expect_that!(
-            put(f, 0, Expect::Release(0), &document(1, 0)),
+            write(fleet, 0, Expect::Release(0), &document(1, 0)),
             some(eq(WriteOutcome::Accepted(1)))
         );
-        let (a, b) = (f.rng.usize(..3), f.rng.usize(..3));
-        let one = send(f, a, Expect::Release(1), &document(5, 1));
-        let wait = f.rng.u64(..60);
-        f.run(wait);
-        let two = send(f, b, Expect::Release(1), &document(6, 2));
-        let mut ends = [end(f, one), end(f, two)];
-        ends.sort_by_key(|e| matches!(e, Some(WriteOutcome::Conflict(_))));
+        let (first_daemon, second_daemon) = (fleet.rng.usize(..3), fleet.rng.usize(..3));
+        let first = submit(fleet, first_daemon, Expect::Release(1), &document(5, 1));
+        let wait = fleet.rng.u64(..60);
+        fleet.run(wait);
+        let second = submit(fleet, second_daemon, Expect::Release(1), &document(6, 2));
+        let mut outcomes = [outcome(fleet, first), outcome(fleet, second)];
+        outcomes.sort_by_key(|outcome| matches!(outcome, Some(WriteOutcome::Conflict(_))));
         expect_that!(
-            ends,
+            outcomes,
             eq([
                 Some(WriteOutcome::Accepted(2)),
                 Some(WriteOutcome::Conflict(2))
@@ -121,148 +147,144 @@
     }
 }
 
-/// Who owned the key is cut off and another takes it: the first may neither call a right write a conflict nor tell
-/// the older version as the newest.
+/// The owner is partitioned off and another acquires the key: the first may neither reject a right write as a conflict
+/// nor report the older version as the newest.
 #[gtest]
-fn an_owner_that_was_deposed_without_hearing_of_it_tells_nothing_older() {
+fn a_deposed_owner_in_a_partition_reports_no_stale_outcome() {
     for seed in 0..20 {
-        let f = &mut settled(seed);
+        let fleet = &mut settled_fleet(seed);
         expect_that!(
-            put(f, 0, Expect::Release(0), &document(1, 0)),
+            write(fleet, 0, Expect::Release(0), &document(1, 0)),
             some(eq(WriteOutcome::Accepted(1)))
         );
-        let owner = (0..3)
-            .find(|i| {
-                f.brain(*i)
-                    .unwrap()
-                    .registers
-                    .held_until(SPEC_KEY, f.now)
-                    .is_some()
-            })
-            .expect("an owner");
+        let owner = spec_owner(fleet);
         let other = (owner + 1) % 3;
-        f.cut.insert(addr(owner));
-        // Until the others gave it up for dead they keep asking it, and are told that it is not known.
-        let mut done = None;
+        fleet.cut.insert(addr(owner));
+        // Until the others take it for dead they forward writes to it, and report the outcome as unknown.
+        let mut accepted = None;
         for _ in 0..8 {
-            done = put(f, other, Expect::Release(1), &document(2, 0));
-            if done == Some(WriteOutcome::Accepted(2)) {
+            accepted = write(fleet, other, Expect::Release(1), &document(2, 0));
+            if accepted == Some(WriteOutcome::Accepted(2)) {
                 break;
             }
-            f.run(300);
+            fleet.run(300);
         }
-        expect_that!(done, some(eq(WriteOutcome::Accepted(2))), "seed {seed}");
-        // It still holds the key in its own eyes, and is asked while it hears nobody.
-        let told = [
-            put(f, owner, Expect::Release(2), &document(3, 0)),
-            newest(f, owner),
+        expect_that!(accepted, some(eq(WriteOutcome::Accepted(2))), "seed {seed}");
+        // It still owns the key as far as it knows, and is asked while it hears nobody.
+        let outcomes = [
+            write(fleet, owner, Expect::Release(2), &document(3, 0)),
+            read_newest(fleet, owner),
         ];
-        for t in told {
-            let clear = matches!(
-                t,
+        for outcome in outcomes {
+            let is_clear = matches!(
+                outcome,
                 Some(WriteOutcome::Conflict(_) | WriteOutcome::Accepted(_))
             );
-            expect_false!(clear, "seed {seed}: {t:?}");
+            expect_false!(is_clear, "seed {seed}: {outcome:?}");
         }
-        f.cut.clear();
-        let back: Option<Ms> =
-            f.until(6_000, |f| f.held(owner, SPEC_KEY).is_some_and(|h| h.0 == 2));
-        expect_that!(back, some(anything()), "seed {seed}");
+        fleet.cut.clear();
+        let caught_up_after: Option<Ms> = fleet.until(6_000, |fleet| {
+            fleet
+                .held(owner, SPEC_KEY)
+                .is_some_and(|(version, _)| version == 2)
+        });
+        expect_that!(caught_up_after, some(anything()), "seed {seed}");
         expect_that!(
-            newest(f, owner),
+            read_newest(fleet, owner),
             some(eq(WriteOutcome::Accepted(2))),
             "seed {seed}"
         );
     }
 }
 
-/// All processes are killed right after a release was accepted: what is read then is never older.
+/// All processes are killed right after a release was accepted: no older one is read from then on.
 #[gtest]
-fn after_a_total_kill_no_older_release_is_read() {
+fn no_stale_release_is_read_after_all_daemons_were_killed() {
     for seed in 0..20 {
-        let f = &mut settled(seed);
+        let fleet = &mut settled_fleet(seed);
         expect_that!(
-            put(f, 0, Expect::Release(0), &document(1, 0)),
+            write(fleet, 0, Expect::Release(0), &document(1, 0)),
             some(eq(WriteOutcome::Accepted(1)))
         );
         expect_that!(
-            put(f, 1, Expect::Release(1), &document(2, 0)),
+            write(fleet, 1, Expect::Release(1), &document(2, 0)),
             some(eq(WriteOutcome::Accepted(2)))
         );
-        (0..3).for_each(|i| f.kill(i));
-        f.run(300);
-        (0..3).for_each(|i| f.start(i));
-        let mut told = vec![];
+        for daemon in 0..3 {
+            fleet.kill(daemon);
+        }
+        fleet.run(300);
+        for daemon in 0..3 {
+            fleet.start(daemon);
+        }
+        let mut reads = vec![];
         for _ in 0..30 {
-            let i = f.rng.usize(..3);
-            told.extend(newest(f, i));
-            f.run(50);
+            let daemon = fleet.rng.usize(..3);
+            reads.extend(read_newest(fleet, daemon));
+            fleet.run(50);
         }
-        let clear: Vec<_> = told
+        let versions: Vec<_> = reads
             .iter()
-            .filter(|t| matches!(t, WriteOutcome::Accepted(_)))
+            .filter(|read| matches!(read, WriteOutcome::Accepted(_)))
             .collect();
-        expect_that!(clear, not(is_empty()), "seed {seed}");
-        expect_that!(clear, each(eq(&&WriteOutcome::Accepted(2))), "seed {seed}");
+        expect_that!(versions, not(is_empty()), "seed {seed}");
+        expect_that!(
+            versions,
+            each(eq(&&WriteOutcome::Accepted(2))),
+            "seed {seed}"
+        );
     }
 }
 
-/// An owner's own disk has a newer document that no majority took, and is slower than the others with its word for the
-/// key: the document is what is compared with from then on, or is gone, but no right write is refused for it.
+/// An owner's own disk has a newer document that no majority accepted, and is slower than the others with its promise:
+/// the document is what is compared with from then on, or is gone, but no right write is rejected because of it.
 #[gtest]
-fn an_owner_compares_with_what_stands_and_not_with_what_it_once_offered() {
-    let mut met = 0;
+fn an_owner_compares_with_the_committed_value_not_with_an_uncommitted_one_on_its_disk() {
+    let mut seeds_reached = 0;
     for seed in 0..20 {
-        let f = &mut settled(seed);
-        f.way = 1;
+        let fleet = &mut settled_fleet(seed);
+        fleet.way = 1;
         expect_that!(
-            put(f, 0, Expect::Release(0), &document(1, 0)),
+            write(fleet, 0, Expect::Release(0), &document(1, 0)),
             some(eq(WriteOutcome::Accepted(1)))
         );
-        f.run(1_000);
-        let owner = (0..3)
-            .find(|i| {
-                f.brain(*i)
-                    .unwrap()
-                    .registers
-                    .held_until(SPEC_KEY, f.now)
-                    .is_some()
-            })
-            .expect("an owner");
-        let (own, other) = (addr(owner), (owner + 1) % 3);
-        // Offered to its own disk only; then another owns the key.
-        f.sieve = Box::new(move |from, to, m| {
-            *from != own || from == to || !matches!(m, Message::Accept(_))
+        fleet.run(1_000);
+        let owner = spec_owner(fleet);
+        let (owner_addr, other) = (addr(owner), (owner + 1) % 3);
+        // Accepted by its own disk only; then another owns the key.
+        fleet.sieve = Box::new(move |from, to, message| {
+            *from != owner_addr || from == to || !matches!(message, Message::Accept(_))
         });
-        send(f, owner, Expect::Release(1), &document(9, 0));
-        f.run(50);
-        f.kill(owner);
-        f.sieve = Box::new(|_, _, m| !matches!(m, Message::SlotsRequest(_)));
-        f.run(2_500);
-        f.all[owner].sync = 100;
-        f.start(owner);
-        let back = |f: &Fleet| {
-            f.brain(owner)
-                .unwrap()
-                .registers
-                .held_until(SPEC_KEY, f.now)
-                .is_some()
-        };
-        if f.until(2_000, back).is_none() {
+        submit(fleet, owner, Expect::Release(1), &document(9, 0));
+        fleet.run(50);
+        fleet.kill(owner);
+        fleet.sieve = Box::new(|_, _, message| !matches!(message, Message::SlotsRequest(_)));
+        fleet.run(2_500);
+        fleet.all[owner].sync = 100;
+        fleet.start(owner);
+        if fleet
+            .until(2_000, |fleet| owns_spec(fleet, owner))
+            .is_none()
+        {
             continue;
         }
-        met += 1;
+        seeds_reached += 1;
         // An operator that reads the newest and builds on it is not refused.
-        let Some(WriteOutcome::Accepted(v)) = newest(f, other) else {
+        let Some(WriteOutcome::Accepted(version)) = read_newest(fleet, other) else {
             continue;
         };
-        f.sieve = Box::new(|_, _, _| true);
-        let on = if v == 1 { 1 } else { 9 };
+        fleet.sieve = Box::new(|_, _, _| true);
+        let current_release = if version == 1 { 1 } else { 9 };
         expect_that!(
-            put(f, other, Expect::Release(on), &document(12, 0)),
-            some(eq(WriteOutcome::Accepted(v + 1))),
+            write(
+                fleet,
+                other,
+                Expect::Release(current_release),
+                &document(12, 0)
+            ),
+            some(eq(WriteOutcome::Accepted(version + 1))),
             "seed {seed}"
         );
     }
-    expect_that!(met, gt(10));
+    expect_that!(seeds_reached, gt(10));
 }
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -1,4 +1,4 @@
-//! The founding: once, by the daemons at the seeds, whatever dies or is late in its middle.
+//! Bootstrap: the daemons at the seeds write the first voters once, whatever crashes or is late in between.
 
 mod fleet;
 
@@ -11,155 +11,172 @@
     "r".into()
 }
 
-fn three(seed: u64) -> Fleet {
+fn three_daemons(seed: u64) -> Fleet {
     Fleet::founded(seed, 3, one_region)
 }
 
 #[gtest]
-fn the_seeds_found_it_at_once_and_writes_are_taken() {
+fn the_seeds_bootstrap_and_accept_writes_at_once() {
     for seed in 0..20 {
-        let mut f = three(seed);
-        let took = f.until(4_000, |f| f.voting().len() == 3);
-        expect_that!(took, some(le(1_500)), "seed {seed}");
-        expect_that!(f.put("spec", b"one", 5_000), some(le(1_500)), "seed {seed}");
-        expect_that!(f.first_voters(), len(eq(1)), "seed {seed}");
+        let mut fleet = three_daemons(seed);
+        let duration = fleet.until(4_000, |fleet| fleet.voting().len() == 3);
+        expect_that!(duration, some(le(1_500)), "seed {seed}");
+        expect_that!(
+            fleet.put("spec", b"one", 5_000),
+            some(le(1_500)),
+            "seed {seed}"
+        );
+        expect_that!(fleet.first_voters(), len(eq(1)), "seed {seed}");
     }
 }
 
-/// Daemons beyond the seeds have blank disks as well; they never found anything by themselves.
+/// Daemons beyond the seeds have blank disks as well; they never bootstrap anything by themselves.
 #[gtest]
 fn only_the_seeds_are_the_first_voters() {
-    let mut f = Fleet::founded(1, 4, one_region);
-    f.until(4_000, |f| f.voting().len() == 3);
+    let mut fleet = Fleet::founded(1, 4, one_region);
+    fleet.until(4_000, |fleet| fleet.voting().len() == 3);
     expect_that!(
-        f.voters(0),
+        fleet.voters(0),
         eq(&["c0", "c1", "c2"].map(String::from).into())
     );
 }
 
-/// Without the word that the system starts first, a blank disk waits, whoever else is there.
+/// Without the setting that the system starts for the first time a blank disk waits, whoever else is there.
 #[gtest]
-fn a_blank_disk_that_was_not_told_never_takes_part() {
-    let mut f = Fleet::new(1);
-    for i in 0..3 {
-        f.add(i, &[0, 1, 2], i != 2, &Default::default());
+fn a_blank_disk_without_the_bootstrap_setting_never_votes() {
+    let mut fleet = Fleet::new(1);
+    for daemon in 0..3 {
+        fleet.add(daemon, &[0, 1, 2], daemon != 2, &Default::default());
     }
-    f.run(20_000);
-    expect_that!(f.voting(), is_empty());
-    expect_that!(f.first_voters(), is_empty());
+    fleet.run(20_000);
+    expect_that!(fleet.voting(), is_empty());
+    expect_that!(fleet.first_voters(), is_empty());
 }
 
-/// A founder that dies anywhere in the middle and comes back, told that it founds or not any more.
+/// A seed is killed at any point and comes back, notified again that it bootstraps, or not any more.
 #[gtest]
-fn a_founder_killed_anywhere_in_the_middle_founds_once() {
-    for told in [true, false] {
-        for t in (30..900).step_by(7) {
+fn a_seed_killed_at_any_point_bootstraps_once() {
+    for notified_again in [true, false] {
+        for killed_at in (30..900).step_by(7) {
             for victim in 0..3 {
-                let mut f = three(t);
-                f.run(t);
-                f.kill(victim);
-                // A disk that died before it kept the word has never been told.
-                if !told && f.all[victim].disk.is_empty() {
-                    expect_that!(t, lt(100), "the word is kept at once");
+                let mut fleet = three_daemons(killed_at);
+                fleet.run(killed_at);
+                fleet.kill(victim);
+                // A daemon that was killed before it had stored the notice was never notified.
+                if !notified_again && fleet.all[victim].disk.is_empty() {
+                    expect_that!(killed_at, lt(100), "the notice is stored at once");
                     continue;
                 }
-                f.run(300);
-                f.all[victim].p.bootstrap = told;
-                f.start(victim);
-                let took = f.until(6_000, |f| f.voting().len() == 3);
+                fleet.run(300);
+                fleet.all[victim].p.bootstrap = notified_again;
+                fleet.start(victim);
+                let duration = fleet.until(6_000, |fleet| fleet.voting().len() == 3);
                 expect_that!(
-                    took,
+                    duration,
                     some(anything()),
-                    "killed {victim} at {t}, told again: {told}"
+                    "killed {victim} at {killed_at}, notified again: {notified_again}"
                 );
-                f.run(2_000);
+                fleet.run(2_000);
                 expect_that!(
-                    f.first_voters(),
+                    fleet.first_voters(),
                     len(eq(1)),
-                    "killed {victim} at {t}, told again: {told}"
+                    "killed {victim} at {killed_at}, notified again: {notified_again}"
                 );
                 expect_that!(
-                    f.put("spec", b"one", 5_000),
+                    fleet.put("spec", b"one", 5_000),
                     some(anything()),
-                    "killed {victim} at {t}"
+                    "killed {victim} at {killed_at}"
                 );
             }
         }
     }
 }
 
-/// Messages that offer the first voters are lost for a while, and one seed is slow to come.
+/// Messages that name the first voters are lost for a while, and one seed is slow to start.
 #[gtest]
-fn lost_offers_and_a_slow_seed_only_delay_it() {
+fn lost_messages_and_a_slow_seed_only_delay_the_bootstrap() {
     for slow in 0..3 {
-        let mut f = Fleet::new(slow as u64);
-        for i in (0..3).filter(|i| *i != slow) {
-            f.add(i, &[0, 1, 2], true, &Default::default());
+        let mut fleet = Fleet::new(slow as u64);
+        for daemon in (0..3).filter(|daemon| *daemon != slow) {
+            fleet.add(daemon, &[0, 1, 2], true, &Default::default());
         }
-        f.sieve = Box::new(|_, _, m| !matches!(m, Message::Bootstrap(_) | Message::SlotsReply(_)));
-        f.run(3_000);
-        expect_that!(f.voting(), is_empty());
-        f.add(slow, &[0, 1, 2], true, &Default::default());
-        f.run(3_000);
-        // The founder alone has them; it is no majority.
-        expect_that!(f.voting(), len(le(1)));
-        f.sieve = Box::new(|_, _, _| true);
-        expect_that!(f.until(2_000, |f| f.voting().len() == 3), some(anything()));
-        expect_that!(f.first_voters(), len(eq(1)));
+        fleet.sieve = Box::new(|_, _, message| {
+            !matches!(message, Message::Bootstrap(_) | Message::SlotsReply(_))
+        });
+        fleet.run(3_000);
+        expect_that!(fleet.voting(), is_empty());
+        fleet.add(slow, &[0, 1, 2], true, &Default::default());
+        fleet.run(3_000);
+        // The first seed alone has them; it is no majority.
+        expect_that!(fleet.voting(), len(le(1)));
+        fleet.sieve = Box::new(|_, _, _| true);
+        expect_that!(
+            fleet.until(2_000, |fleet| fleet.voting().len() == 3),
+            some(anything())
+        );
+        expect_that!(fleet.first_voters(), len(eq(1)));
     }
 }
 
-/// A disk is lost in the middle: nobody founds a second time with the new one.
+/// A disk is lost during the bootstrap: there is no second one with the new disk.
 #[gtest]
-fn a_disk_lost_in_the_middle_is_no_second_founding() {
-    for t in (30..900).step_by(7) {
-        let mut f = three(t);
-        f.run(t);
-        f.wipe(1);
-        f.run(200);
-        f.start(1);
-        f.run(6_000);
-        expect_that!(f.first_voters(), len(le(1)), "lost at {t}");
+fn a_disk_lost_during_the_bootstrap_causes_no_second_one() {
+    for lost_at in (30..900).step_by(7) {
+        let mut fleet = three_daemons(lost_at);
+        fleet.run(lost_at);
+        fleet.wipe(1);
+        fleet.run(200);
+        fleet.start(1);
+        fleet.run(6_000);
+        expect_that!(fleet.first_voters(), len(le(1)), "lost at {lost_at}");
     }
 }
 
 /// The seeds as the settings give them may be in any order, and a small system has fewer.
 #[gtest]
-fn fewer_seeds_in_any_order_will_do() {
-    let mut f = Fleet::new(3);
-    f.add(0, &[1, 0], true, &Default::default());
-    f.add(1, &[0, 1], true, &Default::default());
-    expect_that!(f.until(4_000, |f| f.voting().len() == 2), some(anything()));
-    let mut f = Fleet::new(4);
-    f.add(0, &[0], true, &Default::default());
-    expect_that!(f.until(4_000, |f| f.voting().len() == 1), some(anything()));
-    expect_that!(f.all[0].p.seeds, container_eq([addr(0)]));
+fn fewer_seeds_in_any_order_bootstrap() {
+    let mut fleet = Fleet::new(3);
+    fleet.add(0, &[1, 0], true, &Default::default());
+    fleet.add(1, &[0, 1], true, &Default::default());
+    expect_that!(
+        fleet.until(4_000, |fleet| fleet.voting().len() == 2),
+        some(anything())
+    );
+    let mut fleet = Fleet::new(4);
+    fleet.add(0, &[0], true, &Default::default());
+    expect_that!(
+        fleet.until(4_000, |fleet| fleet.voting().len() == 1),
+        some(anything())
+    );
+    expect_that!(fleet.all[0].p.seeds, container_eq([addr(0)]));
 }
 
-/// Whoever begins to vote says so at once: until the others know, two daemons take the same key, and the first writes
-/// are passed to and fro.
+/// Whoever begins to vote reports it at once: until the others know, two daemons acquire the same key, and the first
+/// writes are forwarded to and fro.
 #[gtest]
-fn the_first_writes_are_taken_without_a_dispute() {
+fn the_first_writes_are_accepted_without_a_rival_owner() {
     let (mut deposed, mut late) = (0, 0);
     for seed in 0..200 {
-        let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-        f.until(4_000, |f| f.voting().len() == 3).expect("all vote");
-        // Word of it has come to each.
-        f.run(100);
-        let at = f.rng.usize(..3);
-        let w = f.write(at, "spec", Some(0), b"one").unwrap();
-        let took = f.until(2_500, |f| f.ends.contains_key(&w));
+        let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+        fleet
+            .until(4_000, |fleet| fleet.voting().len() == 3)
+            .expect("all vote");
+        // The heartbeats that report it have reached each.
+        fleet.run(100);
+        let daemon = fleet.rng.usize(..3);
+        let write = fleet.write(daemon, "spec", Some(0), b"one").unwrap();
+        let duration = fleet.until(2_500, |fleet| fleet.ends.contains_key(&write));
         expect_that!(
-            f.ends.get(&w).map(|e| e.1),
+            fleet.ends.get(&write).map(|(_, outcome)| *outcome),
             some(eq(WriteOutcome::Accepted(1))),
             "seed {seed}"
         );
-        late += usize::from(took.is_none_or(|t| t > 500));
-        deposed += f
+        late += usize::from(duration.is_none_or(|ms| ms > 500));
+        deposed += fleet
             .all
             .iter()
-            .flat_map(|d| &d.notes)
-            .filter(|n| n.1 == "OWNERSHIP_LOST")
+            .flat_map(|daemon| &daemon.notes)
+            .filter(|(_, event)| *event == "OWNERSHIP_LOST")
             .count();
     }
     expect_that!((deposed, late), eq((0, 0)));
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Releases that were accepted and then replaced are sent again: they are acknowledged as the version that they were,
-//! whatever became of the daemons that saw them stand.
+//! Releases that were accepted and then replaced are submitted again: they are acknowledged as the version that they
+//! were, whatever became of the daemons that accepted them.
 
 mod fleet;
 
@@ -8,7 +8,7 @@
     control::SPEC_KEY,
     register::{Expect, REPLACED_VALUES_KEPT},
 };
-use fleet::Fleet;
+use fleet::{Fleet, addr};
 use googletest::prelude::*;
 
 /// How many releases are put, each on top of the one before.
@@ -16,259 +16,306 @@
 
 /// A document of a release, in the product's own spelling; `mark` tells two of one release apart.
 fn document(release: u64, mark: u64) -> Vec<u8> {
-    let s = serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark,
+    let document = serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark,
         "release": release});
-    serde_json::to_vec(&s).unwrap()
+    serde_json::to_vec(&document).unwrap()
 }
-fn put(f: &mut Fleet, i: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
-    let now = f.now;
-    let e = Expect::Release(release - 1);
-    let (t, out) =
-        f.all[i]
-            .brain
-            .as_mut()
-            .unwrap()
-            .write(SPEC_KEY, e, document(release, mark), now);
-    f.carry(i, out);
-    f.until(4_000, |f| f.ends.contains_key(&(i, t)));
-    f.ends.get(&(i, t)).map(|e| e.1)
+
+/// Submits a document to a daemon, and returns the outcome if there is one in time.
+fn submit(
+    fleet: &mut Fleet,
+    daemon: usize,
+    expect: Expect,
+    document: Vec<u8>,
+) -> Option<WriteOutcome> {
+    let now = fleet.now;
+    let control = fleet.all[daemon].brain.as_mut().unwrap();
+    let (token, out) = control.write(SPEC_KEY, expect, document, now);
+    fleet.carry(daemon, out);
+    outcome(fleet, (daemon, token))
+}
+
+fn outcome(fleet: &mut Fleet, submitted: (usize, u64)) -> Option<WriteOutcome> {
+    fleet.until(4_000, |fleet| fleet.ends.contains_key(&submitted));
+    fleet.ends.get(&submitted).map(|(_, outcome)| *outcome)
+}
+
+/// Submits a release on top of the one before it.
+fn put(fleet: &mut Fleet, daemon: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
+    let expect = Expect::Release(release - 1);
+    submit(fleet, daemon, expect, document(release, mark))
 }
-/// Sends it until it has a clear answer.
-fn clear(f: &mut Fleet, i: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
+
+/// Submits a release until it has a clear outcome.
+fn put_until_clear(
+    fleet: &mut Fleet,
+    daemon: usize,
+    release: u64,
+    mark: u64,
+) -> Option<WriteOutcome> {
     for _ in 0..20 {
-        match put(f, i, release, mark) {
-            Some(e @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_))) => return Some(e),
-            _ => f.run(200),
+        match put(fleet, daemon, release, mark) {
+            Some(outcome @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_))) => {
+                return Some(outcome);
+            }
+            _ => fleet.run(200),
         }
     }
     None
 }
-fn settle(f: &mut Fleet) {
-    let all = |f: &Fleet| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()));
-    f.until(20_000, all).expect("the fleet settles");
+
+fn wait_until_settled(fleet: &mut Fleet) {
+    let all_settled = |fleet: &Fleet| {
+        (0..3).all(|daemon| {
+            fleet
+                .brain(daemon)
+                .is_some_and(|control| control.is_settled())
+        })
+    };
+    fleet.until(20_000, all_settled).expect("the fleet settles");
+}
+
+fn settled_fleet(seed: u64) -> Fleet {
+    let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+    wait_until_settled(&mut fleet);
+    fleet
+}
+
+fn spec_owner(fleet: &Fleet) -> Option<usize> {
+    (0..3).find(|daemon| {
+        let registers = &fleet.brain(*daemon).unwrap().registers;
+        registers.held_until(SPEC_KEY, fleet.now).is_some()
+    })
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    Calm,
+enum Fault {
+    None,
     AllKilled,
     OwnerKilled,
-    /// One hears nothing while the later releases are accepted.
-    OneCutOff,
+    /// One is partitioned off while the later releases are accepted.
+    OnePartitioned,
     /// Each disk is lost, one after the other.
     DisksLost,
 }
-use Trouble::*;
+
+const FAULTS: [Fault; 5] = [
+    Fault::None,
+    Fault::AllKilled,
+    Fault::OwnerKilled,
+    Fault::OnePartitioned,
+    Fault::DisksLost,
+];
 
 #[gtest]
-fn a_release_that_was_accepted_and_replaced_is_acknowledged_again() {
+fn a_replaced_release_is_acknowledged_again_after_any_fault() {
     for seed in 0..25u64 {
-        let f = &mut Fleet::founded(seed, 3, |i| format!("r{i}"));
-        settle(f);
-        let t = [Calm, AllKilled, OwnerKilled, OneCutOff, DisksLost][seed as usize % 5];
-        let cut = f.rng.usize(..3);
-        let mut at = f.rng.usize(..3);
-        for r in 1..=RELEASES {
-            if r == 3 && matches!(t, OneCutOff) {
-                f.cut.insert(fleet::addr(cut));
-                f.run(2_000);
-                at = (cut + 1) % 3;
+        let fleet = &mut settled_fleet(seed);
+        let fault = FAULTS[seed as usize % FAULTS.len()];
+        let partitioned = fleet.rng.usize(..3);
+        let mut daemon = fleet.rng.usize(..3);
+        for release in 1..=RELEASES {
+            if release == 3 && matches!(fault, Fault::OnePartitioned) {
+                fleet.cut.insert(addr(partitioned));
+                fleet.run(2_000);
+                daemon = (partitioned + 1) % 3;
             }
             expect_that!(
-                clear(f, at, r, 0),
-                some(eq(WriteOutcome::Accepted(r))),
-                "seed {seed}, {t:?}"
+                put_until_clear(fleet, daemon, release, 0),
+                some(eq(WriteOutcome::Accepted(release))),
+                "seed {seed}, {fault:?}"
             );
             // The loser of a race under the same number.
             expect_that!(
-                clear(f, at, r, 1),
-                some(eq(WriteOutcome::Conflict(r))),
-                "seed {seed}, {t:?}"
+                put_until_clear(fleet, daemon, release, 1),
+                some(eq(WriteOutcome::Conflict(release))),
+                "seed {seed}, {fault:?}"
             );
         }
-        f.cut.clear();
-        let owner = (0..3).find(|i| {
-            f.brain(*i)
-                .unwrap()
-                .registers
-                .held_until(SPEC_KEY, f.now)
-                .is_some()
-        });
-        let gone = match t {
-            AllKilled => vec![0, 1, 2],
-            OwnerKilled => owner.into_iter().collect(),
-            _ => vec![],
-        };
-        gone.iter().for_each(|i| f.kill(*i));
-        f.run(300);
-        gone.iter().for_each(|i| f.start(*i));
-        for i in (0..3).filter(|_| matches!(t, DisksLost)) {
-            f.wipe(i);
-            f.run(600);
-            f.start(i);
-            f.until(10_000, |f| f.voting().len() == 3)
-                .expect("it votes again");
-            settle(f);
-        }
-        settle(f);
-        for (r, i) in (1..=RELEASES).flat_map(|r| (0..3).map(move |i| (r, i))) {
-            let told = format!("seed {seed}, {t:?}: release {r} at {i}");
+        fleet.cut.clear();
+        inject(fleet, fault);
+        wait_until_settled(fleet);
+        for (release, daemon) in
+            (1..=RELEASES).flat_map(|release| (0..3).map(move |daemon| (release, daemon)))
+        {
+            let case = format!("seed {seed}, {fault:?}: release {release} at {daemon}");
             expect_that!(
-                clear(f, i, r, 0),
-                some(eq(WriteOutcome::Accepted(r))),
-                "{told}"
+                put_until_clear(fleet, daemon, release, 0),
+                some(eq(WriteOutcome::Accepted(release))),
+                "{case}"
             );
             expect_that!(
-                clear(f, i, r, 1),
+                put_until_clear(fleet, daemon, release, 1),
                 some(eq(WriteOutcome::Conflict(RELEASES))),
-                "{told}, the loser"
+                "{case}, the loser"
             );
         }
     }
 }
 
-/// What is remembered has a bound; within it the oldest is known as well as the newest, and who lost a race is told so.
-/// What is older is neither accepted nor refused, as it may have stood: nobody can tell it from one that never did.
+/// Kills daemons or loses disks, and starts them again.
+fn inject(fleet: &mut Fleet, fault: Fault) {
+    let killed = match fault {
+        Fault::AllKilled => vec![0, 1, 2],
+        Fault::OwnerKilled => spec_owner(fleet).into_iter().collect(),
+        _ => vec![],
+    };
+    for daemon in &killed {
+        fleet.kill(*daemon);
+    }
+    fleet.run(300);
+    for daemon in &killed {
+        fleet.start(*daemon);
+    }
+    for daemon in (0..3).filter(|_| matches!(fault, Fault::DisksLost)) {
+        fleet.wipe(daemon);
+        fleet.run(600);
+        fleet.start(daemon);
+        fleet
+            .until(10_000, |fleet| fleet.voting().len() == 3)
+            .expect("it votes again");
+        wait_until_settled(fleet);
+    }
+}
+
+/// The history has a bound; within it the oldest is known as well as the newest, and the loser of a race is rejected.
+/// What is older is neither accepted nor rejected: nobody can tell whether it ever was current.
 #[gtest]
-fn as_many_releases_are_remembered_as_the_bound_says_and_older_ones_get_no_clear_answer() {
-    let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
-    settle(f);
-    let most = REPLACED_VALUES_KEPT as u64;
-    for r in 1..=most + 4 {
-        expect_that!(clear(f, 0, r, 0), some(eq(WriteOutcome::Accepted(r))));
+fn releases_beyond_the_kept_history_get_no_clear_answer() {
+    let fleet = &mut settled_fleet(1);
+    let kept = REPLACED_VALUES_KEPT as u64;
+    for release in 1..=kept + 4 {
+        expect_that!(
+            put_until_clear(fleet, 0, release, 0),
+            some(eq(WriteOutcome::Accepted(release)))
+        );
     }
-    for at in 0..3 {
-        for (r, mark) in [(1, 0), (3, 0), (1, 1), (3, 1)] {
+    for daemon in 0..3 {
+        for (release, mark) in [(1, 0), (3, 0), (1, 1), (3, 1)] {
             expect_that!(
-                put(f, at, r, mark),
+                put(fleet, daemon, release, mark),
                 some(eq(WriteOutcome::Unknown)),
-                "release {r} of mark {mark} at {at}"
+                "release {release} of mark {mark} at {daemon}"
             );
         }
-        for r in [4, 5, most, most + 3, most + 4] {
+        for release in [4, 5, kept, kept + 3, kept + 4] {
             expect_that!(
-                clear(f, at, r, 0),
-                some(eq(WriteOutcome::Accepted(r))),
-                "release {r} at {at}"
+                put_until_clear(fleet, daemon, release, 0),
+                some(eq(WriteOutcome::Accepted(release))),
+                "release {release} at {daemon}"
             );
             expect_that!(
-                clear(f, at, r, 1),
-                some(eq(WriteOutcome::Conflict(most + 4))),
-                "the loser of {r} at {at}"
+                put_until_clear(fleet, daemon, release, 1),
+                some(eq(WriteOutcome::Conflict(kept + 4))),
+                "the loser of {release} at {daemon}"
             );
         }
     }
-    // Edges have no use for it: what goes to them is the value alone.
-    let slot = f
+    // Edges have no use for the history: they receive the value alone.
+    let slot = fleet
         .brain(0)
         .unwrap()
         .registers
         .slots()
-        .find(|s| &*s.key == SPEC_KEY)
+        .find(|slot| &*slot.key == SPEC_KEY)
         .unwrap();
     expect_that!(slot.replaced.len(), eq(REPLACED_VALUES_KEPT));
 }
 
-/// The same for a write that names the version it replaces.
+/// The same for a write that names the version that it replaces.
 #[gtest]
-fn a_write_on_a_version_that_is_forgotten_gets_no_clear_answer() {
-    let f = &mut Fleet::founded(2, 3, |i| format!("r{i}"));
-    settle(f);
-    let ask = |f: &mut Fleet, on: u64, value: u64| {
-        let w = f
-            .write(1, "plan/s", Some(on), &value.to_be_bytes())
+fn a_write_on_a_version_beyond_the_kept_history_gets_no_clear_answer() {
+    let fleet = &mut settled_fleet(2);
+    let write_on = |fleet: &mut Fleet, version: u64, value: u64| {
+        let write = fleet
+            .write(1, "plan/s", Some(version), &value.to_be_bytes())
             .unwrap();
-        f.until(4_000, |f| f.ends.contains_key(&w));
-        f.ends.get(&w).map(|e| e.1)
+        outcome(fleet, write)
     };
     let newest = REPLACED_VALUES_KEPT as u64 + 3;
-    for on in 0..newest {
-        expect_that!(ask(f, on, on), some(eq(WriteOutcome::Accepted(on + 1))));
+    for version in 0..newest {
+        expect_that!(
+            write_on(fleet, version, version),
+            some(eq(WriteOutcome::Accepted(version + 1)))
+        );
     }
-    for (on, value) in [(0, 0), (1, 1), (1, 7)] {
+    for (version, value) in [(0, 0), (1, 1), (1, 7)] {
         expect_that!(
-            ask(f, on, value),
+            write_on(fleet, version, value),
             some(eq(WriteOutcome::Unknown)),
-            "on {on}"
+            "on {version}"
         );
     }
-    expect_that!(ask(f, 2, 2), some(eq(WriteOutcome::Accepted(3))));
-    expect_that!(ask(f, 2, 7), some(eq(WriteOutcome::Conflict(newest))));
+    expect_that!(write_on(fleet, 2, 2), some(eq(WriteOutcome::Accepted(3))));
+    expect_that!(
+        write_on(fleet, 2, 7),
+        some(eq(WriteOutcome::Conflict(newest)))
+    );
 }
 
-/// As long as every accepted value is remembered, what is not among them was never accepted.
+/// As long as the history holds every accepted value, what is not among them was never accepted.
 #[gtest]
-fn the_loser_of_the_first_race_is_refused_while_all_is_remembered() {
-    let f = &mut Fleet::founded(3, 3, |i| format!("r{i}"));
-    settle(f);
-    for r in 1..=5 {
-        expect_that!(clear(f, 0, r, 0), some(eq(WriteOutcome::Accepted(r))));
+fn the_loser_of_a_race_is_rejected_while_the_history_is_complete() {
+    let fleet = &mut settled_fleet(3);
+    for release in 1..=5 {
+        expect_that!(
+            put_until_clear(fleet, 0, release, 0),
+            some(eq(WriteOutcome::Accepted(release)))
+        );
     }
-    expect_that!(clear(f, 1, 1, 9), some(eq(WriteOutcome::Conflict(5))));
+    expect_that!(
+        put_until_clear(fleet, 1, 1, 9),
+        some(eq(WriteOutcome::Conflict(5)))
+    );
     // Also where its number is below that of the first that was accepted.
-    let f = &mut Fleet::founded(4, 3, |i| format!("r{i}"));
-    settle(f);
-    let ask = |f: &mut Fleet, release| {
-        let now = f.now;
-        let (t, out) = f.all[0].brain.as_mut().unwrap().write(
-            SPEC_KEY,
-            Expect::Release(0),
-            document(release, 0),
-            now,
-        );
-        f.carry(0, out);
-        f.until(4_000, |f| f.ends.contains_key(&(0, t)));
-        f.ends.get(&(0, t)).map(|e| e.1)
-    };
-    expect_that!(ask(f, 5), some(eq(WriteOutcome::Accepted(1))));
-    expect_that!(ask(f, 3), some(eq(WriteOutcome::Conflict(1))));
+    let fleet = &mut settled_fleet(4);
+    let write_first =
+        |fleet: &mut Fleet, release| submit(fleet, 0, Expect::Release(0), document(release, 0));
+    expect_that!(write_first(fleet, 5), some(eq(WriteOutcome::Accepted(1))));
+    expect_that!(write_first(fleet, 3), some(eq(WriteOutcome::Conflict(1))));
 }
 
-/// What is compared with nothing is a new order each time, also where its value stood once: a zone that was given back
-/// is evacuated again.
+/// An unconditional write is a new order each time, also where its value was current once: a zone that was given back is
+/// evacuated again.
 #[gtest]
-fn an_order_that_is_compared_with_nothing_is_never_taken_for_a_former_one() {
-    let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
-    settle(f);
-    for n in 1..=6u64 {
-        let w = f
-            .write(n as usize % 3, "zone/z1", None, &[n as u8 % 2])
+fn an_unconditional_write_is_never_taken_for_an_earlier_one() {
+    let fleet = &mut settled_fleet(1);
+    for order in 1..=6u64 {
+        let write = fleet
+            .write(order as usize % 3, "zone/z1", None, &[order as u8 % 2])
             .unwrap();
-        f.until(4_000, |f| f.ends.contains_key(&w));
         expect_that!(
-            f.ends.get(&w).map(|e| e.1),
-            some(eq(WriteOutcome::Accepted(n)))
+            outcome(fleet, write),
+            some(eq(WriteOutcome::Accepted(order)))
         );
     }
 }
 
-/// A write that names the version it replaces is known again as just the one after it.
+/// A write that names the version that it replaces can have been accepted as the next one only.
 #[gtest]
-fn a_write_on_a_version_is_acknowledged_again_as_the_one_after_it() {
-    let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
-    settle(f);
-    let ask = |f: &mut Fleet, on: u64, value: u8| {
-        let w = f
-            .write(on as usize % 3, "plan/s", Some(on), &[value])
+fn a_repeated_write_on_a_version_is_acknowledged_as_the_next_version() {
+    let fleet = &mut settled_fleet(1);
+    let write_on = |fleet: &mut Fleet, version: u64, value: u8| {
+        let write = fleet
+            .write(version as usize % 3, "plan/s", Some(version), &[value])
             .unwrap();
-        f.until(4_000, |f| f.ends.contains_key(&w));
-        f.ends.get(&w).map(|e| e.1)
+        outcome(fleet, write)
     };
-    for on in 0..4 {
+    for version in 0..4 {
         expect_that!(
-            ask(f, on, on as u8),
-            some(eq(WriteOutcome::Accepted(on + 1)))
+            write_on(fleet, version, version as u8),
+            some(eq(WriteOutcome::Accepted(version + 1)))
         );
     }
-    for on in 0..4 {
+    for version in 0..4 {
         expect_that!(
-            ask(f, on, on as u8),
-            some(eq(WriteOutcome::Accepted(on + 1)))
+            write_on(fleet, version, version as u8),
+            some(eq(WriteOutcome::Accepted(version + 1)))
         );
     }
-    // The value stood, but not as this version.
-    expect_that!(ask(f, 2, 0), some(eq(WriteOutcome::Conflict(4))));
-    // Nor is it taken for one of before where it stands again by now.
-    expect_that!(ask(f, 4, 0), some(eq(WriteOutcome::Accepted(5))));
-    expect_that!(ask(f, 2, 0), some(eq(WriteOutcome::Conflict(5))));
+    // The value was current, but not as this version.
+    expect_that!(write_on(fleet, 2, 0), some(eq(WriteOutcome::Conflict(4))));
+    // Nor is it taken for an earlier one where it is current again by now.
+    expect_that!(write_on(fleet, 4, 0), some(eq(WriteOutcome::Accepted(5))));
+    expect_that!(write_on(fleet, 2, 0), some(eq(WriteOutcome::Conflict(5))));
 }
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -1,140 +1,182 @@
-//! Lost disks, lost machines and new ones: who votes, how soon, and that nothing that was accepted goes.
+//! Lost disks, lost machines and new ones: who votes, how soon, and that nothing that was accepted is lost.
 
 mod fleet;
 
 use std::collections::BTreeMap;
 
 use coordination::{Ms, WriteOutcome, control::COUNTER_RETENTION};
-use fleet::Fleet;
+use fleet::{Fleet, addr};
 use googletest::prelude::*;
 use wire_messages::Message;
 
-/// ms. A daemon that came back with a lost disk counts as whole after so long (`Bounds::sync`).
-const SYNC: Ms = 4_000;
+/// ms. A daemon that came back with a lost disk has caught up after so long (`Bounds::sync`).
+const CATCH_UP_TIME: Ms = 4_000;
 
-fn three(seed: u64) -> Fleet {
-    let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-    f.until(4_000, |f| f.voting().len() == 3).unwrap();
-    f
+fn three_daemons(seed: u64) -> Fleet {
+    let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+    fleet
+        .until(4_000, |fleet| fleet.voting().len() == 3)
+        .unwrap();
+    fleet
 }
 
 /// Six daemons in as many zones of three regions.
-fn six(seed: u64) -> Fleet {
-    let mut f = Fleet::founded(seed, 6, |i| format!("r{}", i / 2));
-    f.until(10_000, |f| f.voting().len() == 5).unwrap();
-    f.run(1_000);
-    f
+fn six_daemons(seed: u64) -> Fleet {
+    let mut fleet = Fleet::founded(seed, 6, |daemon| format!("r{}", daemon / 2));
+    fleet
+        .until(10_000, |fleet| fleet.voting().len() == 5)
+        .unwrap();
+    fleet.run(1_000);
+    fleet
 }
 
-fn regions(n: usize, of: usize) -> BTreeMap<String, String> {
-    (0..n)
-        .map(|i| (format!("z{i}"), format!("r{}", i / of)))
+/// Eight zones, a region each.
+fn eight_regions() -> BTreeMap<String, String> {
+    (0..8)
+        .map(|zone| (format!("z{zone}"), format!("r{zone}")))
         .collect()
 }
 
-/// Whoever answers reads at least what was accepted.
-fn holds(f: &Fleet, key: &str, value: &[u8]) -> Vec<usize> {
-    (0..f.all.len())
-        .filter(|i| f.held(*i, key).is_some_and(|h| h.1 == value))
+/// The outcome of a write, if it has ended.
+fn outcome(fleet: &Fleet, write: (usize, u64)) -> Option<WriteOutcome> {
+    fleet.ends.get(&write).map(|(_, outcome)| *outcome)
+}
+
+/// Whether a daemon owns a key.
+fn owns(fleet: &Fleet, daemon: usize, key: &str) -> bool {
+    fleet
+        .brain(daemon)
+        .is_some_and(|control| control.registers.held_until(key, fleet.now).is_some())
+}
+
+/// The first daemon that owns a key.
+fn owner_of(fleet: &Fleet, key: &str) -> Option<usize> {
+    (0..fleet.all.len()).find(|daemon| owns(fleet, *daemon, key))
+}
+
+/// The daemons on which a key has this value as the newest committed one.
+fn daemons_with(fleet: &Fleet, key: &str, value: &[u8]) -> Vec<usize> {
+    (0..fleet.all.len())
+        .filter(|daemon| {
+            fleet
+                .held(*daemon, key)
+                .is_some_and(|(_, held)| held == value)
+        })
         .collect()
 }
 
 #[gtest]
-fn a_lost_disk_votes_again_well_inside_its_time() {
-    // At the last of these the duty's owner had been made one by itself and the daemon that is killed.
+fn a_lost_disk_votes_again_well_within_the_catch_up_time() {
+    // With the last of these the lease's holder had been made one by itself and the daemon that is killed.
     for seed in (0..30).chain([1_190]) {
-        let mut f = three(seed);
-        expect_that!(f.put("spec", b"one", 5_000), some(anything()));
-        let i = seed as usize % 3;
-        f.wipe(i);
-        f.run(600);
-        f.start(i);
-        let took = f.until(SYNC, |f| f.voting().len() == 3);
-        expect_that!(took, some(le(2_500)), "seed {seed}");
-        expect_that!(holds(&f, "spec", b"one"), len(eq(3)), "seed {seed}");
-        // It votes for duties too before its time is over: with another gone a duty is taken.
-        f.put("rollout/s", b"duty", 5_000);
-        f.kill((i + 1) % 3);
-        let left = SYNC - took.unwrap_or(0);
-        let held = |f: &Fleet| {
-            (0..3).any(|j| {
-                f.brain(j)
-                    .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
-            })
-        };
-        expect_that!(f.until(left + 1_000, held), some(anything()), "seed {seed}");
+        let mut fleet = three_daemons(seed);
+        expect_that!(fleet.put("spec", b"one", 5_000), some(anything()));
+        let replaced = seed as usize % 3;
+        fleet.wipe(replaced);
+        fleet.run(600);
+        fleet.start(replaced);
+        let duration = fleet.until(CATCH_UP_TIME, |fleet| fleet.voting().len() == 3);
+        expect_that!(duration, some(le(2_500)), "seed {seed}");
+        expect_that!(
+            daemons_with(&fleet, "spec", b"one"),
+            len(eq(3)),
+            "seed {seed}"
+        );
+        // It votes for leased keys too before its time is over: with another gone a lease is acquired.
+        fleet.put("rollout/s", b"duty", 5_000);
+        fleet.kill((replaced + 1) % 3);
+        let time_left = CATCH_UP_TIME - duration.unwrap_or(0);
+        expect_that!(
+            fleet.until(time_left + 1_000, |fleet| owner_of(fleet, "rollout/s")
+                .is_some()),
+            some(anything()),
+            "seed {seed}"
+        );
     }
 }
 
-/// A machine is gone for good, an empty one of another name comes at another address; then another machine goes.
+/// A machine is lost for good, an empty one of another name comes at another address; then another machine is lost.
 #[gtest]
-fn an_empty_machine_takes_a_lost_ones_place_and_bears_the_next_loss() {
+fn an_empty_machine_replaces_a_lost_one_and_the_next_loss_is_tolerated() {
     for seed in 0..30 {
-        let mut f = three(seed);
-        expect_that!(f.put("spec", b"one", 5_000), some(anything()));
-        let gone = seed as usize % 3;
-        f.wipe(gone);
-        f.run(seed * 100);
-        let stand: Vec<usize> = (0..3).filter(|i| *i != gone).collect();
-        f.add(3, &stand, false, &regions(8, 1));
+        let mut fleet = three_daemons(seed);
+        expect_that!(fleet.put("spec", b"one", 5_000), some(anything()));
+        let lost = seed as usize % 3;
+        fleet.wipe(lost);
+        fleet.run(seed * 100);
+        let remaining: Vec<usize> = (0..3).filter(|daemon| *daemon != lost).collect();
+        fleet.add(3, &remaining, false, &eight_regions());
         expect_that!(
-            f.until(SYNC, |f| f.voting().contains(&3)),
+            fleet.until(CATCH_UP_TIME, |fleet| fleet.voting().contains(&3)),
             some(le(3_000)),
             "seed {seed}"
         );
-        expect_that!(f.voters(3).contains(&format!("c{gone}")), eq(false));
-        f.run(SYNC);
-        let next = stand[seed as usize % 2];
-        f.wipe(next);
+        expect_that!(fleet.voters(3).contains(&format!("c{lost}")), eq(false));
+        fleet.run(CATCH_UP_TIME);
+        let next_lost = remaining[seed as usize % 2];
+        fleet.wipe(next_lost);
         expect_that!(
-            f.put("spec", b"two", 6_000),
+            fleet.put("spec", b"two", 6_000),
             some(anything()),
             "seed {seed}"
         );
-        expect_that!(holds(&f, "spec", b"two").len(), ge(1));
+        expect_that!(daemons_with(&fleet, "spec", b"two").len(), ge(1));
         // All machines are replaced in the end.
-        for n in 4..6 {
-            f.add(n, &[3], false, &regions(8, 1));
-            f.run(SYNC);
-            let old = (0..3).find(|i| f.brain(*i).is_some());
-            old.into_iter().for_each(|o| f.wipe(o));
-            f.run(500);
+        for joiner in 4..6 {
+            fleet.add(joiner, &[3], false, &eight_regions());
+            fleet.run(CATCH_UP_TIME);
+            if let Some(former) = (0..3).find(|daemon| fleet.brain(*daemon).is_some()) {
+                fleet.wipe(former);
+            }
+            fleet.run(500);
         }
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            fleet.put("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
     }
 }
 
-/// A daemon confirms and loses its disk in the same instant, while all others lose power.
+/// A daemon acknowledges and loses its disk in the same instant, while all others lose power.
 #[gtest]
-fn what_was_accepted_outlives_the_disk_that_confirmed_it() {
+fn an_accepted_write_outlives_the_disk_that_acknowledged_it() {
     for seed in 0..40 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        f.run(1_000);
-        let at = seed as usize % 3;
-        f.wipe_after_ack = Some(at);
-        let w = f.write(at, "spec", Some(1), b"two").unwrap();
-        f.until(5_000, |f| f.ends.contains_key(&w));
-        expect_that!(f.ends[&w].1, eq(WriteOutcome::Accepted(2)), "seed {seed}");
-        (0..3).filter(|i| *i != at).for_each(|i| f.kill(i));
-        f.run(500);
-        // The blank one is first up and knows nothing; it must not settle anything alone.
-        f.start(at);
-        f.run(300);
-        (0..3).filter(|i| *i != at).for_each(|i| f.start(i));
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        fleet.run(1_000);
+        let acknowledging = seed as usize % 3;
+        fleet.wipe_after_ack = Some(acknowledging);
+        let write = fleet.write(acknowledging, "spec", Some(1), b"two").unwrap();
+        fleet.until(5_000, |fleet| fleet.ends.contains_key(&write));
+        expect_that!(
+            outcome(&fleet, write).unwrap(),
+            eq(WriteOutcome::Accepted(2)),
+            "seed {seed}"
+        );
+        for daemon in (0..3).filter(|daemon| *daemon != acknowledging) {
+            fleet.kill(daemon);
+        }
+        fleet.run(500);
+        // The blank one starts first and knows nothing; it must not commit anything alone.
+        fleet.start(acknowledging);
+        fleet.run(300);
+        for daemon in (0..3).filter(|daemon| *daemon != acknowledging) {
+            fleet.start(daemon);
+        }
         expect_that!(
-            f.until(SYNC + 2_000, |f| f.voting().len() == 3),
+            fleet.until(CATCH_UP_TIME + 2_000, |fleet| fleet.voting().len() == 3),
             some(anything()),
             "seed {seed}"
         );
-        f.run(1_000);
-        expect_that!(holds(&f, "spec", b"two"), len(eq(3)), "seed {seed}");
+        fleet.run(1_000);
         expect_that!(
-            f.put("spec", b"three", 5_000),
+            daemons_with(&fleet, "spec", b"two"),
+            len(eq(3)),
+            "seed {seed}"
+        );
+        expect_that!(
+            fleet.put("spec", b"three", 5_000),
             some(anything()),
             "seed {seed}"
         );
@@ -142,103 +184,112 @@
 }
 
 #[gtest]
-fn all_killed_at_once_take_writes_again_in_time() {
+fn writes_are_accepted_again_in_time_after_all_daemons_were_killed() {
     for seed in 0..30 {
-        for mut f in [three(seed), six(seed)] {
-            f.put("rollout/s", b"duty", 5_000);
-            f.put("spec", b"one", 5_000);
-            let n = f.all.len();
-            (0..n).for_each(|i| f.kill(i));
-            for i in 0..n {
-                f.run(1_000 / n as Ms);
-                f.start(i);
+        for mut fleet in [three_daemons(seed), six_daemons(seed)] {
+            fleet.put("rollout/s", b"duty", 5_000);
+            fleet.put("spec", b"one", 5_000);
+            let daemon_count = fleet.all.len();
+            for daemon in 0..daemon_count {
+                fleet.kill(daemon);
             }
-            let took = f.put("spec", b"two", 12_000);
-            expect_that!(took, some(le(4_000)), "seed {seed}, {n} daemons");
-            let held = |f: &Fleet| {
-                (0..n).any(|j| {
-                    f.brain(j)
-                        .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
-                })
-            };
+            for daemon in 0..daemon_count {
+                fleet.run(1_000 / daemon_count as Ms);
+                fleet.start(daemon);
+            }
+            let duration = fleet.put("spec", b"two", 12_000);
             expect_that!(
-                f.until(5_000, held),
+                duration,
+                some(le(4_000)),
+                "seed {seed}, {daemon_count} daemons"
+            );
+            expect_that!(
+                fleet.until(5_000, |fleet| owner_of(fleet, "rollout/s").is_some()),
                 some(anything()),
-                "seed {seed}, {n} daemons"
+                "seed {seed}, {daemon_count} daemons"
             );
         }
     }
 }
 
 #[gtest]
-fn six_daemons_have_five_voters_spread_over_the_regions_and_one_that_follows() {
+fn six_daemons_have_five_voters_spread_over_the_regions_and_a_learner() {
     for seed in 0..10 {
-        let mut f = six(seed);
-        let mut by: BTreeMap<usize, usize> = BTreeMap::new();
-        f.voting()
-            .iter()
-            .for_each(|i| *by.entry(i / 2).or_default() += 1);
-        expect_true!(by.values().all(|n| *n <= 2), "seed {seed}: {by:?}");
-        // The one that stands by learns what is accepted at once, and takes writes for the others.
-        let spare = (0..6).find(|i| !f.voting().contains(i)).unwrap();
-        let w = f.write(spare, "spec", None, b"one").unwrap();
-        f.until(2_000, |f| f.ends.contains_key(&w));
-        expect_that!(f.ends[&w].1, eq(WriteOutcome::Accepted(1)), "seed {seed}");
+        let mut fleet = six_daemons(seed);
+        let mut voters_by_region: BTreeMap<usize, usize> = BTreeMap::new();
+        for daemon in fleet.voting() {
+            *voters_by_region.entry(daemon / 2).or_default() += 1;
+        }
+        expect_true!(
+            voters_by_region.values().all(|count| *count <= 2),
+            "seed {seed}: {voters_by_region:?}"
+        );
+        // The learner learns what is committed at once, and forwards writes to the others.
+        let learner = (0..6)
+            .find(|daemon| !fleet.voting().contains(daemon))
+            .unwrap();
+        let write = fleet.write(learner, "spec", None, b"one").unwrap();
+        fleet.until(2_000, |fleet| fleet.ends.contains_key(&write));
         expect_that!(
-            f.until(200, |f| holds(f, "spec", b"one").len() == 6),
+            outcome(&fleet, write).unwrap(),
+            eq(WriteOutcome::Accepted(1)),
+            "seed {seed}"
+        );
+        expect_that!(
+            fleet.until(200, |fleet| daemons_with(fleet, "spec", b"one").len() == 6),
             some(anything()),
             "seed {seed}"
         );
         expect_true!(
-            f.brain(spare)
-                .is_some_and(|b| b.health().ok && b.registers.held_until("spec", f.now).is_none())
+            fleet
+                .brain(learner)
+                .is_some_and(|control| control.health().ok
+                    && control.registers.held_until("spec", fleet.now).is_none())
         );
-        // Two lost for good at once, also a whole region: it steps in and the next loss is borne again.
+        // Two are lost for good at once, also a whole region: it replaces one and the next loss is tolerated again.
         let region = seed as usize % 3;
-        (2 * region..2 * region + 2).for_each(|i| f.wipe(i));
+        for daemon in 2 * region..2 * region + 2 {
+            fleet.wipe(daemon);
+        }
         expect_that!(
-            f.put("spec", b"two", 6_000),
+            fleet.put("spec", b"two", 6_000),
             some(anything()),
             "seed {seed}"
         );
-        f.run(2 * SYNC);
-        let next = f.voting()[0];
-        f.wipe(next);
+        fleet.run(2 * CATCH_UP_TIME);
+        let voter = fleet.voting()[0];
+        fleet.wipe(voter);
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            fleet.put("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
     }
 }
 
-/// The duty of a daemon that dies is taken over well before the contact bound; one that goes hands it over at once.
+/// The lease of a daemon that dies is acquired well before the contact bound; one that shuts down hands it over at once.
 #[gtest]
-fn a_duty_moves_well_inside_the_contact_bound() {
+fn a_lease_moves_well_within_the_contact_bound() {
     for seed in 0..20 {
-        for goes in [false, true] {
-            let mut f = three(seed);
-            f.put("rollout/s", b"duty", 5_000);
-            let holder = |f: &Fleet| {
-                (0..3).find(|j| {
-                    f.brain(*j)
-                        .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
-                })
-            };
-            f.until(5_000, |f| holder(f).is_some());
-            // The voters have waited out the leases of lives before this one.
-            f.run(4_000);
-            let old = holder(&f).unwrap();
-            if goes {
-                f.all[old].brain.as_mut().unwrap().stopping = true;
+        for is_stopping in [false, true] {
+            let mut fleet = three_daemons(seed);
+            fleet.put("rollout/s", b"duty", 5_000);
+            fleet.until(5_000, |fleet| owner_of(fleet, "rollout/s").is_some());
+            // The voters have waited out the leases of earlier incarnations.
+            fleet.run(4_000);
+            let former = owner_of(&fleet, "rollout/s").unwrap();
+            if is_stopping {
+                fleet.all[former].brain.as_mut().unwrap().stopping = true;
             } else {
-                f.kill(old);
+                fleet.kill(former);
             }
-            let took = f.until(5_000, |f| holder(f).is_some_and(|h| h != old));
+            let duration = fleet.until(5_000, |fleet| {
+                owner_of(fleet, "rollout/s").is_some_and(|holder| holder != former)
+            });
             expect_that!(
-                took,
-                some(le(if goes { 600 } else { 3_200 })),
-                "seed {seed}, goes: {goes}"
+                duration,
+                some(le(if is_stopping { 600 } else { 3_200 })),
+                "seed {seed}, stopping: {is_stopping}"
             );
         }
     }
@@ -246,403 +297,442 @@
 
 /// A write whose owner dies with it ends well within the answer bound, and the same write again is no conflict.
 #[gtest]
-fn a_write_passed_on_to_an_owner_that_dies_finds_the_next_one() {
+fn a_write_forwarded_to_an_owner_that_dies_reaches_the_next_owner() {
     let mut accepted = 0;
     for seed in 0..300 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        let owner_of = |f: &Fleet| {
-            (0..3).find(|i| {
-                f.brain(*i)
-                    .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
-            })
-        };
-        f.until(2_000, |f| owner_of(f).is_some());
-        let owner = owner_of(&f).unwrap();
-        let at = (owner + 1) % 3;
-        f.run(seed * 10);
-        let w = f.write(at, "spec", Some(1), b"two").unwrap();
-        f.run(seed % 60);
-        f.kill(owner);
-        let took = f.until(5_000, |f| f.ends.contains_key(&w));
-        expect_that!(took, some(le(3_000)), "seed {seed}");
-        let end = f.ends.get(&w).map(|e| e.1);
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        fleet.until(2_000, |fleet| owner_of(fleet, "spec").is_some());
+        let owner = owner_of(&fleet, "spec").unwrap();
+        let forwarder = (owner + 1) % 3;
+        fleet.run(seed * 10);
+        let write = fleet.write(forwarder, "spec", Some(1), b"two").unwrap();
+        fleet.run(seed % 60);
+        fleet.kill(owner);
+        let duration = fleet.until(5_000, |fleet| fleet.ends.contains_key(&write));
+        expect_that!(duration, some(le(3_000)), "seed {seed}");
+        let write_outcome = outcome(&fleet, write);
         expect_that!(
-            end,
+            write_outcome,
             some(any!(
                 eq(WriteOutcome::Accepted(2)),
                 eq(WriteOutcome::Unknown)
             )),
             "seed {seed}"
         );
-        accepted += usize::from(end == Some(WriteOutcome::Accepted(2)));
+        accepted += usize::from(write_outcome == Some(WriteOutcome::Accepted(2)));
     }
-    // Not knowing is rare: the next owner is asked.
+    // An unknown outcome is rare: the next owner is asked.
     expect_that!(accepted, eq(300));
 }
 
-/// A disk that hangs: others take over, nothing is confirmed there, and it takes part again when it works.
+/// A disk that hangs: others take over, nothing is acknowledged there, and it takes part again when it works.
 #[gtest]
-fn a_hung_disk_confirms_nothing_and_holds_nobody_up() {
+fn a_hung_disk_acknowledges_nothing_and_delays_nobody() {
     for seed in 0..20 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        let owner_of = |f: &Fleet| {
-            (0..3).find(|i| {
-                f.brain(*i)
-                    .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
-            })
-        };
-        f.until(2_000, |f| owner_of(f).is_some());
-        let i = owner_of(&f).unwrap();
-        f.all[i].hung = f.now + 8_000;
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        fleet.until(2_000, |fleet| owner_of(fleet, "spec").is_some());
+        let hung = owner_of(&fleet, "spec").unwrap();
+        fleet.all[hung].hung = fleet.now + 8_000;
         expect_that!(
-            f.put("spec", b"two", 4_000),
+            fleet.put("spec", b"two", 4_000),
             some(anything()),
             "seed {seed}"
         );
-        f.run(8_000);
+        fleet.run(8_000);
         expect_that!(
-            f.put("spec", b"three", 4_000),
+            fleet.put("spec", b"three", 4_000),
             some(anything()),
             "seed {seed}"
         );
-        f.run(1_000);
-        expect_that!(holds(&f, "spec", b"three"), len(eq(3)), "seed {seed}");
+        fleet.run(1_000);
+        expect_that!(
+            daemons_with(&fleet, "spec", b"three"),
+            len(eq(3)),
+            "seed {seed}"
+        );
     }
 }
 
 /// A change of voters goes wrong in the middle: its messages are lost for a while, and another voter dies.
 #[gtest]
-fn a_change_of_voters_that_is_cut_short_loses_nothing() {
+fn an_interrupted_change_of_voters_loses_nothing() {
     for seed in 0..60 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        let gone = seed as usize % 3;
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        let lost = seed as usize % 3;
         // The last write reaches only one of the others, besides the one that goes.
-        let kept = fleet::addr((gone + 1) % 3);
-        let lag = fleet::addr((gone + 2) % 3);
-        let l = lag.clone();
-        f.sieve = Box::new(move |_, to, m| {
-            *to != l
+        let reached_addr = addr((lost + 1) % 3);
+        let missed_addr = addr((lost + 2) % 3);
+        fleet.sieve = Box::new(move |_, to, message| {
+            *to != missed_addr
                 || !matches!(
-                    m,
+                    message,
                     Message::Accept(_) | Message::Commit(_) | Message::SlotsReply(_)
                 )
         });
-        let w = f.write((gone + 1) % 3, "spec", Some(1), b"two").unwrap();
-        f.until(3_000, |f| f.ends.contains_key(&w));
-        let accepted = f
-            .ends
-            .get(&w)
-            .is_some_and(|e| e.1 == WriteOutcome::Accepted(2));
-        f.wipe(gone);
-        f.sieve = Box::new(|_, _, _| true);
-        f.start(gone);
-        f.run(seed * 50);
-        let k = f.all.iter().position(|d| d.p.addr == kept).unwrap();
-        f.kill(k);
-        f.run(1_500);
-        f.start(k);
-        f.until(3 * SYNC, |f| f.voting().len() == 3);
-        f.run(1_000);
+        let write = fleet
+            .write((lost + 1) % 3, "spec", Some(1), b"two")
+            .unwrap();
+        fleet.until(3_000, |fleet| fleet.ends.contains_key(&write));
+        let accepted = outcome(&fleet, write) == Some(WriteOutcome::Accepted(2));
+        fleet.wipe(lost);
+        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.start(lost);
+        fleet.run(seed * 50);
+        let reached = fleet
+            .all
+            .iter()
+            .position(|daemon| daemon.p.addr == reached_addr)
+            .unwrap();
+        fleet.kill(reached);
+        fleet.run(1_500);
+        fleet.start(reached);
+        fleet.until(3 * CATCH_UP_TIME, |fleet| fleet.voting().len() == 3);
+        fleet.run(1_000);
         if accepted {
-            expect_that!(holds(&f, "spec", b"two"), len(eq(3)), "seed {seed}");
+            expect_that!(
+                daemons_with(&fleet, "spec", b"two"),
+                len(eq(3)),
+                "seed {seed}"
+            );
         }
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            fleet.put("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
     }
 }
 
-/// What was accepted stands on the lost disk and one other. The newcomer reads the one that lacks it first, and the one
-/// that has it dies: nothing is settled without it.
+/// What was accepted is on the lost disk and one other. The joiner reads the one that lacks it first, and the one that
+/// has it dies: nothing is committed without it.
 #[gtest]
-fn a_newcomer_reads_all_that_may_hold_what_was_accepted() {
-    let mut met = 0;
+fn a_joiner_reads_every_voter_that_may_have_an_accepted_write() {
+    let mut seeds_reached = 0;
     for seed in 0..30 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        f.run(1_000);
-        let Some(has) = (0..3).find(|i| {
-            f.brain(*i)
-                .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
-        }) else {
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        fleet.run(1_000);
+        let Some(with_write) = owner_of(&fleet, "spec") else {
             continue;
         };
-        let (lost, lacks) = ((has + 1) % 3, (has + 2) % 3);
-        let (h, l, n) = (fleet::addr(has), fleet::addr(lacks), fleet::addr(lost));
-        f.sieve = Box::new(move |from, to, m| match m {
-            Message::Accept(a) if *to == l => &*a.key != "spec",
-            Message::Commit(c) if *to == l => &*c.change.key != "spec",
-            Message::SlotsReply(_) => *to != l && !(*from == h && *to == n),
-            // It must not learn of it by taking the key over.
-            Message::Promise(p) if *to == l => &*p.slot.key != "spec",
+        let (lost, without_write) = ((with_write + 1) % 3, (with_write + 2) % 3);
+        let (with_addr, without_addr, lost_addr) =
+            (addr(with_write), addr(without_write), addr(lost));
+        fleet.sieve = Box::new(move |from, to, message| match message {
+            Message::Accept(accept) if *to == without_addr => &*accept.key != "spec",
+            Message::Commit(commit) if *to == without_addr => &*commit.change.key != "spec",
+            Message::SlotsReply(_) => {
+                *to != without_addr && !(*from == with_addr && *to == lost_addr)
+            }
+            // It must not learn of the write by acquiring the key.
+            Message::Promise(promise) if *to == without_addr => &*promise.slot.key != "spec",
             _ => true,
         });
-        let w = f.write(has, "spec", Some(1), b"two").unwrap();
-        f.until(2_000, |f| f.ends.contains_key(&w));
-        if f.ends.get(&w).map(|e| e.1) != Some(WriteOutcome::Accepted(2)) {
+        let write = fleet.write(with_write, "spec", Some(1), b"two").unwrap();
+        fleet.until(2_000, |fleet| fleet.ends.contains_key(&write));
+        if outcome(&fleet, write) != Some(WriteOutcome::Accepted(2)) {
             continue;
         }
-        f.wipe(lost);
-        f.run(700);
-        f.start(lost);
-        f.run(3_000);
-        f.kill(has);
-        f.sieve = Box::new(|_, _, _| true);
-        f.run(3_000);
-        let new = f.write(lacks, "spec", None, b"three");
-        f.run(2_000);
-        met += 1;
-        let told = new.and_then(|w| f.ends.get(&w)).map(|e| e.1);
+        fleet.wipe(lost);
+        fleet.run(700);
+        fleet.start(lost);
+        fleet.run(3_000);
+        fleet.kill(with_write);
+        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.run(3_000);
+        let new_write = fleet.write(without_write, "spec", None, b"three");
+        fleet.run(2_000);
+        seeds_reached += 1;
+        let new_outcome = new_write.and_then(|write| outcome(&fleet, write));
         expect_that!(
-            told,
+            new_outcome,
             not(some(matches_pattern!(WriteOutcome::Accepted(_)))),
             "seed {seed}"
         );
-        f.start(has);
-        f.run(6_000);
+        fleet.start(with_write);
+        fleet.run(6_000);
         expect_that!(
-            f.held(lacks, "spec").map_or(0, |h| h.0),
+            fleet
+                .held(without_write, "spec")
+                .map_or(0, |(version, _)| version),
             ge(2),
             "seed {seed}"
         );
-        let two = (0..3)
-            .find_map(|i| f.held(i, "spec"))
-            .is_some_and(|h| h.0 > 2 || h.1 == b"two");
-        expect_true!(two, "seed {seed}");
+        let is_kept = (0..3)
+            .find_map(|daemon| fleet.held(daemon, "spec"))
+            .is_some_and(|(version, value)| version > 2 || value == b"two");
+        expect_true!(is_kept, "seed {seed}");
     }
-    expect_that!(met, gt(5));
+    expect_that!(seeds_reached, gt(5));
 }
 
-/// A daemon loses its place and is given one again, but dies before it has kept that: it comes back as the voter that
-/// it was, and must not take itself for one.
+/// A voter loses its place and is listed again, but dies before that is on its disk: it starts as the voter that it was,
+/// and must not take itself for one.
 #[gtest]
-fn a_place_given_again_is_read_for_again() {
-    let mut met = 0;
+fn a_voter_that_is_listed_again_catches_up_again() {
+    let mut seeds_reached = 0;
     for seed in 0..30 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        f.run(1_000);
-        // Cut off: another machine takes its place.
-        let (x, has, lacks) = (
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        fleet.run(1_000);
+        // Partitioned off: another machine takes its place.
+        let (returning, with_write, without_write) = (
             seed as usize % 3,
             (seed as usize + 1) % 3,
             (seed as usize + 2) % 3,
         );
-        let a = f.all[x].p.addr.clone();
-        f.cut.insert(a.clone());
-        f.add(3, &[has, lacks], false, &regions(8, 1));
-        if f.until(6_000, |f| f.voting().contains(&3)).is_none() {
+        let returning_addr = fleet.all[returning].p.addr.clone();
+        fleet.cut.insert(returning_addr.clone());
+        fleet.add(3, &[with_write, without_write], false, &eight_regions());
+        if fleet
+            .until(6_000, |fleet| fleet.voting().contains(&3))
+            .is_none()
+        {
             continue;
         }
-        f.run(1_000);
-        // What is accepted now stands with the new machine and one other.
-        let l = fleet::addr(lacks);
-        f.sieve = Box::new(move |_, to, m| match m {
-            Message::Accept(a) if *to == l => &*a.key != "spec",
-            Message::Commit(c) if *to == l => &*c.change.key != "spec",
-            Message::Promise(p) if *to == l => &*p.slot.key != "spec",
-            Message::SlotsReply(_) => *to != l,
+        fleet.run(1_000);
+        // What is accepted now is on the new machine and one other.
+        let without_addr = addr(without_write);
+        fleet.sieve = Box::new(move |_, to, message| match message {
+            Message::Accept(accept) if *to == without_addr => &*accept.key != "spec",
+            Message::Commit(commit) if *to == without_addr => &*commit.change.key != "spec",
+            Message::Promise(promise) if *to == without_addr => &*promise.slot.key != "spec",
+            Message::SlotsReply(_) => *to != without_addr,
             _ => true,
         });
-        let w = f.write(has, "spec", Some(1), b"two").unwrap();
-        f.until(3_000, |f| f.ends.contains_key(&w));
-        if f.ends.get(&w).map(|e| e.1) != Some(WriteOutcome::Accepted(2)) {
+        let write = fleet.write(with_write, "spec", Some(1), b"two").unwrap();
+        fleet.until(3_000, |fleet| fleet.ends.contains_key(&write));
+        if outcome(&fleet, write) != Some(WriteOutcome::Accepted(2)) {
             continue;
         }
-        // The first comes back with a disk that hangs, stands by, and takes the place of the new one, which is lost.
-        f.all[x].hung = f.now + 60_000;
-        f.cut.remove(&a);
-        f.run(1_000);
-        f.wipe(3);
-        if f.until(12_000, |f| f.voters(has).contains(&format!("c{x}")))
+        // The first returns with a disk that hangs, as a learner, and takes the place of the new one, which is lost.
+        fleet.all[returning].hung = fleet.now + 60_000;
+        fleet.cut.remove(&returning_addr);
+        fleet.run(1_000);
+        fleet.wipe(3);
+        if fleet
+            .until(12_000, |fleet| {
+                fleet.voters(with_write).contains(&format!("c{returning}"))
+            })
             .is_none()
         {
             continue;
         }
-        f.kill(x);
-        f.kill(has);
-        f.all[x].hung = 0;
-        f.start(x);
-        f.sieve = Box::new(|_, _, _| true);
-        f.run(4_000);
-        let new = f.write(lacks, "spec", None, b"three");
-        f.run(3_000);
-        met += 1;
-        let told = new.and_then(|w| f.ends.get(&w)).map(|e| e.1);
+        fleet.kill(returning);
+        fleet.kill(with_write);
+        fleet.all[returning].hung = 0;
+        fleet.start(returning);
+        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.run(4_000);
+        let new_write = fleet.write(without_write, "spec", None, b"three");
+        fleet.run(3_000);
+        seeds_reached += 1;
+        let new_outcome = new_write.and_then(|write| outcome(&fleet, write));
         expect_that!(
-            told,
+            new_outcome,
             not(some(matches_pattern!(WriteOutcome::Accepted(_)))),
             "seed {seed}"
         );
-        f.start(has);
-        f.run(6_000);
-        let two = f
-            .held(lacks, "spec")
-            .is_some_and(|h| h.0 > 2 || h.1 == b"two");
-        expect_true!(two, "seed {seed}: {:?}", f.held(lacks, "spec"));
+        fleet.start(with_write);
+        fleet.run(6_000);
+        let is_kept = fleet
+            .held(without_write, "spec")
+            .is_some_and(|(version, value)| version > 2 || value == b"two");
+        expect_true!(
+            is_kept,
+            "seed {seed}: {:?}",
+            fleet.held(without_write, "spec")
+        );
     }
-    expect_that!(met, gt(5));
+    expect_that!(seeds_reached, gt(5));
 }
 
-/// A voter tells a newcomer that the former voters' time is over, and dies before it has kept that: it must not come
-/// back to serve with those that do not know.
+/// A voter tells a joiner that the former member epoch is over, and dies before that is on its disk: it must not come
+/// back to vote with those that do not know.
 #[gtest]
-fn a_member_epoch_is_over_only_once_that_is_on_disk() {
-    let mut met = 0;
+fn a_member_epoch_ends_only_once_the_next_is_on_disk() {
+    let mut seeds_reached = 0;
     for seed in 0..40 {
-        let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
-        f.run(1_000);
-        let (c, a, b) = (
+        let mut fleet = three_daemons(seed);
+        fleet.put("spec", b"one", 5_000);
+        fleet.run(1_000);
+        let (partitioned, adopted, restarted) = (
             seed as usize % 3,
             (seed as usize + 1) % 3,
             (seed as usize + 2) % 3,
         );
-        let cut = f.all[c].p.addr.clone();
-        f.cut.insert(cut.clone());
-        let slow = fleet::addr(b);
-        let to_b = slow.clone();
-        f.sieve = Box::new(move |_, to, m| {
-            *to != to_b || !matches!(m, Message::Commit(_) | Message::SlotsReply(_))
+        let partitioned_addr = fleet.all[partitioned].p.addr.clone();
+        fleet.cut.insert(partitioned_addr.clone());
+        let restarted_addr = addr(restarted);
+        let unreached_addr = restarted_addr.clone();
+        fleet.sieve = Box::new(move |_, to, message| {
+            *to != unreached_addr || !matches!(message, Message::Commit(_) | Message::SlotsReply(_))
         });
-        f.add(3, &[a, b], false, &regions(8, 1));
-        if f.until(6_000, |f| {
-            f.brain(a)
-                .is_some_and(|x| x.registers.members.member_epoch == 2)
-        })
-        .is_none()
-            || f.brain(b).unwrap().registers.members.member_epoch != 1
+        fleet.add(3, &[adopted, restarted], false, &eight_regions());
+        if fleet
+            .until(6_000, |fleet| {
+                fleet
+                    .brain(adopted)
+                    .is_some_and(|control| control.registers.members.member_epoch == 2)
+            })
+            .is_none()
+            || fleet
+                .brain(restarted)
+                .unwrap()
+                .registers
+                .members
+                .member_epoch
+                != 1
         {
             continue;
         }
-        f.all[b].hung = f.now + 60_000;
-        f.sieve = Box::new(|_, _, _| true);
-        f.run(3_000);
-        // Two halves: the former voters that do not know, and those that do. What was under way arrives before.
-        let old = [cut.clone(), slow];
-        f.sieve = Box::new(move |from, to, _| old.contains(from) == old.contains(to));
-        f.run(100);
-        f.kill(b);
-        f.all[b].hung = 0;
-        f.start(b);
-        f.cut.remove(&cut);
-        f.run(4_000);
-        let w = [
-            f.write(a, "spec", Some(1), b"two"),
-            f.write(b, "spec", Some(1), b"other"),
+        fleet.all[restarted].hung = fleet.now + 60_000;
+        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.run(3_000);
+        // Two partitions: the former voters that do not know, and those that do. What was in flight arrives before.
+        let former_voters = [partitioned_addr.clone(), restarted_addr];
+        fleet.sieve =
+            Box::new(move |from, to, _| former_voters.contains(from) == former_voters.contains(to));
+        fleet.run(100);
+        fleet.kill(restarted);
+        fleet.all[restarted].hung = 0;
+        fleet.start(restarted);
+        fleet.cut.remove(&partitioned_addr);
+        fleet.run(4_000);
+        let writes = [
+            fleet.write(adopted, "spec", Some(1), b"two"),
+            fleet.write(restarted, "spec", Some(1), b"other"),
         ];
-        f.run(4_000);
-        met += 1;
-        let told = w
+        fleet.run(4_000);
+        seeds_reached += 1;
+        let accepted_count = writes
             .iter()
             .flatten()
-            .filter(|w| matches!(f.ends.get(*w), Some((_, WriteOutcome::Accepted(_)))))
+            .filter(|write| matches!(fleet.ends.get(*write), Some((_, WriteOutcome::Accepted(_)))))
             .count();
-        expect_that!(told, le(1), "seed {seed}: both halves accepted");
-        f.sieve = Box::new(|_, _, _| true);
-        f.run(8_000);
+        expect_that!(accepted_count, le(1), "seed {seed}: both halves accepted");
+        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.run(8_000);
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            fleet.put("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
     }
-    expect_that!(met, gt(5));
+    expect_that!(seeds_reached, gt(5));
 }
 
-/// A newcomer among the voters does not know whom the others let keep a duty.
+/// A joiner among the voters does not know which leases the others have granted.
 #[gtest]
-fn a_newcomer_lets_nobody_take_a_duty_that_is_still_kept() {
-    let mut met = 0;
+fn a_joiner_lets_nobody_acquire_a_lease_that_still_runs() {
+    let mut seeds_reached = 0;
     for seed in 0..40 {
-        let mut f = six(seed);
-        f.put("rollout/s", b"duty", 5_000);
-        let holder = |f: &Fleet, i: usize| {
-            f.brain(i)
-                .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
-        };
-        f.run(4_000);
-        let voting = f.voting();
-        let Some(&h) = voting.iter().find(|i| holder(&f, **i)) else {
+        let mut fleet = six_daemons(seed);
+        fleet.put("rollout/s", b"duty", 5_000);
+        fleet.run(4_000);
+        let voting = fleet.voting();
+        let Some(&holder) = voting
+            .iter()
+            .find(|daemon| owns(&fleet, **daemon, "rollout/s"))
+        else {
             continue;
         };
-        let others: Vec<usize> = voting.iter().copied().filter(|i| *i != h).collect();
-        // Two of the four others never hear of its leases.
-        let deaf = [
-            fleet::addr(others[seed as usize % 4]),
-            fleet::addr(others[(seed as usize + 1) % 4]),
+        let others: Vec<usize> = voting
+            .iter()
+            .copied()
+            .filter(|daemon| *daemon != holder)
+            .collect();
+        // Two of the four others never receive its renewals.
+        let unreached_addrs = [
+            addr(others[seed as usize % 4]),
+            addr(others[(seed as usize + 1) % 4]),
         ];
         let lost = others[(seed as usize + 2) % 4];
-        let from_h = fleet::addr(h);
-        f.sieve = Box::new(move |from, to, m| {
-            !(matches!(m, Message::RenewLeases(_)) && *from == from_h && deaf.contains(to))
+        let holder_addr = addr(holder);
+        fleet.sieve = Box::new(move |from, to, message| {
+            !(matches!(message, Message::RenewLeases(_))
+                && *from == holder_addr
+                && unreached_addrs.contains(to))
         });
-        f.run(4_000);
-        if !holder(&f, h) {
+        fleet.run(4_000);
+        if !owns(&fleet, holder, "rollout/s") {
             continue;
         }
-        f.cut.insert(fleet::addr(h));
-        f.wipe(lost);
-        f.run(500);
-        f.start(lost);
-        met += 1;
+        fleet.cut.insert(addr(holder));
+        fleet.wipe(lost);
+        fleet.run(500);
+        fleet.start(lost);
+        seeds_reached += 1;
         for _ in 0..600 {
-            f.run(10);
-            let two: Vec<usize> = (0..6).filter(|i| holder(&f, *i)).collect();
-            expect_that!(two.len(), le(1), "seed {seed} at {}: {two:?}", f.now);
+            fleet.run(10);
+            let holders: Vec<usize> = (0..6)
+                .filter(|daemon| owns(&fleet, *daemon, "rollout/s"))
+                .collect();
+            expect_that!(
+                holders.len(),
+                le(1),
+                "seed {seed} at {}: {holders:?}",
+                fleet.now
+            );
         }
         expect_true!(
-            (0..6).any(|i| i != h && holder(&f, i)),
-            "seed {seed}: nobody took it"
+            (0..6).any(|daemon| daemon != holder && owns(&fleet, daemon, "rollout/s")),
+            "seed {seed}: nobody duration it"
         );
     }
-    expect_that!(met, gt(10));
+    expect_that!(seeds_reached, gt(10));
 }
 
-/// Whoever takes a duty over judges by evidence at once, and no others are told it.
+/// Whoever acquires a lease judges by evidence at once, and no others receive it.
 #[gtest]
-fn tallies_are_kept_by_the_holder_of_a_duty_and_the_next_to_take_it() {
+fn outcome_counters_are_kept_by_the_lease_holder_and_its_successor() {
     let spec = br#"{"zones": [], "tiers": [], "canary_percent": 8, "bake_ms": 0, "release": 1, "paths": [], "services":
         [{"name": "s", "version": "", "mode": "placed", "lanes": [], "zones": [], "engine": {"slots": 64, "channels": 400}}]}"#;
     for seed in 0..10 {
-        let mut f = six(seed);
-        expect_that!(f.put("spec", spec, 5_000), some(anything()));
-        f.put("rollout/s", b"duty", 5_000);
-        f.run(1_000);
-        let keep = |f: &Fleet| -> Vec<usize> {
+        let mut fleet = six_daemons(seed);
+        expect_that!(fleet.put("spec", spec, 5_000), some(anything()));
+        fleet.put("rollout/s", b"duty", 5_000);
+        fleet.run(1_000);
+        let daemons_with_counters = |fleet: &Fleet| -> Vec<usize> {
             (0..6)
-                .filter(|i| {
-                    f.brain(*i)
-                        .is_some_and(|b| b.selected_services().any(|s| s == "s"))
+                .filter(|daemon| {
+                    fleet
+                        .brain(*daemon)
+                        .is_some_and(|control| control.selected_services().any(|s| s == "s"))
                 })
                 .collect()
         };
-        let holder = |f: &Fleet| {
-            (0..6).find(|i| {
-                f.brain(*i)
-                    .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
+        let (before, former) = (
+            daemons_with_counters(&fleet),
+            owner_of(&fleet, "rollout/s").unwrap(),
+        );
+        // A learner may be the next as well.
+        expect_that!(
+            before,
+            all!(len(le(3)), contains(eq(&former))),
+            "seed {seed}"
+        );
+        fleet.kill(former);
+        fleet
+            .until(8_000, |fleet| {
+                owner_of(fleet, "rollout/s").is_some_and(|holder| holder != former)
             })
-        };
-        let (before, old) = (keep(&f), holder(&f).unwrap());
-        // One that stands by may be the next as well.
-        expect_that!(before, all!(len(le(3)), contains(eq(&old))), "seed {seed}");
-        f.kill(old);
-        f.until(8_000, |f| holder(f).is_some_and(|h| h != old))
             .unwrap();
         expect_that!(
             before,
-            contains(eq(&holder(&f).unwrap())),
-            "seed {seed}: the evidence was there before"
+            contains(eq(&owner_of(&fleet, "rollout/s").unwrap())),
+            "seed {seed}: the counters were there before"
         );
-        f.run(COUNTER_RETENTION + 2_000);
+        fleet.run(COUNTER_RETENTION + 2_000);
         expect_that!(
-            keep(&f),
-            all!(len(le(3)), contains(eq(&holder(&f).unwrap()))),
+            daemons_with_counters(&fleet),
+            all!(
+                len(le(3)),
+                contains(eq(&owner_of(&fleet, "rollout/s").unwrap()))
+            ),
             "seed {seed}"
         );
     }
