--- a/coordination/src/register/acceptor.rs
+++ b/coordination/src/register/acceptor.rs
@@ -35,6 +35,23 @@
     }
 }
 
+/// Puts an accepted value into its slot, with the promise that accepting implies. A delayed copy of an older write of the
+/// same owner must not overwrite the newer one.
+fn store_accepted(slot: &mut Slot, accept: Accept) {
+    let offered = AcceptedStamp {
+        epoch: accept.epoch,
+        version: accept.version,
+    };
+    if offered < AcceptedStamp::of(slot) {
+        return;
+    }
+    slot.promised_epoch = accept.epoch;
+    slot.accepted_epoch = accept.epoch;
+    slot.version = accept.version;
+    slot.value = accept.value;
+    slot.replaced = accept.replaced;
+}
+
 impl Registers {
     /// Answers a proposer that wants to own a key.
     pub fn on_prepare(
@@ -44,37 +61,32 @@
         now: Ms,
         out: &mut Effects,
     ) {
-        let Prepare {
-            key,
-            epoch,
-            member_epoch,
-        } = prepare;
-        let own_member_epoch = self.members.member_epoch;
-        self.epochs.observe(epoch);
-        if !self.members.votes_in(member_epoch) {
+        let member_epoch = self.members.member_epoch;
+        self.epochs.observe(prepare.epoch);
+        if !self.members.votes_in(prepare.member_epoch) {
             // The refusal tells a proposer of an older member epoch that there is a newer one.
-            if member_epoch < own_member_epoch {
+            if prepare.member_epoch < member_epoch {
                 let no_slot = Slot {
-                    key,
+                    key: prepare.key,
                     ..Slot::default()
                 };
-                let refusal = refused_promise(epoch, own_member_epoch, no_slot, 0);
+                let refusal = refused_promise(prepare.epoch, member_epoch, no_slot, 0);
                 out.push(send(proposer_addr, refusal));
             }
             return;
         }
-        let lease_wait = self.lease_grants.wait(&key, proposer_addr, now);
-        let slot = self.slots.entry(&key);
-        if lease_wait > 0 || epoch < slot.promised_epoch {
-            let refusal = refused_promise(epoch, own_member_epoch, slot.clone(), lease_wait);
+        let lease_wait = self.lease_grants.wait(&prepare.key, proposer_addr, now);
+        let slot = self.slots.entry(&prepare.key);
+        if lease_wait > 0 || prepare.epoch < slot.promised_epoch {
+            let refusal = refused_promise(prepare.epoch, member_epoch, slot.clone(), lease_wait);
             out.push(send(proposer_addr, refusal));
             return;
         }
-        slot.promised_epoch = epoch;
+        slot.promised_epoch = prepare.epoch;
         let slot = slot.clone();
         // Once this voter's promise is out a majority may have made the proposer the owner.
-        self.relinquish_below(&key, epoch, out);
-        let promise = granted_promise(epoch, own_member_epoch, slot.clone());
+        self.relinquish_below(&prepare.key, prepare.epoch, out);
+        let promise = granted_promise(prepare.epoch, member_epoch, slot.clone());
         out.push(Effect::Persist {
             rows: vec![Row::Slot(slot)],
             then: vec![send(proposer_addr, promise)],
@@ -106,21 +118,10 @@
             return;
         }
         reply.accepted = 1;
-        let offered = AcceptedStamp {
-            epoch: accept.epoch,
-            version: accept.version,
-        };
-        // A delayed copy of an older write of the same owner must not overwrite the newer one.
-        if offered >= AcceptedStamp::of(slot) {
-            slot.promised_epoch = accept.epoch;
-            slot.accepted_epoch = accept.epoch;
-            slot.version = accept.version;
-            slot.value = accept.value;
-            slot.replaced = accept.replaced;
-        }
+        store_accepted(slot, accept);
         let slot = slot.clone();
         // This version was known to be committed until a newer one, which no majority accepted, replaced it here.
-        if slot.committed_version == slot.version && slot.accepted_epoch == accept.epoch {
+        if slot.committed_version == slot.version && slot.accepted_epoch == reply.epoch {
             self.newly_committed.push(committed_change(&slot));
         }
         out.push(Effect::Persist {
--- a/coordination/src/register/acquisition.rs
+++ b/coordination/src/register/acquisition.rs
@@ -12,6 +12,13 @@
 };
 use crate::{Effect, Effects, Ms, effect::log_event, events};
 
+/// The newest of the slots, if it is newer than `newest`.
+fn newest_above<'a>(newest: &Slot, slots: impl Iterator<Item = &'a Slot>) -> Option<&'a Slot> {
+    slots
+        .max_by_key(|slot| promise_order(slot))
+        .filter(|slot| promise_order(slot) > promise_order(newest))
+}
+
 impl Registers {
     /// Starts to acquire a key under an epoch above all that are known. Requests that wait for the key stay.
     pub(super) fn acquire(&mut self, key: &Name, now: Ms, out: &mut Effects) {
@@ -79,13 +86,8 @@
         promised_by.insert(voter.clone());
         // This daemon's own slot counts at once, though its own promise may be the last to arrive.
         let own_slot = self.slots.get(&key);
-        let newer = own_slot
-            .into_iter()
-            .chain([&promise.slot])
-            .max_by_key(|slot| promise_order(slot))
-            .filter(|slot| promise_order(slot) > promise_order(newest));
-        if let Some(slot) = newer {
-            *newest = slot.clone();
+        if let Some(newer) = newest_above(newest, own_slot.into_iter().chain([&promise.slot])) {
+            *newest = newer.clone();
         }
         if promised_by.len() >= self.members.majority() {
             let newest = newest.clone();
