--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -12,7 +12,7 @@
     bounds::Bounds,
     control::{Control, ControlConfig, SPEC_KEY},
     edge_agent::EdgeAgent,
-    membership::EDGE_ROLE,
+    membership::NodeRole,
     pass::{Ask, PassEnd, Told},
     proxy::{Admit, Placed, Proxy},
     register::Expect,
@@ -568,7 +568,7 @@
             .agents
             .iter()
             .flatten_brains()
-            .map(|a| a.membership.live(EDGE_ROLE).count())
+            .map(|a| a.membership().live(NodeRole::Edge).count())
             .sum::<usize>();
         let n = self.size.edges;
         all as f64 * 100.0 / (n * (n - 1)).max(1) as f64
--- a/coordination/src/claims/tests.rs
+++ b/coordination/src/claims/tests.rs
@@ -1,97 +1,106 @@
+use std::collections::BTreeMap;
+
 use googletest::prelude::*;
+use wire_messages::{Claim, Message, Name, Node};
 
-use super::*;
+use super::{ClaimGrants, ClaimHolder, ClaimState, holders, mint_request_id};
+use crate::Effect;
 
 fn edges() -> Vec<Node> {
     (0..6)
-        .map(|i| Node {
-            name: format!("e{i}").into(),
-            incarnation: 10 + i,
+        .map(|index| Node {
+            name: format!("e{index}").into(),
+            incarnation: 10 + index,
             ..Node::default()
         })
         .collect()
 }
 
-/// Every schedule of two rounds, a void and a holder's restart: one round at most runs, and none after
-/// a void was told.
+/// Whether the holder grants the claim.
+fn grants(holder: &mut ClaimGrants, me: &Node, claim: Claim, now: u64) -> bool {
+    let mut effects = vec![];
+    holder.on_claim(me, &"p".into(), claim, now, &mut effects);
+    effects.iter().any(|effect| {
+        matches!(effect, Effect::Send { msg: Message::ClaimReply(reply), .. }
+            if reply.state == ClaimState::Granted.to_byte())
+    })
+}
+
+/// Every schedule of two attempts, a void and a holder's restart: one attempt at most runs, and none after
+/// a void was reported.
 #[gtest]
-fn at_most_one_round_runs_and_none_after_a_void() {
+fn at_most_one_attempt_runs_and_none_after_a_void() {
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let id: Name = mint_request_id(rng.u64(..), edges()).into();
         let names = holders(&id).unwrap();
         let mut nodes: BTreeMap<Name, (Node, ClaimGrants)> = edges()
             .into_iter()
-            .map(|n| (n.name.clone(), (n, ClaimGrants::default())))
+            .map(|node| (node.name.clone(), (node, ClaimGrants::default())))
             .collect();
-        let mut asks: Vec<(u64, u8, Name)> = Vec::new();
-        for (round, void) in [(1, 0), (2, 0), (3, 1)] {
-            asks.extend(names.iter().map(|(n, _)| (round, void, n.clone())));
+        let mut claims: Vec<(u64, u8, Name)> = Vec::new();
+        for (attempt, void) in [(1, 0), (2, 0), (3, 1)] {
+            claims.extend(
+                names
+                    .iter()
+                    .map(|holder| (attempt, void, holder.name.clone())),
+            );
         }
-        rng.shuffle(&mut asks);
+        rng.shuffle(&mut claims);
         let mut granted: BTreeMap<u64, usize> = BTreeMap::new();
-        for (round, void, n) in asks {
+        for (attempt, void, name) in claims {
+            let (node, holder) = nodes.get_mut(&name).unwrap();
             if rng.u8(..) < 25 {
-                // The holder restarts: a new life that remembers nothing.
-                let (node, h) = nodes.get_mut(&n).unwrap();
+                // The holder restarts: a new incarnation that remembers nothing.
                 node.incarnation += 100;
-                *h = ClaimGrants::default();
+                *holder = ClaimGrants::default();
             }
-            let (node, h) = nodes.get_mut(&n).unwrap();
-            let mut out = vec![];
-            h.on_claim(
-                node,
-                &"p".into(),
-                Claim {
-                    token: 0,
-                    request: id.clone(),
-                    attempt: round,
-                    void,
-                    key_age_ms: 0,
-                },
-                5,
-                &mut out,
-            );
-            let won = out.iter().any(
-                |e| matches!(e, crate::Effect::Send { msg: wire_messages::Message::ClaimReply(c), .. } if c.state == GRANTED),
-            );
-            *granted.entry(round).or_default() += usize::from(won);
+            let claim = Claim {
+                token: 0,
+                request: id.clone(),
+                attempt,
+                void,
+                key_age_ms: 0,
+            };
+            let is_granted = grants(holder, node, claim, 5);
+            *granted.entry(attempt).or_default() += usize::from(is_granted);
         }
-        let winners = granted.values().filter(|n| **n >= 2).count();
+        let winners = granted.values().filter(|count| **count >= 2).count();
         expect_that!(winners, le(1), "seed {seed}: {granted:?}");
     }
 }
 
-/// A key is claimed on a majority of all edges; one that lived shorter than the key's age abstains.
+/// A key is claimed on a majority of all edges; one that started after the key was first used abstains.
 #[gtest]
 fn a_key_runs_once_over_restarts_of_its_holders() {
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = edges();
-        let mut held: Vec<ClaimGrants> = all.iter().map(|_| ClaimGrants::new(0)).collect();
+        let mut holders: Vec<ClaimGrants> = all.iter().map(|_| ClaimGrants::new(0)).collect();
         let mut won = 0;
-        let first = 100_000;
-        for round in 1..=3u64 {
-            let now = first + round * 20_000;
-            // Some holders restart between the tries.
-            held.iter_mut()
-                .filter(|_| rng.u8(..) < 40)
-                .for_each(|h| *h = ClaimGrants::new(now - 1_000));
-            let age = if round == 1 { 0 } else { now - first };
+        let first_used_at = 100_000;
+        for attempt in 1..=3u64 {
+            let now = first_used_at + attempt * 20_000;
+            // Some holders restart between the attempts.
+            for holder in &mut holders {
+                if rng.u8(..) < 40 {
+                    *holder = ClaimGrants::new(now - 1_000);
+                }
+            }
+            let key_age_ms = if attempt == 1 { 0 } else { now - first_used_at };
             let mut granted = 0;
-            for (n, h) in all.iter().zip(&mut held).filter(|_| rng.u8(..) < 200) {
-                let mut out = vec![];
-                let c = Claim {
+            for (node, holder) in all.iter().zip(&mut holders) {
+                if rng.u8(..) >= 200 {
+                    continue;
+                }
+                let claim = Claim {
                     token: 0,
                     request: "k:mine".into(),
-                    attempt: round,
+                    attempt,
                     void: 0,
-                    key_age_ms: age,
+                    key_age_ms,
                 };
-                h.on_claim(n, &"p".into(), c, now, &mut out);
-                granted += usize::from(out.iter().any(
-                    |e| matches!(e, crate::Effect::Send { msg: wire_messages::Message::ClaimReply(c), .. } if c.state == GRANTED),
-                ));
+                granted += usize::from(grants(holder, node, claim, now));
             }
             won += usize::from(granted > all.len() / 2);
         }
@@ -100,7 +109,7 @@
 }
 
 #[gtest]
-fn strange_ids_name_no_holders() {
+fn malformed_ids_name_no_holders() {
     for id in [
         "",
         "x",
@@ -112,8 +121,17 @@
     ] {
         expect_that!(holders(id), none());
     }
-    expect_that!(
-        holders("0123456789abcdef~a.b.1f"),
-        some(eq(&vec![("a.b".into(), 0x1f)]))
-    );
+    let holder = ClaimHolder {
+        name: "a.b".into(),
+        incarnation: 0x1f,
+    };
+    expect_that!(holders("0123456789abcdef~a.b.1f"), some(eq(&vec![holder])));
+}
+
+#[gtest]
+fn an_unknown_state_byte_decides_nothing() {
+    for byte in 0..=u8::MAX {
+        let state = ClaimState::from_byte(byte);
+        expect_that!(state.to_byte(), eq(byte.min(3)), "byte {byte}");
+    }
 }
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -25,7 +25,7 @@
     control::{rollouts::ROLLOUT_STALLED_AFTER, voters::JOINER_WINDOW},
     effect::{log_event, send},
     events,
-    membership::{CONTROL_ROLE, EDGE_ROLE, Membership},
+    membership::{Membership, NodeRole},
     pass::host_name,
     regions,
     register::{CONTEXT_PREFIX, Expect, MEMBERS_KEY, ROLLOUT_PREFIX, Registers},
@@ -216,7 +216,7 @@
     pub fn new(p: ControlConfig, disk: u64, rows: Vec<Row>, born: u64, now: Ms) -> Self {
         let me = Node {
             name: p.name.clone(),
-            role: CONTROL_ROLE,
+            role: NodeRole::Control.to_byte(),
             zone: p.zone.clone(),
             addr: p.addr.clone(),
             http_addr: p.http_addr.clone(),
@@ -388,7 +388,7 @@
         let mut out = Vec::new();
         self.tick_time = now;
         self.membership.tick(now, &mut out);
-        for n in self.membership.known(CONTROL_ROLE) {
+        for n in self.membership.known(NodeRole::Control) {
             self.registers.set_addr(&n.name, &n.addr);
         }
         if std::mem::take(&mut self.bootstrap_unsaved) {
@@ -504,7 +504,11 @@
             .collect();
         // Daemons that stand by have nothing to tell each other.
         if self.registers.voting || self.registers.member_epoch == 0 {
-            to.extend(self.membership.live(CONTROL_ROLE).map(|n| n.addr.clone()));
+            to.extend(
+                self.membership
+                    .live(NodeRole::Control)
+                    .map(|n| n.addr.clone()),
+            );
             to.extend(fresh().map(|(_, p)| p.addr.clone()));
         }
         // Until it knows the voters, only its seeds lead there.
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -212,7 +212,7 @@
             .values()
             .filter(|a| now.saturating_sub(a.polled_at) <= NODE_TIMEOUT)
             .count();
-        let live = self.membership.live(EDGE_ROLE).count();
+        let live = self.membership.live(NodeRole::Edge).count();
         let Unreachable {
             edges,
             longest_ms: longest,
@@ -277,7 +277,7 @@
         };
         let all = self
             .membership
-            .known(EDGE_ROLE)
+            .known(NodeRole::Edge)
             .filter(|n| !n.http_addr.is_empty());
         let all = all.filter(|n| in_touch || self.membership.is_live(&n.name));
         all.map(|node| ServingEdge {
--- a/coordination/src/control/fleet_contact.rs
+++ b/coordination/src/control/fleet_contact.rs
@@ -72,7 +72,7 @@
         self.fleet_contact.next_introduction = now + INTRODUCTION_INTERVAL;
         let strangers = self
             .membership
-            .live(EDGE_ROLE)
+            .live(NodeRole::Edge)
             .filter(|n| !self.followers.contains_key(&n.name));
         out.extend(strangers.map(|n| send(&n.addr, self.membership.introduction())));
     }
--- /dev/null
+++ b/coordination/src/edge_agent/control_sources.rs
@@ -0,0 +1,290 @@
+//! The control daemons as this agent follows them: what each has sent and acknowledged, and when it is polled.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use wire_messages::{Change, List, Name, Node, Poll, Update};
+
+use super::{
+    local_proxy::{CountersSince, ProxyLink},
+    serving_rule::RULE_DURATION,
+    without_value,
+};
+use crate::{
+    Effects, Ms,
+    effect::send,
+    membership::{Membership, NodeRole},
+    state_table::StateTable,
+    timing::{LEASE_DURATION, TICK_INTERVAL},
+};
+
+/// Agents poll each control daemon for updates this often; updates are also pushed.
+pub const POLL_INTERVAL: Ms = 400;
+/// For each edge that is known: an agent that has just started, and may not serve yet, polls again after so long.
+const STARTUP_POLL_INTERVAL_PER_EDGE: Ms = 20;
+/// An agent that starts in a small fleet polls this often at most.
+const MIN_POLL_INTERVAL: Ms = 2 * TICK_INTERVAL;
+/// A daemon of another region that holds no role and needs no news is polled this often.
+const REMOTE_POLL_INTERVAL: Ms = 2 * POLL_INTERVAL;
+/// A poll that is late by more, far over the period of ticks, shows that the process was suspended.
+const SUSPENSION_MIN_GAP: Ms = 20 * TICK_INTERVAL;
+
+/// The versions of all keys as a control daemon was last sent them.
+#[derive(Clone, Copy, Debug, Default)]
+struct SentVersions {
+    sent_at: Ms,
+    digest: u64,
+}
+
+impl SentVersions {
+    /// Nothing that an answer could acknowledge.
+    const NONE: SentVersions = SentVersions {
+        sent_at: Ms::MAX,
+        digest: 0,
+    };
+}
+
+/// One control daemon.
+#[derive(Clone, Debug, Default)]
+struct ControlSource {
+    incarnation: u64,
+    /// Position in its change stream up to which this agent has everything.
+    position: u64,
+    /// When the newest poll was sent that it answered with a settled update.
+    settled_poll_sent_at: Ms,
+    /// It has sent a settled update to this incarnation of the agent.
+    sent_settled_update: bool,
+    versions_sent: SentVersions,
+    /// Digest of the versions that it has answered to.
+    acknowledged_digest: Option<u64>,
+    polled_at: Ms,
+    /// When it last sent a lease: it holds a singleton role.
+    lease_received_at: Ms,
+    /// When the newest poll was sent that it answered.
+    answered_poll_sent_at: Ms,
+    /// The agent's report up to which it has the proxy's counters, by its newest answer.
+    counters_through: u64,
+    /// The services whose counters it keeps, by its newest answer, and the number of that selection.
+    selected_services: Vec<Name>,
+    selection: u32,
+}
+
+impl ControlSource {
+    /// Follows another incarnation of the daemon from its beginning. What its former incarnation was sent means nothing
+    /// to this one, whichever of them a poll reached.
+    fn restart(&mut self, incarnation: u64) {
+        *self = ControlSource {
+            incarnation,
+            versions_sent: SentVersions::NONE,
+            settled_poll_sent_at: self.settled_poll_sent_at,
+            sent_settled_update: self.sent_settled_update,
+            ..ControlSource::default()
+        };
+    }
+
+    /// Notes what an update says of the daemon itself.
+    fn on_update(&mut self, update: &Update, now: Ms) {
+        self.position = self.position.max(update.through_position);
+        if update.poll_sent_at >= self.versions_sent.sent_at {
+            self.acknowledged_digest = Some(self.versions_sent.digest);
+        }
+        if update.poll_sent_at >= self.answered_poll_sent_at {
+            self.answered_poll_sent_at = update.poll_sent_at;
+            self.counters_through = update.counters_through;
+            self.selection = update.selection;
+            self.selected_services = update.selected_services.0.clone();
+        }
+        // Only a settled voter counts as heard: others may lack what a majority has accepted.
+        if update.is_settled != 0 {
+            self.settled_poll_sent_at = self.settled_poll_sent_at.max(update.poll_sent_at);
+            self.sent_settled_update = true;
+        }
+        if !update.leases.is_empty() {
+            self.lease_received_at = now;
+        }
+    }
+
+    fn holds_role(&self, now: Ms) -> bool {
+        now.saturating_sub(self.lease_received_at) <= LEASE_DURATION
+    }
+
+    fn is_answering(&self, now: Ms) -> bool {
+        now.saturating_sub(self.answered_poll_sent_at) <= RULE_DURATION
+    }
+}
+
+/// What polls to all daemons have in common.
+pub(super) struct PollContext<'a> {
+    pub membership: &'a Membership,
+    pub table: &'a StateTable,
+    pub proxy: &'a ProxyLink,
+    /// Whether the agent has heard a majority since it started.
+    pub is_ready: bool,
+}
+
+/// All control daemons that this agent follows.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ControlSources {
+    by_name: BTreeMap<Name, ControlSource>,
+    /// The largest number of voters that any daemon told. They disagree only while voters change, and the largest
+    /// asks for the largest majority.
+    voter_count: usize,
+    next_poll: Ms,
+}
+
+impl ControlSources {
+    fn majority(&self) -> usize {
+        self.voter_count / 2 + 1
+    }
+
+    pub fn knows_voters(&self) -> bool {
+        self.voter_count > 0
+    }
+
+    pub fn is_followed(&self, name: &Name) -> bool {
+        self.by_name.contains_key(name)
+    }
+
+    /// Whether a majority has sent settled updates to this incarnation of the agent.
+    pub fn has_settled_majority(&self) -> bool {
+        let settled = self
+            .by_name
+            .values()
+            .filter(|source| source.sent_settled_update);
+        settled.count() >= self.majority()
+    }
+
+    /// When the newest poll was sent that a majority of settled daemons has answered, or a later one; 0 if there is
+    /// none.
+    pub fn majority_poll_sent_at(&self) -> Ms {
+        let mut sent_at: Vec<Ms> = self
+            .by_name
+            .values()
+            .map(|source| source.settled_poll_sent_at)
+            .collect();
+        sent_at.sort_unstable_by_key(|at| std::cmp::Reverse(*at));
+        sent_at.get(self.majority() - 1).copied().unwrap_or(0)
+    }
+
+    /// Takes what an update says of its sender. False if the update must not be used: it continues the change stream of
+    /// an incarnation whose beginning this agent lacks.
+    pub fn on_update(&mut self, from: &Name, update: &Update, now: Ms) -> bool {
+        self.voter_count = self.voter_count.max(update.voter_count as usize);
+        let source = self.by_name.entry(from.clone()).or_default();
+        if update.source_incarnation != source.incarnation {
+            if update.is_snapshot == 0 {
+                return false;
+            }
+            source.restart(update.source_incarnation);
+        }
+        source.on_update(update, now);
+        true
+    }
+
+    /// Whether the process did not run for a while, so that a poll is long overdue.
+    pub fn was_suspended(&self, now: Ms) -> bool {
+        self.next_poll > 0 && now > self.next_poll + SUSPENSION_MIN_GAP
+    }
+
+    /// Makes the next tick poll.
+    pub fn expedite_poll(&mut self, now: Ms) {
+        self.next_poll = now;
+    }
+
+    /// Polls the control daemons if that is due.
+    pub fn tick(&mut self, context: &PollContext, now: Ms, out: &mut Effects) {
+        if now < self.next_poll {
+            return;
+        }
+        self.next_poll = now + poll_interval(context);
+        self.forget_unknown(context.membership);
+        let digest = context.table.digest();
+        let versions: List<Change> = context
+            .table
+            .entries()
+            .cloned()
+            .map(without_value)
+            .collect();
+        for daemon in context.membership.known(NodeRole::Control) {
+            let source = self.by_name.entry(daemon.name.clone()).or_default();
+            // The list of all versions goes only to a daemon that has not answered to the same one.
+            let has_versions = source.acknowledged_digest != Some(digest);
+            if !has_versions && may_wait(source, daemon, context, now) {
+                continue;
+            }
+            source.polled_at = now;
+            if has_versions {
+                source.versions_sent = SentVersions {
+                    sent_at: now,
+                    digest,
+                };
+            }
+            let poll = Poll {
+                has_versions: has_versions.into(),
+                versions: if has_versions {
+                    versions.clone()
+                } else {
+                    List::default()
+                },
+                ..poll_with_counters(source, context, now)
+            };
+            out.push(send(&daemon.addr, poll));
+        }
+    }
+
+    fn forget_unknown(&mut self, membership: &Membership) {
+        let known: BTreeSet<&Name> = membership
+            .known(NodeRole::Control)
+            .map(|node| &node.name)
+            .collect();
+        self.by_name.retain(|name, _| known.contains(name));
+    }
+}
+
+/// A large fleet that starts together does not poll more often than one that serves.
+fn poll_interval(context: &PollContext) -> Ms {
+    if context.is_ready {
+        return POLL_INTERVAL;
+    }
+    let edge_count = context.membership.known(NodeRole::Edge).count() as Ms + 1;
+    (edge_count * STARTUP_POLL_INTERVAL_PER_EDGE).clamp(MIN_POLL_INTERVAL, POLL_INTERVAL)
+}
+
+/// Whether a daemon that has all versions is not polled yet. Bytes to other regions are expensive, and only the holder of
+/// a role acts on counters: the others there are polled half as often.
+fn may_wait(source: &ControlSource, daemon: &Node, context: &PollContext, now: Ms) -> bool {
+    context.is_ready
+        && !context.membership.is_same_region(daemon)
+        && !source.holds_role(now)
+        && now < source.polled_at + REMOTE_POLL_INTERVAL
+}
+
+/// A poll with the counters that the daemon lacks. A daemon that does not answer would be sent more each time: it gets
+/// none until it does.
+fn poll_with_counters(source: &ControlSource, context: &PollContext, now: Ms) -> Poll {
+    let counters_since = context
+        .proxy
+        .report_to_resume_after(source.counters_through);
+    let reported = if source.is_answering(now) {
+        let services = &source.selected_services;
+        context.proxy.counters_since(counters_since, services, now)
+    } else {
+        None
+    };
+    let reported = reported.unwrap_or_else(|| CountersSince {
+        through_report: counters_since,
+        ..CountersSince::default()
+    });
+    Poll {
+        node: context.membership.me().clone(),
+        proxy_incarnation: reported.proxy_incarnation,
+        sent_at: now,
+        source_incarnation: source.incarnation,
+        after_position: source.position,
+        counters_since,
+        counters_through: reported.through_report,
+        selection: source.selection,
+        counters: reported.counters,
+        open_streams: reported.open_streams,
+        ..Poll::default()
+    }
+}
--- /dev/null
+++ b/coordination/src/edge_agent/local_proxy.rs
@@ -0,0 +1,354 @@
+//! The proxy on the agent's machine: its outcome counters and open streams on their way to the control daemons, and
+//! the table updates that it gets.
+
+use std::collections::BTreeMap;
+
+use wire_messages::{
+    Change, List, Name, Node, OpenStreams, OutcomeCounters, ProxyLease, ProxyReport, TableUpdate,
+};
+
+use super::serving_rule::{Decision, RULE_DURATION};
+use crate::{Effects, Ms, effect::send, state_table::StateTable, version_health::HEALTH_WINDOWS};
+
+/// Streams that have ended are remembered for so long: control daemons are back sooner, after most partitions.
+const ENDED_STREAM_RETENTION: Ms = 60_000;
+/// Between two updates to the proxy, so that several of them would have to be lost before its rule lapses.
+const PROXY_UPDATE_INTERVAL: Ms = RULE_DURATION / 5;
+/// Counters of recent outcomes are reported for so long; the longest window of version health.
+const RECENT_OUTCOME_DURATION: Ms = HEALTH_WINDOWS[HEALTH_WINDOWS.len() - 1];
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CountersKey {
+    service: Name,
+    version: Name,
+    lane: Name,
+    cached: u8,
+    group: u8,
+}
+
+impl CountersKey {
+    fn of(counters: &OutcomeCounters) -> Self {
+        CountersKey {
+            service: counters.service.clone(),
+            version: counters.version.clone(),
+            lane: counters.lane.clone(),
+            cached: counters.cached,
+            group: counters.group,
+        }
+    }
+}
+
+/// Counters as the proxy last reported them.
+#[derive(Clone, Debug)]
+struct ReportedCounters {
+    counters: OutcomeCounters,
+    /// The report that brought them, as the agent numbers reports.
+    report: u64,
+    received_at: Ms,
+}
+
+impl ReportedCounters {
+    /// The counters as they are now: what was recent when it was received need not be any more.
+    fn current(&self, now: Ms) -> OutcomeCounters {
+        if now.saturating_sub(self.received_at) <= RECENT_OUTCOME_DURATION {
+            return self.counters.clone();
+        }
+        OutcomeCounters {
+            recent_ended: 0,
+            recent_failed: 0,
+            recent_slow: 0,
+            ..self.counters.clone()
+        }
+    }
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct StreamsKey {
+    replica: Name,
+    version: Name,
+}
+
+impl StreamsKey {
+    fn of(streams: &OpenStreams) -> Self {
+        StreamsKey {
+            replica: streams.replica.clone(),
+            version: streams.version.clone(),
+        }
+    }
+}
+
+/// Open streams as the proxy last reported them; none are open where they have ended.
+#[derive(Clone, Debug)]
+struct ReportedStreams {
+    streams: OpenStreams,
+    /// The report that brought them, as the agent numbers reports.
+    report: u64,
+    received_at: Ms,
+}
+
+impl ReportedStreams {
+    fn are_open(&self) -> bool {
+        self.streams.streams > 0
+    }
+
+    fn is_forgotten(&self, now: Ms) -> bool {
+        !self.are_open() && now.saturating_sub(self.received_at) >= ENDED_STREAM_RETENTION
+    }
+}
+
+/// One incarnation of the proxy.
+#[derive(Clone, Debug, Default)]
+struct LocalProxy {
+    addr: Name,
+    incarnation: u64,
+    heard_at: Ms,
+    /// Up to which of the proxy's changes this agent has its counters and streams.
+    counters_through: u64,
+    counters: BTreeMap<CountersKey, ReportedCounters>,
+    open_streams: BTreeMap<StreamsKey, ReportedStreams>,
+    /// Whether it has had the complete state table.
+    has_snapshot: bool,
+}
+
+impl LocalProxy {
+    fn is_silent(&self, now: Ms) -> bool {
+        now.saturating_sub(self.heard_at) >= RULE_DURATION
+    }
+
+    /// Takes a report: a snapshot or what changed. After a gap it takes nothing; the proxy reports everything again
+    /// when it is told that nothing was taken.
+    fn take_report(&mut self, message: ProxyReport, report: u64, now: Ms) {
+        // What a late report brings was reported again since.
+        if message.through_change < self.counters_through {
+            return;
+        }
+        if message.after_change > self.counters_through {
+            self.counters_through = 0;
+            return;
+        }
+        if message.after_change == 0 {
+            self.end_open_streams(report, now);
+        }
+        self.counters_through = message.through_change;
+        for counters in message.counters.0 {
+            let reported = ReportedCounters {
+                report,
+                received_at: now,
+                counters,
+            };
+            self.counters
+                .insert(CountersKey::of(&reported.counters), reported);
+        }
+        for streams in message.open_streams.0 {
+            let reported = ReportedStreams {
+                report,
+                received_at: now,
+                streams,
+            };
+            self.open_streams
+                .insert(StreamsKey::of(&reported.streams), reported);
+        }
+    }
+
+    /// Streams that a snapshot does not list have ended.
+    fn end_open_streams(&mut self, report: u64, now: Ms) {
+        for reported in self.open_streams.values_mut() {
+            if reported.are_open() {
+                reported.streams.streams = 0;
+                reported.report = report;
+                reported.received_at = now;
+            }
+        }
+    }
+
+    /// Removes streams that ended long ago; gives the newest report that brought the end of one of them.
+    fn forget_ended_streams(&mut self, now: Ms) -> Option<u64> {
+        let forgotten_through = self
+            .open_streams
+            .values()
+            .filter(|reported| reported.is_forgotten(now))
+            .map(|reported| reported.report)
+            .max();
+        if forgotten_through.is_some() {
+            self.open_streams
+                .retain(|_, reported| !reported.is_forgotten(now));
+        }
+        forgotten_through
+    }
+}
+
+/// What a control daemon gets of the proxy's counters in a poll.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CountersSince {
+    /// The incarnation of the proxy that counted; 0 if nothing is reported.
+    pub proxy_incarnation: u64,
+    /// The report up to which the daemon has everything once it has these.
+    pub through_report: u64,
+    pub counters: List<OutcomeCounters>,
+    pub open_streams: List<OpenStreams>,
+}
+
+/// What an update hands to the proxy besides changed values.
+pub(super) struct ProxyUpdate {
+    pub decision: Decision,
+    pub leases: List<ProxyLease>,
+    pub nodes: List<Node>,
+}
+
+/// The link between the agent and its proxy.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ProxyLink {
+    proxy: Option<LocalProxy>,
+    /// How many reports have come, from any incarnation of the proxy.
+    report_count: u64,
+    /// The newest report that brought the end of a stream which is forgotten here.
+    forgotten_through: u64,
+    next_update: Ms,
+    /// Changed values that the proxy has not been sent.
+    unsent_changes: Vec<Change>,
+}
+
+impl ProxyLink {
+    /// The proxy's address.
+    pub fn addr(&self) -> Option<&Name> {
+        self.proxy.as_ref().map(|proxy| &proxy.addr)
+    }
+
+    /// Whether there is a proxy that lately reported.
+    pub fn is_reporting(&self, now: Ms) -> bool {
+        self.proxy
+            .as_ref()
+            .is_some_and(|proxy| !proxy.is_silent(now))
+    }
+
+    /// Whether there is a proxy that has stopped reporting.
+    pub fn is_silent(&self, now: Ms) -> bool {
+        self.proxy
+            .as_ref()
+            .is_some_and(|proxy| proxy.is_silent(now))
+    }
+
+    /// Takes the proxy's report of its counters and streams.
+    pub fn on_report(&mut self, addr: &Name, message: ProxyReport, now: Ms) {
+        let mut proxy = self.reporting_proxy(addr, message.incarnation, now);
+        proxy.heard_at = now;
+        self.report_count += 1;
+        proxy.take_report(message, self.report_count, now);
+        // A control daemon that did not hear in time that these streams have ended is sent everything again.
+        if let Some(report) = proxy.forget_ended_streams(now) {
+            self.forgotten_through = self.forgotten_through.max(report);
+        }
+        // A proxy that has nothing yet is updated at the next tick.
+        if !proxy.has_snapshot {
+            self.next_update = now;
+        }
+        self.proxy = Some(proxy);
+    }
+
+    /// The proxy as it was known, or another incarnation of it, which has nothing, however soon it came back.
+    fn reporting_proxy(&mut self, addr: &Name, incarnation: u64, now: Ms) -> LocalProxy {
+        match self.proxy.take() {
+            Some(proxy) if proxy.addr == *addr && proxy.incarnation == incarnation => LocalProxy {
+                has_snapshot: proxy.has_snapshot && !proxy.is_silent(now),
+                ..proxy
+            },
+            // The streams of the former incarnation have ended, of which those that knew them are notified.
+            former => LocalProxy {
+                addr: addr.clone(),
+                incarnation,
+                open_streams: former.map_or_else(BTreeMap::new, |proxy| proxy.open_streams),
+                ..LocalProxy::default()
+            },
+        }
+    }
+
+    /// The report after which a control daemon is sent counters that has them up to `counters_through`: 0, which is
+    /// everything, if it may have missed the end of a stream.
+    pub fn report_to_resume_after(&self, counters_through: u64) -> u64 {
+        if counters_through < self.forgotten_through {
+            0
+        } else {
+            counters_through
+        }
+    }
+
+    /// Counters of some services and open streams that changed after a report; all of them after 0, without streams
+    /// that have ended.
+    pub fn counters_since(&self, report: u64, services: &[Name], now: Ms) -> Option<CountersSince> {
+        let proxy = self.proxy.as_ref()?;
+        let counters = proxy
+            .counters
+            .values()
+            .filter(|reported| {
+                reported.report > report && services.contains(&reported.counters.service)
+            })
+            .map(|reported| reported.current(now))
+            .collect();
+        let open_streams = proxy
+            .open_streams
+            .values()
+            .filter(|reported| reported.report > report && (report > 0 || reported.are_open()))
+            .map(|reported| reported.streams.clone())
+            .collect();
+        Some(CountersSince {
+            proxy_incarnation: proxy.incarnation,
+            through_report: self.report_count,
+            counters,
+            open_streams,
+        })
+    }
+
+    /// Queues a changed value.
+    pub fn push_change(&mut self, change: Change) {
+        self.unsent_changes.push(change);
+    }
+
+    /// Whether changed values wait to be sent.
+    pub fn has_unsent_changes(&self) -> bool {
+        !self.unsent_changes.is_empty()
+    }
+
+    /// Makes the next tick send an update.
+    pub fn expedite_update(&mut self) {
+        self.next_update = 0;
+    }
+
+    /// Whether the next update is due.
+    pub fn is_update_due(&self, now: Ms) -> bool {
+        now >= self.next_update
+    }
+
+    /// Sends the proxy what changed, or the complete table if the proxy is new. Without a proxy changes are dropped:
+    /// the next one gets a snapshot.
+    pub fn send_update(
+        &mut self,
+        table: &StateTable,
+        update: ProxyUpdate,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        let unsent_changes = std::mem::take(&mut self.unsent_changes);
+        let Some(proxy) = self.proxy.as_mut() else {
+            return;
+        };
+        let is_snapshot = !proxy.has_snapshot;
+        proxy.has_snapshot = true;
+        self.next_update = now + PROXY_UPDATE_INTERVAL;
+        let changes = if is_snapshot {
+            table.entries().cloned().collect()
+        } else {
+            List(unsent_changes)
+        };
+        let message = TableUpdate {
+            proxy_incarnation: proxy.incarnation,
+            counters_through: proxy.counters_through,
+            serving_rule: update.decision.rule.to_byte(),
+            valid_until: update.decision.valid_until,
+            is_snapshot: is_snapshot.into(),
+            changes,
+            leases: update.leases,
+            nodes: update.nodes,
+        };
+        out.push(send(&proxy.addr, message));
+    }
+}
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -5,7 +5,7 @@
 use coordination::{
     Effect, Effects, Ms,
     membership::{
-        EDGE_ROLE, MAX_SHUFFLE_INTERVAL, Membership, NODE_TIMEOUT_PER_NODE, SHUFFLE_INTERVAL,
+        MAX_SHUFFLE_INTERVAL, Membership, NODE_TIMEOUT_PER_NODE, NodeRole, SHUFFLE_INTERVAL,
         VIEW_SIZE,
     },
     timing::{NODE_TIMEOUT, TICK_INTERVAL},
@@ -38,7 +38,7 @@
         let me = Node {
             name: name.clone(),
             addr: name.clone(),
-            role: EDGE_ROLE,
+            role: NodeRole::Edge.to_byte(),
             incarnation: self.now + 1,
             ..Node::default()
         };
@@ -91,7 +91,7 @@
             .map(|(n, m)| {
                 (
                     n,
-                    m.live(EDGE_ROLE)
+                    m.live(NodeRole::Edge)
                         .map(|x| &x.name)
                         .chain([n])
                         .collect::<BTreeSet<&Name>>(),
@@ -133,7 +133,7 @@
     let missing = |b: &Bench| -> usize {
         b.nodes
             .values()
-            .map(|m| b.nodes.len() - 1 - m.live(EDGE_ROLE).count())
+            .map(|m| b.nodes.len() - 1 - m.live(NodeRole::Edge).count())
             .sum()
     };
     let mut all = 0;
@@ -149,7 +149,7 @@
     expect_false!(
         b.nodes
             .values()
-            .any(|m| m.live(EDGE_ROLE).any(|n| n.name == gone))
+            .any(|m| m.live(NodeRole::Edge).any(|n| n.name == gone))
     );
 }
 
@@ -183,7 +183,7 @@
 fn missing(b: &Bench) -> usize {
     b.nodes
         .values()
-        .map(|m| b.nodes.len() - 1 - m.live(EDGE_ROLE).count())
+        .map(|m| b.nodes.len() - 1 - m.live(NodeRole::Edge).count())
         .sum()
 }
 
@@ -203,7 +203,7 @@
         let sees = |b: &Bench| {
             b.nodes
                 .values()
-                .any(|m| m.live(EDGE_ROLE).any(|x| gone.contains(&x.name)))
+                .any(|m| m.live(NodeRole::Edge).any(|x| gone.contains(&x.name)))
         };
         // A beat's age rises by nothing on the way, here as long as a tick.
         b.run(NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * n as Ms) + 2 * MAX_SHUFFLE_INTERVAL);
@@ -222,7 +222,7 @@
     let me = Node {
         name: name.into(),
         addr: name.into(),
-        role: EDGE_ROLE,
+        role: NodeRole::Edge.to_byte(),
         incarnation: 1,
         heartbeat: now as u32,
         ..Node::default()
@@ -245,7 +245,7 @@
     let node = |n: &str| Node {
         name: n.into(),
         addr: n.into(),
-        role: EDGE_ROLE,
+        role: NodeRole::Edge.to_byte(),
         incarnation: 1,
         ..Node::default()
     };
@@ -262,7 +262,7 @@
     for now in (10_000..14_000).step_by(TICK_INTERVAL as usize) {
         turn(&mut a, &mut b, "a", now);
         turn(&mut b, &mut a, "b", now);
-        let knows = |m: &Membership| m.live(EDGE_ROLE).any(|n| &*n.name == "c");
+        let knows = |m: &Membership| m.live(NodeRole::Edge).any(|n| &*n.name == "c");
         if now > 10_000 + NODE_TIMEOUT + 2 * SHUFFLE_INTERVAL {
             expect_false!(knows(&a) || knows(&b), "{now}");
         }
--- a/coordination/tests/news.rs
+++ b/coordination/tests/news.rs
@@ -3,7 +3,7 @@
 use coordination::{
     Effect, Ms,
     control::{Control, ControlConfig, PUSH_TIMEOUT},
-    edge_agent::{EdgeAgent, MAJORITY_MISSED_AFTER, POLL_INTERVAL, SERVE_ALL},
+    edge_agent::{EdgeAgent, MAJORITY_MISSED_AFTER, POLL_INTERVAL, ServingRule},
     register::Expect,
     timing::TICK_INTERVAL,
     wire::{
@@ -270,7 +270,7 @@
     let [near, holder, far] = asked(&mut a, 2_050, 18_050);
     expect_that!(near, all!(ge(35), eq(holder)));
     expect_that!(far * 2, all!(ge(near - 2), le(near + 2)));
-    expect_that!(a.serving_rule(), eq(SERVE_ALL));
+    expect_that!(a.serving_rule(), eq(ServingRule::ServeAll));
     for t in 0..10 {
         version += 1;
         let start = 18_050 + t * 1_000;
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -4,7 +4,7 @@
 
 use coordination::{
     Effect,
-    membership::{EDGE_ROLE, Membership},
+    membership::{Membership, NodeRole},
     regions::Regions,
     timing::{NODE_TIMEOUT, TICK_INTERVAL},
     wire::{Message, Name, Node},
@@ -36,7 +36,7 @@
             let me = Node {
                 name: name.clone(),
                 addr: name.clone(),
-                role: EDGE_ROLE,
+                role: NodeRole::Edge.to_byte(),
                 incarnation: 1,
                 zone,
                 ..Node::default()
@@ -90,7 +90,7 @@
     fn missing(&self) -> usize {
         self.nodes
             .values()
-            .map(|m| self.nodes.len() - 1 - m.live(EDGE_ROLE).count())
+            .map(|m| self.nodes.len() - 1 - m.live(NodeRole::Edge).count())
             .sum()
     }
 }
