--- /dev/null
+++ b/edge-agent/src/actor.rs
@@ -0,0 +1,97 @@
+//! The actor that owns the agent's state machine.
+
+use std::time::Duration;
+
+use actix::{
+    Recipient,
+    prelude::{Actor, AsyncContext, Context, Handler},
+};
+use coordination::{Effect, Effects, edge_agent::EdgeAgent, timing::TICK_INTERVAL};
+use daemon_parts::{
+    channels::{Channels, Incoming},
+    clock,
+    limits::MAILBOX,
+    logging::event,
+    look::Look,
+};
+
+/// The only owner of the state machine. Its channels to other processes open once it runs.
+pub(crate) struct AgentActor {
+    name: String,
+    listen_addr: String,
+    agent: EdgeAgent,
+    channels: Option<Channels>,
+}
+
+impl AgentActor {
+    /// An actor that tells other processes to answer at `listen_addr`.
+    pub fn new(name: String, listen_addr: String, agent: EdgeAgent) -> Self {
+        AgentActor {
+            name,
+            listen_addr,
+            agent,
+            channels: None,
+        }
+    }
+
+    /// The state machine.
+    pub fn agent(&self) -> &EdgeAgent {
+        &self.agent
+    }
+
+    fn tick(&mut self) {
+        let effects = self.agent.tick(clock::now());
+        self.carry_out(effects);
+    }
+
+    fn carry_out(&mut self, effects: Effects) {
+        for effect in effects {
+            match effect {
+                Effect::Send { to, msg } => {
+                    if let Some(channels) = &mut self.channels {
+                        channels.send(&to, msg);
+                    }
+                }
+                Effect::Log {
+                    event: kind,
+                    peer,
+                    text,
+                } => event(kind, &peer, &text),
+                // An agent stores nothing on disk and holds no singleton role.
+                Effect::Persist { .. } | Effect::WriteFinished { .. } | Effect::Order { .. } => {}
+            }
+        }
+    }
+}
+
+impl Actor for AgentActor {
+    type Context = Context<Self>;
+
+    fn started(&mut self, context: &mut Self::Context) {
+        context.set_mailbox_capacity(MAILBOX);
+        let inbox: Recipient<Incoming> = context.address().recipient();
+        self.channels = Some(Channels::new(&self.name, &self.listen_addr, inbox));
+        let tick_interval = Duration::from_millis(TICK_INTERVAL);
+        context.run_interval(tick_interval, |actor, _| actor.tick());
+    }
+}
+
+impl Handler<Incoming> for AgentActor {
+    type Result = ();
+
+    fn handle(&mut self, incoming: Incoming, _: &mut Self::Context) {
+        let envelope = incoming.0;
+        let effects =
+            self.agent
+                .on_message(&envelope.from, &envelope.addr, envelope.msg, clock::now());
+        self.carry_out(effects);
+    }
+}
+
+impl<T: Send + 'static> Handler<Look<Self, T>> for AgentActor {
+    type Result = Result<T, ()>;
+
+    fn handle(&mut self, look: Look<Self, T>, _: &mut Self::Context) -> Self::Result {
+        Ok((look.0)(self, clock::now()))
+    }
+}
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -1,13 +1,12 @@
-//! The edge agent: knows the fleet, follows the control daemons, feeds the proxy beside it.
+//! The runtime of an edge agent: drives its state machine by messages and a timer, and carries its effects out.
 
-use std::time::Duration;
+mod actor;
 
-use actix::prelude::*;
-use coordination::{Effect, Effects, edge_agent::EdgeAgent, events, timing::TICK_INTERVAL};
+use actix::prelude::{Actor, Addr};
+use coordination::{edge_agent::EdgeAgent, events};
 use daemon_parts::{
-    channels::{self, Channels, Incoming},
-    clock,
-    limits::{AGENT_LAST, FAREWELL, MAILBOX},
+    channels, clock,
+    limits::{AGENT_LAST, FAREWELL},
     logging::{self, StartFault, event},
     look::Look,
     params::Params,
@@ -16,108 +15,59 @@
 use error_stack::Report;
 use wire_messages::Node;
 
-/// The one owner of the agent's brain.
-struct AgentActor {
-    name: String,
-    listen: String,
-    brain: EdgeAgent,
-    ch: Option<Channels>,
-}
-
-impl AgentActor {
-    fn carry(&mut self, effects: Effects) {
-        for e in effects {
-            match e {
-                Effect::Send { to, msg } => {
-                    if let Some(ch) = &mut self.ch {
-                        ch.send(&to, msg);
-                    }
-                }
-                Effect::Log {
-                    event: e,
-                    peer,
-                    text,
-                } => event(e, &peer, &text),
-                // An agent keeps nothing on disk and holds no duty.
-                Effect::Persist { .. } | Effect::WriteFinished { .. } | Effect::Order { .. } => {}
-            }
-        }
-    }
-}
+use crate::actor::AgentActor;
 
-impl Actor for AgentActor {
-    type Context = Context<Self>;
-    fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
-        self.ch = Some(Channels::new(
-            &self.name,
-            &self.listen,
-            ctx.address().recipient(),
-        ));
-        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, _| {
-            let out = me.brain.tick(clock::now());
-            me.carry(out);
-        });
-    }
-}
-
-impl Handler<Incoming> for AgentActor {
-    type Result = ();
-    fn handle(&mut self, m: Incoming, _: &mut Self::Context) {
-        let out = self
-            .brain
-            .on_message(&m.0.from, &m.0.addr, m.0.msg, clock::now());
-        self.carry(out);
-    }
-}
-
-impl<T: Send + 'static> Handler<Look<Self, T>> for AgentActor {
-    type Result = Result<T, ()>;
-    fn handle(&mut self, m: Look<Self, T>, _: &mut Self::Context) -> Self::Result {
-        Ok((m.0)(self, clock::now()))
-    }
+/// Runs an edge agent until the process is asked to stop.
+///
+/// # Errors
+/// If logging, the signal handlers or the listener can't be started.
+pub async fn run(params: Params) -> Result<(), Report<StartFault>> {
+    let _log = logging::start(&params.log)?;
+    let agent = new_agent(&params);
+    let mut signals = StopSignals::listen()?;
+    let actor = AgentActor::new(params.name.clone(), params.listen.clone(), agent).start();
+    channels::listen(&params.bind, actor.clone().recipient()).await?;
+    let text = format!("processes {}", params.listen);
+    event(events::STARTED, &params.name, &text);
+    signals.asked(&params.name).await;
+    wait_for_proxy(&actor, &params).await;
+    event(events::STOPPED, &params.name, "");
+    Ok(())
 }
 
-/// Runs until the process is asked to stop.
-pub async fn run(p: Params) -> Result<(), Report<StartFault>> {
-    let _log = logging::start(&p.log)?;
-    let born = clock::born();
+/// The state machine of a new incarnation.
+fn new_agent(params: &Params) -> EdgeAgent {
+    let incarnation = clock::born();
     let me = Node {
-        name: p.name.as_str().into(),
-        zone: p.zone.as_str().into(),
-        addr: p.listen.as_str().into(),
-        incarnation: born,
+        name: params.name.as_str().into(),
+        zone: params.zone.as_str().into(),
+        addr: params.listen.as_str().into(),
+        incarnation,
         ..Node::default()
     };
-    let seeds = p.seeds.iter().map(|s| s.as_str().into()).collect();
-    let mut brain = EdgeAgent::new(me, seeds, born, clock::now());
-    brain.set_serve_when_partitioned(p.serve_on);
-    brain.set_regions(p.regions.clone());
-    let mut signals = StopSignals::listen()?;
-    let a = AgentActor {
-        name: p.name.clone(),
-        listen: p.listen.clone(),
-        brain,
-        ch: None,
-    }
-    .start();
-    channels::listen(&p.bind, a.clone().recipient()).await?;
-    event(events::STARTED, &p.name, &format!("processes {}", p.listen));
-    signals.asked(&p.name).await;
-    // A proxy that was asked to stop as well still serves what comes, by this agent's rule and news.
-    let last = clock::now() + p.bounds.grace.saturating_sub(AGENT_LAST);
+    let seeds = params
+        .seeds
+        .iter()
+        .map(|seed| seed.as_str().into())
+        .collect();
+    let mut agent = EdgeAgent::new(me, seeds, incarnation, clock::now());
+    agent.set_serve_when_partitioned(params.serve_on);
+    agent.set_regions(params.regions.clone());
+    agent
+}
+
+/// Goes on while the proxy drains, but not beyond the grace period: a proxy that was asked to stop as well still serves
+/// what comes, by this agent's rule and updates.
+async fn wait_for_proxy(actor: &Addr<AgentActor>, params: &Params) {
+    let deadline = clock::now() + params.bounds.grace.saturating_sub(AGENT_LAST);
     tokio::time::sleep(FAREWELL).await;
-    while clock::now() < last {
-        let goes = a
-            .send(Look(Box::new(|a: &mut AgentActor, now| {
-                a.brain.proxy_is_draining(now)
-            })))
-            .await;
-        if !matches!(goes, Ok(Ok(true))) {
+    while clock::now() < deadline {
+        let is_draining = Look(Box::new(|actor: &mut AgentActor, now| {
+            actor.agent().proxy_is_draining(now)
+        }));
+        if !matches!(actor.send(is_draining).await, Ok(Ok(true))) {
             break;
         }
         tokio::time::sleep(FAREWELL).await;
     }
-    event(events::STOPPED, &p.name, "");
-    Ok(())
 }
--- a/edge-agent/src/main.rs
+++ b/edge-agent/src/main.rs
@@ -1,18 +1,16 @@
-//! The edge agent: knows the fleet, follows the control daemons, feeds the proxy beside it.
+//! The program `edge-agent`: reads its settings and runs the agent.
 
 use daemon_parts::params::{self, EXIT_FAILED};
 
 #[actix_web::main]
 async fn main() {
-    let p = params::read_or_exit(
-        params::command(
-            "edge-agent",
-            "Keeps the link to the control plane and feeds the proxy on its machine",
-        ),
-        &["name", "zone", "listen", "seeds"],
+    let command = params::command(
+        "edge-agent",
+        "Keeps the link to the control plane and feeds the proxy on its machine",
     );
-    if let Err(e) = edge_agent::run(p).await {
-        eprintln!("{e:?}");
+    let params = params::read_or_exit(command, &["name", "zone", "listen", "seeds"]);
+    if let Err(fault) = edge_agent::run(params).await {
+        eprintln!("{fault:?}");
         std::process::exit(EXIT_FAILED);
     }
 }
