--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -1,9 +1,11 @@
-//! Membership: that the live find each other and keep each other, that the gone are noticed, at any size.
+//! Membership: live nodes find each other and go on to see each other, and the gone are noticed, at any size.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod support;
+
+use std::collections::BTreeSet;
 
 use coordination::{
-    Effect, Effects, Ms,
+    Effect, Ms,
     membership::{
         MAX_SHUFFLE_INTERVAL, Membership, NODE_TIMEOUT_PER_NODE, NodeRole, SHUFFLE_INTERVAL,
         VIEW_SIZE,
@@ -11,288 +13,241 @@
     timing::{NODE_TIMEOUT, TICK_INTERVAL},
 };
 use googletest::prelude::*;
+use support::gossip::{Network, Sent, edge};
 use wire_messages::{Envelope, Message, Name, Node, encode};
 
-/// Nodes that shuffle over a network that loses every tenth message.
-struct Bench {
-    now: Ms,
-    nodes: BTreeMap<Name, Membership>,
-    rng: fastrand::Rng,
-    /// Of all shuffles, where they are counted.
-    bytes: Option<usize>,
+/// A fleet of edges `n0`, `n1` and so on, of which the first three are seeds.
+fn fleet(node_count: usize, seed: u64) -> Network {
+    let mut network = Network::new(seed);
+    for index in 0..node_count {
+        add(&mut network, index, &["n0", "n1", "n2"]);
+    }
+    network
 }
 
-impl Bench {
-    fn new(n: usize, seed: u64) -> Self {
-        let mut b = Bench {
-            now: 0,
-            nodes: BTreeMap::new(),
-            rng: fastrand::Rng::with_seed(seed),
-            bytes: None,
-        };
-        (0..n).for_each(|i| b.add(i, &["n0", "n1", "n2"]));
-        b
-    }
-    fn add(&mut self, i: usize, seeds: &[&str]) {
-        let name: Name = format!("n{i}").into();
-        let me = Node {
-            name: name.clone(),
-            addr: name.clone(),
-            role: NodeRole::Edge.to_byte(),
-            incarnation: self.now + 1,
-            ..Node::default()
-        };
-        let seeds = seeds.iter().map(|s| (*s).into()).collect();
-        self.nodes
-            .insert(name, Membership::new(me, seeds, self.rng.u64(..)));
-    }
-    fn run(&mut self, ms: Ms) {
-        let end = self.now + ms;
-        while self.now < end {
-            self.now += TICK_INTERVAL;
-            let mut out: Vec<(Name, Effects)> = vec![];
-            for (n, m) in &mut self.nodes {
-                let mut o = vec![];
-                m.tick(self.now, &mut o);
-                out.push((n.clone(), o));
-            }
-            while let Some((from, o)) = out.pop() {
-                for e in o {
-                    let Effect::Send {
-                        to,
-                        msg: Message::Shuffle(m),
-                    } = e
-                    else {
-                        continue;
-                    };
-                    if let Some(b) = &mut self.bytes {
-                        let e = Envelope {
-                            from: from.clone(),
-                            addr: from.clone(),
-                            msg: m.clone().into(),
-                        };
-                        *b += encode(&e).map_or(0, |b| b.len());
-                    }
-                    let Some(n) = self.nodes.get_mut(&to).filter(|_| self.rng.u8(..10) > 0) else {
-                        continue;
-                    };
-                    let mut o = vec![];
-                    n.on_shuffle(&from, m, self.now, &mut o);
-                    out.push((to, o));
-                }
-            }
-        }
-    }
-    /// Nodes that do not take exactly the others for live, and whom they take.
-    fn wrong(&self) -> Vec<(&Name, BTreeSet<&Name>)> {
-        let all: BTreeSet<&Name> = self.nodes.keys().collect();
-        self.nodes
-            .iter()
-            .map(|(n, m)| {
-                (
-                    n,
-                    m.live(NodeRole::Edge)
-                        .map(|x| &x.name)
-                        .chain([n])
-                        .collect::<BTreeSet<&Name>>(),
-                )
-            })
-            .filter(|(_, live)| *live != all)
-            .collect()
-    }
+fn add(network: &mut Network, index: usize, seeds: &[&str]) {
+    let me = Node {
+        incarnation: network.now + 1,
+        ..edge(&format!("n{index}"))
+    };
+    let seeds = seeds.iter().map(|seed| (*seed).into()).collect();
+    let random_seed = network.rng.u64(..);
+    network
+        .nodes
+        .insert(me.name.clone(), Membership::new(me, seeds, random_seed));
+}
+
+/// Whether any node takes this one for live.
+fn is_seen(network: &Network, name: &str) -> bool {
+    network
+        .nodes
+        .values()
+        .any(|membership| sees(membership, name))
+}
+
+fn sees(membership: &Membership, name: &str) -> bool {
+    membership
+        .live(NodeRole::Edge)
+        .any(|node| &*node.name == name)
+}
+
+/// Nodes that do not take exactly the others for live, and whom they take.
+fn wrong_views(network: &Network) -> Vec<(&Name, BTreeSet<&Name>)> {
+    let all: BTreeSet<&Name> = network.nodes.keys().collect();
+    let live = |membership| {
+        Membership::live(membership, NodeRole::Edge)
+            .map(|node| &node.name)
+            .chain([&membership.me().name])
+            .collect::<BTreeSet<&Name>>()
+    };
+    network
+        .nodes
+        .iter()
+        .map(|(name, membership)| (name, live(membership)))
+        .filter(|(_, live)| *live != all)
+        .collect()
 }
 
 #[gtest]
-fn one_that_starts_asks_all_its_seeds_at_once_and_later_one() {
+fn a_node_that_starts_asks_all_its_seeds_at_once_and_later_one() {
     let seeds: Vec<Name> = ["s1", "s2", "s3"].map(Into::into).into();
-    let mut m = Membership::new(
-        Node {
-            name: "n".into(),
-            addr: "s2".into(),
-            ..Node::default()
-        },
-        seeds,
-        1,
-    );
-    let mut asked = |now| {
-        let mut out = vec![];
-        m.tick(now, &mut out);
-        out.len()
+    let me = Node {
+        name: "n".into(),
+        addr: "s2".into(),
+        ..Node::default()
+    };
+    let mut membership = Membership::new(me, seeds, 1);
+    let mut ask = |now| {
+        let mut effects = vec![];
+        membership.tick(now, &mut effects);
+        effects.len()
     };
-    expect_that!(asked(10), eq(2), "all but itself");
+    expect_that!(ask(10), eq(2), "all but itself");
     expect_that!(
-        (0..8).map(|i| asked(20 + (i + 1) * SHUFFLE_INTERVAL)).max(),
+        (0..8)
+            .map(|turn| ask(20 + (turn + 1) * SHUFFLE_INTERVAL))
+            .max(),
         some(eq(1))
     );
 }
 
 #[gtest]
 fn a_large_fleet_takes_no_live_node_for_gone_and_notices_the_gone() {
-    let mut b = Bench::new(120, 1);
-    b.run(20_000);
-    let missing = |b: &Bench| -> usize {
-        b.nodes
-            .values()
-            .map(|m| b.nodes.len() - 1 - m.live(NodeRole::Edge).count())
-            .sum()
-    };
-    let mut all = 0;
+    let mut network = fleet(120, 1);
+    network.run(20_000);
+    let mut missed_count = 0;
     for _ in 0..40 {
-        b.run(500);
-        all += missing(&b);
+        network.run(500);
+        missed_count += network.missed_count();
     }
     // Of 571,200 looks of one node at another, one in ten thousand.
-    expect_that!(all, le(57));
-    let gone = Name::from("n100");
-    drop(b.nodes.remove(&gone));
-    b.run(2 * 120 * NODE_TIMEOUT_PER_NODE);
-    expect_false!(
-        b.nodes
-            .values()
-            .any(|m| m.live(NodeRole::Edge).any(|n| n.name == gone))
-    );
+    expect_that!(missed_count, le(57));
+    network.remove("n100");
+    network.run(2 * 120 * NODE_TIMEOUT_PER_NODE);
+    expect_false!(is_seen(&network, "n100"));
 }
 
 #[gtest]
 fn all_find_each_other_notice_the_gone_and_outlive_their_seeds() {
     for seed in 0..30 {
-        let mut b = Bench::new(11, seed);
-        b.run(5_000);
-        expect_that!(b.wrong(), is_empty(), "seed {seed}: found");
-        // Four of eleven go at once, the seeds among them: the others' views hold together.
-        (0..4).for_each(|i| drop(b.nodes.remove(&Name::from(format!("n{i}").as_str()))));
-        // Rumours of them go round for a while after they went.
-        b.run(3 * NODE_TIMEOUT);
-        expect_that!(b.wrong(), is_empty(), "seed {seed}: gone");
-        // Every machine is replaced, one after the other; each newcomer knows only those that stand.
-        for i in 4..11 {
-            b.nodes.remove(&Name::from(format!("n{i}").as_str()));
-            let stand: Vec<String> = b.nodes.keys().take(3).map(|n| n.to_string()).collect();
-            b.add(
-                i + 100,
-                &stand.iter().map(String::as_str).collect::<Vec<_>>(),
-            );
-            b.run(3 * NODE_TIMEOUT);
+        let mut network = fleet(11, seed);
+        network.run(5_000);
+        expect_that!(wrong_views(&network), is_empty(), "seed {seed}: found");
+        // Four of eleven go at once, the seeds among them: the others' views stay connected.
+        for index in 0..4 {
+            network.remove(&format!("n{index}"));
+        }
+        // Gossip of them goes round for a while after they went.
+        network.run(3 * NODE_TIMEOUT);
+        expect_that!(wrong_views(&network), is_empty(), "seed {seed}: gone");
+        // Every machine is replaced, one after the other; each new one knows only some that are there.
+        for index in 4..11 {
+            network.remove(&format!("n{index}"));
+            let present: Vec<String> = network.nodes.keys().take(3).map(Name::to_string).collect();
+            let seeds: Vec<&str> = present.iter().map(String::as_str).collect();
+            add(&mut network, index + 100, &seeds);
+            network.run(3 * NODE_TIMEOUT);
         }
-        expect_that!(b.wrong(), is_empty(), "seed {seed}: replaced");
-        expect_true!(b.nodes.values().all(|m| m.view().len() <= VIEW_SIZE));
+        expect_that!(wrong_views(&network), is_empty(), "seed {seed}: replaced");
+        expect_true!(
+            network
+                .nodes
+                .values()
+                .all(|membership| membership.view().len() <= VIEW_SIZE)
+        );
     }
 }
 
-/// Looks of one node at another that miss it.
-fn missing(b: &Bench) -> usize {
-    b.nodes
-        .values()
-        .map(|m| b.nodes.len() - 1 - m.live(NodeRole::Edge).count())
-        .sum()
-}
-
 #[gtest]
-fn fleets_of_any_size_keep_the_live_and_notice_the_gone_in_the_time_that_they_are_given() {
-    for n in [5, 30, 90, 400] {
-        let mut b = Bench::new(n, 7);
-        b.run(30_000);
-        let (mut missed, mut looks) = (0, 0);
+fn fleets_of_any_size_see_the_live_and_notice_the_gone_within_their_timeout() {
+    for node_count in [5, 30, 90, 400] {
+        let mut network = fleet(node_count, 7);
+        network.run(30_000);
+        let (mut missed_count, mut look_count) = (0, 0);
         for _ in 0..40 {
-            b.run(500);
-            (missed, looks) = (missed + missing(&b), looks + n * (n - 1));
+            network.run(500);
+            missed_count += network.missed_count();
+            look_count += node_count * (node_count - 1);
         }
-        expect_that!(missed * 100_000, le(looks), "{n}: live ones taken for gone");
-        let gone = [Name::from("n3"), Name::from("n4")];
-        gone.iter().for_each(|g| drop(b.nodes.remove(g)));
-        let sees = |b: &Bench| {
-            b.nodes
-                .values()
-                .any(|m| m.live(NodeRole::Edge).any(|x| gone.contains(&x.name)))
-        };
-        // A beat's age rises by nothing on the way, here as long as a tick.
-        b.run(NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * n as Ms) + 2 * MAX_SHUFFLE_INTERVAL);
-        expect_false!(sees(&b), "{n}: gone ones taken for live");
+        expect_that!(
+            missed_count * 100_000,
+            le(look_count),
+            "{node_count}: live ones taken for gone"
+        );
+        network.remove("n3");
+        network.remove("n4");
+        let sees_gone = |network: &Network| is_seen(network, "n3") || is_seen(network, "n4");
+        // A heartbeat's age rises by nothing on the way, here as long as a tick.
+        let timeout = NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * node_count as Ms);
+        network.run(timeout + 2 * MAX_SHUFFLE_INTERVAL);
+        expect_false!(
+            sees_gone(&network),
+            "{node_count}: gone ones taken for live"
+        );
         for _ in 0..20 {
-            b.run(500);
-            expect_false!(sees(&b), "{n}: rumours brought one back");
+            network.run(500);
+            expect_false!(sees_gone(&network), "{node_count}: gossip brought one back");
         }
     }
 }
 
-/// One node's turn, all of it to the other, which also hears that the first lives.
-fn turn(from: &mut Membership, to: &mut Membership, name: &str, now: Ms) {
-    let mut out = vec![];
-    from.tick(now, &mut out);
+/// One node's tick, all of it to the other, which also hears that the first is alive.
+fn tick_to(from: &mut Membership, to: &mut Membership, now: Ms) {
+    let mut effects = vec![];
+    from.tick(now, &mut effects);
+    let name = from.me().name.clone();
     let me = Node {
-        name: name.into(),
-        addr: name.into(),
-        role: NodeRole::Edge.to_byte(),
-        incarnation: 1,
         heartbeat: now as u32,
-        ..Node::default()
+        ..edge(&name)
     };
     to.on_description(&me, now, &mut vec![]);
-    for e in out {
-        let Effect::Send {
-            msg: Message::Shuffle(m),
+    for effect in effects {
+        if let Effect::Send {
+            msg: Message::Shuffle(shuffle),
             ..
-        } = e
-        else {
-            continue;
-        };
-        to.on_shuffle(&name.into(), m, now, &mut vec![]);
+        } = effect
+        {
+            to.on_shuffle(&name, shuffle, now, &mut vec![]);
+        }
     }
 }
 
 #[gtest]
-fn a_beat_that_is_passed_to_and_fro_gets_no_younger() {
-    let node = |n: &str| Node {
-        name: n.into(),
-        addr: n.into(),
-        role: NodeRole::Edge.to_byte(),
-        incarnation: 1,
-        ..Node::default()
+fn a_heartbeat_that_is_passed_to_and_fro_gets_no_younger() {
+    let start = |name: &str| Membership::new(edge(name), vec![], 1);
+    let (mut first, mut second) = (start("a"), start("b"));
+    let gone = Node {
+        heartbeat: 9,
+        ..edge("c")
     };
-    let new = |n: &str| Membership::new(node(n), vec![], 1);
-    let (mut a, mut b, mut out) = (new("a"), new("b"), vec![]);
-    a.on_description(
-        &Node {
-            heartbeat: 9,
-            ..node("c")
-        },
-        10_000,
-        &mut out,
-    );
+    first.on_description(&gone, 10_000, &mut vec![]);
     for now in (10_000..14_000).step_by(TICK_INTERVAL as usize) {
-        turn(&mut a, &mut b, "a", now);
-        turn(&mut b, &mut a, "b", now);
-        let knows = |m: &Membership| m.live(NodeRole::Edge).any(|n| &*n.name == "c");
+        tick_to(&mut first, &mut second, now);
+        tick_to(&mut second, &mut first, now);
         if now > 10_000 + NODE_TIMEOUT + 2 * SHUFFLE_INTERVAL {
-            expect_false!(knows(&a) || knows(&b), "{now}");
+            expect_false!(sees(&first, "c") || sees(&second, "c"), "{now}");
         }
     }
 }
 
 #[gtest]
-fn what_a_node_says_anew_of_itself_comes_round() {
-    let mut b = Bench::new(60, 3);
-    b.run(10_000);
-    let who = Name::from("n7");
-    b.nodes
-        .entry(who.clone())
-        .and_modify(|m| m.set_http_addr("10.0.0.7:80"));
-    b.run(6_000);
-    let lacks =
-        |m: &&Membership| m.me().name != who && m.get(&who).is_none_or(|n| n.http_addr.is_empty());
-    expect_that!(b.nodes.values().filter(lacks).count(), eq(0));
+fn a_changed_description_reaches_all() {
+    let mut network = fleet(60, 3);
+    network.run(10_000);
+    let changed = Name::from("n7");
+    network
+        .nodes
+        .entry(changed.clone())
+        .and_modify(|membership| membership.set_http_addr("10.0.0.7:80"));
+    network.run(6_000);
+    let lacks_change = |membership: &&Membership| {
+        membership.me().name != changed
+            && membership
+                .get(&changed)
+                .is_none_or(|node| node.http_addr.is_empty())
+    };
+    expect_that!(network.nodes.values().filter(lacks_change).count(), eq(0));
+}
+
+fn frame_bytes(sent: &Sent) -> usize {
+    let envelope = Envelope {
+        from: sent.from.clone(),
+        addr: sent.from.clone(),
+        msg: sent.shuffle.clone().into(),
+    };
+    encode(&envelope).map_or(0, |frame| frame.len())
 }
 
 #[gtest]
-fn a_large_fleet_says_no_more_to_neighbours_than_a_small_one() {
-    let rate = |n: usize| {
-        let mut b = Bench::new(n, 5);
-        b.run(40_000);
-        b.bytes = Some(0);
-        b.run(20_000);
-        b.bytes.unwrap_or_default() / 20 / n
+fn a_large_fleet_sends_no_more_to_neighbours_than_a_small_one() {
+    let bytes_per_second = |node_count: usize| {
+        let mut network = fleet(node_count, 5);
+        network.run(40_000);
+        let mut bytes = 0;
+        network.run_observed(20_000, |sent| bytes += frame_bytes(&sent));
+        bytes / 20 / node_count
     };
-    let (small, large) = (rate(60), rate(400));
+    let (small, large) = (bytes_per_second(60), bytes_per_second(400));
     expect_that!(small, le(3_600), "bytes a second of each");
     expect_that!(large, le(1_500), "bytes a second of each");
 }
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -1,133 +1,111 @@
-//! What goes from region to region: beats cross seldom and still soon enough.
+//! Gossip between regions: heartbeats cross seldom and still soon enough.
 
-use std::collections::BTreeMap;
+mod support;
 
 use coordination::{
-    Effect,
-    membership::{Membership, NodeRole},
+    Ms,
+    membership::Membership,
     regions::Regions,
-    timing::{NODE_TIMEOUT, TICK_INTERVAL},
-    wire::{Message, Name, Node},
+    timing::NODE_TIMEOUT,
+    wire::{Name, Node},
 };
 use googletest::prelude::*;
+use support::gossip::{self, Network};
 
-/// Nodes of three regions that shuffle over a network that loses every tenth message.
+const ZONE_COUNT: usize = 6;
+const ZONES_PER_REGION: usize = 2;
+
+/// Nodes of three regions.
 struct Fleet {
-    now: u64,
-    nodes: BTreeMap<Name, Membership>,
-    rng: fastrand::Rng,
+    network: Network,
     /// Messages inside regions and between them.
-    sent: [usize; 2],
+    local_count: usize,
+    remote_count: usize,
 }
 
 fn zone(name: &str) -> usize {
-    name[1..].parse::<usize>().unwrap_or(0) % 6
+    name[1..].parse::<usize>().unwrap_or(0) % ZONE_COUNT
+}
+
+fn region(name: &str) -> usize {
+    zone(name) / ZONES_PER_REGION
 }
 
 impl Fleet {
-    fn new(n: usize, seed: u64) -> Self {
-        // Two zones a region.
-        let regions: Regions = (0..6)
-            .map(|z| (format!("z{z}"), format!("r{}", z / 2)))
+    fn new(node_count: usize, seed: u64) -> Self {
+        let regions: Regions = (0..ZONE_COUNT)
+            .map(|zone| (format!("z{zone}"), format!("r{}", zone / ZONES_PER_REGION)))
             .collect();
-        let one = |i: usize| {
-            let name: Name = format!("n{i}").into();
-            let zone = format!("z{}", zone(&name)).into();
+        let mut network = Network::new(seed);
+        for index in 0..node_count {
+            let name: Name = format!("n{index}").into();
             let me = Node {
-                name: name.clone(),
-                addr: name.clone(),
-                role: NodeRole::Edge.to_byte(),
-                incarnation: 1,
-                zone,
-                ..Node::default()
+                zone: format!("z{}", zone(&name)).into(),
+                ..gossip::edge(&name)
             };
-            let mut m = Membership::new(
-                me,
-                ["n0", "n1", "n2"].map(Into::into).into(),
-                seed + i as u64,
-            );
-            m.set_regions(regions.clone());
-            (name, m)
-        };
+            let seeds = ["n0", "n1", "n2"].map(Into::into).into();
+            let mut membership = Membership::new(me, seeds, seed + index as u64);
+            membership.set_regions(regions.clone());
+            network.nodes.insert(name, membership);
+        }
         Fleet {
-            now: 0,
-            nodes: (0..n).map(one).collect(),
-            rng: fastrand::Rng::with_seed(seed),
-            sent: [0; 2],
+            network,
+            local_count: 0,
+            remote_count: 0,
         }
     }
-    fn run(&mut self, ms: u64) {
-        let end = self.now + ms;
-        while self.now < end {
-            self.now += TICK_INTERVAL;
-            let mut out: Vec<(Name, Vec<Effect>)> = vec![];
-            for (n, m) in &mut self.nodes {
-                let mut o = vec![];
-                m.tick(self.now, &mut o);
-                out.push((n.clone(), o));
-            }
-            while let Some((from, o)) = out.pop() {
-                for e in o {
-                    let Effect::Send {
-                        to,
-                        msg: Message::Shuffle(m),
-                    } = e
-                    else {
-                        continue;
-                    };
-                    self.sent[usize::from(zone(&from) / 2 != zone(&to) / 2)] += 1;
-                    let Some(n) = self.nodes.get_mut(&to).filter(|_| self.rng.u8(..10) > 0) else {
-                        continue;
-                    };
-                    let mut o = vec![];
-                    n.on_shuffle(&from, m, self.now, &mut o);
-                    out.push((to, o));
-                }
+
+    fn run(&mut self, duration: Ms) {
+        let (mut local_count, mut remote_count) = (0, 0);
+        self.network.run_observed(duration, |sent| {
+            if region(sent.from) == region(sent.to) {
+                local_count += 1;
+            } else {
+                remote_count += 1;
             }
-        }
+        });
+        self.local_count += local_count;
+        self.remote_count += remote_count;
     }
-    /// Nodes not taken for live, over all that look.
-    fn missing(&self) -> usize {
-        self.nodes
-            .values()
-            .map(|m| self.nodes.len() - 1 - m.live(NodeRole::Edge).count())
-            .sum()
+
+    fn reset_counts(&mut self) {
+        self.local_count = 0;
+        self.remote_count = 0;
     }
 }
 
 #[gtest]
 fn a_large_fleet_shuffles_mostly_inside_its_regions_and_takes_no_live_node_for_gone() {
     for seed in 0..4 {
-        let mut f = Fleet::new(90, seed);
-        f.run(15_000);
-        f.sent = [0; 2];
-        let mut missing = 0;
+        let mut fleet = Fleet::new(90, seed);
+        fleet.run(15_000);
+        fleet.reset_counts();
+        let mut missed_count = 0;
         for _ in 0..40 {
-            f.run(500);
-            missing += f.missing();
+            fleet.run(500);
+            missed_count += fleet.network.missed_count();
         }
-        let [near, far] = f.sent;
+        let (local, remote) = (fleet.local_count, fleet.remote_count);
         // Of neighbours drawn from all two thirds would be in other regions.
         expect_that!(
-            far * 100 / (near + far),
+            remote * 100 / (local + remote),
             le(36),
-            "seed {seed}: {near} and {far}"
+            "seed {seed}: {local} and {remote}"
         );
         // Of 320,400 looks of one node at another, one in ten thousand.
-        expect_that!(missing, le(32), "seed {seed}");
+        expect_that!(missed_count, le(32), "seed {seed}");
     }
 }
 
 #[gtest]
 fn a_small_fleet_draws_from_all_regions() {
     for seed in 0..30 {
-        let mut f = Fleet::new(11, seed);
-        f.run(5_000);
-        expect_that!(f.missing(), eq(0), "seed {seed}");
-        f.sent = [0; 2];
-        f.run(3 * NODE_TIMEOUT);
-        let [near, far] = f.sent;
-        expect_that!(far, ge(near), "seed {seed}");
-        expect_that!(f.missing(), eq(0), "seed {seed}");
+        let mut fleet = Fleet::new(11, seed);
+        fleet.run(5_000);
+        expect_that!(fleet.network.missed_count(), eq(0), "seed {seed}");
+        fleet.reset_counts();
+        fleet.run(3 * NODE_TIMEOUT);
+        expect_that!(fleet.remote_count, ge(fleet.local_count), "seed {seed}");
+        expect_that!(fleet.network.missed_count(), eq(0), "seed {seed}");
     }
 }
--- /dev/null
+++ b/coordination/tests/support/mod.rs
@@ -0,0 +1,5 @@
+//! What several test files share: nodes that gossip over a lossy network, and a control daemon that is the only voter.
+#![allow(dead_code, reason = "each test file uses a part")]
+
+pub mod gossip;
+pub mod lone_control;
