--- /dev/null
+++ b/coordination/tests/update_pushes.rs
@@ -0,0 +1,248 @@
+//! How a control daemon pushes committed values to edges: a long value is sent to those that lack it, once, and by the
+//! nearest daemon.
+
+mod support;
+
+use coordination::{
+    Effect, Ms,
+    control::{ASSUMED_BYTES_PER_MS, Control, PUSH_TIMEOUT},
+    membership::NodeRole,
+    register::Expect,
+    timing::TICK_INTERVAL,
+    wire::{Heartbeat, Message, Node, Poll, Update},
+};
+use googletest::prelude::*;
+use support::{
+    agents::node,
+    lone_control::{self, DISK_ID, NAME},
+};
+
+/// Bytes of a long spec.
+const LONG_VALUE_BYTES: usize = 30_000;
+
+/// A control daemon that is the only voter, and what it sends to others than itself.
+struct LoneControl {
+    control: Control,
+    now: Ms,
+    /// Of the agent that polls it.
+    agent_zone: &'static str,
+}
+
+impl LoneControl {
+    /// One that has settled and is polled from a zone.
+    fn polled_from(agent_zone: &'static str) -> Self {
+        let mut lone = LoneControl {
+            control: Control::new(lone_control::config(), DISK_ID, vec![], 1, 0),
+            now: 0,
+            agent_zone,
+        };
+        for _ in 0..200 {
+            lone.tick();
+        }
+        lone
+    }
+
+    /// Carries effects out at once; gives the updates to others.
+    fn carry_out(&mut self, mut effects: Vec<Effect>) -> Vec<Update> {
+        let mut updates = vec![];
+        while let Some(effect) = effects.pop() {
+            match effect {
+                Effect::Send { to, msg } if &*to == NAME => {
+                    effects.extend(self.control.on_message(&to, &to, msg, self.now));
+                }
+                Effect::Send {
+                    msg: Message::Update(update),
+                    ..
+                } => updates.push(update),
+                Effect::Persist { then, .. } => effects.extend(then),
+                _ => {}
+            }
+        }
+        updates
+    }
+
+    fn tick(&mut self) -> Vec<Update> {
+        self.now += TICK_INTERVAL;
+        let effects = self.control.tick(self.now);
+        self.carry_out(effects)
+    }
+
+    fn write(&mut self, key: &str, bytes: usize) -> Vec<Update> {
+        let (_, effects) = self
+            .control
+            .write(key, Expect::Any, vec![7; bytes], self.now);
+        self.carry_out(effects)
+    }
+
+    /// The answers to a poll of an agent that has the change stream up to a position.
+    fn poll(&mut self, stream: Stream) -> Vec<Update> {
+        let poll = Poll {
+            node: Node {
+                zone: self.agent_zone.into(),
+                ..node("e", NodeRole::Edge)
+            },
+            sent_at: self.now,
+            source_incarnation: stream.incarnation,
+            after_position: stream.position,
+            ..Poll::default()
+        };
+        self.receive("e", poll)
+    }
+
+    /// The answers to the first poll of an agent, and where it then is in the change stream.
+    fn first_poll(&mut self) -> Stream {
+        let answers = self.poll(Stream::default());
+        Stream {
+            incarnation: answers[0].source_incarnation,
+            position: answers[0].through_position,
+        }
+    }
+
+    /// Another control daemon is alive in the zone `y`.
+    fn hear_other_daemon(&mut self) {
+        let heartbeat = Heartbeat {
+            member_epoch: 1,
+            disk_id: 8,
+            zone: "y".into(),
+            ..Heartbeat::default()
+        };
+        self.receive("d", heartbeat);
+    }
+
+    fn receive(&mut self, from: &str, message: impl Into<Message>) -> Vec<Update> {
+        let effects = self
+            .control
+            .on_message(&from.into(), &from.into(), message.into(), self.now);
+        self.carry_out(effects)
+    }
+}
+
+/// Where an agent is in the change stream of a control daemon.
+#[derive(Clone, Copy, Default)]
+struct Stream {
+    incarnation: u64,
+    position: u64,
+}
+
+impl Stream {
+    fn at(self, position: u64) -> Self {
+        Stream { position, ..self }
+    }
+}
+
+fn value_bytes(updates: &[Update]) -> usize {
+    updates
+        .iter()
+        .flat_map(|update| update.changes.iter())
+        .map(|change| change.value.0.len())
+        .sum()
+}
+
+// At 299 machines and 3,000 replicas each poll of an edge that was still to be sent anything was answered by a snapshot
+// of all that there is, behind those that were on their way: 278 MB were in control daemons' buffers.
+#[gtest]
+fn a_long_snapshot_is_not_sent_again_behind_itself() {
+    const SNAPSHOT_BYTES: usize = 600_000;
+    const DURATION: Ms = 10_000;
+    let mut lone = LoneControl::polled_from("z");
+    lone.write("plan/s", SNAPSHOT_BYTES);
+    let started_at = lone.now;
+    let mut sent_bytes = 0;
+    while lone.now < started_at + DURATION {
+        sent_bytes += value_bytes(&lone.poll(Stream::default()));
+        lone.tick();
+    }
+    let assumed_bytes = (DURATION * ASSUMED_BYTES_PER_MS) as usize;
+    // A snapshot that was lost is sent again.
+    expect_that!(
+        sent_bytes,
+        all![ge(2 * SNAPSHOT_BYTES), le(assumed_bytes + SNAPSHOT_BYTES)]
+    );
+}
+
+#[gtest]
+fn short_values_do_not_wait_behind_long_ones_and_the_position_is_never_ahead_of_what_came() {
+    let mut lone = LoneControl::polled_from("z");
+    let stream = lone.first_poll();
+    expect_that!(value_bytes(&lone.write("plan/s", 600_000)), eq(600_000));
+    let mut sent_bytes = 0;
+    for turn in 0..10 {
+        lone.tick();
+        let updates = lone.poll(stream);
+        sent_bytes += value_bytes(&updates);
+        // The agent gets its leases all the same, and is not told that it has what may still be lost.
+        expect_that!(updates.len(), eq(1));
+        expect_that!(
+            updates[0].through_position,
+            eq(stream.position),
+            "at {turn}"
+        );
+    }
+    expect_that!(sent_bytes, eq(0));
+    expect_that!(value_bytes(&lone.write("zone/z", 5)), eq(5));
+    // What was lost comes once more, after the time that it would have taken.
+    lone.now += 3_000;
+    let again = lone.poll(stream);
+    expect_that!(value_bytes(&again), eq(600_005));
+    let updates = lone.poll(stream.at(again[0].through_position));
+    expect_that!(value_bytes(&updates), eq(0));
+}
+
+#[gtest]
+fn a_long_value_is_pushed_by_the_nearest_daemon_and_by_others_only_if_that_one_does_not_send_it() {
+    for (zone, is_nearest) in [("z", true), ("y", false)] {
+        let mut lone = LoneControl::polled_from(zone);
+        let mut stream = lone.first_poll();
+        lone.hear_other_daemon();
+        let pushed_bytes = value_bytes(&lone.write("plan/s", LONG_VALUE_BYTES));
+        let expected_bytes = if is_nearest { LONG_VALUE_BYTES } else { 0 };
+        expect_that!(pushed_bytes, eq(expected_bytes), "zone {zone}");
+        // A short value goes to whom it went to before, and is not taken for all that there is.
+        let started_at = lone.now;
+        let mut sent_bytes = pushed_bytes;
+        while sent_bytes == 0 && lone.now < started_at + 5_000 {
+            lone.hear_other_daemon();
+            lone.tick();
+            let updates = lone.poll(stream);
+            expect_that!(updates.len(), eq(1));
+            stream = stream.at(updates[0].through_position);
+            sent_bytes += value_bytes(&updates);
+        }
+        expect_that!(sent_bytes, eq(LONG_VALUE_BYTES));
+        let most = if is_nearest {
+            0
+        } else {
+            PUSH_TIMEOUT + TICK_INTERVAL
+        };
+        expect_that!(lone.now - started_at, le(most));
+    }
+}
+
+// A record that changes all the time must not be left to a daemon that does not reach the edge.
+#[gtest]
+fn a_long_value_that_changes_all_the_time_reaches_an_edge_that_its_nearest_daemon_does_not() {
+    let mut lone = LoneControl::polled_from("y");
+    let mut stream = lone.first_poll();
+    let (mut last_received_at, mut longest_gap) = (lone.now, 0);
+    for turn in 0..200 {
+        lone.hear_other_daemon();
+        let mut updates = if turn % 4 == 0 {
+            lone.write("plan/s", LONG_VALUE_BYTES + turn)
+        } else {
+            vec![]
+        };
+        lone.tick();
+        if let Some(last) = updates.last() {
+            stream = stream.at(last.through_position);
+        }
+        updates.extend(lone.poll(stream));
+        let answered_position = updates[updates.len() - 1].through_position;
+        stream = stream.at(stream.position.max(answered_position));
+        if value_bytes(&updates) > 0 {
+            longest_gap = longest_gap.max(lone.now - last_received_at);
+            last_received_at = lone.now;
+        }
+    }
+    expect_that!(longest_gap, le(3 * PUSH_TIMEOUT));
+    expect_that!(last_received_at, ge(lone.now - 3 * PUSH_TIMEOUT));
+}
