--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -1,47 +1,58 @@
-//! Calls to the platform: one bound for the whole fleet, also while a duty goes from one holder to another.
+//! Calls to the platform: one rate limit for the whole fleet, also while a singleton role goes from one holder to another.
 
 use coordination::{Ms, control::call_rate_share, placement::Bucket};
 use googletest::prelude::*;
 
-/// Most calls in any second, of callers who call whenever they may; each begins and ends at times of its own.
-fn most(rate: f64, callers: &[(Ms, Ms)], share: f64) -> usize {
-    let mut at: Vec<Ms> = vec![];
-    for &(from, to) in callers {
-        let mut b = Bucket::new(share, 1.0, from);
-        at.extend((from..to).filter(|t| b.draw(*t)));
+/// A daemon that calls whenever its share of the rate limit lets it.
+struct Caller {
+    starts_at: Ms,
+    ends_at: Ms,
+}
+
+/// Most calls of all callers in any second.
+fn max_calls_per_second(callers: &[Caller], share: f64) -> usize {
+    let mut called_at: Vec<Ms> = vec![];
+    for caller in callers {
+        let mut bucket = Bucket::new(share, 1.0, caller.starts_at);
+        called_at.extend((caller.starts_at..caller.ends_at).filter(|now| bucket.draw(*now)));
     }
-    at.sort_unstable();
-    assert!(rate > 0.0 && !at.is_empty());
-    (0..at.len())
-        .map(|i| at[i..].iter().take_while(|t| **t < at[i] + 1_000).count())
-        .max()
-        .unwrap()
+    called_at.sort_unstable();
+    assert!(!called_at.is_empty());
+    let calls_within_second = |first: usize| {
+        called_at[first..]
+            .iter()
+            .take_while(|at| **at < called_at[first] + 1_000)
+            .count()
+    };
+    (0..called_at.len()).map(calls_within_second).max().unwrap()
 }
 
 #[gtest]
-fn the_fleets_calls_keep_the_rate_while_duties_change_hands() {
+fn the_fleets_calls_keep_the_rate_limit_while_roles_change_hands() {
     const END: Ms = 12_000;
-    for rate in [2.0, 5.0, 10.0, 40.0] {
-        for (voters, duties) in [(1, 1), (3, 1), (5, 1), (3, 2), (5, 2), (5, 7)] {
-            let share = call_rate_share(rate, voters, duties);
-            // Each duty has a holder and one that has not noticed yet that it lost it.
-            let holders = voters.min(2 * duties);
-            let callers: Vec<(Ms, Ms)> = (0..holders as Ms)
-                .map(|i| {
-                    if i % 2 == 0 {
-                        (i * 37, 8_000 + i * 11)
+    for rate_limit in [2.0, 5.0, 10.0, 40.0] {
+        assert!(rate_limit > 0.0);
+        for (voters, roles) in [(1, 1), (3, 1), (5, 1), (3, 2), (5, 2), (5, 7)] {
+            let share = call_rate_share(rate_limit, voters, roles);
+            // Each role has a holder and one that has not noticed yet that it lost it.
+            let holder_count = voters.min(2 * roles);
+            let callers: Vec<Caller> = (0..holder_count as Ms)
+                .map(|index| {
+                    let (starts_at, ends_at) = if index % 2 == 0 {
+                        (index * 37, 8_000 + index * 11)
                     } else {
-                        (5_000 + i * 53, END)
-                    }
+                        (5_000 + index * 53, END)
+                    };
+                    Caller { starts_at, ends_at }
                 })
                 .collect();
             expect_that!(
-                most(rate, &callers, share) as f64,
-                le(rate.max(holders as f64)),
-                "{rate} a second, {voters} voters, {duties} duties"
+                max_calls_per_second(&callers, share) as f64,
+                le(rate_limit.max(holder_count as f64)),
+                "{rate_limit} a second, {voters} voters, {roles} roles"
             );
             // And one holder has enough of it to go on.
-            expect_that!(share, ge(rate / (2 * holders) as f64));
+            expect_that!(share, ge(rate_limit / (2 * holder_count) as f64));
         }
     }
 }
