--- a/coordination/tests/catching_up.rs
+++ b/coordination/tests/catching_up.rs
@@ -13,9 +13,9 @@
 const STORM: Ms = 80;
 
 fn settled(seed: u64, n: usize) -> Fleet {
-    let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-    f.until(10_000, |f| {
-        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
+    let mut f = Fleet::bootstrapped(seed, n, |i| format!("r{}", i % 3));
+    f.run_until(10_000, |f| {
+        (0..3).all(|i| f.control(i).is_some_and(|b| b.is_settled()))
     })
     .expect("the fleet settles");
     f
@@ -23,15 +23,15 @@
 /// Changes the spec every so often for a while; gives how many changes were accepted.
 fn storm(f: &mut Fleet, at: usize, ms: Ms, each: impl Fn(&mut Fleet)) -> usize {
     let end = f.now + ms;
-    let before = f.ends.len();
+    let before = f.write_outcomes.len();
     while f.now < end {
-        let on = f.held(at, SPEC_KEY).map_or(0, |h| h.0);
+        let on = f.value(at, SPEC_KEY).map_or(0, |h| h.0);
         let value = format!("at {}", f.now).into_bytes();
         f.write(at, SPEC_KEY, Some(on), &value);
         f.run(STORM);
         each(f);
     }
-    f.ends.len() - before
+    f.write_outcomes.len() - before
 }
 
 /// One member misses a change of a key; other keys go on changing so fast that no two of its comparisons with the others
@@ -42,16 +42,17 @@
         let f = &mut settled(seed, 3);
         let owner = |f: &Fleet, key| {
             (0..3).find(|i| {
-                f.brain(*i)
+                f.control(*i)
                     .is_some_and(|b| b.registers.held_until(key, f.now).is_some())
             })
         };
-        f.put(ZONE, b"before", 5_000).expect("it is accepted");
+        f.write_until_accepted(ZONE, b"before", 5_000)
+            .expect("it is accepted");
         f.run(1_000);
         let (zones, specs) = (owner(f, ZONE).unwrap(), owner(f, SPEC_KEY).unwrap_or(0));
         let behind = (0..3).find(|i| ![zones, specs].contains(i)).unwrap();
         let addr = fleet::addr(behind);
-        f.sieve = Box::new(move |_, to, m| {
+        f.delivers = Box::new(move |_, to, m| {
             let key = match m {
                 Message::Accept(a) => &a.key,
                 Message::Commit(c) => &c.change.key,
@@ -59,8 +60,9 @@
             };
             *to != addr || **key != *ZONE
         });
-        f.put(ZONE, b"after", 5_000).expect("it is accepted");
-        let value = |f: &Fleet| f.held(behind, ZONE).map(|h| h.1);
+        f.write_until_accepted(ZONE, b"after", 5_000)
+            .expect("it is accepted");
+        let value = |f: &Fleet| f.value(behind, ZONE).map(|h| h.1);
         expect_that!(
             value(f),
             some(eq(b"before")),
@@ -84,27 +86,27 @@
         if seed % 2 == 0 {
             f.kill(behind);
         } else {
-            f.cut.insert(fleet::addr(behind));
+            f.partitioned.insert(fleet::addr(behind));
         }
         let missed = storm(f, at, 24_000, |_| ());
         expect_that!(missed, ge(200), "seed {seed}");
-        let newest = f.held(at, SPEC_KEY).unwrap().0;
+        let newest = f.value(at, SPEC_KEY).unwrap().0;
         if seed % 2 == 0 {
             f.start(behind);
         } else {
-            f.cut.clear();
+            f.partitioned.clear();
         }
         let back = f.now;
         let told = std::cell::Cell::new(0);
         let whole = std::cell::Cell::new(None);
         storm(f, at, 6_000, |f| {
-            let has = f.held(behind, SPEC_KEY).map_or(0, |h| h.0);
+            let has = f.value(behind, SPEC_KEY).map_or(0, |h| h.0);
             expect_that!(has, ge(told.get()), "seed {seed}: it goes back");
             told.set(has);
             // With daemons to spare another has its vote by then, and it stands by.
             let votes = f.voters(behind).contains(&format!("c{behind}"));
             let is_whole =
-                has >= newest && (!votes || f.brain(behind).is_some_and(|b| b.is_settled()));
+                has >= newest && (!votes || f.control(behind).is_some_and(|b| b.is_settled()));
             whole.set(whole.get().or(is_whole.then_some(f.now - back)));
         });
         expect_that!(
@@ -129,9 +131,9 @@
             f.start(behind);
             let ms = f.rng.u64(20..500);
             storm(f, at, ms, |_| ());
-            let has = f.held(behind, SPEC_KEY).map_or(0, |h| h.0);
+            let has = f.value(behind, SPEC_KEY).map_or(0, |h| h.0);
             expect_that!(has, ge(synced), "seed {seed}: it goes back");
-            let on_disk = f.all[behind].disk.get(SPEC_KEY).cloned();
+            let on_disk = f.daemons[behind].disk.get(SPEC_KEY).cloned();
             if let Some(coordination::Row::Slot(s)) = on_disk {
                 synced = s.committed_version;
             }
@@ -139,13 +141,13 @@
         }
         f.start(behind);
         f.run(4_000);
-        let newest = f.held(at, SPEC_KEY).unwrap().0;
+        let newest = f.value(at, SPEC_KEY).unwrap().0;
         expect_that!(
-            f.held(behind, SPEC_KEY).map(|h| h.0),
+            f.value(behind, SPEC_KEY).map(|h| h.0),
             some(eq(newest)),
             "seed {seed}"
         );
-        expect_true!(f.brain(behind).is_some_and(|b| b.is_settled()));
+        expect_true!(f.control(behind).is_some_and(|b| b.is_settled()));
     }
 }
 
@@ -154,9 +156,9 @@
 fn status_tells_who_is_cut_off_and_who_is_behind() {
     let f = &mut settled(1, 3);
     f.run(2_000);
-    let told = |f: &Fleet, i: usize| f.brain(i).unwrap().status(f.now);
+    let told = |f: &Fleet, i: usize| f.control(i).unwrap().status(f.now);
     let counter = |f: &Fleet, i: usize, name| {
-        f.brain(i)
+        f.control(i)
             .unwrap()
             .counters(f.now)
             .into_iter()
@@ -171,7 +173,7 @@
                 .all(|m| m.live && m.same == Some(true) && m.member_epoch == Some(s.member_epoch))
     };
     expect_that!((0..3).filter(|i| whole(f, *i)).count(), eq(3));
-    f.cut.insert(fleet::addr(2));
+    f.partitioned.insert(fleet::addr(2));
     storm(f, 0, 3_000, |_| ());
     for i in 0..3 {
         let s = told(f, i);
@@ -194,8 +196,8 @@
         );
     }
     // It is heard again and what it holds is older, until it has caught up.
-    f.cut.clear();
-    f.sieve = Box::new(|_, to, m| {
+    f.partitioned.clear();
+    f.delivers = Box::new(|_, to, m| {
         *to != fleet::addr(2)
             || !matches!(
                 m,
@@ -213,7 +215,7 @@
     };
     expect_that!(behind(f), elements_are![eq("c2")]);
     expect_that!(counter(f, 0, "voters_behind"), some(eq(1)));
-    f.sieve = Box::new(|_, _, _| true);
+    f.delivers = Box::new(|_, _, _| true);
     f.run(3_000);
     expect_that!((0..3).filter(|i| whole(f, *i)).count(), eq(3));
     expect_that!(counter(f, 0, "voters_behind"), some(eq(0)));
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -1,275 +1,366 @@
-//! Whatever is killed, wiped, replaced, cut off and late, as long as no more disks are lost at once than are to be
-//! borne: what was accepted stands, a version has one value, a duty has one holder.
+//! Whatever is killed, wiped, replaced, partitioned and late, as long as no more disks are lost at once than a majority
+//! survives: what was accepted remains, a version has one value, a singleton role has one holder.
 
 mod fleet;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::{
+    cell::Cell,
+    collections::{BTreeMap, BTreeSet},
+    ops::Range,
+};
 
 use coordination::{Ms, WriteOutcome};
 use fleet::Fleet;
 use googletest::prelude::*;
 
-/// ms. Between two losses of disks: the one that is back is whole by then.
-const SYNC: Ms = 4_000;
+/// Between two losses of disks: the daemon that is back has caught up by then.
+const CATCH_UP_TIME: Ms = 4_000;
+/// Between two looks at what the daemons have.
+const LOOK_INTERVAL: Ms = 10;
+/// Faults in one run.
+const FAULT_COUNT: u64 = 25;
+/// Added to a fault's number: values of a second write during it, and of the write before it.
+const SECOND_WRITE: u64 = 1_000_000;
+const WRITE_BEFORE_FAULT: u64 = 2_000_000;
+
+/// An operator's write.
+struct SubmittedWrite {
+    expected_version: u64,
+    value: Vec<u8>,
+}
 
 struct Run {
-    f: Fleet,
-    /// Writes of operators: version expected, value.
-    asked: BTreeMap<(usize, u64), (u64, Vec<u8>)>,
+    fleet: Fleet,
+    submitted: BTreeMap<(usize, u64), SubmittedWrite>,
     accepted: BTreeMap<u64, Vec<u8>>,
-    /// Every value that any daemon held for committed under a version.
-    seen: BTreeMap<u64, BTreeSet<Vec<u8>>>,
-    faults: Vec<String>,
+    /// Every value that any daemon took for committed under a version.
+    committed: BTreeMap<u64, BTreeSet<Vec<u8>>>,
+    violations: Vec<String>,
     regions: BTreeMap<String, String>,
 }
 
 impl Run {
+    fn new(seed: u64, daemon_count: usize) -> Self {
+        let region = |index: usize| format!("r{}", index % 3);
+        Run {
+            fleet: Fleet::bootstrapped(seed, daemon_count, region),
+            submitted: BTreeMap::new(),
+            accepted: BTreeMap::new(),
+            committed: BTreeMap::new(),
+            violations: vec![],
+            regions: (0..200)
+                .map(|index| (format!("z{index}"), region(index)))
+                .collect(),
+        }
+    }
+
     fn look(&mut self) {
-        let now = self.f.now;
-        for (w, (expect, value)) in &self.asked {
-            if let Some((_, WriteOutcome::Accepted(v))) = self.f.ends.get(w) {
-                let old = self.accepted.insert(*v, value.clone());
-                if *v != expect + 1 || old.is_some_and(|o| o != *value) {
-                    self.faults
-                        .push(format!("{w:?} accepted as {v} over {expect} at {now}"));
-                }
+        self.check_accepted_writes();
+        for index in 0..self.fleet.daemons.len() {
+            if let Some((version, value)) = self.fleet.value(index, "spec") {
+                self.committed.entry(version).or_default().insert(value);
             }
         }
-        for i in 0..self.f.all.len() {
-            if let Some((v, value)) = self.f.held(i, "spec") {
-                self.seen.entry(v).or_default().insert(value);
+        self.check_role_holders();
+    }
+
+    fn check_accepted_writes(&mut self) {
+        let now = self.fleet.now;
+        for (write, submitted) in &self.submitted {
+            let outcome = self.fleet.write_outcomes.get(write);
+            let Some((_, WriteOutcome::Accepted(version))) = outcome else {
+                continue;
+            };
+            let expected = submitted.expected_version;
+            let former = self.accepted.insert(*version, submitted.value.clone());
+            if *version != expected + 1 || former.is_some_and(|value| value != submitted.value) {
+                self.violations.push(format!(
+                    "{write:?} accepted as {version} over {expected} at {now}"
+                ));
             }
         }
-        let holders: Vec<usize> = (0..self.f.all.len())
-            .filter(|i| {
-                self.f
-                    .brain(*i)
-                    .is_some_and(|b| b.registers.held_until("rollout/s", now).is_some())
-            })
-            .collect();
+    }
+
+    fn check_role_holders(&mut self) {
+        let now = self.fleet.now;
+        let holds_role = |index: &usize| {
+            self.fleet
+                .control(*index)
+                .is_some_and(|control| control.registers.held_until("rollout/s", now).is_some())
+        };
+        let holders: Vec<usize> = (0..self.fleet.daemons.len()).filter(holds_role).collect();
         if holders.len() > 1 {
-            self.faults
-                .push(format!("{holders:?} hold one duty at {now}"));
+            self.violations
+                .push(format!("{holders:?} hold one role at {now}"));
         }
     }
-    fn run(&mut self, ms: Ms) {
-        for _ in 0..ms / 10 {
-            self.f.run(10);
+
+    fn run(&mut self, duration: Ms) {
+        for _ in 0..duration / LOOK_INTERVAL {
+            self.fleet.run(LOOK_INTERVAL);
             self.look();
         }
     }
+
+    /// Runs for a random time of that range.
+    fn run_some(&mut self, duration: Range<Ms>) {
+        let duration = self.fleet.rng.u64(duration);
+        self.run(duration);
+    }
+
     /// All voters are up and vote: the losses before are made up for.
-    fn whole(&self) -> bool {
-        let voting = self.f.voting();
-        let member_epoch = voting
+    fn has_caught_up(&self) -> bool {
+        let voting = self.fleet.voting();
+        let newest_epoch = voting
             .iter()
-            .filter_map(|i| self.f.brain(*i))
-            .map(|b| b.registers.member_epoch)
+            .filter_map(|index| self.fleet.control(*index))
+            .map(|control| control.registers.member_epoch)
             .max();
-        let all = |i: &usize| {
-            self.f.brain(*i).is_some_and(|b| {
-                Some(b.registers.member_epoch) == member_epoch
-                    && b.registers.voters.len() == voting.len()
+        let agrees = |index: &usize| {
+            self.fleet.control(*index).is_some_and(|control| {
+                Some(control.registers.member_epoch) == newest_epoch
+                    && control.registers.voters.len() == voting.len()
             })
         };
-        !voting.is_empty() && voting.iter().all(all)
+        !voting.is_empty() && voting.iter().all(agrees)
     }
-    fn up(&self) -> Vec<usize> {
-        (0..self.f.all.len())
-            .filter(|i| self.f.brain(*i).is_some())
-            .collect()
+
+    fn any_running(&mut self) -> Option<usize> {
+        let running = self.fleet.running();
+        self.fleet.rng.choice(&running).copied()
+    }
+
+    fn newest_version(&self, index: usize) -> u64 {
+        self.fleet
+            .value(index, "spec")
+            .map_or(0, |(version, _)| version)
     }
-    fn write(&mut self, n: u64) {
-        let up = self.up();
-        let Some(&i) = self.f.rng.choice(&up) else {
+
+    /// Submits a write of a value with this number to any daemon.
+    fn write(&mut self, number: u64) {
+        let Some(index) = self.any_running() else {
             return;
         };
-        let expect = self.f.held(i, "spec").map_or(0, |h| h.0);
-        let value = format!("value {n}").into_bytes();
-        if let Some(w) = self.f.write(i, "spec", Some(expect), &value) {
-            self.asked.insert(w, (expect, value));
+        let expected_version = self.newest_version(index);
+        let value = format!("value {number}").into_bytes();
+        let write = self
+            .fleet
+            .write(index, "spec", Some(expected_version), &value);
+        if let Some(write) = write {
+            let submitted = SubmittedWrite {
+                expected_version,
+                value,
+            };
+            self.submitted.insert(write, submitted);
         }
     }
-    /// Sends a write of before until it has a clear answer.
-    fn again(&mut self, version: u64, value: &[u8]) -> Option<WriteOutcome> {
+
+    /// Sends an accepted write again until it has a clear outcome.
+    fn write_again(&mut self, version: u64, value: &[u8]) -> Option<WriteOutcome> {
         for _ in 0..20 {
-            let up = self.up();
-            let &i = self.f.rng.choice(&up)?;
-            let w = self.f.write(i, "spec", Some(version - 1), value)?;
-            self.f.until(4_000, |f| f.ends.contains_key(&w));
-            match self.f.ends.get(&w) {
-                Some((_, e @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_)))) => {
-                    return Some(*e);
+            let index = self.any_running()?;
+            let write = self.fleet.write(index, "spec", Some(version - 1), value)?;
+            self.fleet
+                .run_until(4_000, |fleet| fleet.write_outcomes.contains_key(&write));
+            match self.fleet.write_outcomes.get(&write) {
+                Some((_, outcome @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_)))) => {
+                    return Some(*outcome);
                 }
-                _ => self.f.run(200),
+                _ => self.fleet.run(200),
             }
         }
         None
     }
-    fn step(&mut self, n: u64, lose: usize) {
-        let up = self.up();
-        match self.f.rng.u8(..10) {
-            0 | 1 => {
-                // Killed, with its disk kept.
-                let Some(&i) = self.f.rng.choice(&up) else {
-                    return;
-                };
-                self.f.kill(i);
-                let ms = self.f.rng.u64(50..2_000);
-                self.write(n);
-                self.run(ms);
-                self.f.start(i);
-            }
-            2 | 3 => {
-                // As many disks as may be lost go at once, and come back blank, or as other machines.
-                if !self.whole() {
-                    return;
-                }
-                let mut all = up.clone();
-                self.f.rng.shuffle(&mut all);
-                all.truncate(lose);
-                all.iter().for_each(|i| self.f.wipe(*i));
-                let ms = self.f.rng.u64(50..3_000);
-                self.run(ms);
-                self.write(n);
-                for i in all {
-                    if self.f.rng.bool() {
-                        self.f.start(i);
-                        continue;
-                    }
-                    let (next, seeds) = (self.f.all.len(), self.up());
-                    let regions = self.regions.clone();
-                    self.f.add(next, &seeds, false, &regions);
-                }
-                self.run(SYNC);
-            }
-            4 => {
-                // All at once, disks kept.
-                let all = up.clone();
-                all.iter().for_each(|i| self.f.kill(*i));
-                self.run(300);
-                for i in all {
-                    let ms = self.f.rng.u64(..400);
-                    self.run(ms);
-                    self.f.start(i);
-                }
-            }
-            5 | 6 => {
-                // Cut off.
-                let Some(&i) = self.f.rng.choice(&up) else {
-                    return;
-                };
-                let a = self.f.all[i].p.addr.clone();
-                self.f.cut.insert(a.clone());
-                let ms = self.f.rng.u64(200..4_000);
-                self.write(n);
-                self.run(ms / 2);
-                self.write(n + 1_000_000);
-                self.run(ms / 2);
-                self.f.cut.remove(&a);
-            }
-            7 => {
-                let Some(&i) = self.f.rng.choice(&up) else {
-                    return;
-                };
-                self.f.all[i].sync = self.f.rng.u64(1..400);
-            }
-            8 => {
-                let lost = self.f.rng.u64(..30);
-                let seed = self.f.rng.u64(..);
-                let count = std::cell::Cell::new(seed);
-                // Some in a hundred are lost.
-                self.f.sieve = Box::new(move |_, _, _| {
-                    count.set(
-                        count
-                            .get()
-                            .wrapping_mul(6_364_136_223_846_793_005)
-                            .wrapping_add(1),
-                    );
-                    (count.get() >> 33) % 100 >= lost
-                });
-            }
+
+    /// Injects a random fault, and submits writes of values with this number meanwhile.
+    fn inject_fault(&mut self, number: u64, disks_lost: usize) {
+        let running = self.fleet.running();
+        match self.fleet.rng.u8(..10) {
+            0 | 1 => self.kill_one(number),
+            2 | 3 => self.lose_disks(running, disks_lost, number),
+            4 => self.kill_all(running),
+            5 | 6 => self.partition_one(number),
+            7 => self.slow_disk(),
+            8 => self.lose_messages(),
             _ => {
-                self.write(n);
-                self.write(n + 1_000_000);
+                self.write(number);
+                self.write(number + SECOND_WRITE);
             }
         }
     }
-}
 
-fn sweep(seeds: std::ops::Range<u64>, once_failed: &[u64], n: usize, lose: usize) {
-    let (mut accepted, mut longest) = (0, 0);
-    // More of them, for a sweep: `CHAOS_SEEDS=1000-4000`.
-    let asked = std::env::var("CHAOS_SEEDS").ok();
-    let asked = asked
-        .as_deref()
-        .and_then(|s| s.split_once('-'))
-        .and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    for seed in asked.unwrap_or(seeds).chain(once_failed.iter().copied()) {
-        let regions: BTreeMap<String, String> = (0..200)
-            .map(|i| (format!("z{i}"), format!("r{}", i % 3)))
-            .collect();
-        let f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-        let (asked, seen, faults) = Default::default();
-        let mut r = Run {
-            f,
-            asked,
-            accepted: BTreeMap::new(),
-            seen,
-            faults,
-            regions,
+    /// Its disk remains.
+    fn kill_one(&mut self, number: u64) {
+        let Some(index) = self.any_running() else {
+            return;
+        };
+        self.fleet.kill(index);
+        let duration = self.fleet.rng.u64(50..2_000);
+        self.write(number);
+        self.run(duration);
+        self.fleet.start(index);
+    }
+
+    /// As many disks as may be lost go at once, and come back blank, or as other machines.
+    fn lose_disks(&mut self, running: Vec<usize>, disks_lost: usize, number: u64) {
+        if !self.has_caught_up() {
+            return;
+        }
+        let mut lost = running;
+        self.fleet.rng.shuffle(&mut lost);
+        lost.truncate(disks_lost);
+        for index in &lost {
+            self.fleet.wipe(*index);
+        }
+        self.run_some(50..3_000);
+        self.write(number);
+        for index in lost {
+            if self.fleet.rng.bool() {
+                self.fleet.start(index);
+                continue;
+            }
+            let (next, seeds) = (self.fleet.daemons.len(), self.fleet.running());
+            self.fleet.add(next, &seeds, false, &self.regions);
+        }
+        self.run(CATCH_UP_TIME);
+    }
+
+    /// All at once; their disks remain.
+    fn kill_all(&mut self, running: Vec<usize>) {
+        for index in &running {
+            self.fleet.kill(*index);
+        }
+        self.run(300);
+        for index in running {
+            self.run_some(0..400);
+            self.fleet.start(index);
+        }
+    }
+
+    fn partition_one(&mut self, number: u64) {
+        let Some(index) = self.any_running() else {
+            return;
         };
-        r.run(8_000);
-        r.f.put("rollout/s", b"duty", 5_000);
-        for k in 0..25 {
-            r.write(2_000_000 + k);
-            let ms = r.f.rng.u64(..1_500);
-            r.run(ms);
-            r.step(k, lose);
+        let addr = self.fleet.daemons[index].config.addr.clone();
+        self.fleet.partitioned.insert(addr.clone());
+        let duration = self.fleet.rng.u64(200..4_000);
+        self.write(number);
+        self.run(duration / 2);
+        self.write(number + SECOND_WRITE);
+        self.run(duration / 2);
+        self.fleet.partitioned.remove(&addr);
+    }
+
+    fn slow_disk(&mut self) {
+        let Some(index) = self.any_running() else {
+            return;
+        };
+        self.fleet.daemons[index].sync_duration = self.fleet.rng.u64(1..400);
+    }
+
+    /// Some in a hundred, until the next fault of this kind.
+    fn lose_messages(&mut self) {
+        let loss_percent = self.fleet.rng.u64(..30);
+        let state = Cell::new(self.fleet.rng.u64(..));
+        self.fleet.delivers = Box::new(move |_, _, _| {
+            let next = state
+                .get()
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1);
+            state.set(next);
+            (next >> 33) % 100 >= loss_percent
+        });
+    }
+
+    fn end_faults(&mut self) {
+        self.fleet.delivers = Box::new(|_, _, _| true);
+        for daemon in &mut self.fleet.daemons {
+            daemon.sync_duration = 5;
         }
-        r.f.sieve = Box::new(|_, _, _| true);
-        r.f.all.iter_mut().for_each(|d| d.sync = 5);
-        r.run(12_000);
-        let newest = r.accepted.keys().max().copied().unwrap_or(0);
-        expect_that!(r.faults, is_empty(), "seed {seed}");
-        let two: Vec<_> = r.seen.iter().filter(|(_, v)| v.len() > 1).collect();
-        expect_that!(two, is_empty(), "seed {seed}");
-        for (v, value) in &r.accepted {
-            let other = r.seen.get(v).is_some_and(|s| !s.contains(value));
+        self.run(12_000);
+    }
+
+    /// Each version has one value, the accepted one, and every daemon has the newest.
+    fn expect_one_history(&self, seed: u64) {
+        expect_that!(self.violations, is_empty(), "seed {seed}");
+        let ambiguous: Vec<_> = self
+            .committed
+            .iter()
+            .filter(|(_, values)| values.len() > 1)
+            .collect();
+        expect_that!(ambiguous, is_empty(), "seed {seed}");
+        for (version, value) in &self.accepted {
+            let is_other = self
+                .committed
+                .get(version)
+                .is_some_and(|values| !values.contains(value));
             expect_that!(
-                other,
+                is_other,
                 eq(false),
-                "seed {seed}: version {v} has another value than was accepted"
+                "seed {seed}: version {version} has another value than was accepted"
+            );
+        }
+        for index in self.fleet.running() {
+            expect_that!(
+                self.newest_version(index),
+                ge(self.newest_accepted()),
+                "seed {seed}: daemon {index} lacks the newest"
             );
         }
-        for i in r.up() {
+    }
+
+    fn newest_accepted(&self) -> u64 {
+        self.accepted.keys().max().copied().unwrap_or(0)
+    }
+
+    /// Whoever sends an accepted write again is told so, whatever has replaced it and whoever remembers it.
+    fn expect_accepted_again(&mut self, seed: u64) {
+        for (version, value) in self.accepted.clone() {
+            let again = self.write_again(version, &value);
             expect_that!(
-                r.f.held(i, "spec").map_or(0, |h| h.0),
-                ge(newest),
-                "seed {seed}: daemon {i} lacks the newest"
+                again,
+                some(eq(WriteOutcome::Accepted(version))),
+                "seed {seed}: version {version} sent again"
             );
         }
+    }
+}
+
+/// Seeds of a longer sweep: `CHAOS_SEEDS=1000-4000`.
+fn seeds_from_environment() -> Option<Range<u64>> {
+    let seeds = std::env::var("CHAOS_SEEDS").ok()?;
+    let (first, end) = seeds.split_once('-')?;
+    Some(first.parse().ok()?..end.parse().ok()?)
+}
+
+fn sweep(seeds: Range<u64>, once_failed: &[u64], daemon_count: usize, disks_lost: usize) {
+    let (mut accepted_count, mut longest_write) = (0, 0);
+    let seeds = seeds_from_environment().unwrap_or(seeds);
+    for seed in seeds.chain(once_failed.iter().copied()) {
+        let mut run = Run::new(seed, daemon_count);
+        run.run(8_000);
+        run.fleet.write_until_accepted("rollout/s", b"duty", 5_000);
+        for number in 0..FAULT_COUNT {
+            run.write(WRITE_BEFORE_FAULT + number);
+            run.run_some(0..1_500);
+            run.inject_fault(number, disks_lost);
+        }
+        run.end_faults();
+        let newest = run.newest_accepted();
+        run.expect_one_history(seed);
         // It still takes writes.
-        let took = r.f.put("spec", b"last", 8_000);
+        let last_write = run.fleet.write_until_accepted("spec", b"last", 8_000);
         expect_that!(
-            took,
+            last_write,
             some(anything()),
             "seed {seed}: no write is taken any more"
         );
-        // Whoever sends again what was accepted is told so, whatever has replaced it and whoever remembers it.
-        for (v, value) in r.accepted.clone() {
-            let again = r.again(v, &value);
-            expect_that!(
-                again,
-                some(eq(WriteOutcome::Accepted(v))),
-                "seed {seed}: version {v} sent again"
-            );
-        }
-        longest = longest.max(took.unwrap_or(0));
-        accepted += newest;
+        run.expect_accepted_again(seed);
+        longest_write = longest_write.max(last_write.unwrap_or(0));
+        accepted_count += newest;
     }
-    println!("{accepted} accepted, last write within {longest} ms");
-    expect_that!(accepted, gt(100));
+    println!("{accepted_count} accepted, last write within {longest_write} ms");
+    expect_that!(accepted_count, gt(100));
 }
 
 #[gtest]
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -67,14 +67,17 @@
 
 impl Duty {
     fn new(seed: u64) -> Self {
-        let mut f = Fleet::founded(seed, 3, |i| format!("reg{i}"));
+        let mut f = Fleet::bootstrapped(seed, 3, |i| format!("reg{i}"));
         f.run(8_000);
         let mut d = Duty {
             f,
             asked: vec![],
             hangs: None,
         };
-        expect_that!(d.f.put("spec", &spec(true), 10_000), some(anything()));
+        expect_that!(
+            d.f.write_until_accepted("spec", &spec(true), 10_000),
+            some(anything())
+        );
         d.run(6_000);
         d
     }
@@ -82,18 +85,18 @@
         let key = format!("{prefix}{}", service());
         (0..3).find(|i| {
             self.f
-                .brain(*i)
+                .control(*i)
                 .is_some_and(|b| b.registers.held_until(&key, self.f.now).is_some())
         })
     }
     fn loops(&mut self, i: usize) {
         let now = self.f.now;
-        let Some(b) = self.f.all[i].brain.as_mut() else {
+        let Some(b) = self.f.daemons[i].control.as_mut() else {
             return;
         };
         b.on_replica_list(list(), now);
         let out = b.run_rollouts(now, now / 1_000);
-        self.f.carry(i, out);
+        self.f.carry_out(i, out);
     }
     /// Every edge asks all daemons, and tells the holder what its callers ask for.
     fn edges(&mut self) {
@@ -143,11 +146,11 @@
     }
     fn tell(&mut self, i: usize, from: &str, m: Message) {
         let now = self.f.now;
-        let Some(b) = self.f.all[i].brain.as_mut() else {
+        let Some(b) = self.f.daemons[i].control.as_mut() else {
             return;
         };
         let out = b.on_message(&from.into(), &from.into(), m, now);
-        self.f.carry(i, out);
+        self.f.carry_out(i, out);
     }
     fn run(&mut self, ms: Ms) {
         let end = self.f.now + ms;
@@ -161,22 +164,22 @@
     }
     fn record(&self, i: usize) -> Option<ContextRecord> {
         self.f
-            .held(i, &key())
+            .value(i, &key())
             .and_then(|(_, v)| serde_json::from_slice(&v).ok())
     }
     /// Copies that each living daemon knows of.
     fn copies(&self) -> Vec<usize> {
-        let up = (0..3).filter(|i| self.f.brain(*i).is_some());
+        let up = (0..3).filter(|i| self.f.control(*i).is_some());
         up.map(|i| self.record(i).map_or(0, |r| r.parts.len()))
             .collect()
     }
     fn freeze(&mut self, i: usize) {
-        let b = self.f.all[i].brain.take().map(Box::new);
+        let b = self.f.daemons[i].control.take().map(Box::new);
         self.hangs = b.map(|b| (i, b));
     }
     fn wake(&mut self) {
         if let Some((i, b)) = self.hangs.take() {
-            self.f.all[i].brain = Some(*b);
+            self.f.daemons[i].control = Some(*b);
         }
     }
 }
@@ -223,10 +226,10 @@
         d.asked = (20..=25).collect();
         d.run(90_000);
         let stands = (0..3)
-            .filter_map(|i| d.f.held(i, &key()))
+            .filter_map(|i| d.f.value(i, &key()))
             .max_by_key(|h| h.0);
         let chains = |r: &ContextRecord| r.parts.iter().all(|p| p.chain >= 20);
-        let now = (0..3).find_map(|i| d.f.brain(i).and_then(|_| d.record(i)));
+        let now = (0..3).find_map(|i| d.f.control(i).and_then(|_| d.record(i)));
         expect_that!(
             now.as_ref().map(|r| (r.parts.len(), chains(r))),
             some(eq((12, true))),
@@ -238,7 +241,7 @@
         d.run(5_000);
         for i in 0..3 {
             expect_that!(
-                d.f.held(i, &key()).map(|h| h.0),
+                d.f.value(i, &key()).map(|h| h.0),
                 eq(stands.as_ref().map(|s| s.0)),
                 "seed {seed}, daemon {i}"
             );
@@ -253,8 +256,8 @@
         d.asked = (1..=6).collect();
         d.run(10_000);
         let old = d.holder(ROLLOUT_PREFIX).unwrap_or_default();
-        let before = d.f.held(old, &key()).map(|h| h.0);
-        d.f.cut.insert(addr(old));
+        let before = d.f.value(old, &key()).map(|h| h.0);
+        d.f.partitioned.insert(addr(old));
         d.run(4_000);
         // It still has the edges beside it, which ask for something else.
         for _ in 0..20 {
@@ -270,12 +273,12 @@
             d.run(500);
         }
         expect_that!(
-            d.f.held(old, &key()).map(|h| h.0),
+            d.f.value(old, &key()).map(|h| h.0),
             eq(before),
             "seed {seed}"
         );
         expect_that!(d.holder(CONTEXT_PREFIX), some(not(eq(old))));
-        d.f.cut.clear();
+        d.f.partitioned.clear();
         d.run(10_000);
         expect_true!(d.copies().iter().all(|n| *n == 12));
     }
@@ -287,20 +290,26 @@
     d.asked = (1..=6).collect();
     d.run(10_000);
     expect_true!(d.copies().iter().all(|n| *n == 12));
-    let status = d.f.brain(0).map(|b| b.status(d.f.now).contexts.len());
+    let status = d.f.control(0).map(|b| b.status(d.f.now).contexts.len());
     expect_that!(status, some(eq(1)));
-    expect_that!(d.f.put("spec", &spec(false), 10_000), some(anything()));
+    expect_that!(
+        d.f.write_until_accepted("spec", &spec(false), 10_000),
+        some(anything())
+    );
     d.run(5_000);
     expect_true!(d.copies().iter().all(|n| *n == 0));
     for i in 0..3 {
-        expect_that!(d.f.held(i, &key()).map(|h| h.1), some(is_empty()));
+        expect_that!(d.f.value(i, &key()).map(|h| h.1), some(is_empty()));
         expect_that!(
-            d.f.brain(i).map(|b| b.status(d.f.now).contexts.len()),
+            d.f.control(i).map(|b| b.status(d.f.now).contexts.len()),
             some(eq(0))
         );
     }
     // And on again.
-    expect_that!(d.f.put("spec", &spec(true), 10_000), some(anything()));
+    expect_that!(
+        d.f.write_until_accepted("spec", &spec(true), 10_000),
+        some(anything())
+    );
     d.run(10_000);
     expect_true!(d.copies().iter().all(|n| *n == 12));
 }
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -15,9 +15,9 @@
 }
 
 fn settled(seed: u64) -> Fleet {
-    let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-    f.until(10_000, |f| {
-        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
+    let mut f = Fleet::bootstrapped(seed, 3, |i| format!("r{i}"));
+    f.run_until(10_000, |f| {
+        (0..3).all(|i| f.control(i).is_some_and(|b| b.is_settled()))
     })
     .expect("the fleet settles");
     f
@@ -26,17 +26,17 @@
 /// Takes a write to a daemon; the end is looked for later.
 fn send(f: &mut Fleet, i: usize, e: Expect, v: &[u8]) -> (usize, u64) {
     let now = f.now;
-    let (t, out) = f.all[i]
-        .brain
+    let (t, out) = f.daemons[i]
+        .control
         .as_mut()
         .unwrap()
         .write(SPEC_KEY, e, v.to_vec(), now);
-    f.carry(i, out);
+    f.carry_out(i, out);
     (i, t)
 }
 fn end(f: &mut Fleet, w: (usize, u64)) -> Option<WriteOutcome> {
-    f.until(4_000, |f| f.ends.contains_key(&w));
-    f.ends.get(&w).map(|e| e.1)
+    f.run_until(4_000, |f| f.write_outcomes.contains_key(&w));
+    f.write_outcomes.get(&w).map(|e| e.1)
 }
 fn put(f: &mut Fleet, i: usize, e: Expect, v: &[u8]) -> Option<WriteOutcome> {
     let w = send(f, i, e, v);
@@ -44,8 +44,12 @@
 }
 fn newest(f: &mut Fleet, i: usize) -> Option<WriteOutcome> {
     let now = f.now;
-    let (t, out) = f.all[i].brain.as_mut().unwrap().read_newest(SPEC_KEY, now);
-    f.carry(i, out);
+    let (t, out) = f.daemons[i]
+        .control
+        .as_mut()
+        .unwrap()
+        .read_newest(SPEC_KEY, now);
+    f.carry_out(i, out);
     end(f, (i, t))
 }
 
@@ -82,7 +86,7 @@
     }
     f.run(1_000);
     for i in 0..3 {
-        expect_that!(f.brain(i).unwrap().spec().map(|s| s.release), some(eq(8)));
+        expect_that!(f.control(i).unwrap().spec().map(|s| s.release), some(eq(8)));
         // A repeat that comes after its successor is accepted as the version that it was; what lost is refused again.
         expect_that!(
             put(f, i, Expect::Release(0), &document(3, 1)),
@@ -133,7 +137,7 @@
         );
         let owner = (0..3)
             .find(|i| {
-                f.brain(*i)
+                f.control(*i)
                     .unwrap()
                     .registers
                     .held_until(SPEC_KEY, f.now)
@@ -141,7 +145,7 @@
             })
             .expect("an owner");
         let other = (owner + 1) % 3;
-        f.cut.insert(addr(owner));
+        f.partitioned.insert(addr(owner));
         // Until the others gave it up for dead they keep asking it, and are told that it is not known.
         let mut done = None;
         for _ in 0..8 {
@@ -164,9 +168,10 @@
             );
             expect_false!(clear, "seed {seed}: {t:?}");
         }
-        f.cut.clear();
-        let back: Option<Ms> =
-            f.until(6_000, |f| f.held(owner, SPEC_KEY).is_some_and(|h| h.0 == 2));
+        f.partitioned.clear();
+        let back: Option<Ms> = f.run_until(6_000, |f| {
+            f.value(owner, SPEC_KEY).is_some_and(|h| h.0 == 2)
+        });
         expect_that!(back, some(anything()), "seed {seed}");
         expect_that!(
             newest(f, owner),
@@ -214,7 +219,7 @@
     let mut met = 0;
     for seed in 0..20 {
         let f = &mut settled(seed);
-        f.way = 1;
+        f.max_latency = 1;
         expect_that!(
             put(f, 0, Expect::Release(0), &document(1, 0)),
             some(eq(WriteOutcome::Accepted(1)))
@@ -222,7 +227,7 @@
         f.run(1_000);
         let owner = (0..3)
             .find(|i| {
-                f.brain(*i)
+                f.control(*i)
                     .unwrap()
                     .registers
                     .held_until(SPEC_KEY, f.now)
@@ -231,24 +236,24 @@
             .expect("an owner");
         let (own, other) = (addr(owner), (owner + 1) % 3);
         // Offered to its own disk only; then another owns the key.
-        f.sieve = Box::new(move |from, to, m| {
+        f.delivers = Box::new(move |from, to, m| {
             *from != own || from == to || !matches!(m, Message::Accept(_))
         });
         send(f, owner, Expect::Release(1), &document(9, 0));
         f.run(50);
         f.kill(owner);
-        f.sieve = Box::new(|_, _, m| !matches!(m, Message::SlotsRequest(_)));
+        f.delivers = Box::new(|_, _, m| !matches!(m, Message::SlotsRequest(_)));
         f.run(2_500);
-        f.all[owner].sync = 100;
+        f.daemons[owner].sync_duration = 100;
         f.start(owner);
         let back = |f: &Fleet| {
-            f.brain(owner)
+            f.control(owner)
                 .unwrap()
                 .registers
                 .held_until(SPEC_KEY, f.now)
                 .is_some()
         };
-        if f.until(2_000, back).is_none() {
+        if f.run_until(2_000, back).is_none() {
             continue;
         }
         met += 1;
@@ -256,7 +261,7 @@
         let Some(WriteOutcome::Accepted(v)) = newest(f, other) else {
             continue;
         };
-        f.sieve = Box::new(|_, _, _| true);
+        f.delivers = Box::new(|_, _, _| true);
         let on = if v == 1 { 1 } else { 9 };
         expect_that!(
             put(f, other, Expect::Release(on), &document(12, 0)),
--- a/coordination/tests/feed.rs
+++ b/coordination/tests/feed.rs
@@ -71,12 +71,12 @@
 
 impl Land {
     fn new(seed: u64) -> Self {
-        let mut fleet = Fleet::founded(seed, DAEMONS, region);
+        let mut fleet = Fleet::bootstrapped(seed, DAEMONS, region);
         fleet.run(6_000);
         let told: Rc<RefCell<Vec<(Name, Name, Message)>>> = Rc::default();
         let cut: Rc<Cell<Option<usize>>> = Rc::default();
         let (log, sides) = (told.clone(), cut.clone());
-        fleet.sieve = Box::new(move |from, to, m| {
+        fleet.delivers = Box::new(move |from, to, m| {
             if to.starts_with('e') {
                 log.borrow_mut().push((from.clone(), to.clone(), m.clone()));
                 return true;
@@ -174,12 +174,12 @@
             for (from, to, m) in told {
                 let i = self
                     .fleet
-                    .all
+                    .daemons
                     .iter()
-                    .position(|d| d.p.addr == from)
+                    .position(|d| d.config.addr == from)
                     .unwrap();
                 if !self.deaf.contains(&i) {
-                    let name = self.fleet.all[i].p.name.clone();
+                    let name = self.fleet.daemons[i].config.name.clone();
                     self.post(&name, &from, to, m);
                 }
             }
@@ -190,15 +190,15 @@
                     self.carry(&to, out);
                 } else if let Some(i) = self
                     .fleet
-                    .all
+                    .daemons
                     .iter()
-                    .position(|d| d.p.addr == to && d.brain.is_some())
+                    .position(|d| d.config.addr == to && d.control.is_some())
                 {
-                    let out = self.fleet.all[i]
-                        .brain
+                    let out = self.fleet.daemons[i]
+                        .control
                         .as_mut()
                         .map_or(vec![], |b| b.on_message(&from, &addr, m, now));
-                    self.fleet.carry(i, out);
+                    self.fleet.carry_out(i, out);
                 }
             }
             let due: Vec<Name> = self
@@ -238,7 +238,7 @@
         let w = self.fleet.write(0, SPEC_KEY, None, &value).unwrap();
         for _ in 0..2_000 {
             self.run(1);
-            if let Some((at, _)) = self.fleet.ends.get(&w) {
+            if let Some((at, _)) = self.fleet.write_outcomes.get(&w) {
                 return *at;
             }
         }
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Control daemons alone, in virtual time: a network that delays, loses and is cut, disks that sync, hang and are
-//! lost, processes that die.
+//! Control daemons alone, in virtual time: a network that delays and loses and is partitioned, disks that sync, hang and
+//! are lost, processes that die.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,424 +11,477 @@
 };
 use wire_messages::{Message, Name};
 
+/// Between two looks at a condition that is waited for.
+const LOOK_INTERVAL: Ms = 10;
+/// How long an operator waits for a write, and how long until the next attempt.
+const WRITE_TIMEOUT: Ms = 1_000;
+const WRITE_RETRY_DELAY: Ms = 100;
+
+/// Rows to be synced, and the effects that follow.
+struct UnsyncedRows {
+    rows: Vec<Row>,
+    then: Effects,
+}
+
 pub struct Daemon {
-    pub p: ControlConfig,
-    pub brain: Option<Control>,
+    pub config: ControlConfig,
+    /// None while the process is dead.
+    pub control: Option<Control>,
     pub disk: BTreeMap<String, Row>,
     pub disk_id: u64,
-    pub life: u64,
-    /// Until when its disk ends nothing.
-    pub hung: Ms,
-    /// Until when it stands still; what reaches it waits in its sockets.
-    pub frozen: Ms,
-    /// What waits for its disk: it is synced together, as the shell does.
-    buffer: Vec<(Vec<Row>, Effects)>,
-    working: bool,
-    /// When its disk began what it is at.
-    since: Ms,
+    pub incarnation: u64,
+    /// Until when its disk ends no sync.
+    pub disk_hung_until: Ms,
+    /// Until when the process does not run; what reaches it waits in its sockets.
+    pub suspended_until: Ms,
+    /// Waits for the disk and is synced together, as the runtime does.
+    unsynced: Vec<UnsyncedRows>,
+    is_disk_busy: bool,
+    disk_busy_since: Ms,
     next_tick: Ms,
-    /// ms of one sync.
-    pub sync: Ms,
-    /// Notes it made, by name of the event.
-    pub notes: Vec<(Ms, &'static str)>,
+    pub sync_duration: Ms,
+    /// Events that it logged: when, and their names.
+    pub logged: Vec<(Ms, &'static str)>,
 }
 
-enum Ev {
+impl Daemon {
+    fn new(config: ControlConfig, disk_id: u64) -> Self {
+        Daemon {
+            config,
+            control: None,
+            disk: BTreeMap::new(),
+            disk_id,
+            incarnation: 0,
+            disk_hung_until: 0,
+            suspended_until: 0,
+            unsynced: vec![],
+            is_disk_busy: false,
+            disk_busy_since: 0,
+            next_tick: 0,
+            sync_duration: 5,
+            logged: vec![],
+        }
+    }
+
+    fn kill(&mut self) {
+        self.incarnation += 1;
+        self.control = None;
+        self.unsynced.clear();
+        self.is_disk_busy = false;
+    }
+
+    /// Ticks if that is due.
+    fn tick(&mut self, now: Ms) -> Effects {
+        if self.next_tick > now || self.suspended_until > now {
+            return vec![];
+        }
+        self.next_tick = now + TICK_INTERVAL;
+        let Some(control) = self.control.as_mut() else {
+            return vec![];
+        };
+        // As the runtime reports it.
+        control.disk_healthy =
+            !self.is_disk_busy || now - self.disk_busy_since <= DISK_SYNC_TIMEOUT;
+        control.tick(now)
+    }
+}
+
+enum Event {
     Deliver {
         to: Name,
         from: Name,
         addr: Name,
-        msg: Box<Message>,
+        message: Box<Message>,
     },
     Synced {
-        at: usize,
-        life: u64,
-        rows: Vec<Row>,
-        then: Effects,
+        index: usize,
+        incarnation: u64,
+        synced: UnsyncedRows,
     },
 }
 
-/// Decides a message's fate: `false` loses it.
-type Sieve = Box<dyn Fn(&Name, &Name, &Message) -> bool>;
+/// Whether a message from one address to another is delivered.
+type Filter = Box<dyn Fn(&Name, &Name, &Message) -> bool>;
 /// Changes a message before a daemon of this member epoch reads it.
-type Change = Box<dyn Fn(u32, &mut Message)>;
+type Rewrite = Box<dyn Fn(u32, &mut Message)>;
 
 pub struct Fleet {
     pub now: Ms,
-    pub all: Vec<Daemon>,
-    queue: BTreeMap<(Ms, u64), Ev>,
-    seq: u64,
+    pub daemons: Vec<Daemon>,
+    /// By time, then in the order of scheduling.
+    queue: BTreeMap<(Ms, u64), Event>,
+    last_event_number: u64,
     pub rng: fastrand::Rng,
     /// Addresses that neither send nor are reached.
-    pub cut: BTreeSet<Name>,
-    pub sieve: Sieve,
-    pub change: Option<Change>,
-    /// Ends of writes, by daemon and token: when, and how.
-    pub ends: BTreeMap<(usize, u64), (Ms, WriteOutcome)>,
-    /// ms of a message's way, at most; and how much longer each takes that is sent now.
-    pub way: Ms,
-    pub late: Ms,
-    tokens: u64,
+    pub partitioned: BTreeSet<Name>,
+    pub delivers: Filter,
+    pub rewrite: Option<Rewrite>,
+    /// Outcomes of writes, by daemon and token: when, and which.
+    pub write_outcomes: BTreeMap<(usize, u64), (Ms, WriteOutcome)>,
+    /// Longest network latency, and by how much each message takes longer that is sent now.
+    pub max_latency: Ms,
+    pub extra_latency: Ms,
     /// When a write is first confirmed at this daemon its disk is lost.
     pub wipe_after_ack: Option<usize>,
 }
 
-fn key(r: &Row) -> String {
-    match r {
-        Row::Slot(s) => s.key.to_string(),
+fn row_key(row: &Row) -> String {
+    match row {
+        Row::Slot(slot) => slot.key.to_string(),
         Row::Members { .. } => "\0members".into(),
     }
 }
 
-pub fn addr(i: usize) -> Name {
-    format!("10.0.0.{}:7000", i + 1).into()
+pub fn addr(index: usize) -> Name {
+    format!("10.0.0.{}:7000", index + 1).into()
 }
 
 impl Fleet {
-    /// `seeds`: by number. Daemons are added by `add`.
+    /// A fleet without daemons; they are added by `add`.
     pub fn new(seed: u64) -> Self {
         Fleet {
             now: 0,
-            all: vec![],
+            daemons: vec![],
             queue: BTreeMap::new(),
-            seq: 0,
+            last_event_number: 0,
             rng: fastrand::Rng::with_seed(seed),
-            cut: BTreeSet::new(),
-            sieve: Box::new(|_, _, _| true),
-            change: None,
-            ends: BTreeMap::new(),
-            way: 40,
-            late: 0,
-            tokens: 0,
+            partitioned: BTreeSet::new(),
+            delivers: Box::new(|_, _, _| true),
+            rewrite: None,
+            write_outcomes: BTreeMap::new(),
+            max_latency: 40,
+            extra_latency: 0,
             wipe_after_ack: None,
         }
     }
 
-    /// A fleet of `n` in as many zones, whose first three found it.
-    pub fn founded(seed: u64, n: usize, region: impl Fn(usize) -> String) -> Self {
-        let mut f = Fleet::new(seed);
-        let regions: BTreeMap<String, String> =
-            (0..n + 4).map(|i| (format!("z{i}"), region(i))).collect();
-        for i in 0..n {
-            f.add(i, &[0, 1, 2], true, &regions);
+    /// A fleet of so many daemons in as many zones, of which the first three are seeds and bootstrap it.
+    pub fn bootstrapped(seed: u64, daemon_count: usize, region: impl Fn(usize) -> String) -> Self {
+        let mut fleet = Fleet::new(seed);
+        let regions: BTreeMap<String, String> = (0..daemon_count + 4)
+            .map(|index| (format!("z{index}"), region(index)))
+            .collect();
+        for index in 0..daemon_count {
+            fleet.add(index, &[0, 1, 2], true, &regions);
         }
-        f
+        fleet
     }
 
-    /// Adds and starts a daemon.
+    /// Adds and starts a daemon. `seeds` are indices of daemons.
     pub fn add(
         &mut self,
-        i: usize,
+        index: usize,
         seeds: &[usize],
-        founding: bool,
+        bootstrap: bool,
         regions: &BTreeMap<String, String>,
     ) {
-        let p = ControlConfig {
-            name: format!("c{i}").into(),
-            zone: format!("z{i}").into(),
-            addr: addr(i),
-            http_addr: format!("h{i}").into(),
+        let config = ControlConfig {
+            name: format!("c{index}").into(),
+            zone: format!("z{index}").into(),
+            addr: addr(index),
+            http_addr: format!("h{index}").into(),
             members: vec![],
-            seeds: seeds.iter().map(|s| addr(*s)).collect(),
-            bootstrap: founding,
+            seeds: seeds.iter().map(|seed| addr(*seed)).collect(),
+            bootstrap,
             regions: regions.clone(),
             spec_parser: coordination::state_table::parse_own_spec,
             bounds: Default::default(),
         };
-        let disk_id = self.rng.u64(1..1 << 60);
-        let d = Daemon {
-            p,
-            brain: None,
-            disk: BTreeMap::new(),
-            disk_id,
-            life: 0,
-            hung: 0,
-            frozen: 0,
-            buffer: vec![],
-            working: false,
-            since: 0,
-            next_tick: 0,
-            sync: 5,
-            notes: vec![],
-        };
-        self.all.push(d);
-        self.start(self.all.len() - 1);
+        let disk_id = self.random_disk_id();
+        self.daemons.push(Daemon::new(config, disk_id));
+        self.start(self.daemons.len() - 1);
+    }
+
+    fn random_disk_id(&mut self) -> u64 {
+        self.rng.u64(1..1 << 60)
     }
 
-    pub fn start(&mut self, i: usize) {
+    pub fn start(&mut self, index: usize) {
         let now = self.now;
-        let d = &mut self.all[i];
-        d.life += 1;
-        let rows = d.disk.values().cloned().collect();
-        d.brain = Some(Control::new(
-            d.p.clone(),
-            d.disk_id,
+        let daemon = &mut self.daemons[index];
+        daemon.incarnation += 1;
+        let rows = daemon.disk.values().cloned().collect();
+        daemon.control = Some(Control::new(
+            daemon.config.clone(),
+            daemon.disk_id,
             rows,
-            1_000 + now * 10 + d.life,
+            1_000 + now * 10 + daemon.incarnation,
             now,
         ));
-        d.next_tick = now + 1 + self.rng.u64(..TICK_INTERVAL);
+        daemon.next_tick = now + 1 + self.rng.u64(..TICK_INTERVAL);
     }
-    pub fn kill(&mut self, i: usize) {
-        let d = &mut self.all[i];
-        d.life += 1;
-        d.brain = None;
-        d.buffer.clear();
-        d.working = false;
+
+    pub fn kill(&mut self, index: usize) {
+        self.daemons[index].kill();
     }
-    /// Kills it and loses its disk; it is no founder any more.
-    pub fn wipe(&mut self, i: usize) {
-        self.kill(i);
-        let id = self.rng.u64(1..1 << 60);
-        let d = &mut self.all[i];
-        d.disk.clear();
-        d.disk_id = id;
-        d.p.bootstrap = false;
+
+    /// Kills a daemon and loses its disk; it does not bootstrap any more.
+    pub fn wipe(&mut self, index: usize) {
+        self.kill(index);
+        let disk_id = self.random_disk_id();
+        let daemon = &mut self.daemons[index];
+        daemon.disk.clear();
+        daemon.disk_id = disk_id;
+        daemon.config.bootstrap = false;
     }
 
-    fn at(&mut self, ms: Ms, ev: Ev) {
-        self.seq += 1;
-        self.queue.insert((self.now + ms, self.seq), ev);
+    fn schedule(&mut self, delay: Ms, event: Event) {
+        self.last_event_number += 1;
+        self.queue
+            .insert((self.now + delay, self.last_event_number), event);
     }
 
-    pub fn carry(&mut self, i: usize, out: Effects) {
-        for e in out {
-            match e {
-                Effect::Send { to, msg } => {
-                    let (from, addr) = (self.all[i].p.name.clone(), self.all[i].p.addr.clone());
-                    let own = to == addr;
-                    if !own
-                        && (self.cut.contains(&to)
-                            || self.cut.contains(&addr)
-                            || !(self.sieve)(&addr, &to, &msg))
-                    {
-                        continue;
-                    }
-                    let ms = if own {
-                        0
-                    } else {
-                        1 + self.late + self.rng.u64(..self.way)
-                    };
-                    self.at(
-                        ms,
-                        Ev::Deliver {
-                            to,
-                            from,
-                            addr,
-                            msg: Box::new(msg),
-                        },
-                    );
-                }
+    pub fn carry_out(&mut self, index: usize, effects: Effects) {
+        for effect in effects {
+            match effect {
+                Effect::Send { to, msg } => self.send(index, to, msg),
                 Effect::Persist { rows, then } => {
-                    self.all[i].buffer.push((rows, then));
-                    self.disk_work(i);
+                    let unsynced = &mut self.daemons[index].unsynced;
+                    unsynced.push(UnsyncedRows { rows, then });
+                    self.start_sync(index);
                 }
                 Effect::WriteFinished { token, outcome } => {
-                    self.ends.insert((i, token), (self.now, outcome));
-                    if self.wipe_after_ack == Some(i)
+                    self.write_outcomes
+                        .insert((index, token), (self.now, outcome));
+                    if self.wipe_after_ack == Some(index)
                         && matches!(outcome, WriteOutcome::Accepted(_))
                     {
                         self.wipe_after_ack = None;
-                        self.wipe(i);
+                        self.wipe(index);
                         return;
                     }
                 }
                 Effect::Log { event, .. } => {
-                    let now = self.now;
-                    self.all[i].notes.push((now, event.name));
+                    self.daemons[index].logged.push((self.now, event.name));
                 }
                 Effect::Order { .. } => {}
             }
         }
     }
 
-    fn disk_work(&mut self, i: usize) {
+    fn send(&mut self, index: usize, to: Name, message: Message) {
+        let config = &self.daemons[index].config;
+        let (from, addr) = (config.name.clone(), config.addr.clone());
+        let is_to_itself = to == addr;
+        if !is_to_itself {
+            let is_cut = self.partitioned.contains(&to) || self.partitioned.contains(&addr);
+            if is_cut || !(self.delivers)(&addr, &to, &message) {
+                return;
+            }
+        }
+        let delay = if is_to_itself {
+            0
+        } else {
+            1 + self.extra_latency + self.rng.u64(..self.max_latency)
+        };
+        let delivery = Event::Deliver {
+            to,
+            from,
+            addr,
+            message: Box::new(message),
+        };
+        self.schedule(delay, delivery);
+    }
+
+    /// Starts to sync what waits for a daemon's disk, unless the disk is busy.
+    fn start_sync(&mut self, index: usize) {
         let now = self.now;
-        let d = &mut self.all[i];
-        if d.working || d.buffer.is_empty() {
+        let daemon = &mut self.daemons[index];
+        if daemon.is_disk_busy || daemon.unsynced.is_empty() {
             return;
         }
-        (d.working, d.since) = (true, now);
-        let (mut rows, mut then) = (vec![], vec![]);
-        for (r, t) in std::mem::take(&mut d.buffer) {
-            rows.extend(r);
-            then.extend(t);
+        daemon.is_disk_busy = true;
+        daemon.disk_busy_since = now;
+        let mut synced = UnsyncedRows {
+            rows: vec![],
+            then: vec![],
+        };
+        for unsynced in daemon.unsynced.drain(..) {
+            synced.rows.extend(unsynced.rows);
+            synced.then.extend(unsynced.then);
         }
-        let (wait, life) = (d.hung.saturating_sub(now) + d.sync, d.life);
-        self.at(
-            wait,
-            Ev::Synced {
-                at: i,
-                life,
-                rows,
-                then,
-            },
-        );
+        let delay = daemon.disk_hung_until.saturating_sub(now) + daemon.sync_duration;
+        let incarnation = daemon.incarnation;
+        let event = Event::Synced {
+            index,
+            incarnation,
+            synced,
+        };
+        self.schedule(delay, event);
     }
 
-    fn handle(&mut self, ev: Ev) {
-        let at = match &ev {
-            Ev::Deliver { to, .. } => self.all.iter().position(|d| d.p.addr == *to),
-            Ev::Synced { at, .. } => Some(*at),
+    fn handle(&mut self, event: Event) {
+        let index = match &event {
+            Event::Deliver { to, .. } => self
+                .daemons
+                .iter()
+                .position(|daemon| daemon.config.addr == *to),
+            Event::Synced { index, .. } => Some(*index),
         };
-        if let Some(ms) = at
-            .map(|i| self.all[i].frozen.saturating_sub(self.now))
-            .filter(|ms| *ms > 0)
-        {
-            return self.at(ms, ev);
+        let suspended_until = index.map_or(0, |index| self.daemons[index].suspended_until);
+        if suspended_until > self.now {
+            self.schedule(suspended_until - self.now, event);
+            return;
         }
-        match ev {
-            Ev::Deliver {
+        match event {
+            Event::Deliver {
                 to,
                 from,
                 addr,
-                mut msg,
-            } => {
-                let Some(i) = self
-                    .all
-                    .iter()
-                    .position(|d| d.p.addr == to && d.brain.is_some())
-                else {
-                    return;
-                };
-                let now = self.now;
-                let Some(b) = self.all[i].brain.as_mut() else {
-                    return;
-                };
-                if let Some(change) = &self.change {
-                    change(b.registers.member_epoch, &mut msg);
-                }
-                let out = b.on_message(&from, &addr, *msg, now);
-                self.carry(i, out);
-            }
-            Ev::Synced {
-                at,
-                life,
-                rows,
-                then,
-            } => {
-                if self.all[at].life != life {
-                    return;
-                }
-                self.all[at].working = false;
-                for r in rows {
-                    self.all[at].disk.insert(key(&r), r);
-                }
-                self.carry(at, then);
-                if self.all[at].life == life {
-                    self.disk_work(at);
-                }
-            }
+                message,
+            } => self.deliver(&to, &from, &addr, *message),
+            Event::Synced {
+                index,
+                incarnation,
+                synced,
+            } => self.finish_sync(index, incarnation, synced),
         }
     }
 
-    pub fn run(&mut self, ms: Ms) {
-        let end = self.now + ms;
+    fn deliver(&mut self, to: &Name, from: &Name, addr: &Name, mut message: Message) {
+        let receiver = self
+            .daemons
+            .iter()
+            .position(|daemon| daemon.config.addr == *to && daemon.control.is_some());
+        let Some(index) = receiver else {
+            return;
+        };
+        let Some(control) = self.daemons[index].control.as_mut() else {
+            return;
+        };
+        if let Some(rewrite) = &self.rewrite {
+            rewrite(control.registers.member_epoch, &mut message);
+        }
+        let effects = control.on_message(from, addr, message, self.now);
+        self.carry_out(index, effects);
+    }
+
+    fn finish_sync(&mut self, index: usize, incarnation: u64, synced: UnsyncedRows) {
+        let daemon = &mut self.daemons[index];
+        if daemon.incarnation != incarnation {
+            return;
+        }
+        daemon.is_disk_busy = false;
+        for row in synced.rows {
+            daemon.disk.insert(row_key(&row), row);
+        }
+        self.carry_out(index, synced.then);
+        if self.daemons[index].incarnation == incarnation {
+            self.start_sync(index);
+        }
+    }
+
+    pub fn run(&mut self, duration: Ms) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 1;
-            while let Some(e) = self.queue.first_entry().filter(|e| e.key().0 <= self.now) {
-                let ev = e.remove();
-                self.handle(ev);
+            while let Some(next) = self
+                .queue
+                .first_entry()
+                .filter(|next| next.key().0 <= self.now)
+            {
+                let event = next.remove();
+                self.handle(event);
             }
-            for i in 0..self.all.len() {
-                let now = self.now;
-                let d = &mut self.all[i];
-                if d.next_tick > now || d.frozen > now {
-                    continue;
-                }
-                d.next_tick = now + TICK_INTERVAL;
-                let Some(b) = d.brain.as_mut() else { continue };
-                // As the shell tells it.
-                b.disk_healthy = !d.working || now - d.since <= DISK_SYNC_TIMEOUT;
-                let out = b.tick(now);
-                self.carry(i, out);
+            for index in 0..self.daemons.len() {
+                let effects = self.daemons[index].tick(self.now);
+                self.carry_out(index, effects);
             }
         }
     }
-    /// Runs until it is so; says whether it came in time, and after how long.
-    pub fn until(&mut self, most: Ms, done: impl Fn(&Fleet) -> bool) -> Option<Ms> {
-        let from = self.now;
-        while self.now < from + most {
-            if done(self) {
-                return Some(self.now - from);
+
+    /// Runs until a condition holds; gives after how long it did, or none if it did not in time.
+    pub fn run_until(&mut self, most: Ms, condition: impl Fn(&Fleet) -> bool) -> Option<Ms> {
+        let started_at = self.now;
+        while self.now < started_at + most {
+            if condition(self) {
+                return Some(self.now - started_at);
             }
-            self.run(10);
+            self.run(LOOK_INTERVAL);
         }
-        done(self).then_some(most)
+        condition(self).then_some(most)
     }
 
-    pub fn brain(&self, i: usize) -> Option<&Control> {
-        self.all[i].brain.as_ref()
+    /// The state machine of a daemon; none while its process is dead.
+    pub fn control(&self, index: usize) -> Option<&Control> {
+        self.daemons[index].control.as_ref()
     }
+
+    /// Daemons whose process runs.
+    pub fn running(&self) -> Vec<usize> {
+        (0..self.daemons.len())
+            .filter(|index| self.control(*index).is_some())
+            .collect()
+    }
+
     /// Daemons that vote.
     pub fn voting(&self) -> Vec<usize> {
-        (0..self.all.len())
-            .filter(|i| self.brain(*i).is_some_and(|b| b.registers.voting))
-            .collect()
+        let votes = |index: &usize| {
+            self.control(*index)
+                .is_some_and(|control| control.registers.voting)
+        };
+        (0..self.daemons.len()).filter(votes).collect()
     }
-    /// Names of the voters as the daemon knows them.
-    pub fn voters(&self, i: usize) -> BTreeSet<String> {
-        self.brain(i).map_or(BTreeSet::new(), |b| {
-            b.registers
-                .voters
-                .iter()
-                .map(|v| v.name.to_string())
-                .collect()
+
+    /// Names of the voters as a daemon knows them.
+    pub fn voters(&self, index: usize) -> BTreeSet<String> {
+        self.control(index).map_or(BTreeSet::new(), |control| {
+            let voters = control.registers.voters.iter();
+            voters.map(|voter| voter.name.to_string()).collect()
         })
     }
-    pub fn held(&self, i: usize, key: &str) -> Option<(u64, Vec<u8>)> {
-        self.brain(i)?
+
+    /// The newest committed value that a daemon knows of a key, with its version.
+    pub fn value(&self, index: usize, key: &str) -> Option<(u64, Vec<u8>)> {
+        self.control(index)?
             .state_table()
             .get(key)
-            .map(|c| (c.version, c.value.0.clone()))
+            .map(|change| (change.version, change.value.0.clone()))
     }
 
+    /// Submits a write; gives its key in `write_outcomes`.
     pub fn write(
         &mut self,
-        i: usize,
+        index: usize,
         key: &str,
-        expect: Option<u64>,
+        expected: Option<u64>,
         value: &[u8],
     ) -> Option<(usize, u64)> {
         let now = self.now;
-        let (token, out) = self.all[i]
-            .brain
-            .as_mut()?
-            .write(key, expect, value.to_vec(), now);
-        self.carry(i, out);
-        Some((i, token))
+        let control = self.daemons[index].control.as_mut()?;
+        let (token, effects) = control.write(key, expected, value.to_vec(), now);
+        self.carry_out(index, effects);
+        Some((index, token))
     }
+
     /// Writes as an operator does: again and again at any daemon until it is accepted; gives how long that took.
-    pub fn put(&mut self, key: &str, value: &[u8], most: Ms) -> Option<Ms> {
-        let from = self.now;
-        while self.now < from + most {
-            self.tokens += 1;
-            let up: Vec<usize> = (0..self.all.len())
-                .filter(|i| self.brain(*i).is_some())
-                .collect();
-            let i = *self.rng.choice(&up)?;
-            let w = self.write(i, key, None, value)?;
-            self.until(1_000, |f| f.ends.contains_key(&w) || f.brain(i).is_none());
-            if let Some((at, WriteOutcome::Accepted(_))) = self.ends.get(&w) {
-                return Some(at - from);
+    pub fn write_until_accepted(&mut self, key: &str, value: &[u8], most: Ms) -> Option<Ms> {
+        let started_at = self.now;
+        while self.now < started_at + most {
+            let running = self.running();
+            let index = *self.rng.choice(&running)?;
+            let write = self.write(index, key, None, value)?;
+            self.run_until(WRITE_TIMEOUT, |fleet| {
+                fleet.write_outcomes.contains_key(&write) || fleet.control(index).is_none()
+            });
+            if let Some((at, WriteOutcome::Accepted(_))) = self.write_outcomes.get(&write) {
+                return Some(at - started_at);
             }
-            self.run(100);
+            self.run(WRITE_RETRY_DELAY);
         }
         None
     }
+
     /// Every voter list ever stored under member epoch 1, on any disk.
     pub fn first_voters(&self) -> BTreeSet<Vec<u64>> {
-        let lists = self
-            .all
-            .iter()
-            .filter_map(|d| match d.disk.get("\0members") {
-                Some(Row::Members {
-                    member_epoch: 1,
-                    voters,
-                    ..
-                }) => Some(voters.iter().map(|v| v.disk_id).collect()),
-                _ => None,
-            });
-        lists.collect()
+        let first_disk_ids = |daemon: &Daemon| match daemon.disk.get("\0members") {
+            Some(Row::Members {
+                member_epoch: 1,
+                voters,
+                ..
+            }) => Some(voters.iter().map(|voter| voter.disk_id).collect()),
+            _ => None,
+        };
+        self.daemons.iter().filter_map(first_disk_ids).collect()
     }
 }
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -12,16 +12,20 @@
 }
 
 fn three(seed: u64) -> Fleet {
-    Fleet::founded(seed, 3, one_region)
+    Fleet::bootstrapped(seed, 3, one_region)
 }
 
 #[gtest]
 fn the_seeds_found_it_at_once_and_writes_are_taken() {
     for seed in 0..20 {
         let mut f = three(seed);
-        let took = f.until(4_000, |f| f.voting().len() == 3);
+        let took = f.run_until(4_000, |f| f.voting().len() == 3);
         expect_that!(took, some(le(1_500)), "seed {seed}");
-        expect_that!(f.put("spec", b"one", 5_000), some(le(1_500)), "seed {seed}");
+        expect_that!(
+            f.write_until_accepted("spec", b"one", 5_000),
+            some(le(1_500)),
+            "seed {seed}"
+        );
         expect_that!(f.first_voters(), len(eq(1)), "seed {seed}");
     }
 }
@@ -29,8 +33,8 @@
 /// Daemons beyond the seeds have blank disks as well; they never found anything by themselves.
 #[gtest]
 fn only_the_seeds_are_the_first_voters() {
-    let mut f = Fleet::founded(1, 4, one_region);
-    f.until(4_000, |f| f.voting().len() == 3);
+    let mut f = Fleet::bootstrapped(1, 4, one_region);
+    f.run_until(4_000, |f| f.voting().len() == 3);
     expect_that!(
         f.voters(0),
         eq(&["c0", "c1", "c2"].map(String::from).into())
@@ -59,14 +63,14 @@
                 f.run(t);
                 f.kill(victim);
                 // A disk that died before it kept the word has never been told.
-                if !told && f.all[victim].disk.is_empty() {
+                if !told && f.daemons[victim].disk.is_empty() {
                     expect_that!(t, lt(100), "the word is kept at once");
                     continue;
                 }
                 f.run(300);
-                f.all[victim].p.bootstrap = told;
+                f.daemons[victim].config.bootstrap = told;
                 f.start(victim);
-                let took = f.until(6_000, |f| f.voting().len() == 3);
+                let took = f.run_until(6_000, |f| f.voting().len() == 3);
                 expect_that!(
                     took,
                     some(anything()),
@@ -79,7 +83,7 @@
                     "killed {victim} at {t}, told again: {told}"
                 );
                 expect_that!(
-                    f.put("spec", b"one", 5_000),
+                    f.write_until_accepted("spec", b"one", 5_000),
                     some(anything()),
                     "killed {victim} at {t}"
                 );
@@ -96,15 +100,19 @@
         for i in (0..3).filter(|i| *i != slow) {
             f.add(i, &[0, 1, 2], true, &Default::default());
         }
-        f.sieve = Box::new(|_, _, m| !matches!(m, Message::Bootstrap(_) | Message::SlotsReply(_)));
+        f.delivers =
+            Box::new(|_, _, m| !matches!(m, Message::Bootstrap(_) | Message::SlotsReply(_)));
         f.run(3_000);
         expect_that!(f.voting(), is_empty());
         f.add(slow, &[0, 1, 2], true, &Default::default());
         f.run(3_000);
         // The founder alone has them; it is no majority.
         expect_that!(f.voting(), len(le(1)));
-        f.sieve = Box::new(|_, _, _| true);
-        expect_that!(f.until(2_000, |f| f.voting().len() == 3), some(anything()));
+        f.delivers = Box::new(|_, _, _| true);
+        expect_that!(
+            f.run_until(2_000, |f| f.voting().len() == 3),
+            some(anything())
+        );
         expect_that!(f.first_voters(), len(eq(1)));
     }
 }
@@ -129,11 +137,17 @@
     let mut f = Fleet::new(3);
     f.add(0, &[1, 0], true, &Default::default());
     f.add(1, &[0, 1], true, &Default::default());
-    expect_that!(f.until(4_000, |f| f.voting().len() == 2), some(anything()));
+    expect_that!(
+        f.run_until(4_000, |f| f.voting().len() == 2),
+        some(anything())
+    );
     let mut f = Fleet::new(4);
     f.add(0, &[0], true, &Default::default());
-    expect_that!(f.until(4_000, |f| f.voting().len() == 1), some(anything()));
-    expect_that!(f.all[0].p.seeds, container_eq([addr(0)]));
+    expect_that!(
+        f.run_until(4_000, |f| f.voting().len() == 1),
+        some(anything())
+    );
+    expect_that!(f.daemons[0].config.seeds, container_eq([addr(0)]));
 }
 
 /// Whoever begins to vote says so at once: until the others know, two daemons take the same key, and the first writes
@@ -142,23 +156,24 @@
 fn the_first_writes_are_taken_without_a_dispute() {
     let (mut deposed, mut late) = (0, 0);
     for seed in 0..200 {
-        let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-        f.until(4_000, |f| f.voting().len() == 3).expect("all vote");
+        let mut f = Fleet::bootstrapped(seed, 3, |i| format!("r{i}"));
+        f.run_until(4_000, |f| f.voting().len() == 3)
+            .expect("all vote");
         // Word of it has come to each.
         f.run(100);
         let at = f.rng.usize(..3);
         let w = f.write(at, "spec", Some(0), b"one").unwrap();
-        let took = f.until(2_500, |f| f.ends.contains_key(&w));
+        let took = f.run_until(2_500, |f| f.write_outcomes.contains_key(&w));
         expect_that!(
-            f.ends.get(&w).map(|e| e.1),
+            f.write_outcomes.get(&w).map(|e| e.1),
             some(eq(WriteOutcome::Accepted(1))),
             "seed {seed}"
         );
         late += usize::from(took.is_none_or(|t| t > 500));
         deposed += f
-            .all
+            .daemons
             .iter()
-            .flat_map(|d| &d.notes)
+            .flat_map(|d| &d.logged)
             .filter(|n| n.1 == "OWNERSHIP_LOST")
             .count();
     }
--- a/coordination/tests/operators.rs
+++ b/coordination/tests/operators.rs
@@ -31,15 +31,17 @@
 
 fn send(f: &mut Fleet, at: usize, o: &Order) -> Option<Sent> {
     let now = f.now;
-    let (t, out) = f.all[at]
-        .brain
+    let (t, out) = f.daemons[at]
+        .control
         .as_mut()?
         .write(o.key, o.expect, o.value.clone(), now);
-    f.carry(at, out);
+    f.carry_out(at, out);
     Some((at, t))
 }
 fn up(f: &Fleet) -> Vec<usize> {
-    (0..f.all.len()).filter(|i| f.brain(*i).is_some()).collect()
+    (0..f.daemons.len())
+        .filter(|i| f.control(*i).is_some())
+        .collect()
 }
 fn anywhere(f: &mut Fleet, o: &Order) -> Option<Sent> {
     let up = up(f);
@@ -48,8 +50,10 @@
 }
 fn end(f: &mut Fleet, w: Option<Sent>) -> Option<WriteOutcome> {
     let w = w?;
-    f.until(3_000, |f| f.ends.contains_key(&w) || f.brain(w.0).is_none());
-    f.ends.get(&w).map(|e| e.1)
+    f.run_until(3_000, |f| {
+        f.write_outcomes.contains_key(&w) || f.control(w.0).is_none()
+    });
+    f.write_outcomes.get(&w).map(|e| e.1)
 }
 /// Sends an order again until it has a clear answer.
 fn clear(f: &mut Fleet, o: &Order) -> Option<WriteOutcome> {
@@ -67,8 +71,8 @@
     for _ in 0..40 {
         let (now, up) = (f.now, up(f));
         let at = *f.rng.choice(&up)?;
-        let (t, out) = f.all[at].brain.as_mut()?.read_newest(key, now);
-        f.carry(at, out);
+        let (t, out) = f.daemons[at].control.as_mut()?.read_newest(key, now);
+        f.carry_out(at, out);
         if let Some(e @ WriteOutcome::Accepted(_)) = end(f, Some((at, t))) {
             return Some(e);
         }
@@ -102,7 +106,7 @@
     match t {
         Trouble::None => return vec![],
         Trouble::OneAfterAck | Trouble::AllAfterAck => {
-            f.until(3_000, |f| f.ends.contains_key(&w));
+            f.run_until(3_000, |f| f.write_outcomes.contains_key(&w));
             let ms = f.rng.u64(..5);
             f.run(ms);
         }
@@ -111,8 +115,8 @@
             f.run(ms);
         }
     }
-    let owner = (0..f.all.len()).find(|i| {
-        f.brain(*i)
+    let owner = (0..f.daemons.len()).find(|i| {
+        f.control(*i)
             .is_some_and(|b| b.registers.held_until(key, f.now).is_some())
     });
     let gone: Vec<usize> = match t {
@@ -134,9 +138,9 @@
 /// A fleet whose three found it; with six machines three of them stand by or vote as well.
 fn settled(seed: u64) -> Fleet {
     let n = if seed.is_multiple_of(3) { 6 } else { 3 };
-    let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
-    f.until(10_000, |f| {
-        (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()))
+    let mut f = Fleet::bootstrapped(seed, n, |i| format!("r{}", i % 3));
+    f.run_until(10_000, |f| {
+        (0..3).all(|i| f.control(i).is_some_and(|b| b.is_settled()))
     })
     .expect("the fleet settles");
     f
@@ -174,7 +178,7 @@
                 },
             };
             let from = f
-                .brain(up(f)[0])
+                .control(up(f)[0])
                 .and_then(|b| b.spec())
                 .map_or(0, |s| s.release);
             let order = if order.key == SPEC_KEY {
@@ -190,7 +194,7 @@
                 continue;
             };
             let gone = goes(f, t, w, order.key);
-            let first = f.ends.get(&w).map(|e| e.1);
+            let first = f.write_outcomes.get(&w).map(|e| e.1);
             lost += usize::from(!matches!(first, Some(WriteOutcome::Accepted(_))));
             back(f, gone);
             // Its answer may be lost as well; the same order goes out again, to any daemon.
@@ -286,7 +290,7 @@
         f.run(3_000);
         let mut won = vec![];
         for (o, w) in orders.iter().zip(sent) {
-            let told = w.and_then(|w| f.ends.get(&w)).map(|e| e.1);
+            let told = w.and_then(|w| f.write_outcomes.get(&w)).map(|e| e.1);
             let sure = clear(f, o);
             expect_that!(sure, some(anything()), "seed {seed}, {t:?}: {o:?}");
             // A clear answer stays so.
@@ -310,8 +314,8 @@
             "seed {seed}, {t:?}"
         );
         f.run(500);
-        let held: Vec<_> = (0..f.all.len())
-            .filter_map(|i| f.held(i, SPEC_KEY))
+        let held: Vec<_> = (0..f.daemons.len())
+            .filter_map(|i| f.value(i, SPEC_KEY))
             .filter(|h| Some(h) != won.first())
             .collect();
         expect_that!(held, is_empty(), "seed {seed}, {t:?}");
@@ -328,7 +332,7 @@
         let f = &mut settled(seed);
         f.run(2_000);
         for n in 0..4u64 {
-            let on = f.brain(0).and_then(|b| b.spec()).map_or(0, |s| s.release);
+            let on = f.control(0).and_then(|b| b.spec()).map_or(0, |s| s.release);
             anywhere(
                 f,
                 &Order {
@@ -346,7 +350,7 @@
                 },
             )
             .unwrap();
-            let took = f.until(3_000, |f| f.ends.contains_key(&w));
+            let took = f.run_until(3_000, |f| f.write_outcomes.contains_key(&w));
             expect_that!(took, some(le(CALM)), "seed {seed}");
             f.run(500);
         }
@@ -373,11 +377,11 @@
             some(matches_pattern!(WriteOutcome::Accepted(_))),
             "seed {seed}"
         );
-        let owner = (0..f.all.len()).find(|i| {
-            f.brain(*i)
+        let owner = (0..f.daemons.len()).find(|i| {
+            f.control(*i)
                 .is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some())
         });
-        let asked = f.rng.usize(..f.all.len());
+        let asked = f.rng.usize(..f.daemons.len());
         // Either whoever was asked stands still, or who owns the key: before or after it took it or told of it.
         let (unread, still) = (
             seed % 3 == 2,
@@ -393,7 +397,7 @@
             f.run(ms);
         }
         let ms = f.rng.u64(9_000..20_000);
-        f.all[still].frozen = f.now + ms;
+        f.daemons[still].suspended_until = f.now + ms;
         let others: Vec<usize> = up(&f).into_iter().filter(|i| *i != still).collect();
         for o in [&on, &off] {
             let took = (0..200).any(|_| {
@@ -405,7 +409,7 @@
             // It lasts for longer than any daemon tries to have it accepted.
             f.run(FORWARD_TIMEOUT);
         }
-        let wakes = f.all[still].frozen;
+        let wakes = f.daemons[still].suspended_until;
         expect_that!(
             wakes,
             gt(f.now),
@@ -417,7 +421,7 @@
         }
         f.run(20_000);
         for i in up(&f) {
-            let value = f.held(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
+            let value = f.value(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
             expect_that!(
                 value.as_deref(),
                 some(eq("off")),
@@ -448,15 +452,15 @@
             some(matches_pattern!(WriteOutcome::Accepted(_))),
             "seed {seed}"
         );
-        let owner = (0..f.all.len()).find(|i| {
-            f.brain(*i)
+        let owner = (0..f.daemons.len()).find(|i| {
+            f.control(*i)
                 .is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some())
         });
         let others: Vec<usize> = up(&f).into_iter().filter(|i| Some(*i) != owner).collect();
         let cut = *f.rng.choice(&others).unwrap();
         let near: Vec<usize> = up(&f).into_iter().filter(|i| *i != cut).collect();
         let from = f.now;
-        f.cut.insert(fleet::addr(cut));
+        f.partitioned.insert(fleet::addr(cut));
         send(&mut f, cut, &on);
         let ms = f.rng.u64(..300);
         f.run(ms);
@@ -471,10 +475,10 @@
         }
         // It still tries then.
         late += u64::from(f.now < from + FORWARD_TIMEOUT);
-        f.cut.clear();
+        f.partitioned.clear();
         f.run(8_000);
         for i in up(&f) {
-            let value = f.held(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
+            let value = f.value(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
             expect_that!(
                 value.as_deref(),
                 some(eq("off")),
@@ -505,16 +509,16 @@
             some(matches_pattern!(WriteOutcome::Accepted(_))),
             "seed {seed}"
         );
-        let owner = (0..f.all.len()).find(|i| {
-            f.brain(*i)
+        let owner = (0..f.daemons.len()).find(|i| {
+            f.control(*i)
                 .is_some_and(|b| b.registers.held_until(ZONE, f.now).is_some())
         });
         let others: Vec<usize> = up(&f).into_iter().filter(|i| Some(*i) != owner).collect();
         let asked = *f.rng.choice(&others).unwrap();
-        f.late = f.rng.u64(1_000..2_400);
+        f.extra_latency = f.rng.u64(1_000..2_400);
         let first = send(&mut f, asked, &on);
-        let late = f.now + f.late;
-        f.late = 0;
+        let late = f.now + f.extra_latency;
+        f.extra_latency = 0;
         for o in [&on, &off] {
             let at = *f.rng.choice(&others).unwrap();
             let w = send(&mut f, at, o);
@@ -531,11 +535,11 @@
         );
         f.run(8_000);
         for i in up(&f) {
-            let value = f.held(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
+            let value = f.value(i, ZONE).map(|h| String::from_utf8(h.1).unwrap());
             expect_that!(value.as_deref(), some(eq("off")), "seed {seed}, daemon {i}");
         }
         // Its sender is not told that it was refused: it was accepted elsewhere.
-        let told = first.and_then(|w| f.ends.get(&w)).map(|e| e.1);
+        let told = first.and_then(|w| f.write_outcomes.get(&w)).map(|e| e.1);
         expect_that!(
             told,
             not(some(matches_pattern!(WriteOutcome::Conflict(_)))),
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -24,14 +24,14 @@
     let now = f.now;
     let e = Expect::Release(release - 1);
     let (t, out) =
-        f.all[i]
-            .brain
+        f.daemons[i]
+            .control
             .as_mut()
             .unwrap()
             .write(SPEC_KEY, e, document(release, mark), now);
-    f.carry(i, out);
-    f.until(4_000, |f| f.ends.contains_key(&(i, t)));
-    f.ends.get(&(i, t)).map(|e| e.1)
+    f.carry_out(i, out);
+    f.run_until(4_000, |f| f.write_outcomes.contains_key(&(i, t)));
+    f.write_outcomes.get(&(i, t)).map(|e| e.1)
 }
 /// Sends it until it has a clear answer.
 fn clear(f: &mut Fleet, i: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
@@ -44,8 +44,8 @@
     None
 }
 fn settle(f: &mut Fleet) {
-    let all = |f: &Fleet| (0..3).all(|i| f.brain(i).is_some_and(|b| b.is_settled()));
-    f.until(20_000, all).expect("the fleet settles");
+    let all = |f: &Fleet| (0..3).all(|i| f.control(i).is_some_and(|b| b.is_settled()));
+    f.run_until(20_000, all).expect("the fleet settles");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -63,14 +63,14 @@
 #[gtest]
 fn a_release_that_was_accepted_and_replaced_is_acknowledged_again() {
     for seed in 0..25u64 {
-        let f = &mut Fleet::founded(seed, 3, |i| format!("r{i}"));
+        let f = &mut Fleet::bootstrapped(seed, 3, |i| format!("r{i}"));
         settle(f);
         let t = [Calm, AllKilled, OwnerKilled, OneCutOff, DisksLost][seed as usize % 5];
         let cut = f.rng.usize(..3);
         let mut at = f.rng.usize(..3);
         for r in 1..=RELEASES {
             if r == 3 && matches!(t, OneCutOff) {
-                f.cut.insert(fleet::addr(cut));
+                f.partitioned.insert(fleet::addr(cut));
                 f.run(2_000);
                 at = (cut + 1) % 3;
             }
@@ -86,9 +86,9 @@
                 "seed {seed}, {t:?}"
             );
         }
-        f.cut.clear();
+        f.partitioned.clear();
         let owner = (0..3).find(|i| {
-            f.brain(*i)
+            f.control(*i)
                 .unwrap()
                 .registers
                 .held_until(SPEC_KEY, f.now)
@@ -106,7 +106,7 @@
             f.wipe(i);
             f.run(600);
             f.start(i);
-            f.until(10_000, |f| f.voting().len() == 3)
+            f.run_until(10_000, |f| f.voting().len() == 3)
                 .expect("it votes again");
             settle(f);
         }
@@ -131,7 +131,7 @@
 /// What is older is neither accepted nor refused, as it may have stood: nobody can tell it from one that never did.
 #[gtest]
 fn as_many_releases_are_remembered_as_the_bound_says_and_older_ones_get_no_clear_answer() {
-    let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
+    let f = &mut Fleet::bootstrapped(1, 3, |i| format!("r{i}"));
     settle(f);
     let most = REPLACED_VALUES_KEPT as u64;
     for r in 1..=most + 4 {
@@ -160,7 +160,7 @@
     }
     // Edges have no use for it: what goes to them is the value alone.
     let slot = f
-        .brain(0)
+        .control(0)
         .unwrap()
         .registers
         .slots()
@@ -172,14 +172,14 @@
 /// The same for a write that names the version it replaces.
 #[gtest]
 fn a_write_on_a_version_that_is_forgotten_gets_no_clear_answer() {
-    let f = &mut Fleet::founded(2, 3, |i| format!("r{i}"));
+    let f = &mut Fleet::bootstrapped(2, 3, |i| format!("r{i}"));
     settle(f);
     let ask = |f: &mut Fleet, on: u64, value: u64| {
         let w = f
             .write(1, "plan/s", Some(on), &value.to_be_bytes())
             .unwrap();
-        f.until(4_000, |f| f.ends.contains_key(&w));
-        f.ends.get(&w).map(|e| e.1)
+        f.run_until(4_000, |f| f.write_outcomes.contains_key(&w));
+        f.write_outcomes.get(&w).map(|e| e.1)
     };
     let newest = REPLACED_VALUES_KEPT as u64 + 3;
     for on in 0..newest {
@@ -199,26 +199,26 @@
 /// As long as every accepted value is remembered, what is not among them was never accepted.
 #[gtest]
 fn the_loser_of_the_first_race_is_refused_while_all_is_remembered() {
-    let f = &mut Fleet::founded(3, 3, |i| format!("r{i}"));
+    let f = &mut Fleet::bootstrapped(3, 3, |i| format!("r{i}"));
     settle(f);
     for r in 1..=5 {
         expect_that!(clear(f, 0, r, 0), some(eq(WriteOutcome::Accepted(r))));
     }
     expect_that!(clear(f, 1, 1, 9), some(eq(WriteOutcome::Conflict(5))));
     // Also where its number is below that of the first that was accepted.
-    let f = &mut Fleet::founded(4, 3, |i| format!("r{i}"));
+    let f = &mut Fleet::bootstrapped(4, 3, |i| format!("r{i}"));
     settle(f);
     let ask = |f: &mut Fleet, release| {
         let now = f.now;
-        let (t, out) = f.all[0].brain.as_mut().unwrap().write(
+        let (t, out) = f.daemons[0].control.as_mut().unwrap().write(
             SPEC_KEY,
             Expect::Release(0),
             document(release, 0),
             now,
         );
-        f.carry(0, out);
-        f.until(4_000, |f| f.ends.contains_key(&(0, t)));
-        f.ends.get(&(0, t)).map(|e| e.1)
+        f.carry_out(0, out);
+        f.run_until(4_000, |f| f.write_outcomes.contains_key(&(0, t)));
+        f.write_outcomes.get(&(0, t)).map(|e| e.1)
     };
     expect_that!(ask(f, 5), some(eq(WriteOutcome::Accepted(1))));
     expect_that!(ask(f, 3), some(eq(WriteOutcome::Conflict(1))));
@@ -228,15 +228,15 @@
 /// is evacuated again.
 #[gtest]
 fn an_order_that_is_compared_with_nothing_is_never_taken_for_a_former_one() {
-    let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
+    let f = &mut Fleet::bootstrapped(1, 3, |i| format!("r{i}"));
     settle(f);
     for n in 1..=6u64 {
         let w = f
             .write(n as usize % 3, "zone/z1", None, &[n as u8 % 2])
             .unwrap();
-        f.until(4_000, |f| f.ends.contains_key(&w));
+        f.run_until(4_000, |f| f.write_outcomes.contains_key(&w));
         expect_that!(
-            f.ends.get(&w).map(|e| e.1),
+            f.write_outcomes.get(&w).map(|e| e.1),
             some(eq(WriteOutcome::Accepted(n)))
         );
     }
@@ -245,14 +245,14 @@
 /// A write that names the version it replaces is known again as just the one after it.
 #[gtest]
 fn a_write_on_a_version_is_acknowledged_again_as_the_one_after_it() {
-    let f = &mut Fleet::founded(1, 3, |i| format!("r{i}"));
+    let f = &mut Fleet::bootstrapped(1, 3, |i| format!("r{i}"));
     settle(f);
     let ask = |f: &mut Fleet, on: u64, value: u8| {
         let w = f
             .write(on as usize % 3, "plan/s", Some(on), &[value])
             .unwrap();
-        f.until(4_000, |f| f.ends.contains_key(&w));
-        f.ends.get(&w).map(|e| e.1)
+        f.run_until(4_000, |f| f.write_outcomes.contains_key(&w));
+        f.write_outcomes.get(&w).map(|e| e.1)
     };
     for on in 0..4 {
         expect_that!(
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -13,15 +13,15 @@
 const SYNC: Ms = 4_000;
 
 fn three(seed: u64) -> Fleet {
-    let mut f = Fleet::founded(seed, 3, |i| format!("r{i}"));
-    f.until(4_000, |f| f.voting().len() == 3).unwrap();
+    let mut f = Fleet::bootstrapped(seed, 3, |i| format!("r{i}"));
+    f.run_until(4_000, |f| f.voting().len() == 3).unwrap();
     f
 }
 
 /// Six daemons in as many zones of three regions.
 fn six(seed: u64) -> Fleet {
-    let mut f = Fleet::founded(seed, 6, |i| format!("r{}", i / 2));
-    f.until(10_000, |f| f.voting().len() == 5).unwrap();
+    let mut f = Fleet::bootstrapped(seed, 6, |i| format!("r{}", i / 2));
+    f.run_until(10_000, |f| f.voting().len() == 5).unwrap();
     f.run(1_000);
     f
 }
@@ -34,8 +34,8 @@
 
 /// Whoever answers reads at least what was accepted.
 fn holds(f: &Fleet, key: &str, value: &[u8]) -> Vec<usize> {
-    (0..f.all.len())
-        .filter(|i| f.held(*i, key).is_some_and(|h| h.1 == value))
+    (0..f.daemons.len())
+        .filter(|i| f.value(*i, key).is_some_and(|h| h.1 == value))
         .collect()
 }
 
@@ -44,25 +44,32 @@
     // At the last of these the duty's owner had been made one by itself and the daemon that is killed.
     for seed in (0..30).chain([1_190]) {
         let mut f = three(seed);
-        expect_that!(f.put("spec", b"one", 5_000), some(anything()));
+        expect_that!(
+            f.write_until_accepted("spec", b"one", 5_000),
+            some(anything())
+        );
         let i = seed as usize % 3;
         f.wipe(i);
         f.run(600);
         f.start(i);
-        let took = f.until(SYNC, |f| f.voting().len() == 3);
+        let took = f.run_until(SYNC, |f| f.voting().len() == 3);
         expect_that!(took, some(le(2_500)), "seed {seed}");
         expect_that!(holds(&f, "spec", b"one"), len(eq(3)), "seed {seed}");
         // It votes for duties too before its time is over: with another gone a duty is taken.
-        f.put("rollout/s", b"duty", 5_000);
+        f.write_until_accepted("rollout/s", b"duty", 5_000);
         f.kill((i + 1) % 3);
         let left = SYNC - took.unwrap_or(0);
         let held = |f: &Fleet| {
             (0..3).any(|j| {
-                f.brain(j)
+                f.control(j)
                     .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
             })
         };
-        expect_that!(f.until(left + 1_000, held), some(anything()), "seed {seed}");
+        expect_that!(
+            f.run_until(left + 1_000, held),
+            some(anything()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -71,14 +78,17 @@
 fn an_empty_machine_takes_a_lost_ones_place_and_bears_the_next_loss() {
     for seed in 0..30 {
         let mut f = three(seed);
-        expect_that!(f.put("spec", b"one", 5_000), some(anything()));
+        expect_that!(
+            f.write_until_accepted("spec", b"one", 5_000),
+            some(anything())
+        );
         let gone = seed as usize % 3;
         f.wipe(gone);
         f.run(seed * 100);
         let stand: Vec<usize> = (0..3).filter(|i| *i != gone).collect();
         f.add(3, &stand, false, &regions(8, 1));
         expect_that!(
-            f.until(SYNC, |f| f.voting().contains(&3)),
+            f.run_until(SYNC, |f| f.voting().contains(&3)),
             some(le(3_000)),
             "seed {seed}"
         );
@@ -87,7 +97,7 @@
         let next = stand[seed as usize % 2];
         f.wipe(next);
         expect_that!(
-            f.put("spec", b"two", 6_000),
+            f.write_until_accepted("spec", b"two", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -96,12 +106,12 @@
         for n in 4..6 {
             f.add(n, &[3], false, &regions(8, 1));
             f.run(SYNC);
-            let old = (0..3).find(|i| f.brain(*i).is_some());
+            let old = (0..3).find(|i| f.control(*i).is_some());
             old.into_iter().for_each(|o| f.wipe(o));
             f.run(500);
         }
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            f.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -113,13 +123,17 @@
 fn what_was_accepted_outlives_the_disk_that_confirmed_it() {
     for seed in 0..40 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         f.run(1_000);
         let at = seed as usize % 3;
         f.wipe_after_ack = Some(at);
         let w = f.write(at, "spec", Some(1), b"two").unwrap();
-        f.until(5_000, |f| f.ends.contains_key(&w));
-        expect_that!(f.ends[&w].1, eq(WriteOutcome::Accepted(2)), "seed {seed}");
+        f.run_until(5_000, |f| f.write_outcomes.contains_key(&w));
+        expect_that!(
+            f.write_outcomes[&w].1,
+            eq(WriteOutcome::Accepted(2)),
+            "seed {seed}"
+        );
         (0..3).filter(|i| *i != at).for_each(|i| f.kill(i));
         f.run(500);
         // The blank one is first up and knows nothing; it must not settle anything alone.
@@ -127,14 +141,14 @@
         f.run(300);
         (0..3).filter(|i| *i != at).for_each(|i| f.start(i));
         expect_that!(
-            f.until(SYNC + 2_000, |f| f.voting().len() == 3),
+            f.run_until(SYNC + 2_000, |f| f.voting().len() == 3),
             some(anything()),
             "seed {seed}"
         );
         f.run(1_000);
         expect_that!(holds(&f, "spec", b"two"), len(eq(3)), "seed {seed}");
         expect_that!(
-            f.put("spec", b"three", 5_000),
+            f.write_until_accepted("spec", b"three", 5_000),
             some(anything()),
             "seed {seed}"
         );
@@ -145,24 +159,24 @@
 fn all_killed_at_once_take_writes_again_in_time() {
     for seed in 0..30 {
         for mut f in [three(seed), six(seed)] {
-            f.put("rollout/s", b"duty", 5_000);
-            f.put("spec", b"one", 5_000);
-            let n = f.all.len();
+            f.write_until_accepted("rollout/s", b"duty", 5_000);
+            f.write_until_accepted("spec", b"one", 5_000);
+            let n = f.daemons.len();
             (0..n).for_each(|i| f.kill(i));
             for i in 0..n {
                 f.run(1_000 / n as Ms);
                 f.start(i);
             }
-            let took = f.put("spec", b"two", 12_000);
+            let took = f.write_until_accepted("spec", b"two", 12_000);
             expect_that!(took, some(le(4_000)), "seed {seed}, {n} daemons");
             let held = |f: &Fleet| {
                 (0..n).any(|j| {
-                    f.brain(j)
+                    f.control(j)
                         .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
                 })
             };
             expect_that!(
-                f.until(5_000, held),
+                f.run_until(5_000, held),
                 some(anything()),
                 "seed {seed}, {n} daemons"
             );
@@ -182,22 +196,26 @@
         // The one that stands by learns what is accepted at once, and takes writes for the others.
         let spare = (0..6).find(|i| !f.voting().contains(i)).unwrap();
         let w = f.write(spare, "spec", None, b"one").unwrap();
-        f.until(2_000, |f| f.ends.contains_key(&w));
-        expect_that!(f.ends[&w].1, eq(WriteOutcome::Accepted(1)), "seed {seed}");
+        f.run_until(2_000, |f| f.write_outcomes.contains_key(&w));
         expect_that!(
-            f.until(200, |f| holds(f, "spec", b"one").len() == 6),
+            f.write_outcomes[&w].1,
+            eq(WriteOutcome::Accepted(1)),
+            "seed {seed}"
+        );
+        expect_that!(
+            f.run_until(200, |f| holds(f, "spec", b"one").len() == 6),
             some(anything()),
             "seed {seed}"
         );
         expect_true!(
-            f.brain(spare)
+            f.control(spare)
                 .is_some_and(|b| b.health().ok && b.registers.held_until("spec", f.now).is_none())
         );
         // Two lost for good at once, also a whole region: it steps in and the next loss is borne again.
         let region = seed as usize % 3;
         (2 * region..2 * region + 2).for_each(|i| f.wipe(i));
         expect_that!(
-            f.put("spec", b"two", 6_000),
+            f.write_until_accepted("spec", b"two", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -205,7 +223,7 @@
         let next = f.voting()[0];
         f.wipe(next);
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            f.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -218,23 +236,23 @@
     for seed in 0..20 {
         for goes in [false, true] {
             let mut f = three(seed);
-            f.put("rollout/s", b"duty", 5_000);
+            f.write_until_accepted("rollout/s", b"duty", 5_000);
             let holder = |f: &Fleet| {
                 (0..3).find(|j| {
-                    f.brain(*j)
+                    f.control(*j)
                         .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
                 })
             };
-            f.until(5_000, |f| holder(f).is_some());
+            f.run_until(5_000, |f| holder(f).is_some());
             // The voters have waited out the leases of lives before this one.
             f.run(4_000);
             let old = holder(&f).unwrap();
             if goes {
-                f.all[old].brain.as_mut().unwrap().stopping = true;
+                f.daemons[old].control.as_mut().unwrap().stopping = true;
             } else {
                 f.kill(old);
             }
-            let took = f.until(5_000, |f| holder(f).is_some_and(|h| h != old));
+            let took = f.run_until(5_000, |f| holder(f).is_some_and(|h| h != old));
             expect_that!(
                 took,
                 some(le(if goes { 600 } else { 3_200 })),
@@ -250,23 +268,23 @@
     let mut accepted = 0;
     for seed in 0..300 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         let owner_of = |f: &Fleet| {
             (0..3).find(|i| {
-                f.brain(*i)
+                f.control(*i)
                     .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
             })
         };
-        f.until(2_000, |f| owner_of(f).is_some());
+        f.run_until(2_000, |f| owner_of(f).is_some());
         let owner = owner_of(&f).unwrap();
         let at = (owner + 1) % 3;
         f.run(seed * 10);
         let w = f.write(at, "spec", Some(1), b"two").unwrap();
         f.run(seed % 60);
         f.kill(owner);
-        let took = f.until(5_000, |f| f.ends.contains_key(&w));
+        let took = f.run_until(5_000, |f| f.write_outcomes.contains_key(&w));
         expect_that!(took, some(le(3_000)), "seed {seed}");
-        let end = f.ends.get(&w).map(|e| e.1);
+        let end = f.write_outcomes.get(&w).map(|e| e.1);
         expect_that!(
             end,
             some(any!(
@@ -286,24 +304,24 @@
 fn a_hung_disk_confirms_nothing_and_holds_nobody_up() {
     for seed in 0..20 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         let owner_of = |f: &Fleet| {
             (0..3).find(|i| {
-                f.brain(*i)
+                f.control(*i)
                     .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
             })
         };
-        f.until(2_000, |f| owner_of(f).is_some());
+        f.run_until(2_000, |f| owner_of(f).is_some());
         let i = owner_of(&f).unwrap();
-        f.all[i].hung = f.now + 8_000;
+        f.daemons[i].disk_hung_until = f.now + 8_000;
         expect_that!(
-            f.put("spec", b"two", 4_000),
+            f.write_until_accepted("spec", b"two", 4_000),
             some(anything()),
             "seed {seed}"
         );
         f.run(8_000);
         expect_that!(
-            f.put("spec", b"three", 4_000),
+            f.write_until_accepted("spec", b"three", 4_000),
             some(anything()),
             "seed {seed}"
         );
@@ -317,13 +335,13 @@
 fn a_change_of_voters_that_is_cut_short_loses_nothing() {
     for seed in 0..60 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         let gone = seed as usize % 3;
         // The last write reaches only one of the others, besides the one that goes.
         let kept = fleet::addr((gone + 1) % 3);
         let lag = fleet::addr((gone + 2) % 3);
         let l = lag.clone();
-        f.sieve = Box::new(move |_, to, m| {
+        f.delivers = Box::new(move |_, to, m| {
             *to != l
                 || !matches!(
                     m,
@@ -331,26 +349,30 @@
                 )
         });
         let w = f.write((gone + 1) % 3, "spec", Some(1), b"two").unwrap();
-        f.until(3_000, |f| f.ends.contains_key(&w));
+        f.run_until(3_000, |f| f.write_outcomes.contains_key(&w));
         let accepted = f
-            .ends
+            .write_outcomes
             .get(&w)
             .is_some_and(|e| e.1 == WriteOutcome::Accepted(2));
         f.wipe(gone);
-        f.sieve = Box::new(|_, _, _| true);
+        f.delivers = Box::new(|_, _, _| true);
         f.start(gone);
         f.run(seed * 50);
-        let k = f.all.iter().position(|d| d.p.addr == kept).unwrap();
+        let k = f
+            .daemons
+            .iter()
+            .position(|d| d.config.addr == kept)
+            .unwrap();
         f.kill(k);
         f.run(1_500);
         f.start(k);
-        f.until(3 * SYNC, |f| f.voting().len() == 3);
+        f.run_until(3 * SYNC, |f| f.voting().len() == 3);
         f.run(1_000);
         if accepted {
             expect_that!(holds(&f, "spec", b"two"), len(eq(3)), "seed {seed}");
         }
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            f.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -364,17 +386,17 @@
     let mut met = 0;
     for seed in 0..30 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         f.run(1_000);
         let Some(has) = (0..3).find(|i| {
-            f.brain(*i)
+            f.control(*i)
                 .is_some_and(|b| b.registers.held_until("spec", f.now).is_some())
         }) else {
             continue;
         };
         let (lost, lacks) = ((has + 1) % 3, (has + 2) % 3);
         let (h, l, n) = (fleet::addr(has), fleet::addr(lacks), fleet::addr(lost));
-        f.sieve = Box::new(move |from, to, m| match m {
+        f.delivers = Box::new(move |from, to, m| match m {
             Message::Accept(a) if *to == l => &*a.key != "spec",
             Message::Commit(c) if *to == l => &*c.change.key != "spec",
             Message::SlotsReply(_) => *to != l && !(*from == h && *to == n),
@@ -383,8 +405,8 @@
             _ => true,
         });
         let w = f.write(has, "spec", Some(1), b"two").unwrap();
-        f.until(2_000, |f| f.ends.contains_key(&w));
-        if f.ends.get(&w).map(|e| e.1) != Some(WriteOutcome::Accepted(2)) {
+        f.run_until(2_000, |f| f.write_outcomes.contains_key(&w));
+        if f.write_outcomes.get(&w).map(|e| e.1) != Some(WriteOutcome::Accepted(2)) {
             continue;
         }
         f.wipe(lost);
@@ -392,12 +414,12 @@
         f.start(lost);
         f.run(3_000);
         f.kill(has);
-        f.sieve = Box::new(|_, _, _| true);
+        f.delivers = Box::new(|_, _, _| true);
         f.run(3_000);
         let new = f.write(lacks, "spec", None, b"three");
         f.run(2_000);
         met += 1;
-        let told = new.and_then(|w| f.ends.get(&w)).map(|e| e.1);
+        let told = new.and_then(|w| f.write_outcomes.get(&w)).map(|e| e.1);
         expect_that!(
             told,
             not(some(matches_pattern!(WriteOutcome::Accepted(_)))),
@@ -406,12 +428,12 @@
         f.start(has);
         f.run(6_000);
         expect_that!(
-            f.held(lacks, "spec").map_or(0, |h| h.0),
+            f.value(lacks, "spec").map_or(0, |h| h.0),
             ge(2),
             "seed {seed}"
         );
         let two = (0..3)
-            .find_map(|i| f.held(i, "spec"))
+            .find_map(|i| f.value(i, "spec"))
             .is_some_and(|h| h.0 > 2 || h.1 == b"two");
         expect_true!(two, "seed {seed}");
     }
@@ -425,7 +447,7 @@
     let mut met = 0;
     for seed in 0..30 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         f.run(1_000);
         // Cut off: another machine takes its place.
         let (x, has, lacks) = (
@@ -433,16 +455,16 @@
             (seed as usize + 1) % 3,
             (seed as usize + 2) % 3,
         );
-        let a = f.all[x].p.addr.clone();
-        f.cut.insert(a.clone());
+        let a = f.daemons[x].config.addr.clone();
+        f.partitioned.insert(a.clone());
         f.add(3, &[has, lacks], false, &regions(8, 1));
-        if f.until(6_000, |f| f.voting().contains(&3)).is_none() {
+        if f.run_until(6_000, |f| f.voting().contains(&3)).is_none() {
             continue;
         }
         f.run(1_000);
         // What is accepted now stands with the new machine and one other.
         let l = fleet::addr(lacks);
-        f.sieve = Box::new(move |_, to, m| match m {
+        f.delivers = Box::new(move |_, to, m| match m {
             Message::Accept(a) if *to == l => &*a.key != "spec",
             Message::Commit(c) if *to == l => &*c.change.key != "spec",
             Message::Promise(p) if *to == l => &*p.slot.key != "spec",
@@ -450,30 +472,30 @@
             _ => true,
         });
         let w = f.write(has, "spec", Some(1), b"two").unwrap();
-        f.until(3_000, |f| f.ends.contains_key(&w));
-        if f.ends.get(&w).map(|e| e.1) != Some(WriteOutcome::Accepted(2)) {
+        f.run_until(3_000, |f| f.write_outcomes.contains_key(&w));
+        if f.write_outcomes.get(&w).map(|e| e.1) != Some(WriteOutcome::Accepted(2)) {
             continue;
         }
         // The first comes back with a disk that hangs, stands by, and takes the place of the new one, which is lost.
-        f.all[x].hung = f.now + 60_000;
-        f.cut.remove(&a);
+        f.daemons[x].disk_hung_until = f.now + 60_000;
+        f.partitioned.remove(&a);
         f.run(1_000);
         f.wipe(3);
-        if f.until(12_000, |f| f.voters(has).contains(&format!("c{x}")))
+        if f.run_until(12_000, |f| f.voters(has).contains(&format!("c{x}")))
             .is_none()
         {
             continue;
         }
         f.kill(x);
         f.kill(has);
-        f.all[x].hung = 0;
+        f.daemons[x].disk_hung_until = 0;
         f.start(x);
-        f.sieve = Box::new(|_, _, _| true);
+        f.delivers = Box::new(|_, _, _| true);
         f.run(4_000);
         let new = f.write(lacks, "spec", None, b"three");
         f.run(3_000);
         met += 1;
-        let told = new.and_then(|w| f.ends.get(&w)).map(|e| e.1);
+        let told = new.and_then(|w| f.write_outcomes.get(&w)).map(|e| e.1);
         expect_that!(
             told,
             not(some(matches_pattern!(WriteOutcome::Accepted(_)))),
@@ -482,9 +504,9 @@
         f.start(has);
         f.run(6_000);
         let two = f
-            .held(lacks, "spec")
+            .value(lacks, "spec")
             .is_some_and(|h| h.0 > 2 || h.1 == b"two");
-        expect_true!(two, "seed {seed}: {:?}", f.held(lacks, "spec"));
+        expect_true!(two, "seed {seed}: {:?}", f.value(lacks, "spec"));
     }
     expect_that!(met, gt(5));
 }
@@ -496,40 +518,40 @@
     let mut met = 0;
     for seed in 0..40 {
         let mut f = three(seed);
-        f.put("spec", b"one", 5_000);
+        f.write_until_accepted("spec", b"one", 5_000);
         f.run(1_000);
         let (c, a, b) = (
             seed as usize % 3,
             (seed as usize + 1) % 3,
             (seed as usize + 2) % 3,
         );
-        let cut = f.all[c].p.addr.clone();
-        f.cut.insert(cut.clone());
+        let cut = f.daemons[c].config.addr.clone();
+        f.partitioned.insert(cut.clone());
         let slow = fleet::addr(b);
         let to_b = slow.clone();
-        f.sieve = Box::new(move |_, to, m| {
+        f.delivers = Box::new(move |_, to, m| {
             *to != to_b || !matches!(m, Message::Commit(_) | Message::SlotsReply(_))
         });
         f.add(3, &[a, b], false, &regions(8, 1));
-        if f.until(6_000, |f| {
-            f.brain(a).is_some_and(|x| x.registers.member_epoch == 2)
+        if f.run_until(6_000, |f| {
+            f.control(a).is_some_and(|x| x.registers.member_epoch == 2)
         })
         .is_none()
-            || f.brain(b).unwrap().registers.member_epoch != 1
+            || f.control(b).unwrap().registers.member_epoch != 1
         {
             continue;
         }
-        f.all[b].hung = f.now + 60_000;
-        f.sieve = Box::new(|_, _, _| true);
+        f.daemons[b].disk_hung_until = f.now + 60_000;
+        f.delivers = Box::new(|_, _, _| true);
         f.run(3_000);
         // Two halves: the former voters that do not know, and those that do. What was under way arrives before.
         let old = [cut.clone(), slow];
-        f.sieve = Box::new(move |from, to, _| old.contains(from) == old.contains(to));
+        f.delivers = Box::new(move |from, to, _| old.contains(from) == old.contains(to));
         f.run(100);
         f.kill(b);
-        f.all[b].hung = 0;
+        f.daemons[b].disk_hung_until = 0;
         f.start(b);
-        f.cut.remove(&cut);
+        f.partitioned.remove(&cut);
         f.run(4_000);
         let w = [
             f.write(a, "spec", Some(1), b"two"),
@@ -540,13 +562,18 @@
         let told = w
             .iter()
             .flatten()
-            .filter(|w| matches!(f.ends.get(*w), Some((_, WriteOutcome::Accepted(_)))))
+            .filter(|w| {
+                matches!(
+                    f.write_outcomes.get(*w),
+                    Some((_, WriteOutcome::Accepted(_)))
+                )
+            })
             .count();
         expect_that!(told, le(1), "seed {seed}: both halves accepted");
-        f.sieve = Box::new(|_, _, _| true);
+        f.delivers = Box::new(|_, _, _| true);
         f.run(8_000);
         expect_that!(
-            f.put("spec", b"three", 6_000),
+            f.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -560,9 +587,9 @@
     let mut met = 0;
     for seed in 0..40 {
         let mut f = six(seed);
-        f.put("rollout/s", b"duty", 5_000);
+        f.write_until_accepted("rollout/s", b"duty", 5_000);
         let holder = |f: &Fleet, i: usize| {
-            f.brain(i)
+            f.control(i)
                 .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
         };
         f.run(4_000);
@@ -578,14 +605,14 @@
         ];
         let lost = others[(seed as usize + 2) % 4];
         let from_h = fleet::addr(h);
-        f.sieve = Box::new(move |from, to, m| {
+        f.delivers = Box::new(move |from, to, m| {
             !(matches!(m, Message::RenewLeases(_)) && *from == from_h && deaf.contains(to))
         });
         f.run(4_000);
         if !holder(&f, h) {
             continue;
         }
-        f.cut.insert(fleet::addr(h));
+        f.partitioned.insert(fleet::addr(h));
         f.wipe(lost);
         f.run(500);
         f.start(lost);
@@ -610,20 +637,23 @@
         [{"name": "s", "version": "", "mode": "placed", "lanes": [], "zones": [], "engine": {"slots": 64, "channels": 400}}]}"#;
     for seed in 0..10 {
         let mut f = six(seed);
-        expect_that!(f.put("spec", spec, 5_000), some(anything()));
-        f.put("rollout/s", b"duty", 5_000);
+        expect_that!(
+            f.write_until_accepted("spec", spec, 5_000),
+            some(anything())
+        );
+        f.write_until_accepted("rollout/s", b"duty", 5_000);
         f.run(1_000);
         let keep = |f: &Fleet| -> Vec<usize> {
             (0..6)
                 .filter(|i| {
-                    f.brain(*i)
+                    f.control(*i)
                         .is_some_and(|b| b.selected_services().any(|s| s == "s"))
                 })
                 .collect()
         };
         let holder = |f: &Fleet| {
             (0..6).find(|i| {
-                f.brain(*i)
+                f.control(*i)
                     .is_some_and(|b| b.registers.held_until("rollout/s", f.now).is_some())
             })
         };
@@ -631,7 +661,7 @@
         // One that stands by may be the next as well.
         expect_that!(before, all!(len(le(3)), contains(eq(&old))), "seed {seed}");
         f.kill(old);
-        f.until(8_000, |f| holder(f).is_some_and(|h| h != old))
+        f.run_until(8_000, |f| holder(f).is_some_and(|h| h != old))
             .unwrap();
         expect_that!(
             before,
--- a/coordination/tests/worst_days.rs
+++ b/coordination/tests/worst_days.rs
@@ -75,12 +75,12 @@
         let regions: BTreeMap<String, String> = (0..200)
             .map(|i| (format!("z{i}"), format!("r{}", i % 3)))
             .collect();
-        let mut f = Fleet::founded(seed, n, |i| format!("r{}", i % 3));
+        let mut f = Fleet::bootstrapped(seed, n, |i| format!("r{}", i % 3));
         let cut: Rc<RefCell<BTreeSet<(Name, Name)>>> = Rc::default();
         let passes = cut.clone();
-        f.sieve =
+        f.delivers =
             Box::new(move |from, to, _| !passes.borrow().contains(&(from.clone(), to.clone())));
-        f.change = match without {
+        f.rewrite = match without {
             Without::Nothing => None,
             Without::Reading => Some(Box::new(|_, m| {
                 if let Message::SlotsReply(s) = m {
@@ -112,15 +112,15 @@
     }
 
     fn up(&self) -> Vec<usize> {
-        (0..self.f.all.len())
-            .filter(|i| self.f.brain(*i).is_some())
+        (0..self.f.daemons.len())
+            .filter(|i| self.f.control(*i).is_some())
             .collect()
     }
     fn addr(&self, i: usize) -> Name {
-        self.f.all[i].p.addr.clone()
+        self.f.daemons[i].config.addr.clone()
     }
     fn still(&self, i: usize) -> bool {
-        self.f.all[i].frozen > self.f.now
+        self.f.daemons[i].suspended_until > self.f.now
     }
 
     fn run(&mut self, ms: Ms) {
@@ -133,7 +133,7 @@
             }
             for i in self.up() {
                 for key in [SPEC_KEY, ZONE] {
-                    if let Some((v, value)) = self.f.held(i, key) {
+                    if let Some((v, value)) = self.f.value(i, key) {
                         self.histories
                             .get_mut(key)
                             .unwrap()
@@ -149,7 +149,7 @@
         for (at, key, order) in std::mem::take(&mut self.unread) {
             if self.still(at) {
                 self.unread.push((at, key, order));
-            } else if self.f.brain(at).is_some() {
+            } else if self.f.control(at).is_some() {
                 self.hand(at, key, order);
             }
         }
@@ -162,7 +162,7 @@
                 continue;
             };
             let (at, key, order) = (p.at, p.key, p.order);
-            if !self.still(at) && self.f.brain(at).is_some() {
+            if !self.still(at) && self.f.control(at).is_some() {
                 let sent = self.hand(at, key, order);
                 self.operators[i].pending.as_mut().unwrap().sent = sent;
             }
@@ -174,12 +174,12 @@
         let now = self.f.now;
         let value = order.map(|o| self.histories[key].orders[o].value.clone());
         let expect = order.map(|o| self.expects[&(key, o)]);
-        let brain = self.f.all[at].brain.as_mut()?;
+        let brain = self.f.daemons[at].control.as_mut()?;
         let (token, out) = match (expect, value) {
             (Some(e), Some(v)) => brain.write(key, e, v, now),
             _ => brain.read_newest(key, now),
         };
-        self.f.carry(at, out);
+        self.f.carry_out(at, out);
         Some((at, token))
     }
 
@@ -188,7 +188,7 @@
         if let Some(p) = &self.operators[i].pending {
             let end = p
                 .sent
-                .and_then(|s| self.f.ends.get(&s))
+                .and_then(|s| self.f.write_outcomes.get(&s))
                 .filter(|_| !p.lost)
                 .map(|e| e.1);
             if end.is_none() && now < p.began + PATIENCE {
@@ -268,7 +268,7 @@
         } else {
             let from = self
                 .f
-                .brain(at)
+                .control(at)
                 .and_then(|b| b.spec())
                 .map_or(0, |s| s.release);
             let release = from + 1 + self.f.rng.u64(..2);
@@ -293,11 +293,11 @@
         let voting = self.f.voting();
         let member_epoch = voting
             .iter()
-            .filter_map(|i| self.f.brain(*i))
+            .filter_map(|i| self.f.control(*i))
             .map(|b| b.registers.member_epoch)
             .max();
         let all = |i: &usize| {
-            self.f.brain(*i).is_some_and(|b| {
+            self.f.control(*i).is_some_and(|b| {
                 Some(b.registers.member_epoch) == member_epoch
                     && b.registers.voters.len() == voting.len()
             })
@@ -307,7 +307,7 @@
 
     fn block(&mut self, from: usize, both: bool) {
         let here = self.addr(from);
-        let all: Vec<Name> = (0..self.f.all.len())
+        let all: Vec<Name> = (0..self.f.daemons.len())
             .filter(|i| *i != from)
             .map(|i| self.addr(i))
             .collect();
@@ -321,9 +321,9 @@
     }
 
     fn owner(&self, key: &str) -> Option<usize> {
-        (0..self.f.all.len()).find(|i| {
+        (0..self.f.daemons.len()).find(|i| {
             self.f
-                .brain(*i)
+                .control(*i)
                 .is_some_and(|b| b.registers.held_until(key, self.f.now).is_some())
         })
     }
@@ -367,7 +367,7 @@
             }
             3 => {
                 let ms = self.f.rng.u64(500..9_000);
-                self.f.all[one].frozen = self.f.now + ms;
+                self.f.daemons[one].suspended_until = self.f.now + ms;
                 self.run(ms);
             }
             4 => {
@@ -382,7 +382,7 @@
                 self.run(300);
                 up.iter().for_each(|i| self.f.start(*i));
             }
-            6 => self.f.all[one].sync = self.f.rng.u64(1..300),
+            6 => self.f.daemons[one].sync_duration = self.f.rng.u64(1..300),
             // As many disks as may be lost, and others in their places or they themselves blank.
             7 | 8 => self.lose_disks(one),
             _ => self.lose_a_disk_beside_one_behind(one),
@@ -400,7 +400,7 @@
         gone.truncate(self.lose);
         // Planned: it tells the others that it goes.
         if self.f.rng.bool() {
-            let brain = self.f.all[first].brain.as_mut();
+            let brain = self.f.daemons[first].control.as_mut();
             brain.into_iter().for_each(|b| b.stopping = true);
             let ms = self.f.rng.u64(..600);
             self.run(ms);
@@ -412,7 +412,8 @@
             if self.f.rng.bool() {
                 self.f.start(i);
             } else {
-                let (next, seeds, regions) = (self.f.all.len(), self.up(), self.regions.clone());
+                let (next, seeds, regions) =
+                    (self.f.daemons.len(), self.up(), self.regions.clone());
                 self.f.add(next, &seeds, false, &regions);
             }
         }
@@ -456,8 +457,8 @@
 
     /// Right after an answer disks are lost, the oldest first, and all other machines lose power in the same moment.
     fn close(&mut self) {
-        for d in &mut self.f.all {
-            (d.frozen, d.sync) = (0, 5);
+        for d in &mut self.f.daemons {
+            (d.suspended_until, d.sync_duration) = (0, 5);
         }
         // Losses before are over by then.
         for _ in 0..40 {
@@ -507,8 +508,9 @@
             let Some(sent) = self.hand(at, key, None) else {
                 continue;
             };
-            self.f.until(PATIENCE, |f| f.ends.contains_key(&sent));
-            if let Some((_, WriteOutcome::Accepted(v))) = self.f.ends.get(&sent) {
+            self.f
+                .run_until(PATIENCE, |f| f.write_outcomes.contains_key(&sent));
+            if let Some((_, WriteOutcome::Accepted(v))) = self.f.write_outcomes.get(&sent) {
                 let call = Call {
                     order: None,
                     began,
@@ -551,7 +553,10 @@
                 wrong.push(format!("seed {seed}: {key} cannot be read back"));
             }
         }
-        if d.f.put("plan/s", b"next", 12_000).is_none() {
+        if d.f
+            .write_until_accepted("plan/s", b"next", 12_000)
+            .is_none()
+        {
             wrong.push(format!("seed {seed}: no order is taken any more"));
         }
         for (key, h) in &d.histories {
