--- a/coordination/src/claims.rs
+++ b/coordination/src/claims.rs
@@ -10,7 +10,7 @@
 pub use grants::ClaimGrants;
 pub use request_id::{CALLER_KEY_PREFIX, ClaimHolder, holders, is_caller_key, mint_request_id};
 
-/// What a holder answers to a claim, and how a claim ends for the proxy that asked for it.
+/// What a holder replies to a claim, and how a claim ends for the proxy that asked for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimState {
     /// The attempt may run, or the id is void as was asked.
@@ -19,7 +19,7 @@
     HeldByOther,
     /// The id is void: no attempt of it will ever run.
     Voided,
-    /// A holder that cannot know what it granted; of a whole claim: no majority answered.
+    /// A holder that cannot know what it granted; as the outcome of a claim: it got no majority.
     Abstained,
 }
 
--- a/coordination/src/claims/claimer.rs
+++ b/coordination/src/claims/claimer.rs
@@ -1,4 +1,4 @@
-//! The claiming side: asks the holders for the local proxy and counts their answers.
+//! The claiming side: asks the holders for the local proxy and counts their replies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
             .count()
     }
 
-    /// How the claim ends by the answers so far; none while those that are missing may still decide it.
+    /// How the claim ends by the replies so far; none while those that are missing may still decide it.
     fn outcome(&self) -> Option<ClaimState> {
         let decided = [ClaimState::Granted, ClaimState::Voided]
             .into_iter()
@@ -81,7 +81,7 @@
 
 impl Claimer {
     /// Asks the id's holders, or every known edge for a caller's key. `edges` are all that are known, this one
-    /// among them. A claim that nobody can grant is answered at once.
+    /// among them. A claim that nobody can grant ends at once.
     pub fn request(
         &mut self,
         proxy: &Name,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Counts a holder's answer; gives the claim if that decided it.
+    /// Counts a holder's reply; gives the claim if that decided it.
     pub fn on_reply(&mut self, from: &Name, reply: ClaimReply) -> Option<ClaimEnded> {
         let claim = self.pending.get_mut(&reply.token)?;
         if claim.holders.contains(from) {
--- a/coordination/src/claims/grants.rs
+++ b/coordination/src/claims/grants.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Answers a claim; `me` is this edge in its present incarnation.
+    /// Replies to a claim; `me` is this edge in its present incarnation.
     pub fn on_claim(
         &mut self,
         me: &Node,
--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -59,7 +59,7 @@
 }
 
 impl EdgeAgent {
-    /// An agent that starts at `now` and knows of nobody but the addresses in `seeds`. `random_seed` sets all its
+    /// An agent that starts at `now` and knows only the addresses in `seeds`. `random_seed` sets all its
     /// random choices.
     pub fn new(me: Node, seeds: Vec<Name>, random_seed: u64, now: Ms) -> Self {
         let me = Node {
@@ -106,7 +106,7 @@
         self.serving.rule()
     }
 
-    /// Whether the proxy beside this agent still reports but sends callers elsewhere: the whole machine stops.
+    /// Whether the proxy beside this agent still reports but sends clients elsewhere: the machine is shutting down.
     pub fn proxy_is_draining(&self, now: Ms) -> bool {
         self.membership.me().http_addr.is_empty() && self.proxy.is_reporting(now)
     }
@@ -121,7 +121,7 @@
             }
             Message::Update(update) => self.on_update(from, update, now, &mut out),
             Message::TableDigests(digests) => {
-                let metadata = repair::answer_digests(&self.state_table, &digests);
+                let metadata = repair::respond_to_digests(&self.state_table, &digests);
                 out.push(send(addr, metadata));
             }
             Message::Repair(repair) => {
@@ -157,8 +157,8 @@
         if self.sources.was_suspended(now) {
             self.serving.set_resumed(now);
         }
-        // A proxy that does not report serves nobody: callers are not sent there until it reports again.
-        if self.proxy.is_silent(now) {
+        // A proxy that does not report serves nobody: clients are not sent there until it reports again.
+        if self.proxy.is_unresponsive(now) {
             self.membership.set_http_addr("");
         }
         self.membership.tick(now, &mut out);
@@ -184,7 +184,7 @@
         out
     }
 
-    /// An agent that has just started polls each control daemon as soon as it knows of it.
+    /// An agent that has just started polls each control daemon as soon as it has discovered it.
     fn poll_discovered_daemons(&mut self, now: Ms) {
         let discovers = self
             .membership
@@ -230,8 +230,8 @@
     fn on_repair(&mut self, addr: &Name, repair: Repair, out: &mut Effects) {
         match RepairKind::from_byte(repair.kind) {
             RepairKind::Metadata => {
-                let answers = repair::answer_metadata(&self.state_table, &repair);
-                out.extend(answers.map(|answer| send(addr, answer)));
+                let responses = repair::respond_to_metadata(&self.state_table, &repair);
+                out.extend(responses.map(|response| send(addr, response)));
             }
             // Values of a neighbour are committed: they merge even before a majority's updates have come.
             RepairKind::Values => {
--- a/coordination/src/edge_agent/claims.rs
+++ b/coordination/src/edge_agent/claims.rs
@@ -40,7 +40,7 @@
         self.grants.on_claim(me, claimer_addr, claim, now, out);
     }
 
-    /// A holder's answer.
+    /// A holder's reply.
     pub fn on_reply(&mut self, from: &Name, reply: ClaimReply, out: &mut Effects) {
         if let Some(ended) = self.claimer.on_reply(from, reply) {
             send_result(&ended, out);
--- a/coordination/src/edge_agent/control_sources.rs
+++ b/coordination/src/edge_agent/control_sources.rs
@@ -23,7 +23,7 @@
 const STARTUP_POLL_INTERVAL_PER_EDGE: Ms = 20;
 /// An agent that starts in a small fleet polls this often at most.
 const MIN_POLL_INTERVAL: Ms = 2 * TICK_INTERVAL;
-/// A daemon of another region that holds no role and needs no news is polled this often.
+/// A daemon of another region that holds no role and has this agent's versions is polled this often.
 const REMOTE_POLL_INTERVAL: Ms = 2 * POLL_INTERVAL;
 /// A poll that is late by more, far over the period of ticks, shows that the process was suspended.
 const SUSPENSION_MIN_GAP: Ms = 20 * TICK_INTERVAL;
@@ -36,7 +36,7 @@
 }
 
 impl SentVersions {
-    /// Nothing that an answer could acknowledge.
+    /// Nothing that an update could acknowledge.
     const NONE: SentVersions = SentVersions {
         sent_at: Ms::MAX,
         digest: 0,
@@ -49,21 +49,21 @@
     incarnation: u64,
     /// Position in its change stream up to which this agent has everything.
     position: u64,
-    /// When the newest poll was sent that it answered with a settled update.
+    /// When the newest poll was sent to which it responded with a settled update.
     settled_poll_sent_at: Ms,
     /// It has sent a settled update to this incarnation of the agent.
     sent_settled_update: bool,
     versions_sent: SentVersions,
-    /// Digest of the versions that it has answered to.
+    /// Digest of the versions that it has acknowledged.
     acknowledged_digest: Option<u64>,
     polled_at: Ms,
     /// When it last sent a lease: it holds a singleton role.
     lease_received_at: Ms,
-    /// When the newest poll was sent that it answered.
-    answered_poll_sent_at: Ms,
-    /// The agent's report up to which it has the proxy's counters, by its newest answer.
+    /// When the newest poll was sent to which it responded.
+    acknowledged_poll_sent_at: Ms,
+    /// The agent's report up to which it has the proxy's counters, by its newest response.
     counters_through: u64,
-    /// The services whose counters it keeps, by its newest answer, and the number of that selection.
+    /// The services whose counters it keeps, by its newest response, and the number of that selection.
     selected_services: Vec<Name>,
     selection: u32,
 }
@@ -81,19 +81,19 @@
         };
     }
 
-    /// Notes what an update says of the daemon itself.
+    /// Records what an update reports of the daemon itself.
     fn on_update(&mut self, update: &Update, now: Ms) {
         self.position = self.position.max(update.through_position);
         if update.poll_sent_at >= self.versions_sent.sent_at {
             self.acknowledged_digest = Some(self.versions_sent.digest);
         }
-        if update.poll_sent_at >= self.answered_poll_sent_at {
-            self.answered_poll_sent_at = update.poll_sent_at;
+        if update.poll_sent_at >= self.acknowledged_poll_sent_at {
+            self.acknowledged_poll_sent_at = update.poll_sent_at;
             self.counters_through = update.counters_through;
             self.selection = update.selection;
             self.selected_services = update.selected_services.0.clone();
         }
-        // Only a settled voter counts as heard: others may lack what a majority has accepted.
+        // Only a settled voter counts towards a majority: others may lack what a majority has accepted.
         if update.is_settled != 0 {
             self.settled_poll_sent_at = self.settled_poll_sent_at.max(update.poll_sent_at);
             self.sent_settled_update = true;
@@ -107,8 +107,8 @@
         now.saturating_sub(self.lease_received_at) <= LEASE_DURATION
     }
 
-    fn is_answering(&self, now: Ms) -> bool {
-        now.saturating_sub(self.answered_poll_sent_at) <= RULE_DURATION
+    fn is_responding(&self, now: Ms) -> bool {
+        now.saturating_sub(self.acknowledged_poll_sent_at) <= RULE_DURATION
     }
 }
 
@@ -117,7 +117,7 @@
     pub membership: &'a Membership,
     pub table: &'a StateTable,
     pub proxy: &'a ProxyLink,
-    /// Whether the agent has heard a majority since it started.
+    /// Whether a majority has sent settled updates to this incarnation of the agent.
     pub is_ready: bool,
 }
 
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ControlSources {
     by_name: BTreeMap<Name, ControlSource>,
-    /// The largest number of voters that any daemon told. They disagree only while voters change, and the largest
+    /// The largest number of voters that any daemon reported. They disagree only while voters change, and the largest
     /// asks for the largest majority.
     voter_count: usize,
     next_poll: Ms,
@@ -153,8 +153,8 @@
         settled.count() >= self.majority()
     }
 
-    /// When the newest poll was sent that a majority of settled daemons has answered, or a later one; 0 if there is
-    /// none.
+    /// The latest time such that a majority of settled daemons has responded to a poll that was sent then or later; 0 if
+    /// there is none.
     pub fn majority_poll_sent_at(&self) -> Ms {
         let mut sent_at: Vec<Ms> = self
             .by_name
@@ -165,7 +165,7 @@
         sent_at.get(self.majority() - 1).copied().unwrap_or(0)
     }
 
-    /// Takes what an update says of its sender. False if the update must not be used: it continues the change stream of
+    /// Records what an update reports of its sender. False if the update must not be used: it continues the change stream of
     /// an incarnation whose beginning this agent lacks.
     pub fn on_update(&mut self, from: &Name, update: &Update, now: Ms) -> bool {
         self.voter_count = self.voter_count.max(update.voter_count as usize);
@@ -206,7 +206,7 @@
             .collect();
         for daemon in context.membership.known(NodeRole::Control) {
             let source = self.by_name.entry(daemon.name.clone()).or_default();
-            // The list of all versions goes only to a daemon that has not answered to the same one.
+            // The list of all versions goes only to a daemon that has not acknowledged the same one.
             let has_versions = source.acknowledged_digest != Some(digest);
             if !has_versions && may_wait(source, daemon, context, now) {
                 continue;
@@ -258,13 +258,13 @@
         && now < source.polled_at + REMOTE_POLL_INTERVAL
 }
 
-/// A poll with the counters that the daemon lacks. A daemon that does not answer would be sent more each time: it gets
+/// A poll with the counters that the daemon lacks. A daemon that does not respond would be sent more each time: it gets
 /// none until it does.
 fn poll_with_counters(source: &ControlSource, context: &PollContext, now: Ms) -> Poll {
     let counters_since = context
         .proxy
         .report_to_resume_after(source.counters_through);
-    let reported = if source.is_answering(now) {
+    let reported = if source.is_responding(now) {
         let services = &source.selected_services;
         context.proxy.counters_since(counters_since, services, now)
     } else {
--- a/coordination/src/edge_agent/local_proxy.rs
+++ b/coordination/src/edge_agent/local_proxy.rs
@@ -101,7 +101,7 @@
 struct LocalProxy {
     addr: Name,
     incarnation: u64,
-    heard_at: Ms,
+    last_report_at: Ms,
     /// Up to which of the proxy's changes this agent has its counters and streams.
     counters_through: u64,
     counters: BTreeMap<CountersKey, ReportedCounters>,
@@ -111,12 +111,12 @@
 }
 
 impl LocalProxy {
-    fn is_silent(&self, now: Ms) -> bool {
-        now.saturating_sub(self.heard_at) >= RULE_DURATION
+    fn is_unresponsive(&self, now: Ms) -> bool {
+        now.saturating_sub(self.last_report_at) >= RULE_DURATION
     }
 
     /// Takes a report: a snapshot or what changed. After a gap it takes nothing; the proxy reports everything again
-    /// when it is told that nothing was taken.
+    /// when the next update acknowledges nothing.
     fn take_report(&mut self, message: ProxyReport, report: u64, now: Ms) {
         // What a late report brings was reported again since.
         if message.through_change < self.counters_through {
@@ -218,20 +218,20 @@
     pub fn is_reporting(&self, now: Ms) -> bool {
         self.proxy
             .as_ref()
-            .is_some_and(|proxy| !proxy.is_silent(now))
+            .is_some_and(|proxy| !proxy.is_unresponsive(now))
     }
 
     /// Whether there is a proxy that has stopped reporting.
-    pub fn is_silent(&self, now: Ms) -> bool {
+    pub fn is_unresponsive(&self, now: Ms) -> bool {
         self.proxy
             .as_ref()
-            .is_some_and(|proxy| proxy.is_silent(now))
+            .is_some_and(|proxy| proxy.is_unresponsive(now))
     }
 
     /// Takes the proxy's report of its counters and streams.
     pub fn on_report(&mut self, addr: &Name, message: ProxyReport, now: Ms) {
         let mut proxy = self.reporting_proxy(addr, message.incarnation, now);
-        proxy.heard_at = now;
+        proxy.last_report_at = now;
         self.report_count += 1;
         proxy.take_report(message, self.report_count, now);
         // A control daemon that did not hear in time that these streams have ended is sent everything again.
@@ -249,7 +249,7 @@
     fn reporting_proxy(&mut self, addr: &Name, incarnation: u64, now: Ms) -> LocalProxy {
         match self.proxy.take() {
             Some(proxy) if proxy.addr == *addr && proxy.incarnation == incarnation => LocalProxy {
-                has_snapshot: proxy.has_snapshot && !proxy.is_silent(now),
+                has_snapshot: proxy.has_snapshot && !proxy.is_unresponsive(now),
                 ..proxy
             },
             // The streams of the former incarnation have ended, of which those that knew them are notified.
--- a/coordination/src/edge_agent/repair.rs
+++ b/coordination/src/edge_agent/repair.rs
@@ -17,7 +17,7 @@
 const REPAIR_INTERVAL: Ms = 500;
 /// A comparison of tables counts as recent for so long.
 const COMPARISON_MAX_AGE: Ms = 900;
-/// Comparisons with each edge that are tried within [`COMPARISON_MAX_AGE`] while no control majority is heard.
+/// Comparisons with each edge that are tried within [`COMPARISON_MAX_AGE`] while there is no contact with a control majority.
 const COMPARISON_ATTEMPTS: Ms = 3;
 
 /// What a repair message brings.
@@ -61,13 +61,13 @@
 /// When comparisons are due and with whom they were made.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Comparisons {
-    next_round: Ms,
-    /// When each edge was last sent digests that it answered.
+    next_comparison: Ms,
+    /// When the newest digests were sent to which each edge responded.
     compared_at: BTreeMap<Name, Ms>,
 }
 
 impl Comparisons {
-    /// Notes an answer to digests; answers to nothing carry 0.
+    /// Records a response to digests; other repair messages carry 0.
     pub fn on_repair(&mut self, from: &Name, request_sent_at: Ms) {
         let compared_at = self.compared_at.entry(from.clone()).or_insert(0);
         *compared_at = (*compared_at).max(request_sent_at);
@@ -96,7 +96,7 @@
         now: Ms,
         out: &mut Effects,
     ) {
-        if now < self.next_round {
+        if now < self.next_comparison {
             return;
         }
         let ask = |edge: &Node| {
@@ -107,11 +107,11 @@
             send(&edge.addr, digests)
         };
         if misses_majority {
-            self.next_round = now + COMPARISON_MAX_AGE / COMPARISON_ATTEMPTS;
+            self.next_comparison = now + COMPARISON_MAX_AGE / COMPARISON_ATTEMPTS;
             out.extend(membership.known(NodeRole::Edge).map(ask));
             return;
         }
-        self.next_round = now + REPAIR_INTERVAL;
+        self.next_comparison = now + REPAIR_INTERVAL;
         let mut neighbours = membership.view();
         neighbours.retain(|node| NodeRole::Edge.is_role_of(node));
         let turn = (now / REPAIR_INTERVAL) as usize % neighbours.len().max(1);
@@ -119,9 +119,9 @@
     }
 }
 
-/// Answers another's digests with metadata of the ranges that differ: values are long, and most often it is the other
+/// Responds to another's digests with metadata of the ranges that differ: values are long, and most often it is the other
 /// that lags.
-pub(super) fn answer_digests(table: &StateTable, digests: &TableDigests) -> Repair {
+pub(super) fn respond_to_digests(table: &StateTable, digests: &TableDigests) -> Repair {
     let ranges = table.differing_ranges(&digests.ranges);
     let changes = table
         .entries_in(&ranges)
@@ -135,8 +135,8 @@
     }
 }
 
-/// Answers another's metadata: sends what is newer here and requests what is newer there.
-pub(super) fn answer_metadata(
+/// Responds to another's metadata: sends what is newer here and requests what is newer there.
+pub(super) fn respond_to_metadata(
     table: &StateTable,
     metadata: &Repair,
 ) -> impl Iterator<Item = Repair> {
--- a/coordination/src/edge_agent/serving_rule.rs
+++ b/coordination/src/edge_agent/serving_rule.rs
@@ -9,7 +9,7 @@
 pub const RULE_DURATION: Ms = 1_500;
 /// Without a control majority for so long an agent compares tables with every edge, well before its rule lapses.
 pub const MAJORITY_MISSED_AFTER: Ms = 1_200;
-/// How long an edge that hears no control majority goes on with stable versions while it hears most edges.
+/// How long an edge without a control majority goes on with stable versions while it compares tables with most edges.
 const STABLE_ONLY_MAX_DURATION: Ms = 60_000;
 
 /// What an edge may serve.
@@ -51,11 +51,12 @@
     }
 }
 
-/// What an agent has heard by now that bears on its rule.
+/// An agent's contact with the control plane, from which its rule follows.
 pub(super) struct Contact {
-    /// When the newest poll was sent that a majority of settled control daemons has answered; 0 if there is none.
+    /// The latest time such that a majority of settled control daemons has responded to a poll that was sent then or
+    /// later; 0 if there is none.
     pub majority_poll_sent_at: Ms,
-    /// Whether any control daemon has told how many voters there are.
+    /// Whether any control daemon has reported how many voters there are.
     pub knows_voters: bool,
 }
 
@@ -74,8 +75,8 @@
     rule: ServingRule,
     /// A majority of control daemons has sent settled updates to this incarnation of the agent.
     is_ready: bool,
-    /// When a control majority was last heard.
-    majority_heard_at: Ms,
+    /// When the newest poll was sent to which a control majority has responded in time.
+    majority_contact_at: Ms,
     /// When the process last ran again after it had been suspended.
     resumed_at: Ms,
     /// Out of contact with the control plane it serves stable versions on, by what it knew last.
@@ -99,12 +100,13 @@
         self.resumed_at = now;
     }
 
-    /// Whether the agent once heard a control majority and has missed it long enough to look for a majority of edges.
+    /// Whether the agent once was in contact with a control majority and has been without it long enough to look for a
+    /// majority of edges.
     /// One that serves when partitioned all the same has no use for that.
     pub fn misses_majority(&self, now: Ms) -> bool {
         !self.serve_when_partitioned
-            && self.majority_heard_at > 0
-            && now.saturating_sub(self.majority_heard_at) > MAJORITY_MISSED_AFTER
+            && self.majority_contact_at > 0
+            && now.saturating_sub(self.majority_contact_at) > MAJORITY_MISSED_AFTER
     }
 
     /// Decides the rule. `compared_with_most_edges`, whether most edges have lately compared tables with this one, is asked
@@ -121,7 +123,7 @@
             && contact.majority_poll_sent_at > 0
             && lease_until > now;
         if hears_majority {
-            self.majority_heard_at = contact.majority_poll_sent_at;
+            self.majority_contact_at = contact.majority_poll_sent_at;
         }
         let (rule, valid_until) = if hears_majority {
             (ServingRule::ServeAll, lease_until)
@@ -151,7 +153,7 @@
         // it serve again. The stable rule is for those that went on hearing the others all along.
         let is_continuous = self.rule != ServingRule::RejectAll
             && now.saturating_sub(self.resumed_at) > NODE_TIMEOUT;
-        let is_recent = now.saturating_sub(self.majority_heard_at) <= STABLE_ONLY_MAX_DURATION;
+        let is_recent = now.saturating_sub(self.majority_contact_at) <= STABLE_ONLY_MAX_DURATION;
         is_continuous && is_recent && compared_with_most_edges()
     }
 }
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -1,6 +1,7 @@
 //! Gossip membership with partial views. Each node has a few neighbours, shuffles its view with them, and spreads rising
 //! heartbeats by which every node judges every other. A heartbeat carries its age, so that it is as old at the last node
-//! that hears of it as at the first; whoever was not heard from for long is asked itself before it counts as gone.
+//! that hears of it as at the first; a node that was not heard from for long is asked itself before it
+//! counts as unreachable.
 
 mod known_nodes;
 mod shuffle;
@@ -70,7 +71,7 @@
 }
 
 impl Membership {
-    /// A node that knows of nobody but the addresses in `seeds`. `random_seed` sets all its random choices.
+    /// A node that knows only the addresses in `seeds`. `random_seed` sets all its random choices.
     pub fn new(me: Node, seeds: Vec<Name>, random_seed: u64) -> Self {
         Membership {
             known: KnownNodes::new(me.name.clone()),
@@ -134,7 +135,7 @@
         self.known.get(name).is_some_and(|known| known.is_live)
     }
 
-    /// Ms since a node made the newest heartbeat that was heard of; none for a node that is not known.
+    /// Ms since a node made the newest heartbeat that this node received; none for a node that is not known.
     pub fn unheard_for(&self, name: &str, now: Ms) -> Option<Ms> {
         self.known.get(name).map(|known| known.unheard_for(now))
     }
@@ -144,7 +145,7 @@
         self.known.get(name).map(|known| &known.node)
     }
 
-    /// A message that describes this node to another, which does not answer it.
+    /// A message that describes this node to another, which does not respond to it.
     pub fn introduction(&self) -> Shuffle {
         Shuffle {
             nodes: List(vec![self.me.clone()]),
@@ -158,7 +159,7 @@
         self.known.merge_description(node, now, out);
     }
 
-    /// Takes a message of an exchange from the node at `addr`, and answers it if the exchange goes on.
+    /// Takes a message of an exchange from the node at `addr`, and responds if the exchange goes on.
     pub fn on_shuffle(&mut self, addr: &Name, message: Shuffle, now: Ms, out: &mut Effects) {
         for node in message.nodes.iter() {
             self.known.merge_description(node, now, out);
@@ -170,7 +171,7 @@
             }
         }
         lacking.truncate(shuffle::MAX_DESCRIPTION_COUNT);
-        if !shuffle::needs_answer(&message, &lacking) {
+        if !shuffle::needs_response(&message, &lacking) {
             return;
         }
         // A node that has just started gets everybody's heartbeats: it serves nobody until it knows them.
@@ -185,8 +186,8 @@
             wanted: lacking,
             max_heartbeat_count,
         };
-        let answer = content.message(&self.me, &self.known, &mut self.rng, now);
-        out.push(send(addr, answer));
+        let response = content.message(&self.me, &self.known, &mut self.rng, now);
+        out.push(send(addr, response));
     }
 
     /// Makes a heartbeat and shuffles if that is due; notices the unreachable.
@@ -207,36 +208,36 @@
                 wanted: Vec::new(),
                 max_heartbeat_count: shuffle::MAX_HEARTBEAT_COUNT,
             };
-            let question = content.message(&self.me, &self.known, &mut self.rng, now);
-            out.push(send(&addr, question));
+            let request = content.message(&self.me, &self.known, &mut self.rng, now);
+            out.push(send(&addr, request));
         }
     }
 
     /// Addresses with which this node begins an exchange at this heartbeat.
     fn shuffle_targets(&mut self, failure_timeout: Ms, now: Ms) -> Vec<Name> {
         let mut targets: Vec<Name> = Vec::new();
-        targets.extend(self.choose_neighbour());
-        targets.extend(self.choose_seeds());
+        targets.extend(self.select_neighbour());
+        targets.extend(self.select_seeds());
         // A node that counts as unreachable is asked now and then: after a partition nobody else may know of it.
         if self.me.heartbeat.is_multiple_of(UNREACHABLE_SHUFFLE_PERIOD) {
             let unreachable: Vec<&KnownNode> =
                 self.known.all().filter(|known| !known.is_live).collect();
-            let chosen = self.rng.choice(&unreachable);
-            targets.extend(chosen.map(|known| known.node.addr.clone()));
+            let selected = self.rng.choice(&unreachable);
+            targets.extend(selected.map(|known| known.node.addr.clone()));
         }
         // A node that was not heard from for half of its timeout is asked itself: gossip misses some at times.
         let unresponsive = self
             .known
             .live()
             .filter(|known| known.unheard_for(now) > failure_timeout / 2);
-        let chosen = self.rng.choose_multiple(unresponsive, 1);
-        targets.extend(chosen.into_iter().map(|known| known.node.addr.clone()));
+        let selected = self.rng.choose_multiple(unresponsive, 1);
+        targets.extend(selected.into_iter().map(|known| known.node.addr.clone()));
         targets
     }
 
     /// The neighbour to shuffle with. Bytes to other regions are expensive: where this region alone has more nodes than a
     /// view holds, heartbeats go round inside it, and one of a few shuffles is enough to carry them across.
-    fn choose_neighbour(&mut self) -> Option<Name> {
+    fn select_neighbour(&mut self) -> Option<Name> {
         let mut neighbours = self.view();
         let region_size = self
             .known
@@ -254,8 +255,8 @@
     }
 
     /// The seeds to shuffle with: they bring a lonely node in, or join two halves that lost sight of each other. A node that
-    /// has just started asks them all: it serves nobody until it has heard most control daemons.
-    fn choose_seeds(&mut self) -> Vec<Name> {
+    /// has just started asks them all: it serves nobody until it is in contact with most control daemons.
+    fn select_seeds(&mut self) -> Vec<Name> {
         let is_other = |seed: &&Name| **seed != self.me.addr;
         if self.me.heartbeat == 1 {
             return self.seeds.iter().filter(is_other).cloned().collect();
@@ -266,7 +267,7 @@
         if !needs_seed {
             return Vec::new();
         }
-        let chosen = self.rng.choice(&self.seeds);
-        chosen.filter(is_other).cloned().into_iter().collect()
+        let selected = self.rng.choice(&self.seeds);
+        selected.filter(is_other).cloned().into_iter().collect()
     }
 }
--- a/coordination/src/membership/known_nodes.rs
+++ b/coordination/src/membership/known_nodes.rs
@@ -1,4 +1,4 @@
-//! The other nodes that a node knows of, and which of them count as alive: the failure detector.
+//! The other nodes that a node knows, and which of them count as alive: the failure detector.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,8 @@
     timing::{NODE_RETENTION, NODE_TIMEOUT},
 };
 
-/// For each node that was lately heard of. Heartbeats come round by samples of a fixed size, so that those of one node get
-/// rarer as the fleet grows: from 12 nodes on they are given more time, or live nodes would count as gone.
+/// For each node of which a recent heartbeat came. Heartbeats come round by samples of a fixed size, so that those of one node get
+/// rarer as the fleet grows: from 12 nodes on they are given more time, or live nodes would count as unreachable.
 pub const NODE_TIMEOUT_PER_NODE: Ms = 170;
 /// Unit of a heartbeat's age on the wire.
 const HEARTBEAT_AGE_UNIT: Ms = 10;
@@ -30,7 +30,7 @@
 }
 
 impl KnownNode {
-    /// Ms since it made the newest heartbeat that was heard of.
+    /// Ms since it made the newest heartbeat that this node received.
     pub fn unheard_for(&self, now: Ms) -> Ms {
         now.saturating_sub(self.heartbeat_at)
     }
@@ -92,7 +92,7 @@
 pub(super) struct KnownNodes {
     own_name: Name,
     by_name: BTreeMap<Name, KnownNode>,
-    /// Descriptions that were heard, also former ones of known nodes and this node's own.
+    /// Descriptions that were received, also former ones of known nodes and this node's own.
     names_by_digest: BTreeMap<u32, Name>,
 }
 
@@ -132,7 +132,7 @@
         self.names_by_digest.insert(digest, self.own_name.clone());
     }
 
-    /// How long a node may go unheard before it counts as gone. Heartbeats come round by samples of a fixed size, so that
+    /// How long a node may go unheard before it counts as unreachable. Heartbeats come round by samples of a fixed size, so that
     /// a large fleet gives them more time; nodes that are long gone are no part of it.
     pub fn failure_timeout(&self, now: Ms) -> Ms {
         let timeout =
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -15,8 +15,8 @@
 
 /// Between two losses of disks: the daemon that is back has caught up by then.
 const CATCH_UP_TIME: Ms = 4_000;
-/// Between two looks at what the daemons have.
-const LOOK_INTERVAL: Ms = 10;
+/// Between two checks of what the daemons have.
+const CHECK_INTERVAL: Ms = 10;
 /// Faults in one run.
 const FAULT_COUNT: u64 = 25;
 /// Added to a fault's number: values of a second write during it, and of the write before it.
@@ -54,7 +54,7 @@
         }
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         self.check_accepted_writes();
         for index in 0..self.fleet.daemons.len() {
             if let Some((version, value)) = self.fleet.value(index, "spec") {
@@ -96,9 +96,9 @@
     }
 
     fn run(&mut self, duration: Ms) {
-        for _ in 0..duration / LOOK_INTERVAL {
-            self.fleet.run(LOOK_INTERVAL);
-            self.look();
+        for _ in 0..duration / CHECK_INTERVAL {
+            self.fleet.run(CHECK_INTERVAL);
+            self.check();
         }
     }
 
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -11,8 +11,8 @@
 };
 use wire_messages::{Message, Name};
 
-/// Between two looks at a condition that is waited for.
-const LOOK_INTERVAL: Ms = 10;
+/// Between two checks of a condition that is waited for.
+const CHECK_INTERVAL: Ms = 10;
 /// How long an operator waits for a write, and how long until the next attempt.
 const WRITE_TIMEOUT: Ms = 1_000;
 const WRITE_RETRY_DELAY: Ms = 100;
@@ -397,7 +397,7 @@
             if condition(self) {
                 return Some(self.now - started_at);
             }
-            self.run(LOOK_INTERVAL);
+            self.run(CHECK_INTERVAL);
         }
         condition(self).then_some(most)
     }
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -92,23 +92,23 @@
 }
 
 #[gtest]
-fn a_large_fleet_takes_no_live_node_for_gone_and_notices_the_gone() {
+fn a_large_fleet_suspects_no_live_node_and_detects_failures() {
     let mut network = fleet(120, 1);
     network.run(20_000);
-    let mut missed_count = 0;
+    let mut false_suspicion_count = 0;
     for _ in 0..40 {
         network.run(500);
-        missed_count += network.missed_count();
+        false_suspicion_count += network.false_suspicion_count();
     }
     // Of 571,200 looks of one node at another, one in ten thousand.
-    expect_that!(missed_count, le(57));
+    expect_that!(false_suspicion_count, le(57));
     network.remove("n100");
     network.run(2 * 120 * NODE_TIMEOUT_PER_NODE);
     expect_false!(is_seen(&network, "n100"));
 }
 
 #[gtest]
-fn all_find_each_other_notice_the_gone_and_outlive_their_seeds() {
+fn all_find_each_other_detect_failures_and_survive_their_seeds() {
     for seed in 0..30 {
         let mut network = fleet(11, seed);
         network.run(5_000);
@@ -139,18 +139,18 @@
 }
 
 #[gtest]
-fn fleets_of_any_size_see_the_live_and_notice_the_gone_within_their_timeout() {
+fn fleets_of_any_size_suspect_no_live_node_and_detect_failures_within_their_timeout() {
     for node_count in [5, 30, 90, 400] {
         let mut network = fleet(node_count, 7);
         network.run(30_000);
-        let (mut missed_count, mut look_count) = (0, 0);
+        let (mut false_suspicion_count, mut look_count) = (0, 0);
         for _ in 0..40 {
             network.run(500);
-            missed_count += network.missed_count();
+            false_suspicion_count += network.false_suspicion_count();
             look_count += node_count * (node_count - 1);
         }
         expect_that!(
-            missed_count * 100_000,
+            false_suspicion_count * 100_000,
             le(look_count),
             "{node_count}: live ones taken for gone"
         );
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -75,15 +75,15 @@
 }
 
 #[gtest]
-fn a_large_fleet_shuffles_mostly_inside_its_regions_and_takes_no_live_node_for_gone() {
+fn a_large_fleet_shuffles_mostly_inside_its_regions_and_suspects_no_live_node() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(90, seed);
         fleet.run(15_000);
         fleet.reset_counts();
-        let mut missed_count = 0;
+        let mut false_suspicion_count = 0;
         for _ in 0..40 {
             fleet.run(500);
-            missed_count += fleet.network.missed_count();
+            false_suspicion_count += fleet.network.false_suspicion_count();
         }
         let (local, remote) = (fleet.local_count, fleet.remote_count);
         // Of neighbours drawn from all two thirds would be in other regions.
@@ -93,7 +93,7 @@
             "seed {seed}: {local} and {remote}"
         );
         // Of 320,400 looks of one node at another, one in ten thousand.
-        expect_that!(missed_count, le(32), "seed {seed}");
+        expect_that!(false_suspicion_count, le(32), "seed {seed}");
     }
 }
 
@@ -102,10 +102,10 @@
     for seed in 0..30 {
         let mut fleet = Fleet::new(11, seed);
         fleet.run(5_000);
-        expect_that!(fleet.network.missed_count(), eq(0), "seed {seed}");
+        expect_that!(fleet.network.false_suspicion_count(), eq(0), "seed {seed}");
         fleet.reset_counts();
         fleet.run(3 * NODE_TIMEOUT);
         expect_that!(fleet.remote_count, ge(fleet.local_count), "seed {seed}");
-        expect_that!(fleet.network.missed_count(), eq(0), "seed {seed}");
+        expect_that!(fleet.network.false_suspicion_count(), eq(0), "seed {seed}");
     }
 }
--- a/coordination/tests/support/gossip.rs
+++ b/coordination/tests/support/gossip.rs
@@ -102,8 +102,8 @@
         Some(effects)
     }
 
-    /// Over all nodes, how many others each does not take for live.
-    pub fn missed_count(&self) -> usize {
+    /// False suspicions: over all nodes, how many other live ones each does not take for live.
+    pub fn false_suspicion_count(&self) -> usize {
         self.nodes
             .values()
             .map(|membership| self.nodes.len() - 1 - membership.live(NodeRole::Edge).count())
--- a/coordination/tests/update_pushes.rs
+++ b/coordination/tests/update_pushes.rs
@@ -141,7 +141,7 @@
 // At 299 machines and 3,000 replicas each poll of an edge that was still to be sent anything was answered by a snapshot
 // of all that there is, behind those that were on their way: 278 MB were in control daemons' buffers.
 #[gtest]
-fn a_long_snapshot_is_not_sent_again_behind_itself() {
+fn a_snapshot_in_flight_is_not_sent_again() {
     const SNAPSHOT_BYTES: usize = 600_000;
     const DURATION: Ms = 10_000;
     let mut lone = LoneControl::polled_from("z");
@@ -161,7 +161,7 @@
 }
 
 #[gtest]
-fn short_values_do_not_wait_behind_long_ones_and_the_position_is_never_ahead_of_what_came() {
+fn short_values_bypass_long_ones_in_flight_and_the_position_is_never_ahead_of_what_came() {
     let mut lone = LoneControl::polled_from("z");
     let stream = lone.first_poll();
     expect_that!(value_bytes(&lone.write("plan/s", 600_000)), eq(600_000));
--- a/edge-agent/src/actor.rs
+++ b/edge-agent/src/actor.rs
@@ -24,7 +24,7 @@
 }
 
 impl AgentActor {
-    /// An actor that tells other processes to answer at `listen_addr`.
+    /// An actor whose messages carry `listen_addr` as the address for replies.
     pub fn new(name: String, listen_addr: String, agent: EdgeAgent) -> Self {
         AgentActor {
             name,
