--- a/coordination/src/claims.rs
+++ b/coordination/src/claims.rs
@@ -1,6 +1,7 @@
-//! Claims of run-once requests. A request id names three edges and the incarnation of each; an attempt may run
-//! only when a majority of the three has granted it. A holder of a later incarnation has forgotten its grants and
-//! abstains. A majority may also void an id, which is what makes the answer "not run" final.
+//! Claims of run-once requests. A request id names three edges and the incarnation of each; an
+//! attempt may run only when a majority of the three has granted it. A holder of a later
+//! incarnation has forgotten its grants and abstains. A majority may also void an id, which is what
+//! makes the answer "not run" final.
 
 mod claimer;
 mod grants;
--- a/coordination/src/claims/claimer.rs
+++ b/coordination/src/claims/claimer.rs
@@ -7,7 +7,8 @@
 use super::{ClaimHolder, ClaimState, holders, is_caller_key};
 use crate::{Effects, Ms, effect::send};
 
-/// Longest wait for a claim's majority: many round trips inside a country, and short enough to void after it.
+/// Longest wait for a claim's majority: many round trips inside a country, and short enough to void
+/// after it.
 pub const CLAIM_TIMEOUT: Ms = 300;
 
 /// The proxy that waits for a claim, and its own token for it.
@@ -34,7 +35,8 @@
             .count()
     }
 
-    /// How the claim ends by the replies so far; none while those that are missing may still decide it.
+    /// How the claim ends by the replies so far; none while those that are missing may still decide
+    /// it.
     fn outcome(&self) -> Option<ClaimState> {
         let decided = [ClaimState::Granted, ClaimState::Voided]
             .into_iter()
@@ -43,7 +45,8 @@
         decided.or_else(|| is_complete.then(|| self.undecided_outcome()))
     }
 
-    /// How the claim ends without a majority: another attempt's claim is reported, as that attempt may run.
+    /// How the claim ends without a majority: another attempt's claim is reported, as that attempt
+    /// may run.
     fn undecided_outcome(&self) -> ClaimState {
         if self.count(ClaimState::HeldByOther) > 0 {
             ClaimState::HeldByOther
@@ -80,8 +83,8 @@
 }
 
 impl Claimer {
-    /// Asks the id's holders, or every known edge for a caller's key. `edges` are all that are known, this one
-    /// among them. A claim that nobody can grant ends at once.
+    /// Asks the id's holders, or every known edge for a caller's key. `edges` are all that are
+    /// known, this one among them. A claim that nobody can grant ends at once.
     pub fn request(
         &mut self,
         proxy: &Name,
@@ -109,8 +112,9 @@
             .filter_map(|holder| edges.iter().find(|edge| edge.name == holder.name));
         out.extend(known_holders.map(|edge| send(&edge.addr, self.claim(request))));
         let claim = PendingClaim {
-            // A majority of those that the id names, also if some of them are unknown here: an id that was minted
-            // where only one edge was known dies with that edge, which then abstains, and that is still safe.
+            // A majority of those that the id names, also if some of them are unknown here: an id
+            // that was minted where only one edge was known dies with that edge, which then
+            // abstains, and that is still safe.
             quorum: holders.len() / 2 + 1,
             holders: holders.into_iter().map(|holder| holder.name).collect(),
             replies: BTreeMap::new(),
--- a/coordination/src/claims/grants.rs
+++ b/coordination/src/claims/grants.rs
@@ -13,7 +13,8 @@
 
 /// How long grants are remembered: five times the longest time left that a lane may give a request.
 const GRANT_RETENTION: Ms = 600_000;
-/// By how much a key's age may be wrong, as its caller reports it: the drift of two machines' clocks over ten minutes.
+/// By how much a key's age may be wrong, as its caller reports it: the drift of two machines'
+/// clocks over ten minutes.
 const KEY_AGE_MARGIN: Ms = 5_000;
 
 /// What one request was granted to.
@@ -70,9 +71,9 @@
         out.push(send(claimer_addr, reply));
     }
 
-    /// Whether this incarnation would know of any earlier grant of the request. An id names the incarnation. A key
-    /// does not: its caller reports how long ago it first used it, by its own clock, and a holder that started
-    /// later may have forgotten a grant.
+    /// Whether this incarnation would know of any earlier grant of the request. An id names the
+    /// incarnation. A key does not: its caller reports how long ago it first used it, by its own
+    /// clock, and a holder that started later may have forgotten a grant.
     fn remembers_all_grants_of(&self, me: &Node, claim: &Claim, now: Ms) -> bool {
         if !is_caller_key(&claim.request) {
             return holders(&claim.request)
@@ -90,7 +91,8 @@
             self.insert(claim, now);
             return ClaimState::Granted;
         };
-        // An attempt may turn its own claim into a void, as it knows that it has not run; never back.
+        // An attempt may turn its own claim into a void, as it knows that it has not run; never
+        // back.
         if grant.attempt == claim.attempt && (is_void || !grant.is_void) {
             grant.is_void |= is_void;
             return ClaimState::Granted;
--- a/coordination/src/claims/request_id.rs
+++ b/coordination/src/claims/request_id.rs
@@ -11,7 +11,8 @@
 /// Hexadecimal digits of an id's random part.
 const RANDOM_PART_DIGITS: usize = 16;
 
-/// An edge that grants claims on an id, in the incarnation in which it was alive when the id was minted.
+/// An edge that grants claims on an id, in the incarnation in which it was alive when the id was
+/// minted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimHolder {
     /// Name of the edge's agent.
--- a/coordination/src/claims/tests.rs
+++ b/coordination/src/claims/tests.rs
@@ -26,8 +26,8 @@
     })
 }
 
-/// Every schedule of two attempts, a void and a holder's restart: one attempt at most runs, and none after
-/// a void was reported.
+/// Every schedule of two attempts, a void and a holder's restart: one attempt at most runs, and
+/// none after a void was reported.
 #[gtest]
 fn at_most_one_attempt_runs_and_none_after_a_void() {
     for seed in 0..2_000 {
@@ -70,7 +70,8 @@
     }
 }
 
-/// A key is claimed on a majority of all edges; one that started after the key was first used abstains.
+/// A key is claimed on a majority of all edges; one that started after the key was first used
+/// abstains.
 #[gtest]
 fn a_key_runs_once_over_restarts_of_its_holders() {
     for seed in 0..2_000 {
--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -1,6 +1,7 @@
-//! The state machine of an edge agent. It takes part in the membership, follows the control daemons' change streams into
-//! one state table, repairs that table with its neighbours, decides the rule under which its proxy serves, and claims
-//! run-once requests. The proxy on its machine knows the fleet by its updates alone.
+//! The state machine of an edge agent. It takes part in the membership, follows the control
+//! daemons' change streams into one state table, repairs that table with its neighbours, decides
+//! the rule under which its proxy serves, and claims run-once requests. The proxy on its machine
+//! knows the fleet by its updates alone.
 
 mod claims;
 mod control_sources;
@@ -59,8 +60,8 @@
 }
 
 impl EdgeAgent {
-    /// An agent that starts at `now` and knows only the addresses in `seeds`. `random_seed` sets all its
-    /// random choices.
+    /// An agent that starts at `now` and knows only the addresses in `seeds`. `random_seed` sets
+    /// all its random choices.
     pub fn new(me: Node, seeds: Vec<Name>, random_seed: u64, now: Ms) -> Self {
         let me = Node {
             role: NodeRole::Edge.to_byte(),
@@ -79,8 +80,9 @@
         }
     }
 
-    /// Whether the agent goes on with stable versions while it is out of contact, by what it knew last. That is for
-    /// operators who would rather serve by stale values than reject; bounds then hold for daemons in contact only.
+    /// Whether the agent goes on with stable versions while it is out of contact, by what it knew
+    /// last. That is for operators who would rather serve by stale values than reject; bounds then
+    /// hold for daemons in contact only.
     pub fn set_serve_when_partitioned(&mut self, on: bool) {
         self.serving.serve_when_partitioned = on;
     }
@@ -106,7 +108,8 @@
         self.serving.rule()
     }
 
-    /// Whether the proxy beside this agent still reports but sends clients elsewhere: the machine is shutting down.
+    /// Whether the proxy beside this agent still reports but sends clients elsewhere: the machine
+    /// is shutting down.
     pub fn proxy_is_draining(&self, now: Ms) -> bool {
         self.membership.me().http_addr.is_empty() && self.proxy.is_reporting(now)
     }
@@ -157,7 +160,8 @@
         if self.sources.was_suspended(now) {
             self.serving.set_resumed(now);
         }
-        // A proxy that does not report serves nobody: clients are not sent there until it reports again.
+        // A proxy that does not report serves nobody: clients are not sent there until it reports
+        // again.
         if self.proxy.is_unresponsive(now) {
             self.membership.set_http_addr("");
         }
@@ -233,7 +237,8 @@
                 let responses = repair::respond_to_metadata(&self.state_table, &repair);
                 out.extend(responses.map(|response| send(addr, response)));
             }
-            // Values of a neighbour are committed: they merge even before a majority's updates have come.
+            // Values of a neighbour are committed: they merge even before a majority's updates have
+            // come.
             RepairKind::Values => {
                 let repaired_count = self.merge(repair.changes.0);
                 if repaired_count > 0 {
@@ -259,8 +264,8 @@
         self.claims.on_request(proxy, request, &edges, now, out);
     }
 
-    /// Sends prefills that the own proxy reports to the edges of its region and of the region that it sent them to: those
-    /// share replicas with it. What other edges report goes to the proxy.
+    /// Sends prefills that the own proxy reports to the edges of its region and of the region that
+    /// it sent them to: those share replicas with it. What other edges report goes to the proxy.
     fn on_prefill_report(&self, from: &Name, report: PrefillReport, out: &mut Effects) {
         let Some(proxy_addr) = self.proxy.addr() else {
             return;
@@ -283,7 +288,8 @@
         );
     }
 
-    /// Sends the demand that the own proxy reports to the daemon that holds the service's role, and to nobody else.
+    /// Sends the demand that the own proxy reports to the daemon that holds the service's role, and
+    /// to nobody else.
     fn on_context_demand(&self, from: &Name, demand: ContextDemand, out: &mut Effects) {
         if self.proxy.addr() != Some(from) {
             return;
--- a/coordination/src/edge_agent/claims.rs
+++ b/coordination/src/edge_agent/claims.rs
@@ -8,7 +8,8 @@
     effect::send,
 };
 
-/// An agent knows all edges after so long; before that its majority of them could be another's minority.
+/// An agent knows all edges after so long; before that its majority of them could be another's
+/// minority.
 const EDGE_DISCOVERY_TIME: Ms = 3_000;
 
 /// Both sides of claims.
--- a/coordination/src/edge_agent/control_sources.rs
+++ b/coordination/src/edge_agent/control_sources.rs
@@ -1,4 +1,5 @@
-//! The control daemons as this agent follows them: what each has sent and acknowledged, and when it is polled.
+//! The control daemons as this agent follows them: what each has sent and acknowledged, and when it
+//! is polled.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,11 +20,13 @@
 
 /// Agents poll each control daemon for updates this often; updates are also pushed.
 pub const POLL_INTERVAL: Ms = 400;
-/// For each edge that is known: an agent that has just started, and may not serve yet, polls again after so long.
+/// For each edge that is known: an agent that has just started, and may not serve yet, polls again
+/// after so long.
 const STARTUP_POLL_INTERVAL_PER_EDGE: Ms = 20;
 /// An agent that starts in a small fleet polls this often at most.
 const MIN_POLL_INTERVAL: Ms = 2 * TICK_INTERVAL;
-/// A daemon of another region that holds no role and has this agent's versions is polled this often.
+/// A daemon of another region that holds no role and has this agent's versions is polled this
+/// often.
 const REMOTE_POLL_INTERVAL: Ms = 2 * POLL_INTERVAL;
 /// A poll that is late by more, far over the period of ticks, shows that the process was suspended.
 const SUSPENSION_MIN_GAP: Ms = 20 * TICK_INTERVAL;
@@ -63,14 +66,15 @@
     acknowledged_poll_sent_at: Ms,
     /// The agent's report up to which it has the proxy's counters, by its newest response.
     counters_through: u64,
-    /// The services whose counters it keeps, by its newest response, and the number of that selection.
+    /// The services whose counters it keeps, by its newest response, and the number of that
+    /// selection.
     selected_services: Vec<Name>,
     selection: u32,
 }
 
 impl ControlSource {
-    /// Follows another incarnation of the daemon from its beginning. What its former incarnation was sent means nothing
-    /// to this one, whichever of them a poll reached.
+    /// Follows another incarnation of the daemon from its beginning. What its former incarnation
+    /// was sent means nothing to this one, whichever of them a poll reached.
     fn restart(&mut self, incarnation: u64) {
         *self = ControlSource {
             incarnation,
@@ -93,7 +97,8 @@
             self.selection = update.selection;
             self.selected_services = update.selected_services.0.clone();
         }
-        // Only a settled voter counts towards a majority: others may lack what a majority has accepted.
+        // Only a settled voter counts towards a majority: others may lack what a majority has
+        // accepted.
         if update.is_settled != 0 {
             self.settled_poll_sent_at = self.settled_poll_sent_at.max(update.poll_sent_at);
             self.sent_settled_update = true;
@@ -125,8 +130,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ControlSources {
     by_name: BTreeMap<Name, ControlSource>,
-    /// The largest number of voters that any daemon reported. They disagree only while voters change, and the largest
-    /// asks for the largest majority.
+    /// The largest number of voters that any daemon reported. They disagree only while voters
+    /// change, and the largest asks for the largest majority.
     voter_count: usize,
     next_poll: Ms,
 }
@@ -153,8 +158,8 @@
         settled.count() >= self.majority()
     }
 
-    /// The latest time such that a majority of settled daemons has responded to a poll that was sent then or later; 0 if
-    /// there is none.
+    /// The latest time such that a majority of settled daemons has responded to a poll that was
+    /// sent then or later; 0 if there is none.
     pub fn majority_poll_sent_at(&self) -> Ms {
         let mut sent_at: Vec<Ms> = self
             .by_name
@@ -165,8 +170,8 @@
         sent_at.get(self.majority() - 1).copied().unwrap_or(0)
     }
 
-    /// Records what an update reports of its sender. False if the update must not be used: it continues the change stream of
-    /// an incarnation whose beginning this agent lacks.
+    /// Records what an update reports of its sender. False if the update must not be used: it
+    /// continues the change stream of an incarnation whose beginning this agent lacks.
     pub fn on_update(&mut self, from: &Name, update: &Update, now: Ms) -> bool {
         self.voter_count = self.voter_count.max(update.voter_count as usize);
         let source = self.by_name.entry(from.clone()).or_default();
@@ -206,7 +211,8 @@
             .collect();
         for daemon in context.membership.known(NodeRole::Control) {
             let source = self.by_name.entry(daemon.name.clone()).or_default();
-            // The list of all versions goes only to a daemon that has not acknowledged the same one.
+            // The list of all versions goes only to a daemon that has not acknowledged the same
+            // one.
             let has_versions = source.acknowledged_digest != Some(digest);
             if !has_versions && may_wait(source, daemon, context, now) {
                 continue;
@@ -249,8 +255,8 @@
     (edge_count * STARTUP_POLL_INTERVAL_PER_EDGE).clamp(MIN_POLL_INTERVAL, POLL_INTERVAL)
 }
 
-/// Whether a daemon that has all versions is not polled yet. Bytes to other regions are expensive, and only the holder of
-/// a role acts on counters: the others there are polled half as often.
+/// Whether a daemon that has all versions is not polled yet. Bytes to other regions are expensive,
+/// and only the holder of a role acts on counters: the others there are polled half as often.
 fn may_wait(source: &ControlSource, daemon: &Node, context: &PollContext, now: Ms) -> bool {
     context.is_ready
         && !context.membership.is_same_region(daemon)
@@ -258,8 +264,8 @@
         && now < source.polled_at + REMOTE_POLL_INTERVAL
 }
 
-/// A poll with the counters that the daemon lacks. A daemon that does not respond would be sent more each time: it gets
-/// none until it does.
+/// A poll with the counters that the daemon lacks. A daemon that does not respond would be sent
+/// more each time: it gets none until it does.
 fn poll_with_counters(source: &ControlSource, context: &PollContext, now: Ms) -> Poll {
     let counters_since = context
         .proxy
--- a/coordination/src/edge_agent/leases.rs
+++ b/coordination/src/edge_agent/leases.rs
@@ -1,4 +1,5 @@
-//! Leases that control daemons grant under their singleton roles, as this agent hands them to its proxy.
+//! Leases that control daemons grant under their singleton roles, as this agent hands them to its
+//! proxy.
 
 use std::collections::BTreeMap;
 
@@ -27,8 +28,9 @@
 }
 
 impl Leases {
-    /// Takes a lease that came in response to a poll. It counts from when the poll was sent, so that it ends no later here than at
-    /// its holder. A lease of a lower epoch is a former holder's: it grants nothing any more.
+    /// Takes a lease that came in response to a poll. It counts from when the poll was sent, so
+    /// that it ends no later here than at its holder. A lease of a lower epoch is a former
+    /// holder's: it grants nothing any more.
     pub fn receive(&mut self, holder: &Name, lease: Lease, poll_sent_at: Ms) {
         let expires_at = poll_sent_at + Ms::from(lease.ttl_ms);
         let is_newer = self
--- a/coordination/src/edge_agent/local_proxy.rs
+++ b/coordination/src/edge_agent/local_proxy.rs
@@ -1,5 +1,5 @@
-//! The proxy on the agent's machine: its outcome counters and open streams on their way to the control daemons, and
-//! the table updates that it gets.
+//! The proxy on the agent's machine: its outcome counters and open streams on their way to the
+//! control daemons, and the table updates that it gets.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,11 @@
 use super::serving_rule::{Decision, RULE_DURATION};
 use crate::{Effects, Ms, effect::send, state_table::StateTable, version_health::HEALTH_WINDOWS};
 
-/// Streams that have ended are remembered for so long: control daemons are back sooner, after most partitions.
+/// Streams that have ended are remembered for so long: control daemons are back sooner, after most
+/// partitions.
 const ENDED_STREAM_RETENTION: Ms = 60_000;
-/// Between two updates to the proxy, so that several of them would have to be lost before its rule lapses.
+/// Between two updates to the proxy, so that several of them would have to be lost before its rule
+/// lapses.
 const PROXY_UPDATE_INTERVAL: Ms = RULE_DURATION / 5;
 /// Counters of recent outcomes are reported for so long; the longest window of version health.
 const RECENT_OUTCOME_DURATION: Ms = HEALTH_WINDOWS[HEALTH_WINDOWS.len() - 1];
@@ -115,8 +117,8 @@
         now.saturating_sub(self.last_report_at) >= RULE_DURATION
     }
 
-    /// Takes a report: a snapshot or what changed. After a gap it takes nothing; the proxy reports everything again
-    /// when the next update acknowledges nothing.
+    /// Takes a report: a snapshot or what changed. After a gap it takes nothing; the proxy reports
+    /// everything again when the next update acknowledges nothing.
     fn take_report(&mut self, message: ProxyReport, report: u64, now: Ms) {
         // What a late report brings was reported again since.
         if message.through_change < self.counters_through {
@@ -161,7 +163,8 @@
         }
     }
 
-    /// Removes streams that ended long ago; gives the newest report that brought the end of one of them.
+    /// Removes streams that ended long ago; gives the newest report that brought the end of one of
+    /// them.
     fn forget_ended_streams(&mut self, now: Ms) -> Option<u64> {
         let forgotten_through = self
             .open_streams
@@ -234,7 +237,8 @@
         proxy.last_report_at = now;
         self.report_count += 1;
         proxy.take_report(message, self.report_count, now);
-        // A control daemon that did not hear in time that these streams have ended is sent everything again.
+        // A control daemon that did not hear in time that these streams have ended is sent
+        // everything again.
         if let Some(report) = proxy.forget_ended_streams(now) {
             self.forgotten_through = self.forgotten_through.max(report);
         }
@@ -245,14 +249,16 @@
         self.proxy = Some(proxy);
     }
 
-    /// The proxy as it was known, or another incarnation of it, which has nothing, however soon it came back.
+    /// The proxy as it was known, or another incarnation of it, which has nothing, however soon it
+    /// came back.
     fn reporting_proxy(&mut self, addr: &Name, incarnation: u64, now: Ms) -> LocalProxy {
         match self.proxy.take() {
             Some(proxy) if proxy.addr == *addr && proxy.incarnation == incarnation => LocalProxy {
                 has_snapshot: proxy.has_snapshot && !proxy.is_unresponsive(now),
                 ..proxy
             },
-            // The streams of the former incarnation have ended, of which those that knew them are notified.
+            // The streams of the former incarnation have ended, of which those that knew them are
+            // notified.
             former => LocalProxy {
                 addr: addr.clone(),
                 incarnation,
@@ -262,8 +268,8 @@
         }
     }
 
-    /// The report after which a control daemon is sent counters that has them up to `counters_through`: 0, which is
-    /// everything, if it may have missed the end of a stream.
+    /// The report after which a control daemon is sent counters that has them up to
+    /// `counters_through`: 0, which is everything, if it may have missed the end of a stream.
     pub fn report_to_resume_after(&self, counters_through: u64) -> u64 {
         if counters_through < self.forgotten_through {
             0
@@ -272,8 +278,8 @@
         }
     }
 
-    /// Counters of some services and open streams that changed after a report; all of them after 0, without streams
-    /// that have ended.
+    /// Counters of some services and open streams that changed after a report; all of them after 0,
+    /// without streams that have ended.
     pub fn counters_since(&self, report: u64, services: &[Name], now: Ms) -> Option<CountersSince> {
         let proxy = self.proxy.as_ref()?;
         let counters = proxy
@@ -318,8 +324,8 @@
         now >= self.next_update
     }
 
-    /// Sends the proxy what changed, or the complete table if the proxy is new. Without a proxy changes are dropped:
-    /// the next one gets a snapshot.
+    /// Sends the proxy what changed, or the complete table if the proxy is new. Without a proxy
+    /// changes are dropped: the next one gets a snapshot.
     pub fn send_update(
         &mut self,
         table: &StateTable,
--- a/coordination/src/edge_agent/repair.rs
+++ b/coordination/src/edge_agent/repair.rs
@@ -1,5 +1,5 @@
-//! Repair of the state table between agents (anti-entropy): neighbours compare digests of key ranges and exchange what
-//! differs.
+//! Repair of the state table between agents (anti-entropy): neighbours compare digests of key
+//! ranges and exchange what differs.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,8 @@
 const REPAIR_INTERVAL: Ms = 500;
 /// A comparison of tables counts as recent for so long.
 const COMPARISON_MAX_AGE: Ms = 900;
-/// Comparisons with each edge that are tried within [`COMPARISON_MAX_AGE`] while there is no contact with a control majority.
+/// Comparisons with each edge that are tried within [`COMPARISON_MAX_AGE`] while there is no
+/// contact with a control majority.
 const COMPARISON_ATTEMPTS: Ms = 3;
 
 /// What a repair message brings.
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Reads the byte on the wire. An unknown one is taken for a request, which changes nothing here.
+    /// Reads the byte on the wire. An unknown one is taken for a request, which changes nothing
+    /// here.
     pub const fn from_byte(byte: u8) -> Self {
         match byte {
             0 => RepairKind::Metadata,
@@ -73,8 +75,9 @@
         *compared_at = (*compared_at).max(request_sent_at);
     }
 
-    /// Whether most edges have lately compared tables with this one. Gossip would not do: a heartbeat that is
-    /// passed on may be seconds old, while a value that most edges have must have come here by now.
+    /// Whether most edges have lately compared tables with this one. Gossip would not do: a
+    /// heartbeat that is passed on may be seconds old, while a value that most edges have must have
+    /// come here by now.
     pub fn includes_most_edges(&self, membership: &Membership, now: Ms) -> bool {
         let is_recent = |edge: &&Node| {
             self.compared_at
@@ -87,7 +90,8 @@
         compared_count * 2 > edge_count
     }
 
-    /// Starts a comparison with one neighbour if it is due, or with every edge while the control majority is missed.
+    /// Starts a comparison with one neighbour if it is due, or with every edge while the control
+    /// majority is missed.
     pub fn tick(
         &mut self,
         membership: &Membership,
@@ -119,8 +123,8 @@
     }
 }
 
-/// Responds to another's digests with metadata of the ranges that differ: values are long, and most often it is the other
-/// that lags.
+/// Responds to another's digests with metadata of the ranges that differ: values are long, and most
+/// often it is the other that lags.
 pub(super) fn respond_to_digests(table: &StateTable, digests: &TableDigests) -> Repair {
     let ranges = table.differing_ranges(&digests.ranges);
     let changes = table
--- a/coordination/src/edge_agent/serving_rule.rs
+++ b/coordination/src/edge_agent/serving_rule.rs
@@ -7,9 +7,11 @@
 
 /// A rule that was handed to a proxy is valid for so long: within it a dead agent is noticed.
 pub const RULE_DURATION: Ms = 1_500;
-/// Without a control majority for so long an agent compares tables with every edge, well before its rule lapses.
+/// Without a control majority for so long an agent compares tables with every edge, well before its
+/// rule lapses.
 pub const MAJORITY_MISSED_AFTER: Ms = 1_200;
-/// How long an edge without a control majority goes on with stable versions while it compares tables with most edges.
+/// How long an edge without a control majority goes on with stable versions while it compares
+/// tables with most edges.
 const STABLE_ONLY_MAX_DURATION: Ms = 60_000;
 
 /// What an edge may serve.
@@ -53,8 +55,8 @@
 
 /// An agent's contact with the control plane, from which its rule follows.
 pub(super) struct Contact {
-    /// The latest time such that a majority of settled control daemons has responded to a poll that was sent then or
-    /// later; 0 if there is none.
+    /// The latest time such that a majority of settled control daemons has responded to a poll that
+    /// was sent then or later; 0 if there is none.
     pub majority_poll_sent_at: Ms,
     /// Whether any control daemon has reported how many voters there are.
     pub knows_voters: bool,
@@ -100,17 +102,17 @@
         self.resumed_at = now;
     }
 
-    /// Whether the agent once was in contact with a control majority and has been without it long enough to look for a
-    /// majority of edges.
-    /// One that serves when partitioned all the same has no use for that.
+    /// Whether the agent once was in contact with a control majority and has been without it long
+    /// enough to look for a majority of edges. One that serves when partitioned all the same has no
+    /// use for that.
     pub fn misses_majority(&self, now: Ms) -> bool {
         !self.serve_when_partitioned
             && self.majority_contact_at > 0
             && now.saturating_sub(self.majority_contact_at) > MAJORITY_MISSED_AFTER
     }
 
-    /// Decides the rule. `compared_with_most_edges`, whether most edges have lately compared tables with this one, is asked
-    /// only if it matters.
+    /// Decides the rule. `compared_with_most_edges`, whether most edges have lately compared tables
+    /// with this one, is asked only if it matters.
     pub fn update(
         &mut self,
         contact: &Contact,
@@ -145,12 +147,14 @@
         if !self.is_ready {
             return false;
         }
-        // Bounds bind daemons in contact; what always binds is guaranteed by each edge's own part of it.
+        // Bounds bind daemons in contact; what always binds is guaranteed by each edge's own part
+        // of it.
         if self.serve_when_partitioned {
             return true;
         }
-        // An agent that was partitioned or suspended may have stale values: from then on only a control majority lets
-        // it serve again. The stable rule is for those that went on hearing the others all along.
+        // An agent that was partitioned or suspended may have stale values: from then on only a
+        // control majority lets it serve again. The stable rule is for those that went on hearing
+        // the others all along.
         let is_continuous = self.rule != ServingRule::RejectAll
             && now.saturating_sub(self.resumed_at) > NODE_TIMEOUT;
         let is_recent = now.saturating_sub(self.majority_contact_at) <= STABLE_ONLY_MAX_DURATION;
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -1,7 +1,7 @@
-//! Gossip membership with partial views. Each node has a few neighbours, shuffles its view with them, and spreads rising
-//! heartbeats by which every node judges every other. A heartbeat carries its age, so that it is as old at the last node
-//! that hears of it as at the first; a node that was not heard from for long is asked itself before it
-//! counts as unreachable.
+//! Gossip membership with partial views. Each node has a few neighbours, shuffles its view with
+//! them, and spreads rising heartbeats by which every node judges every other. A heartbeat carries
+//! its age, so that it is as old at the last node that hears of it as at the first; a node that was
+//! not heard from for long is asked itself before it counts as unreachable.
 
 mod known_nodes;
 mod shuffle;
@@ -25,7 +25,8 @@
     regions::{Regions, region_of},
 };
 
-/// Of so many shuffles one goes to a neighbour in any region; the others stay in the own region if it is large.
+/// Of so many shuffles one goes to a neighbour in any region; the others stay in the own region if
+/// it is large.
 const REMOTE_SHUFFLE_PERIOD: u32 = 3;
 /// Of so many shuffles one goes to a seed as well.
 const SEED_SHUFFLE_PERIOD: u32 = 16;
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Whether a node has this role. A node with an unknown byte has none; it is a member all the same.
+    /// Whether a node has this role. A node with an unknown byte has none; it is a member all the
+    /// same.
     pub fn is_role_of(self, node: &Node) -> bool {
         node.role == self.to_byte()
     }
@@ -135,7 +137,8 @@
         self.known.get(name).is_some_and(|known| known.is_live)
     }
 
-    /// Ms since a node made the newest heartbeat that this node received; none for a node that is not known.
+    /// Ms since a node made the newest heartbeat that this node received; none for a node that is
+    /// not known.
     pub fn unheard_for(&self, name: &str, now: Ms) -> Option<Ms> {
         self.known.get(name).map(|known| known.unheard_for(now))
     }
@@ -159,7 +162,8 @@
         self.known.merge_description(node, now, out);
     }
 
-    /// Takes a message of an exchange from the node at `addr`, and responds if the exchange goes on.
+    /// Takes a message of an exchange from the node at `addr`, and responds if the exchange goes
+    /// on.
     pub fn on_shuffle(&mut self, addr: &Name, message: Shuffle, now: Ms, out: &mut Effects) {
         for node in message.nodes.iter() {
             self.known.merge_description(node, now, out);
@@ -174,7 +178,8 @@
         if !shuffle::needs_response(&message, &lacking) {
             return;
         }
-        // A node that has just started gets everybody's heartbeats: it serves nobody until it knows them.
+        // A node that has just started gets everybody's heartbeats: it serves nobody until it knows
+        // them.
         let max_heartbeat_count = if shuffle::is_from_starting_node(&message) {
             self.known.count()
         } else {
@@ -218,14 +223,16 @@
         let mut targets: Vec<Name> = Vec::new();
         targets.extend(self.select_neighbour());
         targets.extend(self.select_seeds());
-        // A node that counts as unreachable is asked now and then: after a partition nobody else may know of it.
+        // A node that counts as unreachable is asked now and then: after a partition nobody else
+        // may know of it.
         if self.me.heartbeat.is_multiple_of(UNREACHABLE_SHUFFLE_PERIOD) {
             let unreachable: Vec<&KnownNode> =
                 self.known.all().filter(|known| !known.is_live).collect();
             let selected = self.rng.choice(&unreachable);
             targets.extend(selected.map(|known| known.node.addr.clone()));
         }
-        // A node that was not heard from for half of its timeout is asked itself: gossip misses some at times.
+        // A node that was not heard from for half of its timeout is asked itself: gossip misses
+        // some at times.
         let unresponsive = self
             .known
             .live()
@@ -235,8 +242,9 @@
         targets
     }
 
-    /// The neighbour to shuffle with. Bytes to other regions are expensive: where this region alone has more nodes than a
-    /// view holds, heartbeats go round inside it, and one of a few shuffles is enough to carry them across.
+    /// The neighbour to shuffle with. Bytes to other regions are expensive: where this region alone
+    /// has more nodes than a view holds, heartbeats go round inside it, and one of a few shuffles
+    /// is enough to carry them across.
     fn select_neighbour(&mut self) -> Option<Name> {
         let mut neighbours = self.view();
         let region_size = self
@@ -254,8 +262,9 @@
         self.rng.choice(neighbours).map(|node| node.addr)
     }
 
-    /// The seeds to shuffle with: they bring a lonely node in, or join two halves that lost sight of each other. A node that
-    /// has just started asks them all: it serves nobody until it is in contact with most control daemons.
+    /// The seeds to shuffle with: they bring a lonely node in, or join two halves that lost sight
+    /// of each other. A node that has just started asks them all: it serves nobody until it is in
+    /// contact with most control daemons.
     fn select_seeds(&mut self) -> Vec<Name> {
         let is_other = |seed: &&Name| **seed != self.me.addr;
         if self.me.heartbeat == 1 {
--- a/coordination/src/membership/known_nodes.rs
+++ b/coordination/src/membership/known_nodes.rs
@@ -12,8 +12,9 @@
     timing::{NODE_RETENTION, NODE_TIMEOUT},
 };
 
-/// For each node of which a recent heartbeat came. Heartbeats come round by samples of a fixed size, so that those of one node get
-/// rarer as the fleet grows: from 12 nodes on they are given more time, or live nodes would count as unreachable.
+/// For each node of which a recent heartbeat came. Heartbeats come round by samples of a fixed
+/// size, so that those of one node get rarer as the fleet grows: from 12 nodes on they are given
+/// more time, or live nodes would count as unreachable.
 pub const NODE_TIMEOUT_PER_NODE: Ms = 170;
 /// Unit of a heartbeat's age on the wire.
 const HEARTBEAT_AGE_UNIT: Ms = 10;
@@ -58,9 +59,10 @@
         u16::try_from(age).unwrap_or(u16::MAX)
     }
 
-    /// Whether what is known is at least as new as a description. A later incarnation supersedes an earlier
-    /// one's heartbeats; within an incarnation only a risen heartbeat is new. An incarnation that seems earlier counts
-    /// only once the later one is unreachable: a machine's clock was set back.
+    /// Whether what is known is at least as new as a description. A later incarnation supersedes an
+    /// earlier one's heartbeats; within an incarnation only a risen heartbeat is new. An
+    /// incarnation that seems earlier counts only once the later one is unreachable: a machine's
+    /// clock was set back.
     fn supersedes(&self, description: &Node, heartbeat_at: Ms) -> bool {
         let known = (self.node.incarnation, self.node.heartbeat);
         let clock_was_set_back = description.incarnation < self.node.incarnation
@@ -70,7 +72,8 @@
     }
 }
 
-/// Digest of a node's description without its heartbeat: whoever has the description needs only heartbeats.
+/// Digest of a node's description without its heartbeat: whoever has the description needs only
+/// heartbeats.
 pub(super) fn description_digest(node: &Node) -> u32 {
     let mut hasher = Xxh3Default::new();
     for text in [&node.name, &node.zone, &node.addr, &node.http_addr] {
@@ -132,8 +135,9 @@
         self.names_by_digest.insert(digest, self.own_name.clone());
     }
 
-    /// How long a node may go unheard before it counts as unreachable. Heartbeats come round by samples of a fixed size, so that
-    /// a large fleet gives them more time; nodes that are long gone are no part of it.
+    /// How long a node may go unheard before it counts as unreachable. Heartbeats come round by
+    /// samples of a fixed size, so that a large fleet gives them more time; nodes that are long
+    /// gone are no part of it.
     pub fn failure_timeout(&self, now: Ms) -> Ms {
         let timeout =
             |node_count: usize| NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * node_count as Ms);
@@ -142,7 +146,8 @@
         timeout(recent.count())
     }
 
-    /// Marks nodes that were not heard from in time as unreachable, and forgets those that are long gone.
+    /// Marks nodes that were not heard from in time as unreachable, and forgets those that are long
+    /// gone.
     pub fn expire(&mut self, failure_timeout: Ms, now: Ms, out: &mut Effects) {
         for known in self.by_name.values_mut() {
             if known.is_live && known.unheard_for(now) > failure_timeout {
--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the platform: one rate limit for the whole fleet, also while a singleton role goes from one holder to another.
+//! Calls to the platform: one rate limit for the whole fleet, also while a singleton role goes from
+//! one holder to another.
 
 use coordination::{Ms, control::call_rate_share, placement::Bucket};
 use googletest::prelude::*;
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -1,5 +1,6 @@
-//! Whatever is killed, wiped, replaced, partitioned and late, as long as no more disks are lost at once than a majority
-//! survives: what was accepted remains, a version has one value, a singleton role has one holder.
+//! Whatever is killed, wiped, replaced, partitioned and late, as long as no more disks are lost at
+//! once than a majority survives: what was accepted remains, a version has one value, a singleton
+//! role has one holder.
 
 mod fleet;
 
@@ -313,7 +314,8 @@
         self.accepted.keys().max().copied().unwrap_or(0)
     }
 
-    /// Whoever sends an accepted write again is told so, whatever has replaced it and whoever remembers it.
+    /// Whoever sends an accepted write again is told so, whatever has replaced it and whoever
+    /// remembers it.
     fn expect_accepted_again(&mut self, seed: u64) {
         for (version, value) in self.accepted.clone() {
             let again = self.write_again(version, &value);
--- a/coordination/tests/edge_agent.rs
+++ b/coordination/tests/edge_agent.rs
@@ -1,4 +1,5 @@
-//! What an edge agent sends, and to whom: repairs to neighbours, polls to control daemons, updates to its proxy.
+//! What an edge agent sends, and to whom: repairs to neighbours, polls to control daemons, updates
+//! to its proxy.
 
 mod support;
 
@@ -88,7 +89,8 @@
         .sum()
 }
 
-/// Passes repair messages between `a` and `b` until there are none; gives the bytes of values that were sent.
+/// Passes repair messages between `a` and `b` until there are none; gives the bytes of values that
+/// were sent.
 fn repair(a: &mut EdgeAgent, b: &mut EdgeAgent) -> usize {
     let digests = TableDigests {
         sent_at: 20,
@@ -179,7 +181,8 @@
     );
 }
 
-/// Polls to c1, c2 and c3 from one time to another; each is answered at once, and c2 holds a singleton role.
+/// Polls to c1, c2 and c3 from one time to another; each is answered at once, and c2 holds a
+/// singleton role.
 fn answer_polls(agent: &mut EdgeAgent, from: Ms, to: Ms) -> [usize; 3] {
     let lease = Lease {
         service: "s".into(),
@@ -389,7 +392,8 @@
         counters: List(vec![counters("s1"), counters("s2")]),
         ..ProxyReport::default()
     };
-    // A proxy that has nothing new to report, and what the agent then polls: daemon, selection and services.
+    // A proxy that has nothing new to report, and what the agent then polls: daemon, selection and
+    // services.
     let reported = |agent: &mut EdgeAgent, now: Ms| -> Vec<(Name, u32, Vec<Name>)> {
         let unchanged = ProxyReport {
             after_change: 1,
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Control daemons alone, in virtual time: a network that delays and loses and is partitioned, disks that sync, hang and
-//! are lost, processes that die.
+//! Control daemons alone, in virtual time: a network that delays and loses and is partitioned,
+//! disks that sync, hang and are lost, processes that die.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -155,7 +155,8 @@
         }
     }
 
-    /// A fleet of so many daemons in as many zones, of which the first three are seeds and bootstrap it.
+    /// A fleet of so many daemons in as many zones, of which the first three are seeds and
+    /// bootstrap it.
     pub fn bootstrapped(seed: u64, daemon_count: usize, region: impl Fn(usize) -> String) -> Self {
         let mut fleet = Fleet::new(seed);
         let regions: BTreeMap<String, String> = (0..daemon_count + 4)
@@ -454,7 +455,8 @@
         Some((index, token))
     }
 
-    /// Writes as an operator does: again and again at any daemon until it is accepted; gives how long that took.
+    /// Writes as an operator does: again and again at any daemon until it is accepted; gives how
+    /// long that took.
     pub fn write_until_accepted(&mut self, key: &str, value: &[u8], most: Ms) -> Option<Ms> {
         let started_at = self.now;
         while self.now < started_at + most {
--- a/coordination/tests/joiners.rs
+++ b/coordination/tests/joiners.rs
@@ -1,5 +1,5 @@
-//! What a daemon that is given a place among the voters reads before it votes, and what those that are read report of
-//! themselves: one rule each.
+//! What a daemon that is given a place among the voters reads before it votes, and what those that
+//! are read report of themselves: one rule each.
 
 use coordination::{Effect, Effects, Row, control::Control, control::ControlConfig};
 use googletest::prelude::*;
@@ -213,7 +213,8 @@
     ));
 }
 
-/// Joiners count those that have left as former voters: only who voted until that very epoch may say so.
+/// Joiners count those that have left as former voters: only who voted until that very epoch may
+/// say so.
 #[gtest]
 fn only_a_voter_of_the_epoch_before_says_that_it_has_left() {
     let mut former_voter = daemon(2, with_place(1), true);
@@ -251,8 +252,8 @@
     expect_that!(reported(&mut remaining), some(eq((5, NO_VOTER))));
 }
 
-/// The first voters are written to their own disks only: a blank one that comes later is not among them, whatever its
-/// name.
+/// The first voters are written to their own disks only: a blank one that comes later is not among
+/// them, whatever its name.
 #[gtest]
 fn only_a_disk_among_the_first_voters_takes_their_list() {
     let started_with = |voters: Vec<Voter>| {
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: live nodes find each other and go on to see each other, and the gone are noticed, at any size.
+//! Membership: live nodes find each other and go on to see each other, and the gone are noticed, at
+//! any size.
 
 mod support;
 
@@ -120,7 +121,8 @@
         // Gossip of them goes round for a while after they went.
         network.run(3 * NODE_TIMEOUT);
         expect_that!(wrong_views(&network), is_empty(), "seed {seed}: gone");
-        // Every machine is replaced, one after the other; each new one knows only some that are there.
+        // Every machine is replaced, one after the other; each new one knows only some that are
+        // there.
         for index in 4..11 {
             network.remove(&format!("n{index}"));
             let present: Vec<String> = network.nodes.keys().take(3).map(Name::to_string).collect();
--- a/coordination/tests/outcome_counters.rs
+++ b/coordination/tests/outcome_counters.rs
@@ -1,5 +1,6 @@
-//! Outcome counters and open streams on their way from a proxy over its agent to a control daemon, in virtual time. Each
-//! message carries only what has changed; messages are lost, duplicated and late, and processes restart.
+//! Outcome counters and open streams on their way from a proxy over its agent to a control daemon,
+//! in virtual time. Each message carries only what has changed; messages are lost, duplicated and
+//! late, and processes restart.
 
 mod support;
 
@@ -367,7 +368,8 @@
         bench.run(6_000, 40);
         bench.agent = agent(100 + bench.now, bench.now, seed);
         bench.run(4_000, 40);
-        // What runs is still known at once: an agent's poll before its proxy has reported ends no stream.
+        // What runs is still known at once: an agent's poll before its proxy has reported ends no
+        // stream.
         expect_that!(bench.open_stream_count(), gt(0), "seed {seed}");
         bench.settle();
         expect_that!(bench.counted(), eq(bench.started_count), "seed {seed}");
@@ -456,7 +458,8 @@
     bench.run(4_500, 0);
     bench.polls = PollTraffic::default();
     bench.run(10_000, 2);
-    // Two requests a second change a counter and a stream each, twice; each is sent until it is answered.
+    // Two requests a second change a counter and a stream each, twice; each is sent until it is
+    // answered.
     expect_that!(bench.polls.longest_entry_count, le(20));
     expect_that!(bench.polls.entry_count, le(160));
 }
--- a/coordination/tests/support/mod.rs
+++ b/coordination/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What several test files share: nodes that gossip over a lossy network, messages to and from edge agents, and a
-//! control daemon that is the only voter.
+//! What several test files share: nodes that gossip over a lossy network, messages to and from edge
+//! agents, and a control daemon that is the only voter.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod agents;
--- a/coordination/tests/update_pushes.rs
+++ b/coordination/tests/update_pushes.rs
@@ -1,5 +1,5 @@
-//! How a control daemon pushes committed values to edges: a long value is sent to those that lack it, once, and by the
-//! nearest daemon.
+//! How a control daemon pushes committed values to edges: a long value is sent to those that lack
+//! it, once, and by the nearest daemon.
 
 mod support;
 
@@ -138,8 +138,9 @@
         .sum()
 }
 
-// At 299 machines and 3,000 replicas each poll of an edge that was still to be sent anything was answered by a snapshot
-// of all that there is, behind those that were on their way: 278 MB were in control daemons' buffers.
+// At 299 machines and 3,000 replicas each poll of an edge that was still to be sent anything was
+// answered by a snapshot of all that there is, behind those that were on their way: 278 MB were in
+// control daemons' buffers.
 #[gtest]
 fn a_snapshot_in_flight_is_not_sent_again() {
     const SNAPSHOT_BYTES: usize = 600_000;
@@ -170,7 +171,8 @@
         lone.tick();
         let updates = lone.poll(stream);
         sent_bytes += value_bytes(&updates);
-        // The agent gets its leases all the same, and is not told that it has what may still be lost.
+        // The agent gets its leases all the same, and is not told that it has what may still be
+        // lost.
         expect_that!(updates.len(), eq(1));
         expect_that!(
             updates[0].through_position,
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The runtime of an edge agent: drives its state machine by messages and a timer, and carries its effects out.
+//! The runtime of an edge agent: drives its state machine by messages and a timer, and carries its
+//! effects out.
 
 mod actor;
 
@@ -56,8 +57,8 @@
     agent
 }
 
-/// Goes on while the proxy drains, but not beyond the grace period: a proxy that was asked to stop as well still serves
-/// what comes, by this agent's rule and updates.
+/// Goes on while the proxy drains, but not beyond the grace period: a proxy that was asked to stop
+/// as well still serves what comes, by this agent's rule and updates.
 async fn wait_for_proxy(actor: &Addr<AgentActor>, params: &Params) {
     let deadline = clock::now() + params.bounds.grace.saturating_sub(AGENT_LAST);
     tokio::time::sleep(FAREWELL).await;
