--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -1,247 +1,281 @@
-//! The feed: what was committed, on its way to the agents.
+//! The change stream: what was committed, in the order in which this daemon learned it, on its way to the edge agents.
 
-use super::*;
+use std::{cell::OnceCell, collections::BTreeMap};
 
-/// Bytes a ms. News to an agent are taken to arrive at this pace: an edge's link of 10 Mbit/s, shared by the daemons that
-/// send it news. What is short, as nearly all is, arrives at once.
+use wire_messages::{Change, List, Name, Node, Update};
+
+use super::{
+    Control, DRAINING_PREFIX, SPEC_KEY,
+    followers::{Follower, InFlight},
+};
+use crate::{
+    Effects, Ms,
+    effect::{log_event, send},
+    events, regions,
+    rendezvous::rendezvous_weight,
+    state_table::version_stamp,
+};
+
+/// Bytes a ms. Updates to an agent are assumed to arrive at this pace: an edge's link of 10 Mbit/s, shared by the daemons
+/// that send to it. What is short, as nearly all is, arrives at once.
 pub const ASSUMED_BYTES_PER_MS: Ms = 256;
-/// ms. They are pushed to if they polled within this, two questions' time: who is cut off asks when it is back, and what
-/// was pushed meanwhile would come then as a flood.
+/// ms. Changes are pushed to agents that polled within this, the time of two polls: an agent that is cut off asks when it
+/// is back, and what was pushed meanwhile would come then as a flood.
 pub const PUSH_ELIGIBILITY: Ms = 1_000;
-/// Bytes. A longer value is let come to an agent from one daemon: to send it is dearer than to wait.
+/// Bytes. A longer value comes to an agent from one daemon only: to send it costs more than to wait.
 const LONG_VALUE_BYTES: usize = 1_000;
-/// ms. News is pushed to an agent within this, also a long spec over a slow link and by a busy daemon; after it whichever
-/// daemon is asked tells, well before a change must be in force.
+/// ms. Changes are pushed to an agent within this, also a long spec over a slow link and by a busy daemon; after it
+/// whichever daemon is polled sends them, well before a change must be in force.
 pub const PUSH_TIMEOUT: Ms = 1_000;
 
-/// A key's newest place in the feed.
+/// A key's newest position in the change stream.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct FeedEntry {
+struct FeedEntry {
     position: u64,
-    /// When its changes of late began, which version stood then, and which where those before them began: an agent that
-    /// has not even that one is not told by the daemon that pushes to it.
+    /// When the present burst of its changes began.
     burst_started_at: Ms,
+    /// The version before the present burst.
     version_before: u64,
+    /// The version before the burst before. An agent that lacks even that one did not get it from the daemon that pushes
+    /// to it.
     version_before_last_burst: u64,
 }
 
 impl FeedEntry {
-    fn advance(self, place: u64, stood: u64, now: Ms) -> FeedEntry {
-        match now.saturating_sub(self.burst_started_at) < PUSH_TIMEOUT {
-            true => FeedEntry {
-                position: place,
-                ..self
-            },
-            false => FeedEntry {
-                position: place,
-                burst_started_at: now,
-                version_before: stood,
-                version_before_last_burst: self.version_before,
-            },
+    fn advance(&mut self, position: u64, previous_version: u64, now: Ms) {
+        self.position = position;
+        if !self.is_in_burst(now) {
+            self.burst_started_at = now;
+            self.version_before_last_burst = self.version_before;
+            self.version_before = previous_version;
         }
     }
+
+    fn is_in_burst(&self, now: Ms) -> bool {
+        now.saturating_sub(self.burst_started_at) < PUSH_TIMEOUT
+    }
+}
+
+/// Positions of all keys. Only each key's newest position is kept: followers merge values by version, so that they never
+/// need an older one.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ChangeFeed {
+    position: u64,
+    entries: BTreeMap<Name, FeedEntry>,
+}
+
+impl ChangeFeed {
+    /// The newest position.
+    pub(super) fn position(&self) -> u64 {
+        self.position
+    }
+
+    fn append(&mut self, key: &Name, previous_version: u64, now: Ms) {
+        self.position += 1;
+        let entry = self.entries.entry(key.clone()).or_default();
+        entry.advance(self.position, previous_version, now);
+    }
+
+    fn entries_after(&self, position: u64) -> impl Iterator<Item = (&Name, &FeedEntry)> {
+        self.entries
+            .iter()
+            .filter(move |(_, entry)| entry.position > position)
+    }
+}
+
+/// Changes to send to a follower.
+struct PendingChanges {
+    changes: Vec<Change>,
+    /// The position that the follower has reached with them.
+    through_position: u64,
 }
 
 impl Control {
-    /// Puts what is newly committed on the board and the feed, and pushes it to the agents.
+    /// Merges what is newly committed into the state table and the change stream, and pushes it to the agents.
     pub(super) fn publish(&mut self, now: Ms, out: &mut Effects) {
-        let fresh = std::mem::take(&mut self.registers.newly_committed);
-        let (mut new, mut read) = (false, false);
-        for c in fresh {
-            let stood = self.state_table.get(&c.key).map_or(0, |o| o.version);
-            if self.state_table.merge(&c) {
-                read |= &*c.key == SPEC_KEY;
-                self.parse_rollout(&c);
-                if let Some(r) = c
-                    .key
-                    .strip_prefix(DRAINING_PREFIX)
-                    .filter(|_| !c.value.0.is_empty())
-                {
-                    out.push(log_event(events::REPLICA_DRAINING, r, ""));
-                }
-                self.feed_position += 1;
-                let fed = self.feed.entry(c.key.clone()).or_default();
-                *fed = fed.advance(self.feed_position, stood, now);
-                new = true;
-            }
+        if self.merge_committed(now, out) {
+            self.push_updates(now, out);
         }
-        if read {
-            self.read_spec();
+    }
+
+    /// Returns whether anything was new.
+    fn merge_committed(&mut self, now: Ms, out: &mut Effects) -> bool {
+        let (mut is_any_new, mut is_spec_new) = (false, false);
+        for change in std::mem::take(&mut self.registers.newly_committed) {
+            let previous_version = self.local_version(&change.key);
+            if !self.state_table.merge(&change) {
+                continue;
+            }
+            is_any_new = true;
+            is_spec_new |= &*change.key == SPEC_KEY;
+            self.parsed.parse_rollout(&change);
+            if let Some(replica) = change.key.strip_prefix(DRAINING_PREFIX)
+                && !change.value.0.is_empty()
+            {
+                out.push(log_event(events::REPLICA_DRAINING, replica, ""));
+            }
+            self.change_feed.append(&change.key, previous_version, now);
         }
-        if !new {
-            return;
+        if is_spec_new && let Some(document) = self.state_table.get(SPEC_KEY) {
+            self.parsed.parse_spec(document);
         }
-        let tellers = self.update_sources(now);
-        let mut agents = std::mem::take(&mut self.followers);
-        for a in agents.values_mut().filter(|a| {
-            now.saturating_sub(a.polled_at) <= PUSH_ELIGIBILITY && self.pushes_to(&a.node, &tellers)
-        }) {
-            let to = a.node.addr.clone();
-            self.send_update(&to, a, self.feed_position, false, now, out);
-            // Taken for arrived; where it is not, the agent's next question says so.
-            a.after_position = a.in_flight.0;
+        is_any_new
+    }
+
+    fn push_updates(&mut self, now: Ms, out: &mut Effects) {
+        let sources = self.update_sources(now);
+        let through_position = self.change_feed.position();
+        let mut followers = std::mem::take(&mut self.followers);
+        for follower in followers.iter_mut() {
+            let polled_lately = now.saturating_sub(follower.polled_at) <= PUSH_ELIGIBILITY;
+            if polled_lately && self.pushes_to(&follower.node, &sources) {
+                let addr = follower.node.addr.clone();
+                self.send_update(&addr, follower, through_position, false, now, out);
+                // Assumed to arrive; where it does not, the agent's next poll says so.
+                follower.after_position = follower.in_flight.through_position;
+            }
         }
-        self.followers = agents;
-    }
-
-    /// Whether this daemon pushes news to an agent: to those of its zone, and to those that come to it in the agreed order
-    /// of the live daemons of their region, or of all where their region has none. All others have it from other daemons,
-    /// or ask.
-    fn pushes_to(&self, a: &Node, live: &[Name]) -> bool {
-        let region = |zone| regions::region_of(&self.config.regions, zone);
-        // The way between regions is dear.
-        let near = |n: &&Name| {
-            let zone = self
-                .peers
-                .get(*n)
-                .map_or(&self.config.zone, |p| &p.heartbeat.zone);
-            region(zone) == region(&a.zone)
-        };
-        let by = |n: &&Name| rendezvous_weight(&a.name, n);
-        let first = live
+        self.followers = followers;
+    }
+
+    /// Whether this daemon pushes changes to an agent: to those of its zone, and to those for which it is first in
+    /// rendezvous order among the live daemons of their region, or among all where their region has none. All others have
+    /// changes from other daemons, or poll.
+    fn pushes_to(&self, agent: &Node, sources: &[Name]) -> bool {
+        let region_of = |zone| regions::region_of(&self.config.regions, zone);
+        // Traffic between regions is expensive.
+        let is_same_region =
+            |source: &&Name| region_of(self.zone_of_daemon(source)) == region_of(&agent.zone);
+        let weight = |source: &&Name| rendezvous_weight(&agent.name, source);
+        let first = sources
             .iter()
-            .filter(near)
-            .max_by_key(by)
-            .or_else(|| live.iter().max_by_key(by));
-        a.zone == self.config.zone || first.is_none_or(|n| *n == self.config.name)
+            .filter(is_same_region)
+            .max_by_key(weight)
+            .or_else(|| sources.iter().max_by_key(weight));
+        agent.zone == self.config.zone || first.is_none_or(|name| *name == self.config.name)
     }
 
-    /// Daemons that news may be had from.
+    /// Zone of a control daemon; this daemon's own for itself.
+    fn zone_of_daemon(&self, name: &Name) -> &Name {
+        self.peers
+            .get(name)
+            .map_or(&self.config.zone, |peer| &peer.heartbeat.zone)
+    }
+
+    /// Daemons that changes may be had from, by name.
     fn update_sources(&self, now: Ms) -> Vec<Name> {
-        let live = self.live_voters(now);
+        let is_live = self.live_voters(now);
         self.peers
-            .keys()
+            .names()
             .chain([&self.config.name])
-            .filter(|n| live(n))
+            .filter(|name| is_live(name))
             .cloned()
             .collect()
     }
 
-    /// Sends an agent its news, and keeps in mind how long they may take.
+    /// Sends a follower what it lacks, and records how long that may take to arrive. The update names no position beyond
+    /// `through_limit`.
     pub(super) fn send_update(
         &self,
-        to: &Name,
-        a: &mut Follower,
-        upto: u64,
-        full: bool,
+        addr: &Name,
+        follower: &mut Follower,
+        through_limit: u64,
+        is_snapshot: bool,
         now: Ms,
         out: &mut Effects,
     ) {
-        let mut m = self.build_update(a, full, now);
-        let bytes: usize = m.changes.iter().map(|c| c.value.0.len()).sum();
-        // Behind what is still on its way.
-        a.in_flight = (
-            m.through_position,
-            now.max(a.in_flight.1) + bytes as Ms / ASSUMED_BYTES_PER_MS,
-        );
-        m.through_position = m.through_position.min(upto);
-        out.push(send(to, m));
-    }
-
-    /// Whether this daemon is the one that tells an agent long values: one of its zone, else of its region, else any; of
-    /// several the first in the agreed order.
-    fn is_preferred_source(&self, a: &Node, now: Ms) -> bool {
-        let zone = |n: &Name| {
-            self.peers
-                .get(n)
-                .map_or(&self.config.zone, |p| &p.heartbeat.zone)
+        let mut update = self.build_update(follower, is_snapshot, now);
+        let changes = update.changes.iter();
+        let bytes: usize = changes.map(|change| change.value.0.len()).sum();
+        // It arrives behind what is still in flight.
+        let starts_at = now.max(follower.in_flight.until);
+        follower.in_flight = InFlight {
+            through_position: update.through_position,
+            until: starts_at + bytes as Ms / ASSUMED_BYTES_PER_MS,
         };
-        let home = regions::region_of(&self.config.regions, &a.zone);
-        let near = |n: &Name| {
-            (
-                *zone(n) == a.zone,
-                regions::region_of(&self.config.regions, zone(n)) == home,
-            )
-        };
-        let tellers = self.update_sources(now);
-        tellers
-            .iter()
-            .max_by_key(|n| (near(n), rendezvous_weight(&a.name, n)))
-            .is_none_or(|n| *n == self.config.name)
+        update.through_position = update.through_position.min(through_limit);
+        out.push(send(addr, update));
     }
 
-    fn build_update(&self, a: &Follower, full: bool, now: Ms) -> Update {
-        let new = self
-            .feed
-            .iter()
-            .filter(|(_, f)| f.position > a.after_position)
-            .filter_map(|(k, f)| Some((self.state_table.get(k)?, *f)));
-        // What it has by other ways is not sent again.
-        let has = |c: &Change| a.versions.iter().find(|s| s.key == c.key);
-        let lacks = |c: &Change| has(c).is_none_or(|s| version_stamp(s) < version_stamp(c));
-        // Nor what is long and most likely on its way: as an answer to an earlier question, or from a daemon nearby, which
-        // may have been cut off with the agent until just now.
-        let far = regions::region_of(&self.config.regions, &a.node.zone)
-            != regions::region_of(&self.config.regions, &self.config.zone);
-        let lately = |at: Ms| now.saturating_sub(at) < PUSH_TIMEOUT;
-        let waits = !full && (a.was_delayed || (far && lately(a.in_touch_since)));
-        let first = OnceCell::new();
-        let others = || !full && !*first.get_or_init(|| self.is_preferred_source(&a.node, now));
-        let served = |c: &Change, f: FeedEntry| {
-            lately(f.burst_started_at)
-                && has(c).map_or(0, |s| s.version) >= f.version_before_last_burst
-        };
-        let comes = |c: &Change, f: FeedEntry| {
-            c.value.0.len() > LONG_VALUE_BYTES && (waits || (served(c, f) && others()))
-        };
-        let (mut upto, mut changes) = (self.feed_position, vec![]);
-        for (c, f) in new.filter(|(c, _)| lacks(c)) {
-            if comes(c, f) {
-                upto = upto.min(f.position - 1);
-            } else {
-                changes.push(c.clone());
-            }
-        }
+    fn build_update(&self, follower: &Follower, is_snapshot: bool, now: Ms) -> Update {
+        let pending = self.pending_changes(follower, is_snapshot, now);
         Update {
-            poll_sent_at: a.poll_sent_at,
+            poll_sent_at: follower.poll_sent_at,
             source_incarnation: self.incarnation,
-            through_position: upto,
-            counters_through: a.counters_through,
-            selection: self.selection,
-            selected_services: self.selected_services.keys().cloned().collect(),
-            is_snapshot: full.into(),
+            through_position: pending.through_position,
+            counters_through: follower.counters_through,
+            selection: self.counters.selection(),
+            selected_services: self.counters.services().cloned().collect(),
+            is_snapshot: is_snapshot.into(),
             is_settled: self.is_settled.into(),
             voter_count: self.registers.voters.len() as u32,
-            changes: List(changes),
+            changes: List(pending.changes),
             leases: self.current_leases(now),
         }
     }
 
-    /// Leases under the duties held here. They end no later than the duty's own lease, because an
-    /// agent counts `ttl` from before its question was even sent.
-    fn current_leases(&self, now: Ms) -> List<Lease> {
-        if !self.is_settled || self.kill_switch_on() {
-            return List::default();
+    /// Changes that a follower lacks, without long values that most likely reach it another way. The position stays before
+    /// the first one that is left out.
+    fn pending_changes(&self, follower: &Follower, is_snapshot: bool, now: Ms) -> PendingChanges {
+        let long_values_in_flight = self.long_values_in_flight(follower, now);
+        let is_preferred = OnceCell::new();
+        let is_preferred =
+            || *is_preferred.get_or_init(|| self.is_preferred_source(&follower.node, now));
+        let is_left_out = |change: &Change, entry: &FeedEntry| {
+            let is_pushed = || {
+                entry.is_in_burst(now)
+                    && follower.seen_version(&change.key) >= entry.version_before_last_burst
+            };
+            !is_snapshot
+                && change.value.0.len() > LONG_VALUE_BYTES
+                && (long_values_in_flight || (is_pushed() && !is_preferred()))
+        };
+        let mut pending = PendingChanges {
+            changes: vec![],
+            through_position: self.change_feed.position(),
+        };
+        for (key, entry) in self.change_feed.entries_after(follower.after_position) {
+            let Some(change) = self.state_table.get(key) else {
+                continue;
+            };
+            // What it has by other ways is not sent again.
+            let lacks = follower
+                .seen(key)
+                .is_none_or(|seen| version_stamp(seen) < version_stamp(change));
+            if lacks && is_left_out(change, entry) {
+                pending.through_position = pending.through_position.min(entry.position - 1);
+            } else if lacks {
+                pending.changes.push(change.clone());
+            }
         }
-        let rows = self
-            .state_table
-            .with_prefix(ROLLOUT_PREFIX)
-            .filter_map(|(s, c)| {
-                let (epoch, until) = self.registers.held_until(&c.key, now)?;
-                let r = self.records.get(s)?;
-                let canary = |g: &&GroupRecord| {
-                    g.role == GroupRole::Canary && Some(&g.version) == r.target.as_ref()
-                };
-                let group = r
-                    .groups
-                    .iter()
-                    .find(canary)
-                    .filter(|g| !g.replicas.is_empty());
-                // A holder that does not know the replicas yet has no ground to let a canary have anything.
-                let heard = self.loops.get(s).is_some_and(|l| l.has_all_reports);
-                let most = self.spec.as_ref().map_or(0, |s| s.canary_percent);
-                let share = group
-                    .filter(|_| heard)
-                    .map_or(0, |g| g.share_percent.min(most));
-                let ttl = (until - now).min(self.config.bounds.lease()) as u32;
-                Some(Lease {
-                    service: s.into(),
-                    epoch,
-                    record_version: c.version,
-                    canary_share_percent: share,
-                    ttl_ms: ttl,
-                })
-            });
-        rows.collect()
+        pending
+    }
+
+    /// Whether long values are most likely on their way to a follower already: as an answer to an earlier poll, or from a
+    /// daemon of its region, which may have been cut off together with it until just now.
+    fn long_values_in_flight(&self, follower: &Follower, now: Ms) -> bool {
+        let region_of = |zone| regions::region_of(&self.config.regions, zone);
+        let is_remote = region_of(&follower.node.zone) != region_of(&self.config.zone);
+        let is_new = now.saturating_sub(follower.in_touch_since) < PUSH_TIMEOUT;
+        follower.was_delayed || (is_remote && is_new)
+    }
+
+    /// Whether this daemon is the one that sends long values to an agent: one of its zone, else of its region, else any;
+    /// of several the first in rendezvous order.
+    fn is_preferred_source(&self, agent: &Node, now: Ms) -> bool {
+        let agent_region = regions::region_of(&self.config.regions, &agent.zone);
+        let preference = |source: &&Name| {
+            let zone = self.zone_of_daemon(source);
+            (
+                *zone == agent.zone,
+                regions::region_of(&self.config.regions, zone) == agent_region,
+                rendezvous_weight(&agent.name, source),
+            )
+        };
+        let sources = self.update_sources(now);
+        sources
+            .iter()
+            .max_by_key(preference)
+            .is_none_or(|name| *name == self.config.name)
     }
 }
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -1,115 +1,226 @@
-//! Copies of shared context, for the services whose duty is held here.
+//! Copies of shared context, for the services whose singleton role is held here.
 
-use super::*;
-use crate::context::demand::DEMAND_OLD;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// ms. A record of copies is not written again before: each writing is a sync and a message to every edge.
+use remote_calls::{ContextRecord, ContextSpec, PlacedReplica, RolloutRecord, ServiceSpec, Spec};
+use wire_messages::{Blob, ContextDemand, Name};
+
+use super::{Control, DRAINING_PREFIX, NO_CALLER, evacuated};
+use crate::{
+    Effects, Ms, compressed,
+    context::{self, Asked, Chain, DEMAND_OLD, Demands, homes},
+    effect::log_event,
+    events, regions,
+    register::{CONTEXT_PREFIX, Expect, ROLLOUT_PREFIX},
+};
+
+/// ms. A record of copies is not written again before: each write is a sync and a message to every edge.
 pub const CONTEXT_WRITE_INTERVAL: Ms = 3_000;
 
-/// What is known for deciding a service's copies of shared context.
+/// What is known for deciding a service's copies of shared context, while its singleton role is held here.
 #[derive(Clone, Debug)]
 pub(super) struct ContextRole {
-    /// Since when the duty is held here, and when the record was last written.
     held_since: Ms,
     written_at: Ms,
     demand: Demands,
 }
 
+/// Demand for shared chains by region.
+type RegionalDemand = BTreeMap<(String, Chain), Asked>;
+
+/// What a service's next record of copies is decided from.
+struct ContextDecision<'a> {
+    spec: &'a Spec,
+    service: &'a ServiceSpec,
+    context_spec: &'a ContextSpec,
+    rollout: &'a RolloutRecord,
+    demand: RegionalDemand,
+    /// The role was acquired so lately that not all edges have reported their demand.
+    is_new_holder: bool,
+}
+
 impl Control {
-    pub(super) fn on_demand(&mut self, from: &Name, m: ContextDemand, now: Ms) {
-        if let Some(c) = self.context_roles.get_mut(&*m.service) {
-            c.demand.tell(from, m.chains.0, now);
+    /// Keys of the singleton roles that this daemon wants to hold, as far as it is the one to: each service's rollout, and
+    /// its copies of shared context where they are on.
+    pub(super) fn wanted_roles(&self) -> Vec<Name> {
+        let mut keys = vec![];
+        for service in self.parsed.spec().into_iter().flat_map(|s| &s.services) {
+            keys.push(Name(format!("{ROLLOUT_PREFIX}{}", service.name)));
+            if service.context.as_ref().is_some_and(|c| c.on) {
+                keys.push(Name(format!("{CONTEXT_PREFIX}{}", service.name)));
+            }
+        }
+        keys
+    }
+
+    /// Takes an edge's demand for a service's shared chains, if its copies are decided here.
+    pub(super) fn on_demand(&mut self, from: &Name, demand: ContextDemand, now: Ms) {
+        if let Some(role) = self.context_roles.get_mut(&*demand.service) {
+            role.demand.tell(from, demand.chains.0, now);
         }
     }
 
-    /// Decides where copies of popular shared context stand, for the services whose duty is held here.
+    /// Decides where copies of popular shared context are kept, for the services whose singleton role is held here.
     pub(super) fn decide_contexts(&mut self, spec: &Spec, now: Ms, out: &mut Effects) {
-        for s in &spec.services {
-            let key: Name = format!("{CONTEXT_PREFIX}{}", s.name).into();
-            let stands = self.state_table.get(&key).filter(|c| !c.value.0.is_empty());
-            let on = s.context.as_ref().filter(|c| c.on);
-            let held = self.registers.held_until(&key, now).is_some()
-                && self
-                    .registers
-                    .held_until(&format!("{ROLLOUT_PREFIX}{}", s.name), now)
-                    .is_some();
-            let (Some(on), true) = (on, held) else {
-                self.context_roles.remove(&s.name);
-                // Switched off: nothing stands any more.
-                if let Some(c) = stands.filter(|_| held && !self.registers.has_pending_writes(&key))
-                {
-                    let e = Expect::Version(c.version);
-                    self.registers
-                        .propose(NO_CALLER, &key, e, Blob::default(), now, out);
-                    out.push(log_event(events::CONTEXT_DISABLED, &s.name, ""));
-                }
-                continue;
-            };
-            let d = self.context_roles.entry(s.name.clone()).or_insert_with(|| {
-                out.push(log_event(events::CONTEXT_ROLE_ACQUIRED, &s.name, ""));
-                ContextRole {
-                    held_since: now,
-                    written_at: 0,
-                    demand: Demands::default(),
-                }
-            });
-            if now < d.written_at + CONTEXT_WRITE_INTERVAL
-                || self.registers.has_pending_writes(&key)
-            {
-                continue;
+        for service in &spec.services {
+            self.decide_context(spec, service, now, out);
+        }
+    }
+
+    fn decide_context(&mut self, spec: &Spec, service: &ServiceSpec, now: Ms, out: &mut Effects) {
+        let key = Name(format!("{CONTEXT_PREFIX}{}", service.name));
+        let rollout_key = format!("{ROLLOUT_PREFIX}{}", service.name);
+        let is_held = self.registers.held_until(&key, now).is_some()
+            && self.registers.held_until(&rollout_key, now).is_some();
+        let context_spec = service.context.as_ref().filter(|context| context.on);
+        let (Some(context_spec), true) = (context_spec, is_held) else {
+            self.context_roles.remove(&service.name);
+            if is_held {
+                self.disable_context(service, &key, now, out);
             }
-            let Some(r) = self.records.get(&s.name) else {
-                continue;
-            };
-            let region_of = |z: &str| regions::region_of(&self.config.regions, z).to_string();
-            let edge = |n: &Name| self.followers.get(n).map(|a| region_of(&a.node.zone));
-            let asked = d.demand.sums(&edge, now);
-            let used: BTreeSet<&String> = r.groups.iter().flat_map(|g| &g.replicas).collect();
-            let may = |p: &&remote_calls::PlacedReplica| {
-                used.contains(&p.id)
-                    && self
-                        .state_table
-                        .get(&format!("{DRAINING_PREFIX}{}", p.id))
-                        .is_none_or(|c| c.value.0.is_empty())
-                    && !evacuated(&self.state_table, &p.zone)
-            };
-            let replicas: Vec<_> = r.replicas.iter().filter(may).cloned().collect();
-            let lanes = spec
-                .paths
-                .iter()
-                .filter(|p| p.split.iter().any(|x| x.service == s.name));
-            let homes: BTreeMap<u64, Vec<String>> =
-                lanes.map(|p| (homes(&p.homes), p.homes.clone())).collect();
-            let i = context::Inputs {
-                spec: on,
-                cache_tokens: s.engine.as_ref().map_or(0, |e| e.cache_tokens),
-                version: &r.stable,
-                replicas: &replicas,
-                region: &region_of,
-                homes: &homes,
-                asked: &asked,
-                young: now.saturating_sub(d.held_since) < DEMAND_OLD,
-            };
-            let old: Option<ContextRecord> = stands.and_then(|c| compressed::decode(&c.value.0));
-            let none = || ContextRecord {
-                service: s.name.clone(),
-                version: r.stable.clone(),
-                parts: vec![],
-            };
-            let next = context::decide(old.as_ref().unwrap_or(&none()), &i);
-            let Some(v) = compressed::encode(&next).filter(|_| old.as_ref() != Some(&next)) else {
-                continue;
-            };
-            d.written_at = now;
-            let (was, n) = (old.map_or(0, |o| o.parts.len()), next.parts.len());
-            out.push(log_event(
-                events::CONTEXT_PLACEMENT_CHANGED,
-                &s.name,
-                format!("{was} to {n} copies"),
-            ));
-            let e = Expect::Version(self.state_table.get(&key).map_or(0, |c| c.version));
+            return;
+        };
+        let role = self.acquire_context_role(service, now, out);
+        let is_due = now >= role.written_at + CONTEXT_WRITE_INTERVAL;
+        if !is_due || self.registers.has_pending_writes(&key) {
+            return;
+        }
+        let Some(rollout) = self.parsed.record(&service.name).cloned() else {
+            return;
+        };
+        let Some((demand, is_new_holder)) = self.context_demand(&service.name, now) else {
+            return;
+        };
+        let decision = ContextDecision {
+            spec,
+            service,
+            context_spec,
+            rollout: &rollout,
+            demand,
+            is_new_holder,
+        };
+        self.update_context(&decision, &key, now, out);
+    }
+
+    /// Clears the record of copies of a service that has them switched off.
+    fn disable_context(&mut self, service: &ServiceSpec, key: &Name, now: Ms, out: &mut Effects) {
+        let committed = self.state_table.get(key).filter(|c| !c.value.0.is_empty());
+        if let Some(committed) = committed
+            && !self.registers.has_pending_writes(key)
+        {
+            let expect = Expect::Version(committed.version);
             self.registers
-                .propose(NO_CALLER, &key, e, Blob(v), now, out);
+                .propose(NO_CALLER, key, expect, Blob::default(), now, out);
+            out.push(log_event(events::CONTEXT_DISABLED, &service.name, ""));
+        }
+    }
+
+    fn acquire_context_role(
+        &mut self,
+        service: &ServiceSpec,
+        now: Ms,
+        out: &mut Effects,
+    ) -> &ContextRole {
+        let name = service.name.clone();
+        self.context_roles.entry(name).or_insert_with(|| {
+            out.push(log_event(events::CONTEXT_ROLE_ACQUIRED, &service.name, ""));
+            ContextRole {
+                held_since: now,
+                written_at: 0,
+                demand: Demands::default(),
+            }
+        })
+    }
+
+    /// Demand for a service's shared chains, and whether the role was acquired so lately that it is incomplete.
+    fn context_demand(&mut self, service: &str, now: Ms) -> Option<(RegionalDemand, bool)> {
+        let role = self.context_roles.get_mut(service)?;
+        let (followers, regions) = (&self.followers, &self.config.regions);
+        let region_of_edge = |edge: &Name| {
+            let zone = &followers.get(edge)?.node.zone;
+            Some(regions::region_of(regions, zone).to_string())
+        };
+        let demand = role.demand.sums(&region_of_edge, now);
+        Some((demand, now.saturating_sub(role.held_since) < DEMAND_OLD))
+    }
+
+    /// Writes a service's next record of copies if it differs from the committed one.
+    fn update_context(
+        &mut self,
+        decision: &ContextDecision,
+        key: &Name,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        let service = &decision.service.name;
+        let committed = self.state_table.get(key);
+        let expect = Expect::Version(committed.map_or(0, |change| change.version));
+        let old: Option<ContextRecord> = committed
+            .filter(|change| !change.value.0.is_empty())
+            .and_then(|change| compressed::decode(&change.value.0));
+        let next = self.next_context_record(decision, old.as_ref());
+        if old.as_ref() == Some(&next) {
+            return;
         }
+        let Some(value) = compressed::encode(&next) else {
+            return;
+        };
+        if let Some(role) = self.context_roles.get_mut(service) {
+            role.written_at = now;
+        }
+        let (before, after) = (old.map_or(0, |old| old.parts.len()), next.parts.len());
+        let text = format!("{before} to {after} copies");
+        out.push(log_event(events::CONTEXT_PLACEMENT_CHANGED, service, text));
+        self.registers
+            .propose(NO_CALLER, key, expect, Blob(value), now, out);
+    }
+
+    fn next_context_record(
+        &self,
+        decision: &ContextDecision,
+        old: Option<&ContextRecord>,
+    ) -> ContextRecord {
+        let (service, rollout) = (decision.service, decision.rollout);
+        let region_of = |zone: &str| regions::region_of(&self.config.regions, zone).to_string();
+        let replicas = self.context_replicas(rollout);
+        let homes_by_number: BTreeMap<u64, Vec<String>> = decision
+            .spec
+            .paths
+            .iter()
+            .filter(|path| path.split.iter().any(|part| part.service == service.name))
+            .map(|path| (homes(&path.homes), path.homes.clone()))
+            .collect();
+        let inputs = context::Inputs {
+            spec: decision.context_spec,
+            cache_tokens: service.engine.as_ref().map_or(0, |e| e.cache_tokens),
+            version: &rollout.stable,
+            replicas: &replicas,
+            region: &region_of,
+            homes: &homes_by_number,
+            asked: &decision.demand,
+            young: decision.is_new_holder,
+        };
+        let empty = ContextRecord {
+            service: service.name.clone(),
+            version: rollout.stable.clone(),
+            parts: vec![],
+        };
+        context::decide(old.unwrap_or(&empty), &inputs)
+    }
+
+    /// Replicas that may keep copies: in use, not draining, and in no evacuated zone.
+    fn context_replicas(&self, rollout: &RolloutRecord) -> Vec<PlacedReplica> {
+        let in_use: BTreeSet<&String> = rollout.groups.iter().flat_map(|g| &g.replicas).collect();
+        let is_draining = |id: &str| {
+            let key = format!("{DRAINING_PREFIX}{id}");
+            let change = self.state_table.get(&key);
+            change.is_some_and(|change| !change.value.0.is_empty())
+        };
+        let is_usable = |replica: &&PlacedReplica| {
+            in_use.contains(&replica.id)
+                && !is_draining(&replica.id)
+                && !evacuated(&self.state_table, &replica.zone)
+        };
+        rollout.replicas.iter().filter(is_usable).cloned().collect()
     }
 }
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -1,14 +1,21 @@
-//! Where callers are sent.
+//! The directory: which edges a caller is sent to.
 
-use super::*;
-use crate::timing::NODE_TIMEOUT;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// ms. A control daemon tells callers of edges only when every agent had three turns to poll it: a short list would
-/// send everybody to a few edges.
+use wire_messages::{Name, Node};
+
+use super::Control;
+use crate::{
+    Effect, Effects, Ms, effect::log_event, events, membership::EDGE_ROLE, pass::host_name,
+    regions, rendezvous::rendezvous_order, timing::NODE_TIMEOUT,
+};
+
+/// ms. A control daemon names edges to callers only when every agent had time for three polls: a short list would send
+/// everybody to a few edges.
 pub const FLEET_DISCOVERY_TIME: Ms = 1_500;
 /// ms. That a region's callers are sent so far beyond it, or nowhere, is logged this often while it lasts.
 pub const DISTANT_LOG_INTERVAL: Ms = 60_000;
-/// ms. An edge that was not heard of for so long is most likely gone: that the directory names it all the same is logged.
+/// ms. An edge that was not heard from for so long is most likely gone: that the directory names it all the same is logged.
 const UNREACHABLE_EDGE_AFTER: Ms = 3_000;
 /// ms. It is logged this often while it lasts.
 const UNREACHABLE_LOG_INTERVAL: Ms = 2_000;
@@ -18,15 +25,20 @@
 /// Who asks the directory, and for which host.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
+    /// The host whose requests the caller has, as its URLs spell it.
     pub host: &'a str,
+    /// The caller's zone.
     pub zone: &'a str,
+    /// The caller's region.
     pub region: &'a str,
 }
 
 /// How far from the caller the edges of an answer may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
+    /// The caller's zone.
     Zone,
+    /// The caller's region.
     Region,
     /// The caller's region and the homes of the host's routes.
     Homes,
@@ -50,7 +62,7 @@
 enum Homes<'a> {
     /// None of its routes has homes.
     Unbound,
-    /// These regions alone: none where its routes have no home in common, or where no spec is known that would tell.
+    /// These regions alone: none where its routes have no home in common, or where no spec is known.
     Regions(BTreeSet<&'a str>),
 }
 
@@ -66,12 +78,15 @@
 /// An answer of the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resolution {
+    /// Addresses of edges, the first to be tried first.
     pub addresses: Vec<String>,
+    /// How far from the caller they may be.
     pub reach: Reach,
     unreachable: Unreachable,
 }
 
-/// Edges of an answer that were not heard of for `UNREACHABLE_EDGE_AFTER`, and the longest silence of any edge in it.
+/// Edges of an answer that were not heard from for `UNREACHABLE_EDGE_AFTER`, and the longest time that any edge in it was
+/// not heard from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Unreachable {
     edges: usize,
@@ -80,18 +95,18 @@
 
 impl Unreachable {
     fn among(edges: &[ServingEdge]) -> Self {
-        let silent = edges
+        let unreachable = edges
             .iter()
-            .filter(|e| e.unheard_for > UNREACHABLE_EDGE_AFTER)
-            .count();
+            .filter(|edge| edge.unheard_for > UNREACHABLE_EDGE_AFTER);
+        let longest = edges.iter().map(|edge| edge.unheard_for).max();
         Unreachable {
-            edges: silent,
-            longest_ms: edges.iter().map(|e| e.unheard_for).max().unwrap_or(0),
+            edges: unreachable.count(),
+            longest_ms: longest.unwrap_or(0),
         }
     }
 }
 
-/// An edge that serves, and how long ago it was last heard of.
+/// An edge that serves, and how long ago it was last heard from.
 #[derive(Clone, Copy)]
 struct ServingEdge<'a> {
     node: &'a Node,
@@ -112,30 +127,32 @@
 pub(super) struct ResolutionCounts {
     by_reach: BTreeMap<Reach, u64>,
     unresolved: u64,
-    /// Answers that name silent edges, and when that was last logged.
+    /// Answers that name unreachable edges.
     unreachable: u64,
+    /// When such an answer was last logged.
     unreachable_logged_at: Option<Ms>,
-    /// By region of the callers and how far they are sent, `None` for nowhere: when that was last logged.
+    /// When it was last logged how far a region's callers are sent, `None` for nowhere.
     distant_logged_at: BTreeMap<(Name, Option<Reach>), Option<Ms>>,
 }
 
-/// Whether something is to be logged that was last logged then, and is at most this often.
-fn is_due(logged: &mut Option<Ms>, every: Ms, now: Ms) -> bool {
-    let due = logged.is_none_or(|at| now.saturating_sub(at) >= every);
-    if due {
-        *logged = Some(now);
+/// Whether something that is logged once an interval is to be logged now; if so, `logged_at` becomes `now`.
+fn is_log_due(logged_at: &mut Option<Ms>, interval: Ms, now: Ms) -> bool {
+    let is_due = logged_at.is_none_or(|at| now.saturating_sub(at) >= interval);
+    if is_due {
+        *logged_at = Some(now);
     }
-    due
+    is_due
 }
 
 impl ResolutionCounts {
+    /// The counts by the names under which monitoring knows them.
     pub(super) fn rows(&self) -> [(&'static str, u64); 6] {
-        let of = |reach| self.by_reach.get(&reach).copied().unwrap_or(0);
+        let count = |reach| self.by_reach.get(&reach).copied().unwrap_or(0);
         [
-            ("resolutions_zone", of(Reach::Zone)),
-            ("resolutions_region", of(Reach::Region)),
-            ("resolutions_homes", of(Reach::Homes)),
-            ("resolutions_fleet", of(Reach::Fleet)),
+            ("resolutions_zone", count(Reach::Zone)),
+            ("resolutions_region", count(Reach::Region)),
+            ("resolutions_homes", count(Reach::Homes)),
+            ("resolutions_fleet", count(Reach::Fleet)),
             ("resolutions_none", self.unresolved),
             ("resolutions_silent", self.unreachable),
         ]
@@ -143,18 +160,18 @@
 
     fn count(&mut self, answer: &Result<Resolution, Unresolved>) {
         match answer {
-            Ok(r) => {
-                *self.by_reach.entry(r.reach).or_default() += 1;
-                self.unreachable += u64::from(r.unreachable.edges > 0);
+            Ok(resolution) => {
+                *self.by_reach.entry(resolution.reach).or_default() += 1;
+                self.unreachable += u64::from(resolution.unreachable.edges > 0);
             }
             Err(_) => self.unresolved += 1,
         }
     }
 
-    /// Whether it is to be logged that an answer names silent edges.
-    fn unreachable_log_due(&mut self, silent: Unreachable, now: Ms) -> bool {
-        silent.edges > 0
-            && is_due(
+    /// Whether it is to be logged that an answer names unreachable edges.
+    fn unreachable_log_due(&mut self, unreachable: Unreachable, now: Ms) -> bool {
+        unreachable.edges > 0
+            && is_log_due(
                 &mut self.unreachable_logged_at,
                 UNREACHABLE_LOG_INTERVAL,
                 now,
@@ -163,7 +180,7 @@
 
     /// Whether it is to be logged how far a region's callers are sent: a region with one edge is so for ever.
     fn distant_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
-        is_due(
+        is_log_due(
             self.distant_logged_at
                 .entry((region.into(), reach))
                 .or_default(),
@@ -176,6 +193,9 @@
 impl Control {
     /// Addresses of edges for a caller: near ones first, but never only one of many, as that one may just have gone.
     /// Beyond its region only where the host's routes may be carried, however few edges serve.
+    ///
+    /// # Errors
+    /// Where this daemon does not know the fleet yet, and where no edge serves that the caller may use.
     pub fn resolve(
         &mut self,
         caller: Caller,
@@ -183,50 +203,54 @@
     ) -> (Result<Resolution, Unresolved>, Effects) {
         let answer = self.edges_for(caller, now);
         self.resolution_counts.count(&answer);
-        let reach = answer.as_ref().ok().map(|r| r.reach);
-        let is_far = reach.is_none_or(|r| r > Reach::Region) && answer != Err(Unresolved::Starting);
-        // A region that no zone is in is a caller's mistake, of which there may be any number.
-        let is_known = self.config.regions.values().any(|r| r == caller.region);
-        let log = is_far
-            && is_known
-            && self
-                .resolution_counts
-                .distant_log_due(caller.region, reach, now);
-        let mut effects = if log {
-            vec![self.log_distant(caller, &answer, now)]
-        } else {
-            vec![]
-        };
-        let silent = answer
+        let mut effects = vec![];
+        if self.is_distant_log_due(caller, &answer, now) {
+            effects.push(self.log_distant(caller, &answer, now));
+        }
+        let unreachable = answer
             .as_ref()
-            .map_or(Unreachable::default(), |r| r.unreachable);
-        if self.resolution_counts.unreachable_log_due(silent, now) {
-            effects.push(self.log_unreachable(caller, silent, now));
+            .map_or(Unreachable::default(), |resolution| resolution.unreachable);
+        if self.resolution_counts.unreachable_log_due(unreachable, now) {
+            effects.push(self.log_unreachable(caller, unreachable, now));
         }
         (answer, effects)
     }
 
-    fn log_unreachable(&self, caller: Caller, silent: Unreachable, now: Ms) -> Effect {
-        let polled = self
-            .followers
-            .values()
-            .filter(|a| now.saturating_sub(a.polled_at) <= NODE_TIMEOUT)
-            .count();
+    /// Whether it is to be logged that a caller is sent beyond its region, or nowhere.
+    fn is_distant_log_due(
+        &mut self,
+        caller: Caller,
+        answer: &Result<Resolution, Unresolved>,
+        now: Ms,
+    ) -> bool {
+        let reach = match answer {
+            Ok(resolution) if resolution.reach <= Reach::Region => return false,
+            Err(Unresolved::Starting) => return false,
+            Ok(resolution) => Some(resolution.reach),
+            Err(Unresolved::NoEdge) => None,
+        };
+        // A region that no zone is in is a caller's mistake, of which there may be any number.
+        let mut regions = self.config.regions.values();
+        regions.any(|region| region == caller.region)
+            && self
+                .resolution_counts
+                .distant_log_due(caller.region, reach, now)
+    }
+
+    fn log_unreachable(&self, caller: Caller, unreachable: Unreachable, now: Ms) -> Effect {
+        let polled = self.followers.polled_within(NODE_TIMEOUT, now).count();
         let live = self.membership.live(EDGE_ROLE).count();
-        let Unreachable {
-            edges,
-            longest_ms: longest,
-        } = silent;
-        let text = format!("edges={edges} longest_ms={longest} polled={polled} live={live}");
+        let Unreachable { edges, longest_ms } = unreachable;
+        let text = format!("edges={edges} longest_ms={longest_ms} polled={polled} live={live}");
         log_event(events::UNREACHABLE_EDGES_LISTED, caller.region, text)
     }
 
-    /// How long ago an edge was last heard of, by its own polls or by gossip.
+    /// How long ago an edge was last heard from, by its own polls or by gossip.
     fn unheard_for(&self, edge: &Node, now: Ms) -> Ms {
         let by_poll = self
             .followers
             .get(&edge.name)
-            .map(|a| now.saturating_sub(a.polled_at));
+            .map(|follower| now.saturating_sub(follower.polled_at));
         let by_gossip = self.membership.unheard_for(&edge.name, now);
         by_poll
             .into_iter()
@@ -242,21 +266,21 @@
         now: Ms,
     ) -> Effect {
         let text = match answer {
-            Ok(r) => format!(
+            Ok(resolution) => format!(
                 "host={} reach={} edges={}",
                 caller.host,
-                r.reach.name(),
-                r.addresses.len()
+                resolution.reach.name(),
+                resolution.addresses.len()
             ),
             Err(_) => format!("host={} reach=none", caller.host),
         };
-        let mut near: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut by_region: BTreeMap<&str, u32> = BTreeMap::new();
         for edge in self.serving_edges(now) {
-            *near.entry(self.region_of(edge)).or_default() += 1;
+            *by_region.entry(self.region_of(edge)).or_default() += 1;
         }
-        let serving: Vec<String> = near
+        let serving: Vec<String> = by_region
             .iter()
-            .map(|(region, n)| format!("{region}:{n}"))
+            .map(|(region, edges)| format!("{region}:{edges}"))
             .collect();
         log_event(
             events::CALLERS_ROUTED_REMOTE,
@@ -265,27 +289,27 @@
         )
     }
 
-    /// Edges that serve, as far as this daemon knows. All live edges poll a daemon that is in touch, so that it takes those
-    /// which it does not hear of for gone, whatever part of the fleet they are. Otherwise their silence may be its own cut,
-    /// and it goes by gossip, for no longer than it may be out of touch without a rule's leave.
+    /// Edges that serve, as far as this daemon knows. All live edges poll a daemon that is in contact, so that it takes
+    /// those which it does not hear from for gone, whatever part of the fleet they are. Otherwise it may be this daemon
+    /// that is cut off, and it goes by gossip, for no longer than an edge may serve out of contact without its serving
+    /// rule's permission.
     fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
         let in_touch = self.in_touch(now);
-        let most = if in_touch {
+        let longest_unheard = if in_touch {
             NODE_TIMEOUT
         } else {
             self.config.bounds.contact
         };
-        let all = self
-            .membership
+        self.membership
             .known(EDGE_ROLE)
-            .filter(|n| !n.http_addr.is_empty());
-        let all = all.filter(|n| in_touch || self.membership.is_live(&n.name));
-        all.map(|node| ServingEdge {
-            node,
-            unheard_for: self.unheard_for(node, now),
-        })
-        .filter(|e| e.unheard_for <= most)
-        .collect()
+            .filter(|node| !node.http_addr.is_empty())
+            .filter(|node| in_touch || self.membership.is_live(&node.name))
+            .map(|node| ServingEdge {
+                node,
+                unheard_for: self.unheard_for(node, now),
+            })
+            .filter(|edge| edge.unheard_for <= longest_unheard)
+            .collect()
     }
 
     fn region_of<'a>(&'a self, edge: ServingEdge<'a>) -> &'a str {
@@ -304,64 +328,58 @@
         if edges.is_empty() {
             return Err(Unresolved::NoEdge);
         }
-        let silent = Unreachable::among(&edges);
-        let addresses = edges.iter().map(|e| e.node.http_addr.to_string()).collect();
+        let addresses = edges.iter().map(|edge| edge.node.http_addr.to_string());
         Ok(Resolution {
-            addresses,
+            addresses: addresses.collect(),
             reach,
-            unreachable: silent,
+            unreachable: Unreachable::among(&edges),
         })
     }
 
+    /// The edges to choose from for a caller, and how far they may be.
     fn select_edges<'a>(
         &'a self,
         caller: Caller,
-        all: Vec<ServingEdge<'a>>,
+        serving: Vec<ServingEdge<'a>>,
     ) -> (Vec<ServingEdge<'a>>, Reach) {
-        let zone: Vec<ServingEdge> = all
+        let same_zone: Vec<ServingEdge> = serving
             .iter()
-            .filter(|e| &*e.node.zone == caller.zone)
+            .filter(|edge| &*edge.node.zone == caller.zone)
             .copied()
             .collect();
-        if zone.len() > 1 {
-            return (zone, Reach::Zone);
+        if same_zone.len() > 1 {
+            return (same_zone, Reach::Zone);
         }
-        let (own, beyond): (Vec<ServingEdge>, Vec<ServingEdge>) = all
+        let (same_region, remote): (Vec<ServingEdge>, Vec<ServingEdge>) = serving
             .into_iter()
-            .partition(|e| self.region_of(*e) == caller.region);
-        if own.len() > 1 {
-            return (own, Reach::Region);
+            .partition(|edge| self.region_of(*edge) == caller.region);
+        if same_region.len() > 1 {
+            return (same_region, Reach::Region);
         }
         // A body is not carried where it has no home for the sake of a choice, nor for the want of any edge.
         let homes = self.homes(caller.host);
-        let beyond = beyond
+        let remote = remote
             .into_iter()
-            .filter(|e| homes.include(self.region_of(*e)));
+            .filter(|edge| homes.include(self.region_of(*edge)));
         let reach = if homes == Homes::Unbound {
             Reach::Fleet
         } else {
             Reach::Homes
         };
-        (own.into_iter().chain(beyond).collect(), reach)
+        (same_region.into_iter().chain(remote).collect(), reach)
     }
 
     /// Regions in which all routes of a host may be carried. The directory is not asked for one route, so that each binds.
     fn homes(&self, host: &str) -> Homes<'_> {
-        let Some(spec) = &self.spec else {
+        let Some(spec) = self.parsed.spec() else {
             return Homes::Regions(BTreeSet::new());
         };
         let host = host_name(host);
-        let bound = spec
-            .paths
+        spec.paths
             .iter()
-            .filter(|p| p.host.eq_ignore_ascii_case(host) && !p.homes.is_empty());
-        let homes = bound.map(|p| {
-            p.homes
-                .iter()
-                .map(String::as_str)
-                .collect::<BTreeSet<&str>>()
-        });
-        let common = homes.reduce(|a, b| a.intersection(&b).copied().collect());
-        common.map_or(Homes::Unbound, Homes::Regions)
+            .filter(|path| path.host.eq_ignore_ascii_case(host) && !path.homes.is_empty())
+            .map(|path| path.homes.iter().map(String::as_str).collect())
+            .reduce(|common: BTreeSet<&str>, homes| common.intersection(&homes).copied().collect())
+            .map_or(Homes::Unbound, Homes::Regions)
     }
 }
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -1,165 +1,214 @@
-//! What agents tell: their counts, and whose tallies are kept here.
+//! Followers: the edge agents that poll this daemon, and what each last said.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use wire_messages::{Change, Name, Node, OpenStreams, Poll};
+
+use super::Control;
+use crate::{Effects, Ms};
 
-/// Daemons that keep a service's tallies: who holds its duty, and who would take it next.
-const COUNTER_SUBSCRIBERS: usize = 2;
-/// ms. A daemon that is neither any more keeps them for so long: voters come and go for a moment.
-pub const COUNTER_RETENTION: Ms = 10_000;
 /// ms. Agents that polled within this are counted as followers.
-pub(crate) const FOLLOWER_TIMEOUT: Ms = 3_000;
+const FOLLOWER_TIMEOUT: Ms = 3_000;
 
-impl Control {
-    pub(super) fn on_poll(&mut self, addr: &Name, m: Poll, now: Ms, out: &mut Effects) {
-        let name = m.node.name.clone();
-        let mut old = self.followers.remove(&name);
-        let same = old
-            .as_ref()
-            .filter(|a| a.node.incarnation == m.node.incarnation);
-        let (count, told) = same.map_or((0, (0, 0)), |a| (a.counters_through, a.in_flight));
-        let since = same
-            .filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT)
-            .map_or(now, |a| a.in_touch_since);
-        let waited = same.is_some_and(|a| {
-            m.sent_at.saturating_sub(a.poll_sent_at) > 2 * now.saturating_sub(a.polled_at)
-        });
-        // What changed since a count that an earlier life of this daemon had is not enough to know anything by; nor is
-        // an agent's word before its proxy has spoken.
-        let tells = m.proxy_incarnation > 0
-            && (m.source_incarnation, m.selection) == (self.incarnation, self.selection)
-            && m.counters_since <= count
-            && count <= m.counters_through;
-        let mut opens = old.as_mut().map_or_else(OpenStreamCounts::new, |a| {
-            std::mem::take(&mut a.open_streams)
-        });
-        if tells {
-            self.take_counters(&name, m.proxy_incarnation, m.counters, now);
-            if m.counters_since == 0 {
-                opens.clear();
-            }
-            for o in m.open_streams.0 {
-                let at = (o.replica, o.version);
-                if o.streams > 0 {
-                    opens.insert(at, o.streams)
-                } else {
-                    opens.remove(&at)
-                };
-            }
-        }
-        // Told first hand: rumours of a large fleet take longer.
-        self.membership.on_description(&m.node, now, out);
-        let full = m.source_incarnation != self.incarnation;
-        let after = if full { 0 } else { m.after_position };
-        // What takes long to arrive is not sent again behind itself: an edge that asks more often than its link carries
-        // the answers would never be told anything.
-        let under_way = now < told.1 && after < told.0;
-        let count = if tells { m.counters_through } else { count };
-        let seen = match old {
-            Some(a) if m.has_versions == 0 && a.node.incarnation == m.node.incarnation => {
-                a.versions
-            }
-            _ => m.versions.0,
-        };
-        // Its place in the feed stays where it says that it is.
-        let (after, upto) = if under_way {
-            (told.0, after)
-        } else {
-            (after, self.feed_position)
-        };
-        let mut a = Follower {
-            node: m.node,
+/// Streams by replica and version.
+pub(super) type OpenStreamCounts = BTreeMap<(Name, Name), u32>;
+
+/// Changes on their way to a follower.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct InFlight {
+    /// Up to which position of the change stream.
+    pub(super) through_position: u64,
+    /// Until when they may take to arrive.
+    pub(super) until: Ms,
+}
+
+/// An edge agent, as its last poll described it.
+#[derive(Clone, Debug)]
+pub(super) struct Follower {
+    pub(super) node: Node,
+    pub(super) polled_at: Ms,
+    /// Since when it has polled without a gap.
+    pub(super) in_touch_since: Ms,
+    /// Whether its last poll came right behind the one before, though it had been sent long after it: both were delayed
+    /// on the way, and what the first asked for is in flight.
+    pub(super) was_delayed: bool,
+    pub(super) poll_sent_at: u64,
+    pub(super) after_position: u64,
+    /// Its outcome counters have arrived up to this one.
+    pub(super) counters_through: u64,
+    pub(super) open_streams: OpenStreamCounts,
+    versions: Vec<Change>,
+    pub(super) in_flight: InFlight,
+}
+
+impl Follower {
+    /// The follower that polls now, with what carries over from its last poll. The versions are moved out of the poll.
+    fn from_poll(previous: Option<Follower>, poll: &mut Poll, now: Ms) -> Self {
+        let mut follower = Follower {
+            node: poll.node.clone(),
             polled_at: now,
-            in_touch_since: since,
-            was_delayed: waited,
-            poll_sent_at: m.sent_at,
-            after_position: after,
-            counters_through: count,
-            open_streams: opens,
-            versions: seen,
-            in_flight: told,
+            in_touch_since: now,
+            was_delayed: false,
+            poll_sent_at: poll.sent_at,
+            after_position: poll.after_position,
+            counters_through: 0,
+            open_streams: OpenStreamCounts::new(),
+            versions: std::mem::take(&mut poll.versions.0),
+            in_flight: InFlight::default(),
         };
-        if !(under_way && full) {
-            self.send_update(addr, &mut a, upto, full, now, out);
-        }
-        self.followers.insert(name, a);
-    }
-
-    /// Chooses whose tallies are kept: of services whose duty this daemon holds or is the next to take. Whoever takes a
-    /// duty over so judges by evidence at once, and all others need not hear every edge's every count.
-    pub(super) fn select_services(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) {
-        let Some(spec) = self.spec() else { return };
-        let me = &self.config.name;
-        let mut changed = false;
-        for s in &spec.services {
-            let key = format!("{ROLLOUT_PREFIX}{}", s.name);
-            // One that stands by may step in as a voter before the duty is free to take.
-            let others = self
-                .registers
-                .voters
-                .iter()
-                .filter(|v| v.name != *me && live(&v.name));
-            let next = others
-                .filter(|v| rendezvous_weight(&key, &v.name) > rendezvous_weight(&key, me))
-                .count()
-                < COUNTER_SUBSCRIBERS;
-            if next || self.registers.held_until(&key, now).is_some() {
-                changed |= self
-                    .selected_services
-                    .insert(s.name.as_str().into(), now)
-                    .is_none();
+        let Some(previous) = previous else {
+            return follower;
+        };
+        follower.open_streams = previous.open_streams;
+        if previous.node.incarnation == poll.node.incarnation {
+            let since_last_poll = now.saturating_sub(previous.polled_at);
+            if since_last_poll <= FOLLOWER_TIMEOUT {
+                follower.in_touch_since = previous.in_touch_since;
+            }
+            follower.was_delayed =
+                poll.sent_at.saturating_sub(previous.poll_sent_at) > 2 * since_last_poll;
+            follower.counters_through = previous.counters_through;
+            follower.in_flight = previous.in_flight;
+            if poll.has_versions == 0 {
+                follower.versions = previous.versions;
             }
         }
-        // A voter that is silent for a moment changes nothing: a choice costs every edge's every count.
-        let loops = &mut self.loops;
-        self.selected_services.retain(|s, at| {
-            let keep = now.saturating_sub(*at) < COUNTER_RETENTION;
-            if !keep {
-                // What came in the meantime would seem to have come at once.
-                loops
-                    .get_mut(&**s)
-                    .into_iter()
-                    .for_each(|l| l.health = VersionHealth::default());
+        follower
+    }
+
+    /// Key, epoch and version of the value that it has for a key.
+    pub(super) fn seen(&self, key: &str) -> Option<&Change> {
+        self.versions.iter().find(|change| *change.key == *key)
+    }
+
+    pub(super) fn seen_version(&self, key: &str) -> u64 {
+        self.seen(key).map_or(0, |change| change.version)
+    }
+
+    /// What it has, by key.
+    pub(super) fn versions(&self) -> &[Change] {
+        &self.versions
+    }
+
+    fn update_open_streams(&mut self, changed: Vec<OpenStreams>) {
+        for open in changed {
+            let replica_version = (open.replica, open.version);
+            if open.streams > 0 {
+                self.open_streams.insert(replica_version, open.streams);
+            } else {
+                self.open_streams.remove(&replica_version);
             }
-            changed |= !keep;
-            keep
-        });
-        if changed {
-            self.selection += 1;
-            self.followers
-                .values_mut()
-                .for_each(|a| a.counters_through = 0);
         }
     }
+}
 
-    fn take_counters(&mut self, source: &Name, life: u64, tallies: List<OutcomeCounters>, now: Ms) {
-        let mut by: BTreeMap<Name, Vec<OutcomeCounters>> = BTreeMap::new();
-        // Services without a count yet are told too: a source is known from its first word on.
-        for s in self.selected_services.keys() {
-            by.insert(s.clone(), vec![]);
+/// All followers by name.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Followers(BTreeMap<Name, Follower>);
+
+impl Followers {
+    pub(super) fn get(&self, name: &Name) -> Option<&Follower> {
+        self.0.get(name)
+    }
+
+    pub(super) fn contains(&self, name: &Name) -> bool {
+        self.0.contains_key(name)
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Follower> {
+        self.0.values()
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Follower> {
+        self.0.values_mut()
+    }
+
+    /// Followers that polled lately.
+    pub(super) fn live(&self, now: Ms) -> impl Iterator<Item = &Follower> {
+        self.polled_within(FOLLOWER_TIMEOUT, now)
+    }
+
+    pub(super) fn polled_within(&self, window: Ms, now: Ms) -> impl Iterator<Item = &Follower> {
+        self.iter()
+            .filter(move |follower| now.saturating_sub(follower.polled_at) <= window)
+    }
+
+    /// Has every follower send all its counters again, as the services whose counters are kept have changed.
+    pub(super) fn restart_counters(&mut self) {
+        for follower in self.0.values_mut() {
+            follower.counters_through = 0;
         }
-        let kept = tallies
+    }
+}
+
+impl Control {
+    /// Answers an agent's poll with what it lacks, and accepts its counters.
+    pub(super) fn on_poll(&mut self, addr: &Name, mut poll: Poll, now: Ms, out: &mut Effects) {
+        let previous = self.followers.0.remove(&poll.node.name);
+        let mut follower = Follower::from_poll(previous, &mut poll, now);
+        self.accept_poll_counters(&mut follower, &mut poll, now);
+        // This is first hand: gossip in a large fleet takes longer.
+        self.membership.on_description(&follower.node, now, out);
+        self.answer_poll(addr, &mut follower, &poll, now, out);
+        self.followers
             .0
-            .into_iter()
-            .filter(|t| self.selected_services.contains_key(&t.service));
-        kept.for_each(|t| by.entry(t.service.clone()).or_default().push(t));
-        for (s, v) in by {
-            self.loops
-                .entry(s.to_string())
-                .or_insert_with(|| RolloutLoop::new(now))
-                .health
-                .add_counters(source, life, &v);
-        }
+            .insert(follower.node.name.clone(), follower);
     }
 
-    /// Services whose tallies this daemon keeps.
-    pub fn selected_services(&self) -> impl Iterator<Item = &str> {
-        self.selected_services.keys().map(|s| &**s)
+    /// Accepts the counters and open streams of a poll, unless they changed since a counter that an earlier incarnation
+    /// of this daemon had, which is not enough to know anything by; nor does an agent's word count before its proxy has
+    /// reported.
+    fn accept_poll_counters(&mut self, follower: &mut Follower, poll: &mut Poll, now: Ms) {
+        let known = follower.counters_through;
+        let is_complete = poll.proxy_incarnation > 0
+            && poll.source_incarnation == self.incarnation
+            && poll.selection == self.counters.selection()
+            && poll.counters_since <= known
+            && known <= poll.counters_through;
+        if !is_complete {
+            return;
+        }
+        let counters = std::mem::take(&mut poll.counters.0);
+        let proxy = poll.proxy_incarnation;
+        self.add_counters(&follower.node.name, proxy, counters, now);
+        if poll.counters_since == 0 {
+            follower.open_streams.clear();
+        }
+        follower.update_open_streams(std::mem::take(&mut poll.open_streams.0));
+        follower.counters_through = poll.counters_through;
     }
 
-    /// Requests sent that this daemon has counted: of a service, and of one of its versions.
-    pub fn requests_counted(&self, service: &str, version: &str) -> (u64, u64) {
-        self.loops
-            .get(service)
-            .map_or((0, 0), |l| l.health.sent(version))
+    /// Sends a follower what it lacks. What takes long to arrive is not sent again behind itself: an edge that polls more
+    /// often than its link carries the answers would never complete one.
+    fn answer_poll(
+        &self,
+        addr: &Name,
+        follower: &mut Follower,
+        poll: &Poll,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        let needs_snapshot = poll.source_incarnation != self.incarnation;
+        let acknowledged = if needs_snapshot {
+            0
+        } else {
+            poll.after_position
+        };
+        let in_flight = follower.in_flight;
+        if now >= in_flight.until || acknowledged >= in_flight.through_position {
+            follower.after_position = acknowledged;
+            let through_position = self.change_feed.position();
+            self.send_update(addr, follower, through_position, needs_snapshot, now, out);
+            return;
+        }
+        follower.after_position = in_flight.through_position;
+        if !needs_snapshot {
+            // Its position stays where it says that it is.
+            self.send_update(addr, follower, acknowledged, needs_snapshot, now, out);
+        }
     }
 }
--- /dev/null
+++ b/coordination/src/control/heartbeats.rs
@@ -0,0 +1,143 @@
+//! Heartbeats between control daemons: what this daemon says of itself, to whom, and what it does on hearing a peer.
+
+use std::collections::BTreeSet;
+
+use wire_messages::{Bootstrap, Heartbeat, List, Name, PeerState, SlotsRequest};
+
+use super::{Control, state_comparison::Digests, voters::JOINER_WINDOW};
+use crate::{
+    Effects, Ms,
+    effect::send,
+    membership::CONTROL_ROLE,
+    timing::{NODE_TIMEOUT, PEER_TIMEOUT},
+};
+
+impl Control {
+    /// Names of the voters that were heard from lately and vote in this daemon's member epoch, itself among them while
+    /// it works, as a predicate.
+    pub(super) fn live_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
+        let mut names: BTreeSet<Name> = self
+            .peers
+            .heard_within(PEER_TIMEOUT, now)
+            .filter(|(_, peer)| {
+                peer.heartbeat.state == PeerState::Voter
+                    && peer.heartbeat.member_epoch == self.registers.member_epoch
+            })
+            .map(|(name, _)| name.clone())
+            .collect();
+        if !self.stopping && self.disk_healthy {
+            names.insert(self.config.name.clone());
+        }
+        move |name| names.contains(name)
+    }
+
+    pub(super) fn on_heartbeat(
+        &mut self,
+        from: &Name,
+        addr: &Name,
+        heartbeat: Heartbeat,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        self.registers.set_addr(from, addr);
+        self.peers.record_disk(heartbeat.disk_id, now);
+        let is_blank = matches!(heartbeat.state, PeerState::Blank | PeerState::Bootstrapping);
+        let is_voter = heartbeat.state == PeerState::Voter;
+        let digests = Digests {
+            theirs: heartbeat.committed_digest,
+            own: self.registers.committed_digest(),
+        };
+        let votes_here = is_voter && heartbeat.member_epoch == self.registers.member_epoch;
+        let missed_change = self.comparison.observe(from, digests, votes_here, now);
+        let is_lagging =
+            heartbeat.member_epoch > self.registers.member_epoch || (is_voter && missed_change);
+        if is_lagging && !is_blank && self.comparison.take_slots_request_turn(now) {
+            out.push(send(addr, self.slots_request()));
+        }
+        if is_blank {
+            self.offer_first_voters(addr, heartbeat.disk_id, out);
+        }
+        self.peers.record(from, addr, heartbeat, now);
+    }
+
+    /// Offers the first voters again to a member that was named among them but has not stored them.
+    fn offer_first_voters(&self, addr: &Name, disk_id: u64, out: &mut Effects) {
+        let voters = &self.registers.voters;
+        if self.registers.member_epoch == 1 && voters.iter().any(|v| v.disk_id == disk_id) {
+            let voters = List(voters.clone());
+            out.push(send(addr, Bootstrap { voters }));
+        }
+    }
+
+    pub(super) fn slots_request(&self) -> SlotsRequest {
+        SlotsRequest {
+            member_epoch: self.registers.member_epoch,
+            known: self.registers.slot_metadata(),
+        }
+    }
+
+    pub(super) fn send_heartbeats(&mut self, now: Ms, out: &mut Effects) {
+        if !self.peers.take_heartbeat_turn(now) {
+            return;
+        }
+        let heartbeat = Heartbeat {
+            member_epoch: self.registers.member_epoch,
+            disk_id: self.voter_membership.disk_id(),
+            zone: self.config.zone.clone(),
+            state: self.own_state(now),
+            committed_digest: self.registers.committed_digest(),
+        };
+        let receivers = self.heartbeat_receivers(now);
+        out.extend(receivers.iter().map(|addr| send(addr, heartbeat.clone())));
+        let votes = |name: &Name| self.registers.voters.iter().any(|v| v.name == *name);
+        let followers = self
+            .peers
+            .heard_within(NODE_TIMEOUT, now)
+            .filter(|(name, _)| !votes(name))
+            .map(|(_, peer)| peer.addr.clone())
+            .collect();
+        self.registers.followers = followers;
+    }
+
+    fn own_state(&self, now: Ms) -> PeerState {
+        if self.stopping {
+            return PeerState::Stopping;
+        }
+        if self.registers.member_epoch == 0 {
+            return if self.registers.voters.is_empty() {
+                PeerState::Blank
+            } else {
+                PeerState::Bootstrapping
+            };
+        }
+        if self.registers.voting && self.disk_healthy {
+            return PeerState::Voter;
+        }
+        let is_new = now.saturating_sub(self.started_at) < JOINER_WINDOW;
+        if self.is_listed_voter() {
+            PeerState::CatchingUp
+        } else if self.voter_membership.started_blank() && is_new {
+            PeerState::Joiner
+        } else {
+            PeerState::Learner
+        }
+    }
+
+    fn heartbeat_receivers(&self, now: Ms) -> BTreeSet<Name> {
+        let voters = self.registers.voters.iter();
+        let mut receivers: BTreeSet<Name> = voters.map(|v| self.registers.addr(v)).collect();
+        // Learners have nothing to report to each other.
+        if self.registers.voting || self.registers.member_epoch == 0 {
+            let live = self.membership.live(CONTROL_ROLE);
+            receivers.extend(live.map(|node| node.addr.clone()));
+            let heard = self.peers.heard_within(NODE_TIMEOUT, now);
+            receivers.extend(heard.map(|(_, peer)| peer.addr.clone()));
+        }
+        // Until it knows the voters, only its seeds lead there.
+        if self.registers.member_epoch == 0 {
+            receivers.extend(self.config.seeds.iter().cloned());
+        }
+        receivers.remove(&self.config.addr);
+        receivers
+    }
+}
--- /dev/null
+++ b/coordination/src/control/parsed_state.rs
@@ -0,0 +1,76 @@
+//! Values of the state table that every update and every pass looks at, parsed once a change: the spec, the rollout
+//! records and the release plans.
+
+use std::{collections::BTreeMap, sync::Arc};
+
+use remote_calls::{ReleasePlan, RolloutRecord, Spec};
+use wire_messages::Change;
+
+use super::PLAN_PREFIX;
+use crate::{compressed, register::ROLLOUT_PREFIX, state_table::SpecParser};
+
+/// A release plan and the version of its key.
+#[derive(Clone, Debug)]
+struct VersionedPlan {
+    version: u64,
+    plan: ReleasePlan,
+}
+
+/// Parsed values, by service where there is one for each.
+#[derive(Clone, Debug)]
+pub(super) struct ParsedState {
+    spec_parser: SpecParser,
+    spec: Option<Arc<Spec>>,
+    records: BTreeMap<String, Arc<RolloutRecord>>,
+    plans: BTreeMap<String, VersionedPlan>,
+}
+
+impl ParsedState {
+    pub(super) fn new(spec_parser: SpecParser) -> Self {
+        ParsedState {
+            spec_parser,
+            spec: None,
+            records: BTreeMap::new(),
+            plans: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn spec(&self) -> Option<&Arc<Spec>> {
+        self.spec.as_ref()
+    }
+
+    pub(super) fn record(&self, service: &str) -> Option<&Arc<RolloutRecord>> {
+        self.records.get(service)
+    }
+
+    /// A service's release plan and its version.
+    pub(super) fn plan(&self, service: &str) -> Option<(u64, &ReleasePlan)> {
+        self.plans
+            .get(service)
+            .map(|stored| (stored.version, &stored.plan))
+    }
+
+    /// Parses the operator's document. It may be long, so this is done once for all changes of it that come together.
+    pub(super) fn parse_spec(&mut self, document: &Change) {
+        if !document.value.0.is_empty() {
+            self.spec = (self.spec_parser)(&document.value.0).map(Arc::new);
+        }
+    }
+
+    /// Parses a changed rollout record or release plan; a value that is empty or unreadable removes the former one.
+    pub(super) fn parse_rollout(&mut self, change: &Change) {
+        if let Some(service) = change.key.strip_prefix(ROLLOUT_PREFIX) {
+            self.records.remove(service);
+            if let Some(record) = compressed::decode(&change.value.0) {
+                self.records.insert(service.to_string(), Arc::new(record));
+            }
+        } else if let Some(service) = change.key.strip_prefix(PLAN_PREFIX) {
+            self.plans.remove(service);
+            if let Ok(plan) = serde_json::from_slice(&change.value.0) {
+                let version = change.version;
+                self.plans
+                    .insert(service.to_string(), VersionedPlan { version, plan });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/coordination/src/control/peers.rs
@@ -0,0 +1,112 @@
+//! The other control daemons: their last heartbeats, and when each disk was last heard from.
+
+use std::collections::BTreeMap;
+
+use wire_messages::{Heartbeat, Name, Voter};
+
+use crate::{
+    Ms,
+    timing::{HEARTBEAT_INTERVAL, NODE_RETENTION, PEER_TIMEOUT},
+};
+
+/// Another control daemon, as its last heartbeat described it.
+#[derive(Clone, Debug)]
+pub(super) struct Peer {
+    pub(super) heard_at: Ms,
+    pub(super) heartbeat: Heartbeat,
+    pub(super) addr: Name,
+}
+
+impl Peer {
+    /// This peer as a voter from `since_epoch` on.
+    pub(super) fn as_voter(&self, name: &Name, since_epoch: u32) -> Voter {
+        Voter {
+            name: name.clone(),
+            disk_id: self.heartbeat.disk_id,
+            addr: self.addr.clone(),
+            zone: self.heartbeat.zone.clone(),
+            since_epoch,
+        }
+    }
+}
+
+/// Peers by name, and when this daemon sends them its own next heartbeat.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Peers {
+    by_name: BTreeMap<Name, Peer>,
+    disk_heard_at: BTreeMap<u64, Ms>,
+    next_heartbeat: Ms,
+}
+
+impl Peers {
+    pub(super) fn get(&self, name: &Name) -> Option<&Peer> {
+        self.by_name.get(name)
+    }
+
+    pub(super) fn names(&self) -> impl Iterator<Item = &Name> {
+        self.by_name.keys()
+    }
+
+    /// Peers that were heard from within `window`.
+    pub(super) fn heard_within(
+        &self,
+        window: Ms,
+        now: Ms,
+    ) -> impl Iterator<Item = (&Name, &Peer)> + Clone {
+        self.by_name
+            .iter()
+            .filter(move |(_, peer)| now.saturating_sub(peer.heard_at) <= window)
+    }
+
+    pub(super) fn is_heard_within(&self, name: &Name, window: Ms, now: Ms) -> bool {
+        self.by_name
+            .get(name)
+            .is_some_and(|peer| now.saturating_sub(peer.heard_at) <= window)
+    }
+
+    pub(super) fn record(&mut self, from: &Name, addr: &Name, heartbeat: Heartbeat, now: Ms) {
+        // A peer that is new, was unreachable or has another disk learns of this daemon at once.
+        let is_known = self.by_name.get(from).is_some_and(|peer| {
+            now.saturating_sub(peer.heard_at) <= PEER_TIMEOUT
+                && peer.heartbeat.disk_id == heartbeat.disk_id
+        });
+        if !is_known {
+            self.next_heartbeat = now;
+        }
+        let peer = Peer {
+            heard_at: now,
+            heartbeat,
+            addr: addr.clone(),
+        };
+        self.by_name.insert(from.clone(), peer);
+    }
+
+    pub(super) fn record_disk(&mut self, disk_id: u64, now: Ms) {
+        self.disk_heard_at.insert(disk_id, now);
+    }
+
+    /// How long a disk has not been heard from; `started_at` counts for one that never was.
+    pub(super) fn disk_unheard_for(&self, disk_id: u64, started_at: Ms, now: Ms) -> Ms {
+        let heard_at = self.disk_heard_at.get(&disk_id).copied();
+        now.saturating_sub(heard_at.unwrap_or(started_at))
+    }
+
+    pub(super) fn forget_old_disks(&mut self, now: Ms) {
+        self.disk_heard_at
+            .retain(|_, heard_at| now.saturating_sub(*heard_at) < NODE_RETENTION);
+    }
+
+    /// Whether this daemon's own heartbeat is due; if so, the next one is due an interval later.
+    pub(super) fn take_heartbeat_turn(&mut self, now: Ms) -> bool {
+        if now < self.next_heartbeat {
+            return false;
+        }
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        true
+    }
+
+    /// Makes this daemon's heartbeat due at its next tick.
+    pub(super) fn send_heartbeat_soon(&mut self) {
+        self.next_heartbeat = 0;
+    }
+}
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -1,91 +1,133 @@
-//! What the platform and the replicas tell.
+//! What the platform and the replicas report: the replica list, and each replica's last report.
 
-use super::*;
+use std::{collections::BTreeMap, sync::Arc};
 
-/// ms. A list of replicas that has not changed for so long is calm: nothing is being placed, drained or taken away.
+use remote_calls::{PlatformList, PlatformReplica, ReplicaReport, RolloutRecord, ServiceMode};
+
+use super::Control;
+use crate::{Ms, register::ROLLOUT_PREFIX};
+
+/// ms. A replica list that has not changed for so long is stable: nothing is being placed, drained or removed.
 const LIST_STABLE_AFTER: Ms = 5_000;
 
-/// What one of `voters` may call for a second so that all who may hold one of `duties`, or held it last, stay within
-/// `rate` in any second: each may have one call in hand besides.
-pub fn call_rate_share(rate: f64, voters: usize, duties: usize) -> f64 {
-    let part = rate / voters.min(2 * duties).max(1) as f64;
+/// Calls a second that one of `voters` may make so that all daemons that may hold one of `roles`, or held it last, stay
+/// within `rate` in any second: each may have one call in hand besides.
+pub fn call_rate_share(rate: f64, voters: usize, roles: usize) -> f64 {
+    let share = rate / voters.min(2 * roles).max(1) as f64;
     // Below two calls a second the one in hand is half of it.
-    (part - 1.0).max(part / 2.0)
+    (share - 1.0).max(share / 2.0)
 }
 
-impl Control {
-    /// `asked`: when the platform was asked for it; an answer that was overtaken is dropped.
-    pub fn on_replica_list(&mut self, l: PlatformList, asked: Ms) {
-        if self.list_requested_at > asked {
+/// The newest replica list and the reports of its replicas.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ReplicaList {
+    list: Option<Arc<PlatformList>>,
+    /// When the platform was asked for the present list.
+    requested_at: Ms,
+    /// When the list last differed from the one before.
+    changed_at: Ms,
+    /// Reports and when they arrived, by replica.
+    reports: BTreeMap<String, (ReplicaReport, Ms)>,
+}
+
+impl ReplicaList {
+    pub(super) fn list(&self) -> Option<&Arc<PlatformList>> {
+        self.list.as_ref()
+    }
+
+    pub(super) fn requested_at(&self) -> Ms {
+        self.requested_at
+    }
+
+    pub(super) fn reports(&self) -> &BTreeMap<String, (ReplicaReport, Ms)> {
+        &self.reports
+    }
+
+    /// An answer that a later request overtook is dropped.
+    fn replace(&mut self, list: PlatformList, requested_at: Ms) {
+        if self.requested_at > requested_at {
             return;
         }
-        self.list_requested_at = asked;
+        self.requested_at = requested_at;
         self.reports
-            .retain(|id, _| l.replicas.iter().any(|r| r.id == *id));
-        if self.replica_list.as_ref() != Some(&l) {
-            self.list_changed_at = asked;
+            .retain(|id, _| list.replicas.iter().any(|replica| replica.id == *id));
+        if self.list.as_deref() != Some(&list) {
+            self.changed_at = requested_at;
         }
-        self.replica_list = Some(l);
+        self.list = Some(Arc::new(list));
+    }
+
+    fn is_stable(&self, now: Ms) -> bool {
+        self.list.is_some() && now.saturating_sub(self.changed_at) > LIST_STABLE_AFTER
+    }
+
+    fn contains(&self, id: &str) -> bool {
+        let mut replicas = self.list.iter().flat_map(|list| &list.replicas);
+        replicas.any(|replica| replica.id == id)
+    }
+}
+
+impl Control {
+    /// Takes a replica list. `requested_at`: when the platform was asked for it; an answer that was overtaken is dropped.
+    pub fn on_replica_list(&mut self, list: PlatformList, requested_at: Ms) {
+        self.replica_list.replace(list, requested_at);
     }
 
     /// Whether the list has not changed for a while, so that it may be asked for less often.
     pub fn is_list_stable(&self, now: Ms) -> bool {
-        self.replica_list.is_some() && now.saturating_sub(self.list_changed_at) > LIST_STABLE_AFTER
+        self.replica_list.is_stable(now)
     }
 
-    pub fn on_report(&mut self, r: ReplicaReport, now: Ms) {
-        self.reports.insert(r.replica.clone(), (r, now));
+    /// Takes a replica's report.
+    pub fn on_report(&mut self, report: ReplicaReport, now: Ms) {
+        self.replica_list
+            .reports
+            .insert(report.replica.clone(), (report, now));
     }
 
     /// Replicas to ask for their reports: id and address.
     pub fn replicas_to_poll(&self) -> Vec<(String, String)> {
-        let Some(l) = &self.replica_list else {
+        let Some(list) = self.replica_list.list() else {
             return vec![];
         };
-        let placed = |r: &PlatformReplica| {
-            let services = self.spec.iter().flat_map(|s| &s.services);
-            services
-                .into_iter()
-                .any(|s| s.name == r.service && s.mode == ServiceMode::Placed)
-        };
-        // The list tells all of a replica that the platform placed.
-        l.replicas
+        // The list says all of a replica that the platform placed.
+        list.replicas
             .iter()
-            .filter(|r| !placed(r))
-            .map(|r| (r.id.clone(), r.addr.clone()))
+            .filter(|replica| !self.is_placed(replica))
+            .map(|replica| (replica.id.clone(), replica.addr.clone()))
             .collect()
     }
 
-    /// Whether any duty is held here, so that back ends need asking.
+    fn is_placed(&self, replica: &PlatformReplica) -> bool {
+        let mut services = self.parsed.spec().into_iter().flat_map(|s| &s.services);
+        services
+            .any(|service| service.name == replica.service && service.mode == ServiceMode::Placed)
+    }
+
+    /// Whether any singleton role is held here, so that the platform and replicas need asking.
     pub fn holds_any_role(&self, now: Ms) -> bool {
-        self.state_table.entries().any(|c| {
-            c.key.starts_with(ROLLOUT_PREFIX) && self.registers.held_until(&c.key, now).is_some()
-        }) || self.spec.as_ref().is_some_and(|s| {
-            s.services.iter().any(|v| {
-                self.registers
-                    .held_until(&format!("{ROLLOUT_PREFIX}{}", v.name), now)
-                    .is_some()
-            })
-        })
+        let is_held = |key: &str| self.registers.held_until(key, now).is_some();
+        let mut records = self.state_table.with_prefix(ROLLOUT_PREFIX);
+        let mut services = self.parsed.spec().into_iter().flat_map(|s| &s.services);
+        records.any(|(_, record)| is_held(&record.key))
+            || services.any(|service| is_held(&format!("{ROLLOUT_PREFIX}{}", service.name)))
     }
 
-    /// This daemon's part of what may be called for a second by all: the holder of each duty calls, a former one may
-    /// not have noticed yet that another holds it, and no more daemons hold duties than there are voters.
+    /// This daemon's share of the calls a second that all daemons may make: the lease holder of each singleton role
+    /// calls, a former one may not have noticed yet that another holds it, and no more daemons hold roles than there are
+    /// voters.
     pub fn call_rate_share(&self, rate: f64) -> f64 {
-        let duties = self.spec.as_ref().map_or(1, |s| s.services.len().max(1));
-        call_rate_share(rate, self.registers.voters.len(), duties)
+        let roles = self
+            .parsed
+            .spec()
+            .map_or(1, |spec| spec.services.len().max(1));
+        call_rate_share(rate, self.registers.voters.len(), roles)
     }
 
-    /// Whether the platform has this replica, as far as this daemon or the records tell.
+    /// Whether the platform has this replica, as far as this daemon or the rollout records know.
     pub fn knows_replica(&self, id: &str) -> bool {
-        let listed = self
-            .replica_list
-            .as_ref()
-            .is_some_and(|l| l.replicas.iter().any(|r| r.id == id));
-        let mut rows = self
-            .state_table
-            .with_prefix(ROLLOUT_PREFIX)
-            .filter_map(|(_, c)| compressed::decode::<RolloutRecord>(&c.value.0));
-        listed || rows.any(|r| r.replicas.iter().any(|p| p.id == id))
+        let mut records = self.decoded::<RolloutRecord>(ROLLOUT_PREFIX);
+        self.replica_list.contains(id)
+            || records.any(|record| record.replicas.iter().any(|replica| replica.id == id))
     }
 }
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -1,36 +1,139 @@
-//! The rollout loops of the duties that are held here.
+//! The rollout loops of the singleton roles that are held here.
 
-use super::*;
-use crate::{control::followers::FOLLOWER_TIMEOUT, events::Event, rollout::Order};
+use std::{
+    cell::OnceCell,
+    collections::{BTreeMap, BTreeSet},
+    sync::Arc,
+};
+
+use remote_calls::{OrderAction, PlatformList, RolloutRecord, ServiceMode, ServiceSpec, Spec};
+use wire_messages::{Blob, Name};
+
+use super::{Control, DRAINING_PREFIX, NO_CALLER, followers::Follower};
+use crate::{
+    Effect, Effects, Ms, compressed,
+    effect::log_event,
+    events::{self, Event},
+    register::ROLLOUT_PREFIX,
+    rollout::{Order, RolloutInputs, RolloutLoop, RolloutStep, initial_record},
+    version_health::VersionHealth,
+};
 
 /// ms. The rollout loop's period.
 const ROLLOUT_INTERVAL: Ms = 300;
 /// ms. A loop that has not run for this long raises its alert; a handover takes a tenth of it.
-pub(crate) const ROLLOUT_STALLED_AFTER: Ms = 60_000;
+const ROLLOUT_STALLED_AFTER: Ms = 60_000;
+
+/// Rollout loops by service, and the records that they write.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Rollouts {
+    loops: BTreeMap<String, RolloutLoop>,
+    next_pass: Ms,
+    /// When this daemon last ran each service's loop, or first was the one to run it.
+    ran_at: BTreeMap<String, Ms>,
+    /// Services whose loops have raised the alert that they do not run.
+    stalled: BTreeSet<String>,
+    /// Services whose records are being written, by the write's token.
+    record_writes: BTreeMap<u64, String>,
+}
+
+impl Rollouts {
+    pub(super) fn get(&self, service: &str) -> Option<&RolloutLoop> {
+        self.loops.get(service)
+    }
+
+    /// A service's loop, which begins at `now` if there is none.
+    pub(super) fn get_or_start(&mut self, service: &str, now: Ms) -> &mut RolloutLoop {
+        self.loops
+            .entry(service.to_string())
+            .or_insert_with(|| RolloutLoop::new(now))
+    }
+
+    /// Forgets what was counted for a service.
+    pub(super) fn reset_health(&mut self, service: &str) {
+        if let Some(rollout) = self.loops.get_mut(service) {
+            rollout.health = VersionHealth::default();
+        }
+    }
+
+    /// Loops that have raised the alert that they do not run.
+    pub(super) fn stalled_count(&self) -> usize {
+        self.stalled.len()
+    }
+
+    /// Whether a write is one of a rollout record.
+    pub(super) fn is_record_write(&self, token: u64) -> bool {
+        self.record_writes.contains_key(&token)
+    }
+
+    pub(super) fn on_write_finished(&mut self, token: u64) {
+        self.record_writes.remove(&token);
+    }
+
+    fn is_record_being_written(&self, service: &str) -> bool {
+        self.record_writes
+            .values()
+            .any(|written| written == service)
+    }
+
+    /// Whether a pass over all loops is due; if so, the next one is due an interval later.
+    fn take_pass_turn(&mut self, now: Ms) -> bool {
+        if now < self.next_pass {
+            return false;
+        }
+        self.next_pass = now + ROLLOUT_INTERVAL;
+        true
+    }
+
+    fn record_run(&mut self, service: &str, now: Ms) {
+        self.ran_at.insert(service.to_string(), now);
+        self.stalled.remove(service);
+    }
+
+    fn forget_run(&mut self, service: &str) {
+        self.ran_at.remove(service);
+        self.stalled.remove(service);
+    }
+
+    /// For how long a loop that this daemon should run has not run, where that is so long that the alert is raised now.
+    fn newly_stalled_for(&mut self, service: &str, now: Ms) -> Option<Ms> {
+        let ran_at = *self.ran_at.entry(service.to_string()).or_insert(now);
+        let idle = now.saturating_sub(ran_at);
+        let is_new = idle > ROLLOUT_STALLED_AFTER && self.stalled.insert(service.to_string());
+        is_new.then_some(idle)
+    }
+}
 
 /// What all loops of one pass are run with.
 struct RolloutPass<'a> {
     spec: &'a Spec,
     platform: &'a PlatformList,
-    /// Replicas that were warned.
+    /// Replicas whose termination was announced.
     draining: &'a BTreeSet<String>,
     now: Ms,
     /// s. The time of day.
     wall_clock_s: u64,
 }
 
-/// Streams by replica and version; those of a replica over all versions stand under no version.
-type OpenStreams<'a> = BTreeMap<(&'a str, &'a str), u64>;
+/// A service's newest committed record, or the one that it begins with, and the version of its key.
+struct CurrentRecord {
+    record: Arc<RolloutRecord>,
+    /// 0 where none is committed.
+    version: u64,
+}
+
+/// Streams by replica and version; those of a replica over all versions are under the empty version.
+type OpenStreamSums<'a> = BTreeMap<(&'a str, &'a str), u64>;
 
-fn sum_open_streams<'a>(agents: impl Iterator<Item = &'a Follower>) -> OpenStreams<'a> {
-    let mut all = OpenStreams::new();
-    for ((replica, version), streams) in agents.flat_map(|a| &a.open_streams) {
-        *all.entry((&**replica, &**version)).or_default() += u64::from(*streams);
+fn sum_open_streams<'a>(followers: impl Iterator<Item = &'a Follower>) -> OpenStreamSums<'a> {
+    let mut sums = OpenStreamSums::new();
+    for ((replica, version), streams) in followers.flat_map(|follower| &follower.open_streams) {
+        *sums.entry((&**replica, &**version)).or_default() += u64::from(*streams);
         if !version.is_empty() {
-            *all.entry((&**replica, "")).or_default() += u64::from(*streams);
+            *sums.entry((&**replica, "")).or_default() += u64::from(*streams);
         }
     }
-    all
+    sums
 }
 
 fn alert_event(alert: &str) -> Event {
@@ -43,22 +146,19 @@
     }
 }
 
-/// Notes what a pass has changed in a service's record.
+/// Logs what a pass has changed in a service's record.
 fn log_changes(service: &str, old: &RolloutRecord, next: &RolloutRecord, out: &mut Effects) {
     if next.phase != old.phase {
-        out.push(log_event(
-            events::ROLLOUT_PHASE,
-            service,
-            format!("{:?} to {:?}", old.phase, next.phase),
-        ));
+        let text = format!("{:?} to {:?}", old.phase, next.phase);
+        out.push(log_event(events::ROLLOUT_PHASE, service, text));
     }
     for alert in next.alerts.iter().filter(|a| !old.alerts.contains(a)) {
         out.push(log_event(alert_event(alert), service, alert.clone()));
     }
 }
 
-/// Whether an order may go: unloads go only under a flag that already stands on a majority of disks.
-fn is_permitted(order: &Order, standing: &RolloutRecord) -> bool {
+/// Whether an order may be carried out: unloads need a flag that a majority of disks already holds.
+fn is_permitted(order: &Order, committed: &RolloutRecord) -> bool {
     let Order::Replica {
         action: OrderAction::Unload,
         version,
@@ -67,103 +167,79 @@
     else {
         return true;
     };
-    standing
+    committed
         .groups
         .iter()
-        .any(|g| g.allow_unload && g.version == *version)
+        .any(|group| group.allow_unload && group.version == *version)
 }
 
 impl Control {
-    /// Runs the rollout loops of the duties held here.
-    pub fn run_rollouts(&mut self, now: Ms, wall: u64) -> Effects {
-        if now < self.next_loop || !self.is_settled || self.kill_switch_on() {
+    /// Runs the rollout loops of the singleton roles held here. `wall_clock_s`: the time of day.
+    pub fn run_rollouts(&mut self, now: Ms, wall_clock_s: u64) -> Effects {
+        if !self.is_settled || self.kill_switch_on() || !self.rollouts.take_pass_turn(now) {
             return vec![];
         }
-        self.next_loop = now + ROLLOUT_INTERVAL;
-        // Whoever is next to take a duty keeps the evidence too, and judges by it at once.
-        self.loops.values_mut().for_each(|l| l.health.tick(now));
-        // Taken out and put back: it is large, and nothing below replaces it.
-        let Some(spec) = self.spec() else {
-            return vec![];
-        };
-        let Some(platform) = self.replica_list.take() else {
+        // The daemon next in order for a role keeps the evidence too, and judges by it at once.
+        for rollout in self.rollouts.loops.values_mut() {
+            rollout.health.tick(now);
+        }
+        let (Some(spec), Some(platform)) = (self.spec(), self.replica_list.list().cloned()) else {
             return vec![];
         };
-        let leaving: BTreeSet<String> = self
+        let draining: BTreeSet<String> = self
             .state_table
             .with_prefix(DRAINING_PREFIX)
-            .map(|(r, _)| r.to_string())
+            .map(|(replica, _)| replica.to_string())
             .collect();
-        let mut out = Vec::new();
         let pass = RolloutPass {
             spec: &spec,
             platform: &platform,
-            draining: &leaving,
+            draining: &draining,
             now,
-            wall_clock_s: wall,
+            wall_clock_s,
         };
+        let mut out = Vec::new();
         for service in &spec.services {
             self.run_rollout(service, &pass, &mut out);
         }
         self.decide_contexts(&spec, now, &mut out);
-        let gone = self.drained_and_removed(&pass);
-        self.replica_list = Some(platform);
-        for key in gone {
+        for key in self.drained_and_removed(&pass) {
             self.registers
                 .propose(NO_CALLER, &key, None, Blob::default(), now, &mut out);
         }
         self.finish(now, out)
     }
 
-    /// Runs one service's loop, if its duty is held here.
+    /// Runs one service's loop, if its singleton role is held here.
     fn run_rollout(&mut self, service: &ServiceSpec, pass: &RolloutPass, out: &mut Effects) {
         let (now, name) = (pass.now, &service.name);
-        let key = format!("{ROLLOUT_PREFIX}{name}");
+        let key = Name(format!("{ROLLOUT_PREFIX}{name}"));
         if service.mode == ServiceMode::Placed {
-            let plan = self.plans.get(name).map(|(n, p)| (*n, p));
-            self.loops
-                .entry(name.clone())
-                .or_insert_with(|| RolloutLoop::new(now))
+            let plan = self.parsed.plan(name);
+            self.rollouts
+                .get_or_start(name, now)
                 .observe_plan(plan, now, pass.wall_clock_s);
         }
         let Some((epoch, until)) = self.registers.held_until(&key, now) else {
-            // Timings of a duty that is not held are worth nothing when it comes back.
-            if let Some(l) = self.loops.get_mut(name) {
-                l.on_lease_lost(now);
+            // Timings of a role that is not held are worth nothing when it comes back.
+            if let Some(rollout) = self.rollouts.loops.get_mut(name) {
+                rollout.on_lease_lost(now);
             }
             return;
         };
-        // One write of a record at a time; orders follow only records that stand.
-        if self.record_writes.values().any(|w| w == name) {
+        // One write of a record at a time; orders follow only committed records.
+        if self.rollouts.is_record_being_written(name) {
             return;
         }
-        let old = self
-            .records
-            .get(name)
-            .cloned()
-            .unwrap_or_else(|| Arc::new(initial_record(service)));
-        let stands = self.state_table.get(&key).map_or(0, |c| c.version);
-        let (next, orders) = self.step_rollout(service, &key, (&old, stands), pass, out);
-        self.loop_ran_at.insert(name.clone(), now);
-        self.stalled_loops.remove(name);
-        log_changes(name, &old, &next, out);
-        let changed = next != *old || self.state_table.get(&key).is_none();
-        if changed && let Some(value) = compressed::encode(&next) {
-            self.last_token += 1;
-            let token = self.last_token;
-            self.record_writes.insert(token, name.clone());
-            // Compared with the version it was computed from: another holder's record is never overwritten.
-            self.registers.propose(
-                token,
-                &key.as_str().into(),
-                Some(stands),
-                Blob(value),
-                now,
-                out,
-            );
-        }
-        let orders = orders.into_iter().filter(|o| is_permitted(o, &old));
-        out.extend(orders.map(|order| Effect::Order {
+        let current = self.current_record(service, &key);
+        let (next, orders) = self.step_rollout(service, &key, &current, pass, out);
+        self.rollouts.record_run(name, now);
+        log_changes(name, &current.record, &next, out);
+        self.write_record(name, &key, &current, &next, now, out);
+        let permitted = orders
+            .into_iter()
+            .filter(|order| is_permitted(order, &current.record));
+        out.extend(permitted.map(|order| Effect::Order {
             service: name.clone(),
             epoch,
             until,
@@ -171,69 +247,108 @@
         }));
     }
 
-    /// One step of a service's loop over the record that stands and its version.
+    fn current_record(&self, service: &ServiceSpec, key: &Name) -> CurrentRecord {
+        let committed = self.parsed.record(&service.name).cloned();
+        CurrentRecord {
+            record: committed.unwrap_or_else(|| Arc::new(initial_record(service))),
+            version: self.local_version(key),
+        }
+    }
+
+    /// One step of a service's loop over its current record.
     fn step_rollout(
         &mut self,
         service: &ServiceSpec,
-        key: &str,
-        (old, stands): (&RolloutRecord, u64),
+        key: &Name,
+        current: &CurrentRecord,
         pass: &RolloutPass,
         out: &mut Effects,
-    ) -> (RolloutRecord, Vec<Order>) {
+    ) -> RolloutStep {
         let now = pass.now;
-        let mut l = self
-            .loops
-            .remove(&service.name)
-            .unwrap_or_else(|| RolloutLoop::new(now));
-        let live = || {
-            self.followers
-                .values()
-                .filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT)
-        };
-        let summed = OnceCell::new();
-        let open = |id: &str, version: &str| -> u64 {
-            let all: &OpenStreams = summed.get_or_init(|| sum_open_streams(live()));
-            all.get(&(id, version)).copied().unwrap_or(0)
+        let live = || self.followers.live(now);
+        let sums = OnceCell::new();
+        let open_streams = |id: &str, version: &str| -> u64 {
+            let sums: &OpenStreamSums = sums.get_or_init(|| sum_open_streams(live()));
+            sums.get(&(id, version)).copied().unwrap_or(0)
         };
-        let has = |a: &Follower| {
-            a.versions
-                .iter()
-                .find(|c| *c.key == *key)
-                .map_or(0, |c| c.version)
+        let oldest_seen_record = || {
+            let seen = live().map(|follower| follower.seen_version(key));
+            seen.min().unwrap_or(current.version)
         };
-        let seen = || live().map(has).min().unwrap_or(stands);
         let inputs = RolloutInputs {
             spec: pass.spec,
             service,
-            plan: self.plans.get(&service.name).map(|(n, p)| (*n, p)),
+            plan: self.parsed.plan(&service.name),
             replica_list: &pass.platform.replicas,
-            reports: &self.reports,
+            reports: self.replica_list.reports(),
             draining: pass.draining,
-            list_requested_at: self.list_requested_at,
-            open_streams: &open,
-            record_version: stands,
-            oldest_seen_record: &seen,
+            list_requested_at: self.replica_list.requested_at(),
+            open_streams: &open_streams,
+            record_version: current.version,
+            oldest_seen_record: &oldest_seen_record,
             bounds: &self.config.bounds,
             now,
             wall_clock_s: pass.wall_clock_s,
         };
-        let stepped = l.step(old, &inputs);
-        if let Some(version) = l.bad_version.take() {
+        let rollout = self.rollouts.get_or_start(&service.name, now);
+        let step = rollout.step(&current.record, &inputs);
+        if let Some(version) = rollout.bad_version.take() {
             out.push(log_event(events::VERSION_UNHEALTHY, &service.name, version));
         }
-        self.loops.insert(service.name.clone(), l);
-        stepped
+        step
     }
 
-    /// Warnings of replicas that are gone: they are cleared by whoever owns them.
+    /// Writes a service's next record if it is new. It is compared with the version that it was computed from: another
+    /// lease holder's record is never overwritten.
+    fn write_record(
+        &mut self,
+        service: &str,
+        key: &Name,
+        current: &CurrentRecord,
+        next: &RolloutRecord,
+        now: Ms,
+        out: &mut Effects,
+    ) {
+        let is_new = *next != *current.record || self.state_table.get(key).is_none();
+        if is_new && let Some(value) = compressed::encode(next) {
+            let token = self.writes.next_token();
+            self.rollouts
+                .record_writes
+                .insert(token, service.to_string());
+            let expect = Some(current.version);
+            self.registers
+                .propose(token, key, expect, Blob(value), now, out);
+        }
+    }
+
+    /// Keys of drained replicas that are gone and that this daemon owns: it clears them.
     fn drained_and_removed(&self, pass: &RolloutPass) -> Vec<Name> {
-        let listed = |id: &String| pass.platform.replicas.iter().any(|p| p.id == *id);
-        let keys = pass
-            .draining
-            .iter()
-            .filter(|id| !listed(id))
-            .map(|id| Name(format!("{DRAINING_PREFIX}{id}")));
-        keys.filter(|key| self.registers.held_until(key, pass.now).is_some())
+        let is_listed = |id: &String| pass.platform.replicas.iter().any(|p| p.id == *id);
+        let removed = pass.draining.iter().filter(|id| !is_listed(id));
+        removed
+            .map(|id| Name(format!("{DRAINING_PREFIX}{id}")))
+            .filter(|key| self.registers.held_until(key, pass.now).is_some())
             .collect()
     }
+
+    /// Raises the alert when a loop that this daemon should run has not run for long: no replica list, no lease, or a
+    /// kill switch that was left on.
+    pub(super) fn detect_stalled_loops(
+        &mut self,
+        now: Ms,
+        live: &dyn Fn(&str) -> bool,
+        out: &mut Effects,
+    ) {
+        let Some(spec) = self.spec() else { return };
+        for service in &spec.services {
+            let key = format!("{ROLLOUT_PREFIX}{}", service.name);
+            let owner = self.registers.preferred_owner(&key, live);
+            if owner.is_none_or(|v| v.name != self.config.name) {
+                self.rollouts.forget_run(&service.name);
+            } else if let Some(idle) = self.rollouts.newly_stalled_for(&service.name, now) {
+                let text = format!("{idle} ms");
+                out.push(log_event(events::ROLLOUT_LOOP_STALLED, &service.name, text));
+            }
+        }
+    }
 }
--- /dev/null
+++ b/coordination/src/control/state_comparison.rs
@@ -0,0 +1,106 @@
+//! Which peers hold the same state as this daemon, by digest, and which differ for so long that slots must be exchanged.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use wire_messages::Name;
+
+use crate::{Ms, timing::HEARTBEAT_INTERVAL};
+
+/// ms. Two daemons whose states differ for so long compare them, even where both keep changing.
+const DIVERGENCE_TIMEOUT: Ms = 1_000;
+/// ms. A voter whose state has differed from this daemon's for so long counts as lagging.
+const LAGGING_AFTER: Ms = 500;
+
+/// Digests of the committed state: a peer's and this daemon's own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Digests {
+    pub(super) theirs: u64,
+    pub(super) own: u64,
+}
+
+/// A peer's state differs from this daemon's.
+#[derive(Clone, Copy, Debug)]
+struct Difference {
+    /// As they last differed. An update in transit makes two states differ in one heartbeat only.
+    digests: Digests,
+    /// Since when they have differed without a break.
+    since: Ms,
+    /// When they were last compared, or began to differ: where both states keep changing, no two differences are alike,
+    /// and one of the daemons may still lack an earlier change.
+    compared_at: Ms,
+}
+
+/// Outcomes of comparing states with peers since this daemon started.
+#[derive(Clone, Debug, Default)]
+pub(super) struct StateComparison {
+    compared_with: BTreeSet<Name>,
+    differences: BTreeMap<Name, Difference>,
+    next_slots_request: Ms,
+}
+
+impl StateComparison {
+    /// Takes the digest of a peer's heartbeat and says whether a change was missed that is not in transit to either
+    /// daemon. `votes_here`: the peer votes in this daemon's member epoch.
+    pub(super) fn observe(
+        &mut self,
+        peer: &Name,
+        digests: Digests,
+        votes_here: bool,
+        now: Ms,
+    ) -> bool {
+        if digests.theirs != digests.own {
+            return !self.compared_with.contains(peer) || self.still_differs(peer, digests, now);
+        }
+        if votes_here {
+            self.compared_with.insert(peer.clone());
+        }
+        self.differences.remove(peer);
+        false
+    }
+
+    /// Whether a difference outlasts what is in transit: that differs in one heartbeat, while a missed change differs in
+    /// the next one too, or for long.
+    fn still_differs(&mut self, peer: &Name, digests: Digests, now: Ms) -> bool {
+        let Some(difference) = self.differences.get_mut(peer) else {
+            let difference = Difference {
+                digests,
+                since: now,
+                compared_at: now,
+            };
+            self.differences.insert(peer.clone(), difference);
+            return false;
+        };
+        let missed = difference.digests == digests
+            || now.saturating_sub(difference.compared_at) >= DIVERGENCE_TIMEOUT;
+        difference.digests = digests;
+        if missed {
+            difference.compared_at = now;
+        }
+        missed
+    }
+
+    /// Records that this daemon has compared its slots with a voter's.
+    pub(super) fn record_compared(&mut self, voter: &Name) {
+        self.compared_with.insert(voter.clone());
+    }
+
+    /// Peers that this daemon has compared its slots with since its start.
+    pub(super) fn compared_count(&self) -> usize {
+        self.compared_with.len()
+    }
+
+    pub(super) fn is_lagging(&self, peer: &Name, now: Ms) -> bool {
+        self.differences
+            .get(peer)
+            .is_some_and(|difference| now.saturating_sub(difference.since) >= LAGGING_AFTER)
+    }
+
+    /// Whether slots may be requested again; if so, the next request waits a quarter of a heartbeat interval.
+    pub(super) fn take_slots_request_turn(&mut self, now: Ms) -> bool {
+        if now < self.next_slots_request {
+            return false;
+        }
+        self.next_slots_request = now + HEARTBEAT_INTERVAL / 4;
+        true
+    }
+}
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -1,128 +1,127 @@
-//! What operators and supervisors see.
+//! What operators and supervisors see: status, health and counters.
 
-use super::*;
-use crate::control::followers::FOLLOWER_TIMEOUT;
+use std::collections::BTreeMap;
 
-/// ms. A voter that has differed from this daemon for so long counts as behind.
-const LAGGING_AFTER: Ms = 500;
+use remote_calls::{
+    ContextRecord, EdgeStatus, Health, KeyStatus, KeyVersion, MemberStatus, RolloutRecord, Status,
+    ZoneState, ZoneStreams,
+};
+use serde::de::DeserializeOwned;
+use wire_messages::{Slot, Voter};
+
+use super::{Control, SPEC_KEY, evacuated, followers::Follower};
+use crate::{
+    Ms, compressed,
+    register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
+};
 
 impl Control {
+    /// Everything an operator may want to know of this daemon and the state it has.
     pub fn status(&self, now: Ms) -> Status {
-        let live = self.live_voters(now);
-        let keys = self.registers.slots().map(|s| {
-            let held = self.registers.held_until(&s.key, now);
-            KeyStatus {
-                key: s.key.to_string(),
-                owner: self
-                    .registers
-                    .preferred_owner(&s.key, &live)
-                    .map_or(String::new(), |v| v.name.to_string()),
-                epoch: s.accepted_epoch,
-                version: s.version,
-                permit_ms: held.filter(|h| h.1 != Ms::MAX).map(|h| h.1 - now),
-            }
-        });
-        let members = self
-            .registers
-            .voters
-            .iter()
-            .map(|v| self.member_status(v, live(&v.name), now));
-        let edges = self.followers.values().map(|a| EdgeStatus {
-            edge: a.node.name.to_string(),
-            zone: a.node.zone.to_string(),
-            heard_ms_ago: now.saturating_sub(a.polled_at),
-            spec_version: a
-                .versions
-                .iter()
-                .find(|c| &*c.key == SPEC_KEY)
-                .map_or(0, |c| c.version),
-            versions: a
-                .versions
-                .iter()
-                .map(|c| KeyVersion {
-                    key: c.key.to_string(),
-                    version: c.version,
-                })
-                .collect(),
-        });
-        let contexts = self
-            .state_table
-            .with_prefix(CONTEXT_PREFIX)
-            .filter_map(|(_, c)| compressed::decode(&c.value.0));
-        let rollouts = self
-            .state_table
-            .with_prefix(ROLLOUT_PREFIX)
-            .filter_map(|(_, c)| compressed::decode(&c.value.0));
-        let zones = self.spec.as_ref().map_or(vec![], |s| s.zones.clone());
-        let heard = || {
-            self.followers
-                .values()
-                .filter(|a| now.saturating_sub(a.polled_at) <= FOLLOWER_TIMEOUT)
-                .flat_map(|a| &a.open_streams)
-        };
-        let homes: BTreeMap<String, String> = self
-            .state_table
-            .with_prefix(ROLLOUT_PREFIX)
-            .filter_map(|(_, c)| compressed::decode::<RolloutRecord>(&c.value.0))
-            .flat_map(|r| r.replicas)
-            .map(|p| (p.id, p.zone))
-            .collect();
-        let streams = zones.iter().map(|z| ZoneStreams {
-            zone: z.name.clone(),
-            streams: heard()
-                .filter(|((r, _), _)| homes.get(&**r) == Some(&z.name))
-                .map(|(_, n)| u64::from(*n))
-                .sum(),
-        });
-        let streams = streams.collect();
-        let zones = zones.into_iter().map(|z| ZoneState {
-            evacuated: evacuated(&self.state_table, &z.name),
-            zone: z.name,
+        let is_live = self.live_voters(now);
+        let zones = self.parsed.spec().map_or(vec![], |spec| spec.zones.clone());
+        let zone_states = zones.iter().map(|zone| ZoneState {
+            zone: zone.name.clone(),
+            evacuated: evacuated(&self.state_table, &zone.name),
         });
+        let followers = self.followers.iter();
         Status {
             daemon: self.config.name.to_string(),
             member_epoch: self.registers.member_epoch.into(),
             settled: self.is_settled,
             quorum: Some(self.hears_majority(now)),
             disk_ok: self.disk_healthy,
-            members: members.collect(),
-            keys: keys.collect(),
-            edges: edges.collect(),
-            rollouts: rollouts.collect(),
-            contexts: contexts.collect(),
-            zones: zones.collect(),
-            streams,
+            members: self.member_statuses(&is_live, now),
+            keys: self.key_statuses(&is_live, now),
+            edges: followers.map(|f| edge_status(f, now)).collect(),
+            rollouts: self.decoded(ROLLOUT_PREFIX).collect(),
+            contexts: self.decoded(CONTEXT_PREFIX).collect(),
+            streams: self.zone_streams(zones.iter().map(|z| z.name.as_str()), now),
+            zones: zone_states.collect(),
             kill_switch: self.kill_switch_on(),
         }
     }
 
-    fn member_status(&self, v: &Voter, live: bool, now: Ms) -> MemberStatus {
-        let own = v.name == self.config.name;
-        let peer = self
-            .peers
-            .get(&v.name)
-            .filter(|p| p.heartbeat.disk_id == v.disk_id);
-        MemberStatus {
-            name: v.name.to_string(),
-            addr: self.registers.addr(v).to_string(),
+    /// Records of the keys with a prefix, in the order of the keys, without those that are unreadable.
+    pub(super) fn decoded<T: DeserializeOwned>(
+        &self,
+        prefix: &'static str,
+    ) -> impl Iterator<Item = T> + '_ {
+        self.state_table
+            .with_prefix(prefix)
+            .filter_map(|(_, change)| compressed::decode(&change.value.0))
+    }
+
+    fn key_statuses(&self, is_live: &dyn Fn(&str) -> bool, now: Ms) -> Vec<KeyStatus> {
+        let key_status = |slot: &Slot| {
+            let owner = self.registers.preferred_owner(&slot.key, is_live);
+            let held = self.registers.held_until(&slot.key, now);
+            KeyStatus {
+                key: slot.key.to_string(),
+                owner: owner.map_or(String::new(), |voter| voter.name.to_string()),
+                epoch: slot.accepted_epoch,
+                version: slot.version,
+                permit_ms: held
+                    .filter(|(_, until)| *until != Ms::MAX)
+                    .map(|(_, until)| until - now),
+            }
+        };
+        self.registers.slots().map(key_status).collect()
+    }
+
+    fn member_statuses(&self, is_live: &dyn Fn(&str) -> bool, now: Ms) -> Vec<MemberStatus> {
+        self.registers
+            .voters
+            .iter()
+            .map(|voter| self.member_status(voter, is_live(&voter.name), now))
+            .collect()
+    }
+
+    fn member_status(&self, voter: &Voter, live: bool, now: Ms) -> MemberStatus {
+        let own_epoch = self.registers.member_epoch;
+        let status = |heard_ms_ago, member_epoch: Option<u32>, same| MemberStatus {
+            name: voter.name.to_string(),
+            addr: self.registers.addr(voter).to_string(),
             live,
             voter: true,
-            heard_ms_ago: if own {
-                Some(0)
-            } else {
-                peer.map(|p| now.saturating_sub(p.heard_at))
-            },
-            member_epoch: if own {
-                Some(self.registers.member_epoch.into())
-            } else {
-                peer.map(|p| p.heartbeat.member_epoch.into())
-            },
-            same: if own {
-                Some(true)
-            } else {
-                peer.map(|p| p.heartbeat.committed_digest == self.registers.committed_digest())
-            },
+            heard_ms_ago,
+            member_epoch: member_epoch.map(Into::into),
+            same,
+        };
+        if voter.name == self.config.name {
+            return status(Some(0), Some(own_epoch), Some(true));
+        }
+        let peer = self.peers.get(&voter.name);
+        match peer.filter(|peer| peer.heartbeat.disk_id == voter.disk_id) {
+            Some(peer) => status(
+                Some(now.saturating_sub(peer.heard_at)),
+                Some(peer.heartbeat.member_epoch),
+                Some(peer.heartbeat.committed_digest == self.registers.committed_digest()),
+            ),
+            None => status(None, None, None),
+        }
+    }
+
+    /// Streams that run now, by the zone of their replicas.
+    fn zone_streams<'a>(&self, zones: impl Iterator<Item = &'a str>, now: Ms) -> Vec<ZoneStreams> {
+        let zone_by_replica: BTreeMap<String, String> = self
+            .decoded::<RolloutRecord>(ROLLOUT_PREFIX)
+            .flat_map(|record| record.replicas)
+            .map(|replica| (replica.id, replica.zone))
+            .collect();
+        let mut by_zone: BTreeMap<&str, u64> = BTreeMap::new();
+        let open_streams = self.followers.live(now).flat_map(|f| &f.open_streams);
+        for ((replica, _), streams) in open_streams {
+            if let Some(zone) = zone_by_replica.get(&**replica) {
+                *by_zone.entry(zone).or_default() += u64::from(*streams);
+            }
         }
+        zones
+            .map(|zone| ZoneStreams {
+                zone: zone.to_string(),
+                streams: by_zone.get(zone).copied().unwrap_or(0),
+            })
+            .collect()
     }
 
     /// Whether this daemon votes and hears a majority of the voters, itself among them.
@@ -131,62 +130,70 @@
     }
 
     fn live_voter_count(&self, now: Ms) -> usize {
-        let live = self.live_voters(now);
-        self.registers
-            .voters
-            .iter()
-            .filter(|v| live(&v.name))
-            .count()
+        let is_live = self.live_voters(now);
+        let voters = self.registers.voters.iter();
+        voters.filter(|voter| is_live(&voter.name)).count()
     }
 
-    pub fn health(&self) -> HealthAnswer {
-        let stands_by = self.registers.member_epoch > 0 && !self.is_listed_voter();
+    /// Whether this daemon does its part, and a word on what it lacks.
+    pub fn health(&self) -> Health {
+        let is_learner = self.registers.member_epoch > 0 && !self.is_listed_voter();
         let detail = match (self.disk_healthy, self.registers.voting, self.is_settled) {
             (false, ..) => "the disk does not take writes",
-            _ if stands_by => "stands by without a vote",
+            _ if is_learner => "stands by without a vote",
             (_, false, _) => "does not vote yet",
             (.., false) => "has not settled yet",
             _ => "serves",
         };
-        HealthAnswer {
-            ok: (self.is_settled || stands_by) && self.disk_healthy,
+        Health {
+            ok: (self.is_settled || is_learner) && self.disk_healthy,
             process: self.config.name.to_string(),
             detail: detail.into(),
         }
     }
 
+    /// Counters for monitoring, by name.
     pub fn counters(&self, now: Ms) -> Vec<(&'static str, u64)> {
-        let voters = || self.registers.voters.iter();
-        let differ = |v: &&Voter| {
-            self.differences
-                .get(&v.name)
-                .is_some_and(|d| now.saturating_sub(d.since) >= LAGGING_AFTER)
-        };
+        let voters = &self.registers.voters;
+        let lagging = voters
+            .iter()
+            .filter(|voter| self.comparison.is_lagging(&voter.name, now));
         let copies = self
-            .state_table
-            .with_prefix(CONTEXT_PREFIX)
-            .filter_map(|(_, c)| compressed::decode::<ContextRecord>(&c.value.0));
+            .decoded::<ContextRecord>(CONTEXT_PREFIX)
+            .map(|record| record.parts.len() as u64);
+        let uncommitted = self
+            .registers
+            .slots()
+            .filter(|slot| slot.committed_version != slot.version);
         let mut rows = vec![
-            ("context_copies", copies.map(|r| r.parts.len() as u64).sum()),
-            ("feed_place", self.feed_position),
+            ("context_copies", copies.sum()),
+            ("feed_place", self.change_feed.position()),
             ("keys", self.registers.slots().count() as u64),
             ("edges", self.followers.len() as u64),
-            (
-                "keys_uncommitted",
-                self.registers
-                    .slots()
-                    .filter(|s| s.committed_version != s.version)
-                    .count() as u64,
-            ),
+            ("keys_uncommitted", uncommitted.count() as u64),
             ("member_epoch", self.registers.member_epoch.into()),
             ("quorum", self.hears_majority(now).into()),
-            ("voters", voters().count() as u64),
+            ("voters", voters.len() as u64),
             ("voters_live", self.live_voter_count(now) as u64),
-            ("voters_behind", voters().filter(differ).count() as u64),
+            ("voters_behind", lagging.count() as u64),
             ("in_touch", self.in_touch(now).into()),
-            ("loops_resting", self.stalled_loops.len() as u64),
+            ("loops_resting", self.rollouts.stalled_count() as u64),
         ];
         rows.extend(self.resolution_counts.rows());
         rows
     }
 }
+
+fn edge_status(follower: &Follower, now: Ms) -> EdgeStatus {
+    let versions = follower.versions().iter().map(|change| KeyVersion {
+        key: change.key.to_string(),
+        version: change.version,
+    });
+    EdgeStatus {
+        edge: follower.node.name.to_string(),
+        zone: follower.node.zone.to_string(),
+        heard_ms_ago: now.saturating_sub(follower.polled_at),
+        spec_version: follower.seen_version(SPEC_KEY),
+        versions: versions.collect(),
+    }
+}
--- /dev/null
+++ b/coordination/src/control/suspension.rs
@@ -0,0 +1,48 @@
+//! Whether this process was suspended: a daemon that did not run for a while reads messages that waited for long, and
+//! their senders have gone to other daemons since.
+
+use crate::Ms;
+
+/// ms without a tick after which a daemon takes itself to have been suspended: a client goes on to another daemon after a
+/// second without an answer.
+const SUSPENSION_THRESHOLD: Ms = 1_000;
+/// ms from its resumption for which a daemon accepts nothing that may have waited in its sockets.
+const RESUME_GRACE: Ms = 500;
+
+/// Detects suspension by the gap between ticks.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SuspensionDetector {
+    last_tick: Ms,
+    suspended_until: Ms,
+}
+
+impl SuspensionDetector {
+    pub(super) fn new(now: Ms) -> Self {
+        SuspensionDetector {
+            last_tick: now,
+            suspended_until: 0,
+        }
+    }
+
+    pub(super) fn on_tick(&mut self, now: Ms) {
+        self.last_tick = now;
+    }
+
+    /// The time of the last tick, or of the start.
+    pub(super) fn last_tick(&self) -> Ms {
+        self.last_tick
+    }
+
+    /// Whether the process runs: it ticked lately.
+    pub(super) fn ticked_lately(&self, now: Ms) -> bool {
+        now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD
+    }
+
+    /// Whether the process was suspended until just now.
+    pub(super) fn was_suspended(&mut self, now: Ms) -> bool {
+        if !self.ticked_lately(now) {
+            self.suspended_until = now + RESUME_GRACE;
+        }
+        now < self.suspended_until
+    }
+}
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -1,156 +1,134 @@
-//! Beats and voters: who votes, who is read before it does, and whose place another takes.
+//! Membership of the voters: bootstrap, catching up before the first vote, and changes of who votes.
 
-use super::*;
-use crate::timing::{HEARTBEAT_INTERVAL, NODE_RETENTION, PEER_TIMEOUT};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// ms. An empty machine that came so lately came in a lost one's stead.
-pub(crate) const JOINER_WINDOW: Ms = 20_000;
-/// ms. A newcomer among the voters reads the others' disks in this time; longer, and it is given up as one.
+use wire_messages::{Bootstrap, List, Name, PeerState, Slot, SlotsReply, SlotsRequest, Voter};
+
+use super::{Control, NO_CALLER, peers::Peer};
+use crate::{
+    Effect, Effects, Ms,
+    effect::{log_event, send},
+    events,
+    register::{Expect, MEMBERS_KEY},
+    timing::{HEARTBEAT_INTERVAL, PEER_TIMEOUT},
+    voter_placement::{self, Candidate, VoterChange},
+};
+
+/// ms. An empty machine that came so lately replaces a lost one.
+pub(super) const JOINER_WINDOW: Ms = 20_000;
+/// ms. A new voter reads the others' disks in this time; longer, and its place may be given away again.
 const CATCH_UP_TIMEOUT: Ms = 3_000;
-/// ms. Two daemons that hold different things for so long compare them, even where what they hold keeps changing.
-const DIVERGENCE_TIMEOUT: Ms = 1_000;
+
+/// `SlotsReply::voting`: the sender does not vote in its member epoch.
+const REPLY_NOT_VOTING: u8 = 0;
+/// `SlotsReply::voting`: the sender votes.
+const REPLY_VOTING: u8 = 1;
+/// `SlotsReply::voting`: the sender voted until the member epoch that gave its place away.
+const REPLY_RETIRED: u8 = 2;
+
+/// This daemon's own part in the membership of voters, and when it next acts on it.
+#[derive(Clone, Debug)]
+pub(super) struct VoterMembership {
+    disk_id: u64,
+    /// This process started without a member epoch on disk.
+    started_blank: bool,
+    /// The row of the bootstrap is not on disk yet.
+    bootstrap_unsaved: bool,
+    /// Daemons whose slots were read in order to catch up in this member epoch.
+    caught_up_from: BTreeSet<Name>,
+    next_join: Ms,
+    next_voter_change: Ms,
+    voters_changed_at: Ms,
+}
+
+impl VoterMembership {
+    pub(super) fn new(disk_id: u64, started_blank: bool, bootstrap_unsaved: bool, now: Ms) -> Self {
+        VoterMembership {
+            disk_id,
+            started_blank,
+            bootstrap_unsaved,
+            caught_up_from: BTreeSet::new(),
+            next_join: 0,
+            next_voter_change: 0,
+            voters_changed_at: now,
+        }
+    }
+
+    pub(super) fn disk_id(&self) -> u64 {
+        self.disk_id
+    }
+
+    pub(super) fn started_blank(&self) -> bool {
+        self.started_blank
+    }
+
+    fn is_among(&self, voters: &[Voter]) -> bool {
+        voters.iter().any(|v| v.disk_id == self.disk_id)
+    }
+
+    /// Begins anew with voters that were adopted at `now`.
+    fn on_voters_changed(&mut self, now: Ms) {
+        self.caught_up_from.clear();
+        self.next_join = 0;
+        self.voters_changed_at = now;
+    }
+}
 
 impl Control {
     /// Whether this very disk is a voter's.
     pub(super) fn is_listed_voter(&self) -> bool {
-        self.registers
-            .voters
-            .iter()
-            .any(|v| v.disk_id == self.disk_id)
+        self.voter_membership.is_among(&self.registers.voters)
     }
 
-    pub(super) fn live_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
-        let mut names: BTreeSet<Name> = self
-            .peers
-            .iter()
-            .filter(|(_, p)| {
-                now.saturating_sub(p.heard_at) <= PEER_TIMEOUT
-                    && p.heartbeat.state == PeerState::Voter
-                    && p.heartbeat.member_epoch == self.registers.member_epoch
-            })
-            .map(|(n, _)| n.clone())
-            .collect();
-        if !self.stopping && self.disk_healthy {
-            names.insert(self.config.name.clone());
+    fn persist_members(&self) -> Effect {
+        Effect::Persist {
+            rows: vec![self.registers.members_row()],
+            then: vec![],
         }
-        move |n| names.contains(n)
     }
 
-    pub(super) fn on_heartbeat(
-        &mut self,
-        from: &Name,
-        addr: &Name,
-        m: Heartbeat,
-        now: Ms,
-        out: &mut Effects,
-    ) {
-        self.registers.set_addr(from, addr);
-        self.disk_heard_at.insert(m.disk_id, now);
-        let blank = matches!(m.state, PeerState::Blank | PeerState::Bootstrapping);
-        let same = m.committed_digest == self.registers.committed_digest();
-        if m.state == PeerState::Voter && m.member_epoch == self.registers.member_epoch && same {
-            self.compared_with.insert(from.clone());
-        }
-        let missed = !same
-            && (!self.compared_with.contains(from)
-                || self.still_differs(from, m.committed_digest, now));
-        if same {
-            self.differences.remove(from);
-        }
-        let behind =
-            m.member_epoch > self.registers.member_epoch || (m.state == PeerState::Voter && missed);
-        if behind && !blank && now >= self.next_slots_request {
-            self.next_slots_request = now + HEARTBEAT_INTERVAL / 4;
-            out.push(send(
-                addr,
-                SlotsRequest {
-                    member_epoch: self.registers.member_epoch,
-                    known: self.registers.slot_metadata(),
-                },
-            ));
-        }
-        // The first voters are offered again to a member that was named among them but has not stored it.
-        if blank
-            && self.registers.member_epoch == 1
-            && self.registers.voters.iter().any(|v| v.disk_id == m.disk_id)
-        {
-            out.push(send(
-                addr,
-                Bootstrap {
-                    voters: List(self.registers.voters.clone()),
-                },
-            ));
-        }
-        // Who is new, or was gone, learns of this daemon at once.
-        if self.peers.get(from).is_none_or(|p| {
-            now.saturating_sub(p.heard_at) > PEER_TIMEOUT || p.heartbeat.disk_id != m.disk_id
-        }) {
-            self.next_heartbeat = now;
+    /// Puts the row of the bootstrap on disk, once.
+    pub(super) fn save_bootstrap(&mut self, out: &mut Effects) {
+        if std::mem::take(&mut self.voter_membership.bootstrap_unsaved) {
+            out.push(self.persist_members());
         }
-        self.peers.insert(
-            from.clone(),
-            Peer {
-                heard_at: now,
-                heartbeat: m,
-                addr: addr.clone(),
-            },
-        );
     }
 
-    /// Whether a peer that holds something else than this daemon will not be mended by what is on its way to either: that
-    /// differs in one beat, while what was missed differs in the next one too, or for long.
-    fn still_differs(&mut self, from: &Name, theirs: u64, now: Ms) -> bool {
-        let digests = (theirs, self.registers.committed_digest());
-        let Some(d) = self.differences.get_mut(from) else {
-            self.differences.insert(
-                from.clone(),
-                Difference {
-                    digests,
-                    since: now,
-                    compared_at: now,
-                },
-            );
-            return false;
-        };
-        let missed =
-            d.digests == digests || now.saturating_sub(d.compared_at) >= DIVERGENCE_TIMEOUT;
-        *d = Difference {
-            digests,
-            since: d.since,
-            compared_at: if missed { now } else { d.compared_at },
-        };
-        missed
-    }
-
-    /// Tells its slots, once all that it has voted is on its disk: an earlier member epoch must not come back here
-    /// after a newcomer has counted on it to be over.
+    /// Answers with this daemon's slots once all its votes are on its disk: an earlier member epoch must not come back
+    /// here after a new voter has relied on its end.
     pub(super) fn on_slots_request(
         &mut self,
         addr: &Name,
-        m: SlotsRequest,
+        request: SlotsRequest,
         now: Ms,
         out: &mut Effects,
     ) {
-        self.registers.rewrite_uncommitted(&m.known, now, out);
-        let r = &self.registers;
-        let slots = r.slots_differing_from(&m.known);
-        let m = SlotsReply {
-            member_epoch: r.member_epoch,
-            voting: if r.voting { 1 } else { u8::from(r.retired) * 2 },
-            previous_voter_count: r.previous_voter_count,
-            voters: List(r.voters.clone()),
-            slots,
+        self.registers.rewrite_uncommitted(&request.known, now, out);
+        let registers = &self.registers;
+        let voting = if registers.voting {
+            REPLY_VOTING
+        } else if registers.retired {
+            REPLY_RETIRED
+        } else {
+            REPLY_NOT_VOTING
+        };
+        let reply = SlotsReply {
+            member_epoch: registers.member_epoch,
+            voting,
+            previous_voter_count: registers.previous_voter_count,
+            voters: List(registers.voters.clone()),
+            slots: registers.slots_differing_from(&request.known),
         };
         out.push(Effect::Persist {
             rows: vec![],
-            then: vec![send(addr, m)],
+            then: vec![send(addr, reply)],
         });
     }
 
-    pub(super) fn on_bootstrap(&mut self, m: Bootstrap, out: &mut Effects) {
-        // Only a disk that is blank and named takes it; a later blank disk has another number.
-        if self.registers.member_epoch == 0 && m.voters.iter().any(|v| v.disk_id == self.disk_id) {
-            self.begin_as_voter(m.voters.0, out);
+    pub(super) fn on_bootstrap(&mut self, bootstrap: Bootstrap, out: &mut Effects) {
+        // Only a disk that is blank and named accepts it; a later blank disk has another number.
+        if self.registers.member_epoch == 0 && self.voter_membership.is_among(&bootstrap.voters) {
+            self.begin_as_voter(bootstrap.voters.0, out);
         }
     }
 
@@ -159,114 +137,110 @@
         // Nobody ever voted before: there is no lease to wait out.
         self.registers.skip_lease_wait();
         self.registers.voting = true;
-        // Until others know that it votes they take its keys.
-        self.next_heartbeat = 0;
+        // Until others know that it votes they acquire its keys.
+        self.peers.send_heartbeat_soon();
         out.push(log_event(events::BOOTSTRAPPED, &self.config.name, ""));
-        out.push(Effect::Persist {
-            rows: vec![self.registers.members_row()],
-            then: vec![],
-        });
+        out.push(self.persist_members());
     }
 
     pub(super) fn on_slots_reply(
         &mut self,
         from: &Name,
-        m: SlotsReply,
+        reply: SlotsReply,
         now: Ms,
         out: &mut Effects,
     ) {
-        self.registers.repair(&m.slots, out);
+        self.registers.repair(&reply.slots, out);
         self.adopt_committed_voters(out);
-        // The first voters stand under no key.
-        if self.registers.member_epoch == 0
-            && m.member_epoch == 1
-            && m.voters.iter().any(|v| v.disk_id == self.disk_id)
-        {
-            self.begin_as_voter(m.voters.0, out);
-        } else if m.member_epoch > self.registers.member_epoch {
-            self.adopt_voters(m.member_epoch, m.previous_voter_count, m.voters.0, out);
+        // The first voters are under no key.
+        let is_bootstrap = self.registers.member_epoch == 0
+            && reply.member_epoch == 1
+            && self.voter_membership.is_among(&reply.voters);
+        if is_bootstrap {
+            self.begin_as_voter(reply.voters.0, out);
+        } else if reply.member_epoch > self.registers.member_epoch {
+            let previous = reply.previous_voter_count;
+            self.adopt_voters(reply.member_epoch, previous, reply.voters.0, out);
         }
-        if m.member_epoch != self.registers.member_epoch {
+        if reply.member_epoch != self.registers.member_epoch {
             return;
         }
-        if m.voting == 1 {
-            self.compared_with.insert(from.clone());
+        if reply.voting == REPLY_VOTING {
+            self.comparison.record_compared(from);
         }
-        if self.registers.voting || !self.is_listed_voter() || m.voting == 0 {
-            return;
+        let is_closed_there = reply.voting != REPLY_NOT_VOTING;
+        if !self.registers.voting && self.is_listed_voter() && is_closed_there {
+            self.catch_up_from(from, &reply.slots, now, out);
         }
-        let mut rows = self.registers.catch_up(&m.slots);
-        self.caught_up_from.insert(from.clone());
-        if self.caught_up_from.len() >= self.voters_to_read() {
+    }
+
+    /// Takes over the slots of a daemon that has closed the former member epoch, and votes once enough were read.
+    fn catch_up_from(&mut self, from: &Name, slots: &[Slot], now: Ms, out: &mut Effects) {
+        let mut rows = self.registers.catch_up(slots);
+        self.voter_membership.caught_up_from.insert(from.clone());
+        if self.voter_membership.caught_up_from.len() >= self.voters_to_read() {
             self.registers.start_voting(now);
-            self.next_heartbeat = 0;
-            out.push(log_event(
-                events::VOTING,
-                &self.config.name,
-                format!("member epoch {}", self.registers.member_epoch),
-            ));
+            self.peers.send_heartbeat_soon();
+            let text = format!("member epoch {}", self.registers.member_epoch);
+            out.push(log_event(events::VOTING, &self.config.name, text));
         }
         rows.push(self.registers.members_row());
         out.push(Effect::Persist { rows, then: vec![] });
     }
 
-    /// How many voters that have closed the member epoch before must be read: a majority of its voters, so that nothing
-    /// more can be taken under it, and whatever was taken stands with one of those. Who voted in it or has itself read
-    /// so many counts. Where their number is not known, all others.
+    /// How many voters that have closed the former member epoch must be read: a majority of its voters, so that nothing
+    /// more can be accepted under it, and whatever was accepted is on the disk of one of those. Who voted in it or has
+    /// itself read so many counts. Where their number is not known, all others.
     fn voters_to_read(&self) -> usize {
         match self.registers.previous_voter_count {
             0 => self.registers.voters.len() - 1,
-            n => n as usize / 2 + 1,
+            previous => previous as usize / 2 + 1,
         }
     }
 
     /// Adopts voters that were committed under the members' key.
     pub(super) fn adopt_committed_voters(&mut self, out: &mut Effects) {
-        let Some(c) = self
+        let newest = self
             .registers
             .newly_committed
             .iter()
-            .filter(|c| &*c.key == MEMBERS_KEY)
-            .max_by_key(|c| c.version)
-            .cloned()
-        else {
+            .filter(|change| &*change.key == MEMBERS_KEY)
+            .max_by_key(|change| change.version);
+        let Some(newest) = newest else {
             return;
         };
-        let (Some((before, voters)), member_epoch) =
-            (voter_placement::decode(&c.value.0), c.version as u32 + 1)
-        else {
-            return;
-        };
-        self.adopt_voters(member_epoch, before, voters, out);
+        let member_epoch = newest.version as u32 + 1;
+        if let Some((previous_voter_count, voters)) = voter_placement::decode(&newest.value.0) {
+            self.adopt_voters(member_epoch, previous_voter_count, voters, out);
+        }
     }
 
     fn adopt_voters(
         &mut self,
         member_epoch: u32,
-        before: u32,
+        previous_voter_count: u32,
         voters: Vec<Voter>,
         out: &mut Effects,
     ) {
-        if member_epoch <= self.registers.member_epoch {
+        let current_epoch = self.registers.member_epoch;
+        if member_epoch <= current_epoch {
             return;
         }
-        // Whoever lost its place and was given one again may lack what was taken in between.
-        let kept = voters
+        // Whoever lost its place and was given one again may lack what was accepted in between.
+        let disk_id = self.voter_membership.disk_id;
+        let keeps_place = voters
             .iter()
-            .any(|v| v.disk_id == self.disk_id && v.since_epoch <= self.registers.member_epoch);
-        let left =
-            !kept && self.registers.voting && member_epoch == self.registers.member_epoch + 1;
+            .any(|v| v.disk_id == disk_id && v.since_epoch <= current_epoch);
+        let is_retired = !keeps_place && self.registers.voting && member_epoch == current_epoch + 1;
         self.registers
-            .adopt_members(member_epoch, before, voters, out);
-        self.registers.voting &= kept;
-        self.registers.retired = left;
-        self.caught_up_from.clear();
+            .adopt_members(member_epoch, previous_voter_count, voters, out);
+        self.registers.voting &= keeps_place;
+        self.registers.retired = is_retired;
+        self.voter_membership
+            .on_voters_changed(self.suspension.last_tick());
         // Until others know that it counts the same votes it is not live to them.
-        (self.next_join, self.next_heartbeat, self.voters_changed_at) = (0, 0, self.tick_time);
-        out.push(Effect::Persist {
-            rows: vec![self.registers.members_row()],
-            then: vec![],
-        });
+        self.peers.send_heartbeat_soon();
+        out.push(self.persist_members());
     }
 
     /// Gives lost voters' places to others, and adds voters where there are too few, if this daemon is the one to.
@@ -276,193 +250,166 @@
         live: &dyn Fn(&str) -> bool,
         out: &mut Effects,
     ) {
-        if now < self.next_voter_change || !self.registers.voting {
+        if now < self.voter_membership.next_voter_change || !self.registers.voting {
+            return;
+        }
+        self.voter_membership.next_voter_change = now + 2 * HEARTBEAT_INTERVAL;
+        self.peers.forget_old_disks(now);
+        if !self.may_change_voters(now, live) || self.is_new_voter_catching_up(now) {
             return;
         }
-        self.next_voter_change = now + 2 * HEARTBEAT_INTERVAL;
-        self.disk_heard_at
-            .retain(|_, t| now.saturating_sub(*t) < NODE_RETENTION);
-        let mine = self
+        let Some(next) = self.next_voters(now, live) else {
+            return;
+        };
+        let names: Vec<&str> = next.iter().map(|v| &*v.name).collect();
+        let text = names.join(" ");
+        out.push(log_event(events::VOTERS_CHANGED, &self.config.name, text));
+        // The first voters are member epoch 1 and under no key, so that a key's version is one below its epoch.
+        let expect = Expect::Version(u64::from(self.registers.member_epoch) - 1);
+        let value = voter_placement::encode(self.registers.voters.len() as u32, &next);
+        self.registers
+            .propose(NO_CALLER, &MEMBERS_KEY.into(), expect, value, now, out);
+    }
+
+    fn may_change_voters(&self, now: Ms, live: &dyn Fn(&str) -> bool) -> bool {
+        let is_owner = self
             .registers
             .preferred_owner(MEMBERS_KEY, live)
             .is_some_and(|v| v.name == self.config.name);
         // One that has just started has not heard the others yet.
-        if !mine
-            || now.saturating_sub(self.started_at) < 2 * PEER_TIMEOUT
-            || self.registers.has_pending_writes(MEMBERS_KEY)
-        {
-            return;
-        }
-        let fresh = || {
-            self.peers
-                .iter()
-                .filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT)
-        };
-        let votes = |v: &Voter| v.name == self.config.name || live(&v.name);
-        let member_epoch = self.registers.member_epoch;
-        // A newcomer is still reading: another change would have it begin anew.
-        let reads = |p: &Peer| {
-            p.heartbeat.state == PeerState::CatchingUp
-                && self
-                    .registers
-                    .voters
-                    .iter()
-                    .any(|v| v.disk_id == p.heartbeat.disk_id && v.since_epoch == member_epoch)
-        };
-        if now.saturating_sub(self.voters_changed_at) < CATCH_UP_TIMEOUT
-            && fresh().any(|(_, p)| reads(p))
-        {
-            return;
-        }
-        let free = |p: &Peer| {
-            matches!(
-                p.heartbeat.state,
-                PeerState::Blank
-                    | PeerState::Bootstrapping
-                    | PeerState::Joiner
-                    | PeerState::Learner
-            ) && !self
-                .registers
-                .voters
-                .iter()
-                .any(|v| v.disk_id == p.heartbeat.disk_id)
+        let has_heard_others = now.saturating_sub(self.started_at) >= 2 * PEER_TIMEOUT;
+        is_owner && has_heard_others && !self.registers.has_pending_writes(MEMBERS_KEY)
+    }
+
+    /// Whether a new voter is still reading the others' disks: another change would have it begin anew.
+    fn is_new_voter_catching_up(&self, now: Ms) -> bool {
+        let changed_at = self.voter_membership.voters_changed_at;
+        let is_new_voter = |peer: &Peer| {
+            let mut voters = self.registers.voters.iter();
+            voters.any(|v| {
+                v.disk_id == peer.heartbeat.disk_id && v.since_epoch == self.registers.member_epoch
+            })
         };
-        let candidates = fresh().filter(|(_, p)| free(p)).map(|(n, p)| {
-            let v = Voter {
-                name: n.clone(),
-                disk_id: p.heartbeat.disk_id,
-                addr: p.addr.clone(),
-                zone: p.heartbeat.zone.clone(),
-                since_epoch: member_epoch + 1,
-            };
-            (v, p.heartbeat.state != PeerState::Learner)
-        });
-        let silent = |v: &Voter| match v.disk_id == self.disk_id {
+        now.saturating_sub(changed_at) < CATCH_UP_TIMEOUT
+            && self
+                .peers
+                .heard_within(PEER_TIMEOUT, now)
+                .any(|(_, p)| p.heartbeat.state == PeerState::CatchingUp && is_new_voter(p))
+    }
+
+    /// The voters that should follow the present ones, where they should change.
+    fn next_voters(&self, now: Ms, live: &dyn Fn(&str) -> bool) -> Option<Vec<Voter>> {
+        let is_live = |voter: &Voter| voter.name == self.config.name || live(&voter.name);
+        let unheard_for = |voter: &Voter| match voter.disk_id == self.voter_membership.disk_id {
             true => 0,
-            false => now.saturating_sub(
-                self.disk_heard_at
-                    .get(&v.disk_id)
-                    .copied()
-                    .unwrap_or(self.started_at),
-            ),
+            false => self
+                .peers
+                .disk_unheard_for(voter.disk_id, self.started_at, now),
         };
-        let s = voter_placement::VoterChange {
+        voter_placement::next_voters(&VoterChange {
             voters: &self.registers.voters,
-            unheard_for: &silent,
-            candidates: candidates.collect(),
+            unheard_for: &unheard_for,
+            candidates: self.voter_candidates(now),
             regions: &self.config.regions,
             bounds: &self.config.bounds,
-            is_live: &votes,
-        };
-        let Some(next) = voter_placement::next_voters(&s) else {
-            return;
+            is_live: &is_live,
+        })
+    }
+
+    /// Peers that could become voters, and whether each started with a blank disk.
+    fn voter_candidates(&self, now: Ms) -> Vec<Candidate> {
+        let is_free = |peer: &Peer| {
+            let is_waiting = matches!(
+                peer.heartbeat.state,
+                PeerState::Blank
+                    | PeerState::Bootstrapping
+                    | PeerState::Joiner
+                    | PeerState::Learner
+            );
+            let mut voters = self.registers.voters.iter();
+            is_waiting && !voters.any(|v| v.disk_id == peer.heartbeat.disk_id)
         };
-        let names: Vec<&str> = next.iter().map(|v| &*v.name).collect();
-        out.push(log_event(
-            events::VOTERS_CHANGED,
-            &self.config.name,
-            names.join(" "),
-        ));
-        let value = voter_placement::encode(self.registers.voters.len() as u32, &next);
-        self.registers.propose(
-            NO_CALLER,
-            &MEMBERS_KEY.into(),
-            Expect::Version(u64::from(member_epoch) - 1),
-            value,
-            now,
-            out,
-        );
+        let since_epoch = self.registers.member_epoch + 1;
+        self.peers
+            .heard_within(PEER_TIMEOUT, now)
+            .filter(|(_, peer)| is_free(peer))
+            .map(|(name, peer)| {
+                let was_blank = peer.heartbeat.state != PeerState::Learner;
+                (peer.as_voter(name, since_epoch), was_blank)
+            })
+            .collect()
     }
 
-    /// What a daemon that does not vote yet does about it.
+    /// Advances a daemon that does not vote yet: as a listed voter it requests slots, else it may bootstrap.
     pub(super) fn request_missing_slots(&mut self, now: Ms, out: &mut Effects) {
-        if self.registers.voting || now < self.next_join {
+        if self.registers.voting || now < self.voter_membership.next_join {
             return;
         }
-        self.next_join = now + HEARTBEAT_INTERVAL;
+        self.voter_membership.next_join = now + HEARTBEAT_INTERVAL;
         if self.is_listed_voter() {
-            let ask = SlotsRequest {
-                member_epoch: self.registers.member_epoch,
-                known: self.registers.slot_metadata(),
-            };
-            // Also those that have just lost their places: what they voted may stand with them alone.
-            let mut to: BTreeMap<Name, Name> = self
-                .registers
-                .voters
-                .iter()
-                .map(|v| (v.name.clone(), self.registers.addr(v)))
-                .collect();
-            let fresh = self
-                .peers
-                .iter()
-                .filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT);
-            to.extend(fresh.map(|(n, p)| (n.clone(), p.addr.clone())));
-            to.retain(|n, _| *n != self.config.name && !self.caught_up_from.contains(n));
-            out.extend(to.values().map(|a| send(a, ask.clone())));
-            return;
-        }
-        let fresh: Vec<(&Name, &Peer)> = self
-            .peers
-            .iter()
-            .filter(|(_, p)| now.saturating_sub(p.heard_at) <= PEER_TIMEOUT)
-            .collect();
-        if let Some(voters) = self.bootstrap_voters(&fresh) {
-            // Others store it when this daemon's next beats tell them. Should it crash before it is synced here, it
-            // learns it from them, or writes the same again: it takes nothing but the same disks.
+            let request = self.slots_request();
+            let receivers = self.slots_request_receivers(now);
+            out.extend(receivers.values().map(|addr| send(addr, request.clone())));
+        } else if let Some(voters) = self.bootstrap_voters(now) {
+            // Others store it when this daemon's next heartbeats announce them. Should it crash before it is synced
+            // here, it learns it from them, or writes the same again: it accepts nothing but the same disks.
             self.begin_as_voter(voters, out);
         }
     }
 
-    /// The first voters, once all of them are here with blank disks and this daemon is the one to write them down:
-    /// the first by name where names are given, else the one at the first of the seeds.
-    fn bootstrap_voters(&self, fresh: &[(&Name, &Peer)]) -> Option<Vec<Voter>> {
+    /// Addresses by name of the daemons that were not read yet: voters, and those that have just lost their places, as
+    /// what these voted may be on their disks alone.
+    fn slots_request_receivers(&self, now: Ms) -> BTreeMap<Name, Name> {
+        let voters = self.registers.voters.iter();
+        let mut receivers: BTreeMap<Name, Name> = voters
+            .map(|v| (v.name.clone(), self.registers.addr(v)))
+            .collect();
+        let heard = self.peers.heard_within(PEER_TIMEOUT, now);
+        receivers.extend(heard.map(|(name, peer)| (name.clone(), peer.addr.clone())));
+        let already_read = &self.voter_membership.caught_up_from;
+        receivers.retain(|name, _| *name != self.config.name && !already_read.contains(name));
+        receivers
+    }
+
+    /// The first voters, once all of them are here with blank disks and this daemon is the one to write them down: the
+    /// first by name where names are given, else the one at the first of the seeds.
+    fn bootstrap_voters(&self, now: Ms) -> Option<Vec<Voter>> {
         if self.registers.member_epoch > 0 {
             return None;
         }
-        let (name, addr, zone) = (
-            self.config.name.clone(),
-            self.config.addr.clone(),
-            self.config.zone.clone(),
-        );
-        let me = Voter {
-            name,
-            disk_id: self.disk_id,
-            addr,
-            zone,
-            since_epoch: 1,
+        let config = &self.config;
+        let are_named = !config.members.is_empty();
+        let (own_place, places, state): (&Name, Vec<&Name>, PeerState) = if are_named {
+            (
+                &config.name,
+                config.members.iter().collect(),
+                PeerState::Blank,
+            )
+        } else {
+            let seeds = self.registers.voters.iter().map(|v| &v.addr);
+            (&config.addr, seeds.collect(), PeerState::Bootstrapping)
         };
-        let voter = |(n, p): &(&Name, &Peer)| Voter {
-            name: (*n).clone(),
-            disk_id: p.heartbeat.disk_id,
-            addr: p.addr.clone(),
-            zone: p.heartbeat.zone.clone(),
-            since_epoch: 1,
-        };
-        let (own, places, state): (&Name, Vec<&Name>, PeerState) =
-            match self.config.members.is_empty() {
-                false => (
-                    &self.config.name,
-                    self.config.members.iter().collect(),
-                    PeerState::Blank,
-                ),
-                true => (
-                    &self.config.addr,
-                    self.registers.voters.iter().map(|v| &v.addr).collect(),
-                    PeerState::Bootstrapping,
-                ),
-            };
-        if places.iter().min() != Some(&own) {
+        if places.iter().min() != Some(&own_place) {
             return None;
         }
-        let named = !self.config.members.is_empty();
-        let others = places.iter().filter(|p| **p != own).map(|place| {
-            let here = fresh.iter().find(|(n, p)| {
-                p.heartbeat.state == state && if named { n == place } else { p.addr == **place }
+        let peer_at = |place: &Name| {
+            let mut heard = self.peers.heard_within(PEER_TIMEOUT, now);
+            let found = heard.find(|(name, peer)| {
+                let found_place = if are_named { *name } else { &peer.addr };
+                peer.heartbeat.state == state && found_place == place
             });
-            here.map(voter)
-        });
-        let mut voters = others.collect::<Option<Vec<_>>>()?;
-        voters.insert(0, me);
+            found.map(|(name, peer)| peer.as_voter(name, 1))
+        };
+        let others = places.into_iter().filter(|place| *place != own_place);
+        let mut voters = others.map(peer_at).collect::<Option<Vec<Voter>>>()?;
+        let own = Voter {
+            name: config.name.clone(),
+            disk_id: self.voter_membership.disk_id,
+            addr: config.addr.clone(),
+            zone: config.zone.clone(),
+            since_epoch: 1,
+        };
+        voters.insert(0, own);
         Some(voters)
     }
 }
