--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -9,7 +9,7 @@
 use actix::prelude::*;
 use awc::Client;
 use coordination::{
-    Effect, Effects, Ms, WriteOutcome,
+    Effect, Effects, Ms, NotAcceptedReason, WriteOutcome,
     control::{Control, ControlConfig},
     effect::log_event,
     events,
@@ -284,7 +284,11 @@
                 }
             };
             if let Err(e) = r {
-                event(events::REPLICA_ORDER_FAILED, &service, &format!("{text}: {e}"));
+                event(
+                    events::REPLICA_ORDER_FAILED,
+                    &service,
+                    &format!("{text}: {e}"),
+                );
             }
         };
         ctx.spawn(f.into_actor(self));
@@ -422,9 +426,7 @@
     type Result = ResponseFuture<WriteOutcome>;
     fn handle(&mut self, m: Write, ctx: &mut Self::Context) -> Self::Result {
         let Some(c) = &mut self.c else {
-            return Box::pin(async {
-                WriteOutcome::NotAccepted("this daemon's disk does not work")
-            });
+            return Box::pin(async { WriteOutcome::NotAccepted(NotAcceptedReason::DiskFailed) });
         };
         let asked = c.write(&m.key, m.expect, m.value, clock::now());
         self.answer(asked, ctx)
@@ -435,9 +437,7 @@
     type Result = ResponseFuture<WriteOutcome>;
     fn handle(&mut self, m: Newest, ctx: &mut Self::Context) -> Self::Result {
         let Some(c) = &mut self.c else {
-            return Box::pin(async {
-                WriteOutcome::NotAccepted("this daemon's disk does not work")
-            });
+            return Box::pin(async { WriteOutcome::NotAccepted(NotAcceptedReason::DiskFailed) });
         };
         let asked = c.read_newest(&m.0, clock::now());
         self.answer(asked, ctx)
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -100,9 +100,11 @@
                 .version(v)
                 .into()
         }
-        WriteOutcome::NotAccepted(why) => Fault::new("not_accepted", "sync_majority", why)
-            .retry(1_000)
-            .into(),
+        WriteOutcome::NotAccepted(reason) => {
+            Fault::new("not_accepted", "sync_majority", reason.as_str())
+                .retry(1_000)
+                .into()
+        }
         WriteOutcome::Unknown => {
             let m = format!(
                 "no majority confirmed {key} in time; it may still stand: read it to find out"
--- a/coordination/src/control/forwarding.rs
+++ b/coordination/src/control/forwarding.rs
@@ -6,7 +6,8 @@
 
 use super::Control;
 use crate::{
-    Effect, Effects, Ms, WriteOutcome, effect::send, register::Expect, timing::HEARTBEAT_INTERVAL,
+    Effect, Effects, Ms, NotAcceptedReason, WriteOutcome, effect::send, register::Expect,
+    timing::HEARTBEAT_INTERVAL,
 };
 
 /// ms. A daemon that forwarded a request waits a little longer than the owner does.
@@ -144,7 +145,9 @@
         match outcome {
             WriteOutcome::Accepted(version) => self.reply(ForwardOutcome::Accepted, version, ""),
             WriteOutcome::Conflict(version) => self.reply(ForwardOutcome::Conflict, version, ""),
-            WriteOutcome::NotAccepted(reason) => self.reply(ForwardOutcome::NotAccepted, 0, reason),
+            WriteOutcome::NotAccepted(reason) => {
+                self.reply(ForwardOutcome::NotAccepted, 0, reason.as_str())
+            }
             WriteOutcome::Unknown => self.reply(ForwardOutcome::Unknown, 0, ""),
         }
     }
@@ -215,7 +218,7 @@
         let Some(owner) = self.registers.preferred_owner(&pending.key, &is_live) else {
             out.push(Effect::WriteFinished {
                 token: pending.token,
-                outcome: WriteOutcome::NotAccepted("no voter is live"),
+                outcome: WriteOutcome::NotAccepted(NotAcceptedReason::NoLiveVoter),
             });
             return;
         };
@@ -325,7 +328,7 @@
             ForwardOutcome::Accepted => WriteOutcome::Accepted(reply.version),
             ForwardOutcome::Conflict => WriteOutcome::Conflict(reply.version),
             ForwardOutcome::NotAccepted | ForwardOutcome::NotOwner | ForwardOutcome::Deposed => {
-                WriteOutcome::NotAccepted("the key's owner did not take it; ask again")
+                WriteOutcome::NotAccepted(NotAcceptedReason::RejectedByOwner)
             }
             ForwardOutcome::Unknown => WriteOutcome::Unknown,
         };
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -10,7 +10,7 @@
     forwarding::{FORWARD_TIMEOUT, Forwarding, OwnerRequest, PendingRequest, WriteCondition},
 };
 use crate::{
-    Effect, Effects, Ms, WriteOutcome,
+    Effect, Effects, Ms, NotAcceptedReason, WriteOutcome,
     register::{DisplacedRequest, Expect},
 };
 
@@ -138,8 +138,7 @@
     ) {
         if expect == Expect::Any {
             if self.was_suspended(now) {
-                let outcome =
-                    WriteOutcome::NotAccepted("this daemon stood still until just now; ask again");
+                let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::Suspended);
                 out.push(Effect::WriteFinished { token, outcome });
                 return;
             }
@@ -173,7 +172,7 @@
                 out.push(caller.reply(outcome, version, ""));
             } else if token == NO_CALLER || self.rollouts.is_record_write(token) {
                 // A record is computed anew by whoever holds its role.
-                let outcome = WriteOutcome::NotAccepted("the key has moved");
+                let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::KeyMoved);
                 out.push(Effect::WriteFinished { token, outcome });
             } else {
                 self.reroute(displaced, now);
@@ -238,8 +237,7 @@
             return Some(outcome);
         };
         if now >= write.retried_until {
-            let reason = "other orders came first; ask again";
-            return Some(WriteOutcome::NotAccepted(reason));
+            return Some(WriteOutcome::NotAccepted(NotAcceptedReason::Overtaken));
         }
         let condition = WriteCondition::UnchangedSince(version);
         let request = OwnerRequest::Write(condition, write.value.clone());
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -1,5 +1,7 @@
 //! What a state machine wants done. Shells carry effects out; nothing else touches the world.
 
+use std::fmt;
+
 use wire_messages::{Message, Name, Slot, Voter};
 
 use crate::{events::Event, rollout::Order};
@@ -23,6 +25,52 @@
     },
 }
 
+/// Why a write was never offered to a disk. Operators see the texts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NotAcceptedReason {
+    /// This daemon was suspended until just now, and the write may have waited for it.
+    Suspended,
+    /// Other writes of the key came first, for as long as an unconditional write is tried again.
+    Overtaken,
+    /// No voter is live that could own the key.
+    NoLiveVoter,
+    /// The key has moved to another owner.
+    KeyMoved,
+    /// The key's owner rejected it.
+    RejectedByOwner,
+    /// No majority of disks answered in time.
+    NoMajority,
+    /// This daemon does not vote.
+    NotVoting,
+    /// Too many writes wait for this key.
+    TooManyPending,
+    /// This daemon's disk does not work.
+    DiskFailed,
+}
+
+impl NotAcceptedReason {
+    /// The text for operators, which also goes over the wire.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            NotAcceptedReason::Suspended => "this daemon stood still until just now; ask again",
+            NotAcceptedReason::Overtaken => "other orders came first; ask again",
+            NotAcceptedReason::NoLiveVoter => "no voter is live",
+            NotAcceptedReason::KeyMoved => "the key has moved",
+            NotAcceptedReason::RejectedByOwner => "the key's owner did not take it; ask again",
+            NotAcceptedReason::NoMajority => "no majority of disks answered in time",
+            NotAcceptedReason::NotVoting => "this daemon does not vote",
+            NotAcceptedReason::TooManyPending => "too many writes wait for this key",
+            NotAcceptedReason::DiskFailed => "this daemon's disk does not work",
+        }
+    }
+}
+
+impl fmt::Display for NotAcceptedReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
+}
+
 /// What became of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -31,7 +79,7 @@
     /// Another write came first; this version stands.
     Conflict(u64),
     /// It was never offered to a disk and never will be.
-    NotAccepted(&'static str),
+    NotAccepted(NotAcceptedReason),
     /// It may or may not become the value; read the key to find out.
     Unknown,
 }
--- a/coordination/src/register/owner.rs
+++ b/coordination/src/register/owner.rs
@@ -12,7 +12,7 @@
     Registers, change, is_leased, prior_writes::PriorOutcome,
 };
 use crate::{
-    Effect, Effects, Ms, Row, WriteOutcome,
+    Effect, Effects, Ms, NotAcceptedReason, Row, WriteOutcome,
     effect::{log_event, send},
     events,
 };
@@ -177,7 +177,7 @@
         if !self.voting {
             out.push(Effect::WriteFinished {
                 token,
-                outcome: WriteOutcome::NotAccepted("this daemon does not vote"),
+                outcome: WriteOutcome::NotAccepted(NotAcceptedReason::NotVoting),
             });
             return;
         }
@@ -190,7 +190,7 @@
         if o.pending.len() >= MAX_PENDING_REQUESTS {
             out.push(Effect::WriteFinished {
                 token,
-                outcome: WriteOutcome::NotAccepted("too many writes wait for this key"),
+                outcome: WriteOutcome::NotAccepted(NotAcceptedReason::TooManyPending),
             });
             return;
         }
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -6,8 +6,8 @@
 
 use super::{Ownership, OwnershipPhase, Registers, is_leased};
 use crate::{
-    Effect, Effects, Ms, WriteOutcome, effect::log_event, events, register::owner::RESEND_INTERVAL,
-    timing::HEARTBEAT_INTERVAL,
+    Effect, Effects, Ms, NotAcceptedReason, WriteOutcome, effect::log_event, events,
+    register::owner::RESEND_INTERVAL, timing::HEARTBEAT_INTERVAL,
 };
 
 /// ms. Duty holders renew three times within a lease's life.
@@ -109,7 +109,7 @@
                 outcome: WriteOutcome::Unknown,
             });
         }
-        let no = WriteOutcome::NotAccepted("no majority of disks answered in time");
+        let no = WriteOutcome::NotAccepted(NotAcceptedReason::NoMajority);
         o.pending.retain(|a| {
             let keep = now.saturating_sub(a.received_at) <= WRITE_TIMEOUT;
             if !keep {
