--- a/coordination/src/register/proposer.rs
+++ b/coordination/src/register/proposer.rs
@@ -9,7 +9,7 @@
     slots::AcceptedStamp,
 };
 use crate::{
-    Effect, Effects, Ms, WriteOutcome,
+    Effect, Effects, Ms, NotAcceptedReason, WriteOutcome,
     effect::{log_event, send},
     events,
 };
@@ -56,7 +56,7 @@
 
     fn enqueue(&mut self, request: PendingRequest, key: &Name, now: Ms, out: &mut Effects) {
         if !self.members.voting {
-            let reason = WriteOutcome::NotAccepted("this daemon does not vote");
+            let reason = WriteOutcome::NotAccepted(NotAcceptedReason::NotVoting);
             out.push(finished(request.token, reason));
             return;
         }
@@ -67,7 +67,7 @@
             return;
         };
         if ownership.pending.len() >= MAX_PENDING_REQUESTS {
-            let reason = WriteOutcome::NotAccepted("too many writes wait for this key");
+            let reason = WriteOutcome::NotAccepted(NotAcceptedReason::TooManyPending);
             out.push(finished(request.token, reason));
             return;
         }
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -14,7 +14,10 @@
     ownership::{OwnershipPhase, PendingRequest, RESEND_INTERVAL},
     proposer::finished,
 };
-use crate::{Effects, Ms, WriteOutcome, effect::log_event, events, timing::HEARTBEAT_INTERVAL};
+use crate::{
+    Effects, Ms, NotAcceptedReason, WriteOutcome, effect::log_event, events,
+    timing::HEARTBEAT_INTERVAL,
+};
 
 /// ms. Lease holders renew three times within a lease's duration.
 const RENEW_INTERVAL: Ms = 700;
@@ -111,7 +114,7 @@
                 .into_iter()
                 .partition(|request| is_overdue(request.received_at));
         ownership.pending = pending;
-        let outcome = WriteOutcome::NotAccepted("no majority of disks answered in time");
+        let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::NoMajority);
         out.extend(
             overdue
                 .into_iter()
--- a/coordination/tests/chaos.rs
+++ b/coordination/tests/chaos.rs
@@ -115,12 +115,12 @@
         let newest_epoch = voting
             .iter()
             .filter_map(|index| self.fleet.control(*index))
-            .map(|control| control.registers.member_epoch)
+            .map(|control| control.registers.members.member_epoch)
             .max();
         let agrees = |index: &usize| {
             self.fleet.control(*index).is_some_and(|control| {
-                Some(control.registers.member_epoch) == newest_epoch
-                    && control.registers.voters.len() == voting.len()
+                Some(control.registers.members.member_epoch) == newest_epoch
+                    && control.registers.members.voters.len() == voting.len()
             })
         };
         !voting.is_empty() && voting.iter().all(agrees)
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -15,15 +15,17 @@
 }
 
 fn settled_fleet(seed: u64) -> Fleet {
-    let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+    let mut fleet = Fleet::bootstrapped(seed, 3, |daemon| format!("r{daemon}"));
     let all_settled = |fleet: &Fleet| {
         (0..3).all(|daemon| {
             fleet
-                .brain(daemon)
+                .control(daemon)
                 .is_some_and(|control| control.is_settled())
         })
     };
-    fleet.until(10_000, all_settled).expect("the fleet settles");
+    fleet
+        .run_until(10_000, all_settled)
+        .expect("the fleet settles");
     fleet
 }
 
@@ -33,15 +35,18 @@
 /// Submits a write to a daemon; its outcome is looked for later.
 fn submit(fleet: &mut Fleet, daemon: usize, expect: Expect, value: &[u8]) -> Submitted {
     let now = fleet.now;
-    let control = fleet.all[daemon].brain.as_mut().unwrap();
+    let control = fleet.daemons[daemon].control.as_mut().unwrap();
     let (token, out) = control.write(SPEC_KEY, expect, value.to_vec(), now);
-    fleet.carry(daemon, out);
+    fleet.carry_out(daemon, out);
     (daemon, token)
 }
 
 fn outcome(fleet: &mut Fleet, submitted: Submitted) -> Option<WriteOutcome> {
-    fleet.until(4_000, |fleet| fleet.ends.contains_key(&submitted));
-    fleet.ends.get(&submitted).map(|(_, outcome)| *outcome)
+    fleet.run_until(4_000, |fleet| fleet.write_outcomes.contains_key(&submitted));
+    fleet
+        .write_outcomes
+        .get(&submitted)
+        .map(|(_, outcome)| *outcome)
 }
 
 fn write(fleet: &mut Fleet, daemon: usize, expect: Expect, value: &[u8]) -> Option<WriteOutcome> {
@@ -51,9 +56,9 @@
 
 fn read_newest(fleet: &mut Fleet, daemon: usize) -> Option<WriteOutcome> {
     let now = fleet.now;
-    let control = fleet.all[daemon].brain.as_mut().unwrap();
+    let control = fleet.daemons[daemon].control.as_mut().unwrap();
     let (token, out) = control.read_newest(SPEC_KEY, now);
-    fleet.carry(daemon, out);
+    fleet.carry_out(daemon, out);
     outcome(fleet, (daemon, token))
 }
 
@@ -65,7 +70,7 @@
 }
 
 fn owns_spec(fleet: &Fleet, daemon: usize) -> bool {
-    let registers = &fleet.brain(daemon).unwrap().registers;
+    let registers = &fleet.control(daemon).unwrap().registers;
     registers.held_until(SPEC_KEY, fleet.now).is_some()
 }
 
@@ -106,7 +111,11 @@
     fleet.run(1_000);
     for daemon in 0..3 {
         expect_that!(
-            fleet.brain(daemon).unwrap().spec().map(|spec| spec.release),
+            fleet
+                .control(daemon)
+                .unwrap()
+                .spec()
+                .map(|spec| spec.release),
             some(eq(8))
         );
         // A repeat that comes after its successor is accepted as the version that it was; what lost is refused again.
@@ -159,7 +168,7 @@
         );
         let owner = spec_owner(fleet);
         let other = (owner + 1) % 3;
-        fleet.cut.insert(addr(owner));
+        fleet.partitioned.insert(addr(owner));
         // Until the others take it for dead they forward writes to it, and report the outcome as unknown.
         let mut accepted = None;
         for _ in 0..8 {
@@ -182,10 +191,10 @@
             );
             expect_false!(is_clear, "seed {seed}: {outcome:?}");
         }
-        fleet.cut.clear();
-        let caught_up_after: Option<Ms> = fleet.until(6_000, |fleet| {
+        fleet.partitioned.clear();
+        let caught_up_after: Option<Ms> = fleet.run_until(6_000, |fleet| {
             fleet
-                .held(owner, SPEC_KEY)
+                .value(owner, SPEC_KEY)
                 .is_some_and(|(version, _)| version == 2)
         });
         expect_that!(caught_up_after, some(anything()), "seed {seed}");
@@ -243,7 +252,7 @@
     let mut seeds_reached = 0;
     for seed in 0..20 {
         let fleet = &mut settled_fleet(seed);
-        fleet.way = 1;
+        fleet.max_latency = 1;
         expect_that!(
             write(fleet, 0, Expect::Release(0), &document(1, 0)),
             some(eq(WriteOutcome::Accepted(1)))
@@ -252,18 +261,18 @@
         let owner = spec_owner(fleet);
         let (owner_addr, other) = (addr(owner), (owner + 1) % 3);
         // Accepted by its own disk only; then another owns the key.
-        fleet.sieve = Box::new(move |from, to, message| {
+        fleet.delivers = Box::new(move |from, to, message| {
             *from != owner_addr || from == to || !matches!(message, Message::Accept(_))
         });
         submit(fleet, owner, Expect::Release(1), &document(9, 0));
         fleet.run(50);
         fleet.kill(owner);
-        fleet.sieve = Box::new(|_, _, message| !matches!(message, Message::SlotsRequest(_)));
+        fleet.delivers = Box::new(|_, _, message| !matches!(message, Message::SlotsRequest(_)));
         fleet.run(2_500);
-        fleet.all[owner].sync = 100;
+        fleet.daemons[owner].sync_duration = 100;
         fleet.start(owner);
         if fleet
-            .until(2_000, |fleet| owns_spec(fleet, owner))
+            .run_until(2_000, |fleet| owns_spec(fleet, owner))
             .is_none()
         {
             continue;
@@ -273,7 +282,7 @@
         let Some(WriteOutcome::Accepted(version)) = read_newest(fleet, other) else {
             continue;
         };
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         let current_release = if version == 1 { 1 } else { 9 };
         expect_that!(
             write(
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -351,7 +351,7 @@
             return;
         };
         if let Some(rewrite) = &self.rewrite {
-            rewrite(control.registers.member_epoch, &mut message);
+            rewrite(control.registers.members.member_epoch, &mut message);
         }
         let effects = control.on_message(from, addr, message, self.now);
         self.carry_out(index, effects);
@@ -419,7 +419,7 @@
     pub fn voting(&self) -> Vec<usize> {
         let votes = |index: &usize| {
             self.control(*index)
-                .is_some_and(|control| control.registers.voting)
+                .is_some_and(|control| control.registers.members.voting)
         };
         (0..self.daemons.len()).filter(votes).collect()
     }
@@ -427,7 +427,7 @@
     /// Names of the voters as a daemon knows them.
     pub fn voters(&self, index: usize) -> BTreeSet<String> {
         self.control(index).map_or(BTreeSet::new(), |control| {
-            let voters = control.registers.voters.iter();
+            let voters = control.registers.members.voters.iter();
             voters.map(|voter| voter.name.to_string()).collect()
         })
     }
--- a/coordination/tests/founding.rs
+++ b/coordination/tests/founding.rs
@@ -12,17 +12,17 @@
 }
 
 fn three_daemons(seed: u64) -> Fleet {
-    Fleet::founded(seed, 3, one_region)
+    Fleet::bootstrapped(seed, 3, one_region)
 }
 
 #[gtest]
 fn the_seeds_bootstrap_and_accept_writes_at_once() {
     for seed in 0..20 {
         let mut fleet = three_daemons(seed);
-        let duration = fleet.until(4_000, |fleet| fleet.voting().len() == 3);
+        let duration = fleet.run_until(4_000, |fleet| fleet.voting().len() == 3);
         expect_that!(duration, some(le(1_500)), "seed {seed}");
         expect_that!(
-            fleet.put("spec", b"one", 5_000),
+            fleet.write_until_accepted("spec", b"one", 5_000),
             some(le(1_500)),
             "seed {seed}"
         );
@@ -33,8 +33,8 @@
 /// Daemons beyond the seeds have blank disks as well; they never bootstrap anything by themselves.
 #[gtest]
 fn only_the_seeds_are_the_first_voters() {
-    let mut fleet = Fleet::founded(1, 4, one_region);
-    fleet.until(4_000, |fleet| fleet.voting().len() == 3);
+    let mut fleet = Fleet::bootstrapped(1, 4, one_region);
+    fleet.run_until(4_000, |fleet| fleet.voting().len() == 3);
     expect_that!(
         fleet.voters(0),
         eq(&["c0", "c1", "c2"].map(String::from).into())
@@ -63,14 +63,14 @@
                 fleet.run(killed_at);
                 fleet.kill(victim);
                 // A daemon that was killed before it had stored the notice was never notified.
-                if !notified_again && fleet.all[victim].disk.is_empty() {
+                if !notified_again && fleet.daemons[victim].disk.is_empty() {
                     expect_that!(killed_at, lt(100), "the notice is stored at once");
                     continue;
                 }
                 fleet.run(300);
-                fleet.all[victim].p.bootstrap = notified_again;
+                fleet.daemons[victim].config.bootstrap = notified_again;
                 fleet.start(victim);
-                let duration = fleet.until(6_000, |fleet| fleet.voting().len() == 3);
+                let duration = fleet.run_until(6_000, |fleet| fleet.voting().len() == 3);
                 expect_that!(
                     duration,
                     some(anything()),
@@ -83,7 +83,7 @@
                     "killed {victim} at {killed_at}, notified again: {notified_again}"
                 );
                 expect_that!(
-                    fleet.put("spec", b"one", 5_000),
+                    fleet.write_until_accepted("spec", b"one", 5_000),
                     some(anything()),
                     "killed {victim} at {killed_at}"
                 );
@@ -100,7 +100,7 @@
         for daemon in (0..3).filter(|daemon| *daemon != slow) {
             fleet.add(daemon, &[0, 1, 2], true, &Default::default());
         }
-        fleet.sieve = Box::new(|_, _, message| {
+        fleet.delivers = Box::new(|_, _, message| {
             !matches!(message, Message::Bootstrap(_) | Message::SlotsReply(_))
         });
         fleet.run(3_000);
@@ -109,9 +109,9 @@
         fleet.run(3_000);
         // The first seed alone has them; it is no majority.
         expect_that!(fleet.voting(), len(le(1)));
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         expect_that!(
-            fleet.until(2_000, |fleet| fleet.voting().len() == 3),
+            fleet.run_until(2_000, |fleet| fleet.voting().len() == 3),
             some(anything())
         );
         expect_that!(fleet.first_voters(), len(eq(1)));
@@ -139,16 +139,16 @@
     fleet.add(0, &[1, 0], true, &Default::default());
     fleet.add(1, &[0, 1], true, &Default::default());
     expect_that!(
-        fleet.until(4_000, |fleet| fleet.voting().len() == 2),
+        fleet.run_until(4_000, |fleet| fleet.voting().len() == 2),
         some(anything())
     );
     let mut fleet = Fleet::new(4);
     fleet.add(0, &[0], true, &Default::default());
     expect_that!(
-        fleet.until(4_000, |fleet| fleet.voting().len() == 1),
+        fleet.run_until(4_000, |fleet| fleet.voting().len() == 1),
         some(anything())
     );
-    expect_that!(fleet.all[0].p.seeds, container_eq([addr(0)]));
+    expect_that!(fleet.daemons[0].config.seeds, container_eq([addr(0)]));
 }
 
 /// Whoever begins to vote reports it at once: until the others know, two daemons acquire the same key, and the first
@@ -157,25 +157,28 @@
 fn the_first_writes_are_accepted_without_a_rival_owner() {
     let (mut deposed, mut late) = (0, 0);
     for seed in 0..200 {
-        let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+        let mut fleet = Fleet::bootstrapped(seed, 3, |daemon| format!("r{daemon}"));
         fleet
-            .until(4_000, |fleet| fleet.voting().len() == 3)
+            .run_until(4_000, |fleet| fleet.voting().len() == 3)
             .expect("all vote");
         // The heartbeats that report it have reached each.
         fleet.run(100);
         let daemon = fleet.rng.usize(..3);
         let write = fleet.write(daemon, "spec", Some(0), b"one").unwrap();
-        let duration = fleet.until(2_500, |fleet| fleet.ends.contains_key(&write));
+        let duration = fleet.run_until(2_500, |fleet| fleet.write_outcomes.contains_key(&write));
         expect_that!(
-            fleet.ends.get(&write).map(|(_, outcome)| *outcome),
+            fleet
+                .write_outcomes
+                .get(&write)
+                .map(|(_, outcome)| *outcome),
             some(eq(WriteOutcome::Accepted(1))),
             "seed {seed}"
         );
         late += usize::from(duration.is_none_or(|ms| ms > 500));
         deposed += fleet
-            .all
+            .daemons
             .iter()
-            .flat_map(|daemon| &daemon.notes)
+            .flat_map(|daemon| &daemon.logged)
             .filter(|(_, event)| *event == "OWNERSHIP_LOST")
             .count();
     }
--- a/coordination/tests/joiners.rs
+++ b/coordination/tests/joiners.rs
@@ -87,13 +87,13 @@
         Message::SlotsReply(reply),
         5_000,
     );
-    control.registers.voting
+    control.registers.members.voting
 }
 
 /// The member epoch and the relation to it that a daemon reports to one that asks.
 fn reported(control: &mut Control) -> Option<(u32, u8)> {
     let request = SlotsRequest {
-        member_epoch: control.registers.member_epoch,
+        member_epoch: control.registers.members.member_epoch,
         known: List::default(),
     };
     let effects: Effects = control.on_message(
@@ -203,7 +203,7 @@
         VOTES,
         with_place(3)
     ));
-    expect_that!(control.registers.member_epoch, eq(3));
+    expect_that!(control.registers.members.member_epoch, eq(3));
     expect_true!(votes_after_reply(
         &mut control,
         "a",
@@ -259,7 +259,10 @@
     let started_with = |voters: Vec<Voter>| {
         let mut control = start(vec![]);
         bootstrap(&mut control, voters);
-        (control.registers.voting, control.registers.member_epoch)
+        (
+            control.registers.members.voting,
+            control.registers.members.member_epoch,
+        )
     };
     expect_that!(started_with(with_place(1)), eq((true, 1)));
     expect_that!(started_with(without_place()), eq((false, 0)));
@@ -273,7 +276,10 @@
     let mut control = daemon(2, without_place(), false);
     bootstrap(&mut control, with_place(1));
     expect_that!(
-        (control.registers.voting, control.registers.member_epoch),
+        (
+            control.registers.members.voting,
+            control.registers.members.member_epoch
+        ),
         eq((false, 2))
     );
 }
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -29,15 +29,18 @@
     document: Vec<u8>,
 ) -> Option<WriteOutcome> {
     let now = fleet.now;
-    let control = fleet.all[daemon].brain.as_mut().unwrap();
+    let control = fleet.daemons[daemon].control.as_mut().unwrap();
     let (token, out) = control.write(SPEC_KEY, expect, document, now);
-    fleet.carry(daemon, out);
+    fleet.carry_out(daemon, out);
     outcome(fleet, (daemon, token))
 }
 
 fn outcome(fleet: &mut Fleet, submitted: (usize, u64)) -> Option<WriteOutcome> {
-    fleet.until(4_000, |fleet| fleet.ends.contains_key(&submitted));
-    fleet.ends.get(&submitted).map(|(_, outcome)| *outcome)
+    fleet.run_until(4_000, |fleet| fleet.write_outcomes.contains_key(&submitted));
+    fleet
+        .write_outcomes
+        .get(&submitted)
+        .map(|(_, outcome)| *outcome)
 }
 
 /// Submits a release on top of the one before it.
@@ -68,22 +71,24 @@
     let all_settled = |fleet: &Fleet| {
         (0..3).all(|daemon| {
             fleet
-                .brain(daemon)
+                .control(daemon)
                 .is_some_and(|control| control.is_settled())
         })
     };
-    fleet.until(20_000, all_settled).expect("the fleet settles");
+    fleet
+        .run_until(20_000, all_settled)
+        .expect("the fleet settles");
 }
 
 fn settled_fleet(seed: u64) -> Fleet {
-    let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+    let mut fleet = Fleet::bootstrapped(seed, 3, |daemon| format!("r{daemon}"));
     wait_until_settled(&mut fleet);
     fleet
 }
 
 fn spec_owner(fleet: &Fleet) -> Option<usize> {
     (0..3).find(|daemon| {
-        let registers = &fleet.brain(*daemon).unwrap().registers;
+        let registers = &fleet.control(*daemon).unwrap().registers;
         registers.held_until(SPEC_KEY, fleet.now).is_some()
     })
 }
@@ -116,7 +121,7 @@
         let mut daemon = fleet.rng.usize(..3);
         for release in 1..=RELEASES {
             if release == 3 && matches!(fault, Fault::OnePartitioned) {
-                fleet.cut.insert(addr(partitioned));
+                fleet.partitioned.insert(addr(partitioned));
                 fleet.run(2_000);
                 daemon = (partitioned + 1) % 3;
             }
@@ -132,7 +137,7 @@
                 "seed {seed}, {fault:?}"
             );
         }
-        fleet.cut.clear();
+        fleet.partitioned.clear();
         inject(fleet, fault);
         wait_until_settled(fleet);
         for (release, daemon) in
@@ -172,7 +177,7 @@
         fleet.run(600);
         fleet.start(daemon);
         fleet
-            .until(10_000, |fleet| fleet.voting().len() == 3)
+            .run_until(10_000, |fleet| fleet.voting().len() == 3)
             .expect("it votes again");
         wait_until_settled(fleet);
     }
@@ -213,7 +218,7 @@
     }
     // Edges have no use for the history: they receive the value alone.
     let slot = fleet
-        .brain(0)
+        .control(0)
         .unwrap()
         .registers
         .slots()
--- a/coordination/tests/replacing.rs
+++ b/coordination/tests/replacing.rs
@@ -13,18 +13,18 @@
 const CATCH_UP_TIME: Ms = 4_000;
 
 fn three_daemons(seed: u64) -> Fleet {
-    let mut fleet = Fleet::founded(seed, 3, |daemon| format!("r{daemon}"));
+    let mut fleet = Fleet::bootstrapped(seed, 3, |daemon| format!("r{daemon}"));
     fleet
-        .until(4_000, |fleet| fleet.voting().len() == 3)
+        .run_until(4_000, |fleet| fleet.voting().len() == 3)
         .unwrap();
     fleet
 }
 
 /// Six daemons in as many zones of three regions.
 fn six_daemons(seed: u64) -> Fleet {
-    let mut fleet = Fleet::founded(seed, 6, |daemon| format!("r{}", daemon / 2));
+    let mut fleet = Fleet::bootstrapped(seed, 6, |daemon| format!("r{}", daemon / 2));
     fleet
-        .until(10_000, |fleet| fleet.voting().len() == 5)
+        .run_until(10_000, |fleet| fleet.voting().len() == 5)
         .unwrap();
     fleet.run(1_000);
     fleet
@@ -39,27 +39,30 @@
 
 /// The outcome of a write, if it has ended.
 fn outcome(fleet: &Fleet, write: (usize, u64)) -> Option<WriteOutcome> {
-    fleet.ends.get(&write).map(|(_, outcome)| *outcome)
+    fleet
+        .write_outcomes
+        .get(&write)
+        .map(|(_, outcome)| *outcome)
 }
 
 /// Whether a daemon owns a key.
 fn owns(fleet: &Fleet, daemon: usize, key: &str) -> bool {
     fleet
-        .brain(daemon)
+        .control(daemon)
         .is_some_and(|control| control.registers.held_until(key, fleet.now).is_some())
 }
 
 /// The first daemon that owns a key.
 fn owner_of(fleet: &Fleet, key: &str) -> Option<usize> {
-    (0..fleet.all.len()).find(|daemon| owns(fleet, *daemon, key))
+    (0..fleet.daemons.len()).find(|daemon| owns(fleet, *daemon, key))
 }
 
 /// The daemons on which a key has this value as the newest committed one.
 fn daemons_with(fleet: &Fleet, key: &str, value: &[u8]) -> Vec<usize> {
-    (0..fleet.all.len())
+    (0..fleet.daemons.len())
         .filter(|daemon| {
             fleet
-                .held(*daemon, key)
+                .value(*daemon, key)
                 .is_some_and(|(_, held)| held == value)
         })
         .collect()
@@ -70,12 +73,15 @@
     // With the last of these the lease's holder had been made one by itself and the daemon that is killed.
     for seed in (0..30).chain([1_190]) {
         let mut fleet = three_daemons(seed);
-        expect_that!(fleet.put("spec", b"one", 5_000), some(anything()));
+        expect_that!(
+            fleet.write_until_accepted("spec", b"one", 5_000),
+            some(anything())
+        );
         let replaced = seed as usize % 3;
         fleet.wipe(replaced);
         fleet.run(600);
         fleet.start(replaced);
-        let duration = fleet.until(CATCH_UP_TIME, |fleet| fleet.voting().len() == 3);
+        let duration = fleet.run_until(CATCH_UP_TIME, |fleet| fleet.voting().len() == 3);
         expect_that!(duration, some(le(2_500)), "seed {seed}");
         expect_that!(
             daemons_with(&fleet, "spec", b"one"),
@@ -83,11 +89,11 @@
             "seed {seed}"
         );
         // It votes for leased keys too before its time is over: with another gone a lease is acquired.
-        fleet.put("rollout/s", b"duty", 5_000);
+        fleet.write_until_accepted("rollout/s", b"duty", 5_000);
         fleet.kill((replaced + 1) % 3);
         let time_left = CATCH_UP_TIME - duration.unwrap_or(0);
         expect_that!(
-            fleet.until(time_left + 1_000, |fleet| owner_of(fleet, "rollout/s")
+            fleet.run_until(time_left + 1_000, |fleet| owner_of(fleet, "rollout/s")
                 .is_some()),
             some(anything()),
             "seed {seed}"
@@ -100,14 +106,17 @@
 fn an_empty_machine_replaces_a_lost_one_and_the_next_loss_is_tolerated() {
     for seed in 0..30 {
         let mut fleet = three_daemons(seed);
-        expect_that!(fleet.put("spec", b"one", 5_000), some(anything()));
+        expect_that!(
+            fleet.write_until_accepted("spec", b"one", 5_000),
+            some(anything())
+        );
         let lost = seed as usize % 3;
         fleet.wipe(lost);
         fleet.run(seed * 100);
         let remaining: Vec<usize> = (0..3).filter(|daemon| *daemon != lost).collect();
         fleet.add(3, &remaining, false, &eight_regions());
         expect_that!(
-            fleet.until(CATCH_UP_TIME, |fleet| fleet.voting().contains(&3)),
+            fleet.run_until(CATCH_UP_TIME, |fleet| fleet.voting().contains(&3)),
             some(le(3_000)),
             "seed {seed}"
         );
@@ -116,7 +125,7 @@
         let next_lost = remaining[seed as usize % 2];
         fleet.wipe(next_lost);
         expect_that!(
-            fleet.put("spec", b"two", 6_000),
+            fleet.write_until_accepted("spec", b"two", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -125,13 +134,13 @@
         for joiner in 4..6 {
             fleet.add(joiner, &[3], false, &eight_regions());
             fleet.run(CATCH_UP_TIME);
-            if let Some(former) = (0..3).find(|daemon| fleet.brain(*daemon).is_some()) {
+            if let Some(former) = (0..3).find(|daemon| fleet.control(*daemon).is_some()) {
                 fleet.wipe(former);
             }
             fleet.run(500);
         }
         expect_that!(
-            fleet.put("spec", b"three", 6_000),
+            fleet.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -143,12 +152,12 @@
 fn an_accepted_write_outlives_the_disk_that_acknowledged_it() {
     for seed in 0..40 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
+        fleet.write_until_accepted("spec", b"one", 5_000);
         fleet.run(1_000);
         let acknowledging = seed as usize % 3;
         fleet.wipe_after_ack = Some(acknowledging);
         let write = fleet.write(acknowledging, "spec", Some(1), b"two").unwrap();
-        fleet.until(5_000, |fleet| fleet.ends.contains_key(&write));
+        fleet.run_until(5_000, |fleet| fleet.write_outcomes.contains_key(&write));
         expect_that!(
             outcome(&fleet, write).unwrap(),
             eq(WriteOutcome::Accepted(2)),
@@ -165,7 +174,7 @@
             fleet.start(daemon);
         }
         expect_that!(
-            fleet.until(CATCH_UP_TIME + 2_000, |fleet| fleet.voting().len() == 3),
+            fleet.run_until(CATCH_UP_TIME + 2_000, |fleet| fleet.voting().len() == 3),
             some(anything()),
             "seed {seed}"
         );
@@ -176,7 +185,7 @@
             "seed {seed}"
         );
         expect_that!(
-            fleet.put("spec", b"three", 5_000),
+            fleet.write_until_accepted("spec", b"three", 5_000),
             some(anything()),
             "seed {seed}"
         );
@@ -187,9 +196,9 @@
 fn writes_are_accepted_again_in_time_after_all_daemons_were_killed() {
     for seed in 0..30 {
         for mut fleet in [three_daemons(seed), six_daemons(seed)] {
-            fleet.put("rollout/s", b"duty", 5_000);
-            fleet.put("spec", b"one", 5_000);
-            let daemon_count = fleet.all.len();
+            fleet.write_until_accepted("rollout/s", b"duty", 5_000);
+            fleet.write_until_accepted("spec", b"one", 5_000);
+            let daemon_count = fleet.daemons.len();
             for daemon in 0..daemon_count {
                 fleet.kill(daemon);
             }
@@ -197,14 +206,14 @@
                 fleet.run(1_000 / daemon_count as Ms);
                 fleet.start(daemon);
             }
-            let duration = fleet.put("spec", b"two", 12_000);
+            let duration = fleet.write_until_accepted("spec", b"two", 12_000);
             expect_that!(
                 duration,
                 some(le(4_000)),
                 "seed {seed}, {daemon_count} daemons"
             );
             expect_that!(
-                fleet.until(5_000, |fleet| owner_of(fleet, "rollout/s").is_some()),
+                fleet.run_until(5_000, |fleet| owner_of(fleet, "rollout/s").is_some()),
                 some(anything()),
                 "seed {seed}, {daemon_count} daemons"
             );
@@ -229,20 +238,20 @@
             .find(|daemon| !fleet.voting().contains(daemon))
             .unwrap();
         let write = fleet.write(learner, "spec", None, b"one").unwrap();
-        fleet.until(2_000, |fleet| fleet.ends.contains_key(&write));
+        fleet.run_until(2_000, |fleet| fleet.write_outcomes.contains_key(&write));
         expect_that!(
             outcome(&fleet, write).unwrap(),
             eq(WriteOutcome::Accepted(1)),
             "seed {seed}"
         );
         expect_that!(
-            fleet.until(200, |fleet| daemons_with(fleet, "spec", b"one").len() == 6),
+            fleet.run_until(200, |fleet| daemons_with(fleet, "spec", b"one").len() == 6),
             some(anything()),
             "seed {seed}"
         );
         expect_true!(
             fleet
-                .brain(learner)
+                .control(learner)
                 .is_some_and(|control| control.health().ok
                     && control.registers.held_until("spec", fleet.now).is_none())
         );
@@ -252,7 +261,7 @@
             fleet.wipe(daemon);
         }
         expect_that!(
-            fleet.put("spec", b"two", 6_000),
+            fleet.write_until_accepted("spec", b"two", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -260,7 +269,7 @@
         let voter = fleet.voting()[0];
         fleet.wipe(voter);
         expect_that!(
-            fleet.put("spec", b"three", 6_000),
+            fleet.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -273,17 +282,17 @@
     for seed in 0..20 {
         for is_stopping in [false, true] {
             let mut fleet = three_daemons(seed);
-            fleet.put("rollout/s", b"duty", 5_000);
-            fleet.until(5_000, |fleet| owner_of(fleet, "rollout/s").is_some());
+            fleet.write_until_accepted("rollout/s", b"duty", 5_000);
+            fleet.run_until(5_000, |fleet| owner_of(fleet, "rollout/s").is_some());
             // The voters have waited out the leases of earlier incarnations.
             fleet.run(4_000);
             let former = owner_of(&fleet, "rollout/s").unwrap();
             if is_stopping {
-                fleet.all[former].brain.as_mut().unwrap().stopping = true;
+                fleet.daemons[former].control.as_mut().unwrap().stopping = true;
             } else {
                 fleet.kill(former);
             }
-            let duration = fleet.until(5_000, |fleet| {
+            let duration = fleet.run_until(5_000, |fleet| {
                 owner_of(fleet, "rollout/s").is_some_and(|holder| holder != former)
             });
             expect_that!(
@@ -301,15 +310,15 @@
     let mut accepted = 0;
     for seed in 0..300 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
-        fleet.until(2_000, |fleet| owner_of(fleet, "spec").is_some());
+        fleet.write_until_accepted("spec", b"one", 5_000);
+        fleet.run_until(2_000, |fleet| owner_of(fleet, "spec").is_some());
         let owner = owner_of(&fleet, "spec").unwrap();
         let forwarder = (owner + 1) % 3;
         fleet.run(seed * 10);
         let write = fleet.write(forwarder, "spec", Some(1), b"two").unwrap();
         fleet.run(seed % 60);
         fleet.kill(owner);
-        let duration = fleet.until(5_000, |fleet| fleet.ends.contains_key(&write));
+        let duration = fleet.run_until(5_000, |fleet| fleet.write_outcomes.contains_key(&write));
         expect_that!(duration, some(le(3_000)), "seed {seed}");
         let write_outcome = outcome(&fleet, write);
         expect_that!(
@@ -331,18 +340,18 @@
 fn a_hung_disk_acknowledges_nothing_and_delays_nobody() {
     for seed in 0..20 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
-        fleet.until(2_000, |fleet| owner_of(fleet, "spec").is_some());
+        fleet.write_until_accepted("spec", b"one", 5_000);
+        fleet.run_until(2_000, |fleet| owner_of(fleet, "spec").is_some());
         let hung = owner_of(&fleet, "spec").unwrap();
-        fleet.all[hung].hung = fleet.now + 8_000;
+        fleet.daemons[hung].disk_hung_until = fleet.now + 8_000;
         expect_that!(
-            fleet.put("spec", b"two", 4_000),
+            fleet.write_until_accepted("spec", b"two", 4_000),
             some(anything()),
             "seed {seed}"
         );
         fleet.run(8_000);
         expect_that!(
-            fleet.put("spec", b"three", 4_000),
+            fleet.write_until_accepted("spec", b"three", 4_000),
             some(anything()),
             "seed {seed}"
         );
@@ -360,12 +369,12 @@
 fn an_interrupted_change_of_voters_loses_nothing() {
     for seed in 0..60 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
+        fleet.write_until_accepted("spec", b"one", 5_000);
         let lost = seed as usize % 3;
         // The last write reaches only one of the others, besides the one that goes.
         let reached_addr = addr((lost + 1) % 3);
         let missed_addr = addr((lost + 2) % 3);
-        fleet.sieve = Box::new(move |_, to, message| {
+        fleet.delivers = Box::new(move |_, to, message| {
             *to != missed_addr
                 || !matches!(
                     message,
@@ -375,21 +384,21 @@
         let write = fleet
             .write((lost + 1) % 3, "spec", Some(1), b"two")
             .unwrap();
-        fleet.until(3_000, |fleet| fleet.ends.contains_key(&write));
+        fleet.run_until(3_000, |fleet| fleet.write_outcomes.contains_key(&write));
         let accepted = outcome(&fleet, write) == Some(WriteOutcome::Accepted(2));
         fleet.wipe(lost);
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.start(lost);
         fleet.run(seed * 50);
         let reached = fleet
-            .all
+            .daemons
             .iter()
-            .position(|daemon| daemon.p.addr == reached_addr)
+            .position(|daemon| daemon.config.addr == reached_addr)
             .unwrap();
         fleet.kill(reached);
         fleet.run(1_500);
         fleet.start(reached);
-        fleet.until(3 * CATCH_UP_TIME, |fleet| fleet.voting().len() == 3);
+        fleet.run_until(3 * CATCH_UP_TIME, |fleet| fleet.voting().len() == 3);
         fleet.run(1_000);
         if accepted {
             expect_that!(
@@ -399,7 +408,7 @@
             );
         }
         expect_that!(
-            fleet.put("spec", b"three", 6_000),
+            fleet.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -413,7 +422,7 @@
     let mut seeds_reached = 0;
     for seed in 0..30 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
+        fleet.write_until_accepted("spec", b"one", 5_000);
         fleet.run(1_000);
         let Some(with_write) = owner_of(&fleet, "spec") else {
             continue;
@@ -421,7 +430,7 @@
         let (lost, without_write) = ((with_write + 1) % 3, (with_write + 2) % 3);
         let (with_addr, without_addr, lost_addr) =
             (addr(with_write), addr(without_write), addr(lost));
-        fleet.sieve = Box::new(move |from, to, message| match message {
+        fleet.delivers = Box::new(move |from, to, message| match message {
             Message::Accept(accept) if *to == without_addr => &*accept.key != "spec",
             Message::Commit(commit) if *to == without_addr => &*commit.change.key != "spec",
             Message::SlotsReply(_) => {
@@ -432,7 +441,7 @@
             _ => true,
         });
         let write = fleet.write(with_write, "spec", Some(1), b"two").unwrap();
-        fleet.until(2_000, |fleet| fleet.ends.contains_key(&write));
+        fleet.run_until(2_000, |fleet| fleet.write_outcomes.contains_key(&write));
         if outcome(&fleet, write) != Some(WriteOutcome::Accepted(2)) {
             continue;
         }
@@ -441,7 +450,7 @@
         fleet.start(lost);
         fleet.run(3_000);
         fleet.kill(with_write);
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.run(3_000);
         let new_write = fleet.write(without_write, "spec", None, b"three");
         fleet.run(2_000);
@@ -456,13 +465,13 @@
         fleet.run(6_000);
         expect_that!(
             fleet
-                .held(without_write, "spec")
+                .value(without_write, "spec")
                 .map_or(0, |(version, _)| version),
             ge(2),
             "seed {seed}"
         );
         let is_kept = (0..3)
-            .find_map(|daemon| fleet.held(daemon, "spec"))
+            .find_map(|daemon| fleet.value(daemon, "spec"))
             .is_some_and(|(version, value)| version > 2 || value == b"two");
         expect_true!(is_kept, "seed {seed}");
     }
@@ -476,7 +485,7 @@
     let mut seeds_reached = 0;
     for seed in 0..30 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
+        fleet.write_until_accepted("spec", b"one", 5_000);
         fleet.run(1_000);
         // Partitioned off: another machine takes its place.
         let (returning, with_write, without_write) = (
@@ -484,11 +493,11 @@
             (seed as usize + 1) % 3,
             (seed as usize + 2) % 3,
         );
-        let returning_addr = fleet.all[returning].p.addr.clone();
-        fleet.cut.insert(returning_addr.clone());
+        let returning_addr = fleet.daemons[returning].config.addr.clone();
+        fleet.partitioned.insert(returning_addr.clone());
         fleet.add(3, &[with_write, without_write], false, &eight_regions());
         if fleet
-            .until(6_000, |fleet| fleet.voting().contains(&3))
+            .run_until(6_000, |fleet| fleet.voting().contains(&3))
             .is_none()
         {
             continue;
@@ -496,7 +505,7 @@
         fleet.run(1_000);
         // What is accepted now is on the new machine and one other.
         let without_addr = addr(without_write);
-        fleet.sieve = Box::new(move |_, to, message| match message {
+        fleet.delivers = Box::new(move |_, to, message| match message {
             Message::Accept(accept) if *to == without_addr => &*accept.key != "spec",
             Message::Commit(commit) if *to == without_addr => &*commit.change.key != "spec",
             Message::Promise(promise) if *to == without_addr => &*promise.slot.key != "spec",
@@ -504,17 +513,17 @@
             _ => true,
         });
         let write = fleet.write(with_write, "spec", Some(1), b"two").unwrap();
-        fleet.until(3_000, |fleet| fleet.ends.contains_key(&write));
+        fleet.run_until(3_000, |fleet| fleet.write_outcomes.contains_key(&write));
         if outcome(&fleet, write) != Some(WriteOutcome::Accepted(2)) {
             continue;
         }
         // The first returns with a disk that hangs, as a learner, and takes the place of the new one, which is lost.
-        fleet.all[returning].hung = fleet.now + 60_000;
-        fleet.cut.remove(&returning_addr);
+        fleet.daemons[returning].disk_hung_until = fleet.now + 60_000;
+        fleet.partitioned.remove(&returning_addr);
         fleet.run(1_000);
         fleet.wipe(3);
         if fleet
-            .until(12_000, |fleet| {
+            .run_until(12_000, |fleet| {
                 fleet.voters(with_write).contains(&format!("c{returning}"))
             })
             .is_none()
@@ -523,9 +532,9 @@
         }
         fleet.kill(returning);
         fleet.kill(with_write);
-        fleet.all[returning].hung = 0;
+        fleet.daemons[returning].disk_hung_until = 0;
         fleet.start(returning);
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.run(4_000);
         let new_write = fleet.write(without_write, "spec", None, b"three");
         fleet.run(3_000);
@@ -539,12 +548,12 @@
         fleet.start(with_write);
         fleet.run(6_000);
         let is_kept = fleet
-            .held(without_write, "spec")
+            .value(without_write, "spec")
             .is_some_and(|(version, value)| version > 2 || value == b"two");
         expect_true!(
             is_kept,
             "seed {seed}: {:?}",
-            fleet.held(without_write, "spec")
+            fleet.value(without_write, "spec")
         );
     }
     expect_that!(seeds_reached, gt(5));
@@ -557,30 +566,30 @@
     let mut seeds_reached = 0;
     for seed in 0..40 {
         let mut fleet = three_daemons(seed);
-        fleet.put("spec", b"one", 5_000);
+        fleet.write_until_accepted("spec", b"one", 5_000);
         fleet.run(1_000);
         let (partitioned, adopted, restarted) = (
             seed as usize % 3,
             (seed as usize + 1) % 3,
             (seed as usize + 2) % 3,
         );
-        let partitioned_addr = fleet.all[partitioned].p.addr.clone();
-        fleet.cut.insert(partitioned_addr.clone());
+        let partitioned_addr = fleet.daemons[partitioned].config.addr.clone();
+        fleet.partitioned.insert(partitioned_addr.clone());
         let restarted_addr = addr(restarted);
         let unreached_addr = restarted_addr.clone();
-        fleet.sieve = Box::new(move |_, to, message| {
+        fleet.delivers = Box::new(move |_, to, message| {
             *to != unreached_addr || !matches!(message, Message::Commit(_) | Message::SlotsReply(_))
         });
         fleet.add(3, &[adopted, restarted], false, &eight_regions());
         if fleet
-            .until(6_000, |fleet| {
+            .run_until(6_000, |fleet| {
                 fleet
-                    .brain(adopted)
+                    .control(adopted)
                     .is_some_and(|control| control.registers.members.member_epoch == 2)
             })
             .is_none()
             || fleet
-                .brain(restarted)
+                .control(restarted)
                 .unwrap()
                 .registers
                 .members
@@ -589,18 +598,18 @@
         {
             continue;
         }
-        fleet.all[restarted].hung = fleet.now + 60_000;
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.daemons[restarted].disk_hung_until = fleet.now + 60_000;
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.run(3_000);
         // Two partitions: the former voters that do not know, and those that do. What was in flight arrives before.
         let former_voters = [partitioned_addr.clone(), restarted_addr];
-        fleet.sieve =
+        fleet.delivers =
             Box::new(move |from, to, _| former_voters.contains(from) == former_voters.contains(to));
         fleet.run(100);
         fleet.kill(restarted);
-        fleet.all[restarted].hung = 0;
+        fleet.daemons[restarted].disk_hung_until = 0;
         fleet.start(restarted);
-        fleet.cut.remove(&partitioned_addr);
+        fleet.partitioned.remove(&partitioned_addr);
         fleet.run(4_000);
         let writes = [
             fleet.write(adopted, "spec", Some(1), b"two"),
@@ -611,13 +620,18 @@
         let accepted_count = writes
             .iter()
             .flatten()
-            .filter(|write| matches!(fleet.ends.get(*write), Some((_, WriteOutcome::Accepted(_)))))
+            .filter(|write| {
+                matches!(
+                    fleet.write_outcomes.get(*write),
+                    Some((_, WriteOutcome::Accepted(_)))
+                )
+            })
             .count();
         expect_that!(accepted_count, le(1), "seed {seed}: both halves accepted");
-        fleet.sieve = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.run(8_000);
         expect_that!(
-            fleet.put("spec", b"three", 6_000),
+            fleet.write_until_accepted("spec", b"three", 6_000),
             some(anything()),
             "seed {seed}"
         );
@@ -631,7 +645,7 @@
     let mut seeds_reached = 0;
     for seed in 0..40 {
         let mut fleet = six_daemons(seed);
-        fleet.put("rollout/s", b"duty", 5_000);
+        fleet.write_until_accepted("rollout/s", b"duty", 5_000);
         fleet.run(4_000);
         let voting = fleet.voting();
         let Some(&holder) = voting
@@ -652,7 +666,7 @@
         ];
         let lost = others[(seed as usize + 2) % 4];
         let holder_addr = addr(holder);
-        fleet.sieve = Box::new(move |from, to, message| {
+        fleet.delivers = Box::new(move |from, to, message| {
             !(matches!(message, Message::RenewLeases(_))
                 && *from == holder_addr
                 && unreached_addrs.contains(to))
@@ -661,7 +675,7 @@
         if !owns(&fleet, holder, "rollout/s") {
             continue;
         }
-        fleet.cut.insert(addr(holder));
+        fleet.partitioned.insert(addr(holder));
         fleet.wipe(lost);
         fleet.run(500);
         fleet.start(lost);
@@ -693,14 +707,17 @@
         [{"name": "s", "version": "", "mode": "placed", "lanes": [], "zones": [], "engine": {"slots": 64, "channels": 400}}]}"#;
     for seed in 0..10 {
         let mut fleet = six_daemons(seed);
-        expect_that!(fleet.put("spec", spec, 5_000), some(anything()));
-        fleet.put("rollout/s", b"duty", 5_000);
+        expect_that!(
+            fleet.write_until_accepted("spec", spec, 5_000),
+            some(anything())
+        );
+        fleet.write_until_accepted("rollout/s", b"duty", 5_000);
         fleet.run(1_000);
         let daemons_with_counters = |fleet: &Fleet| -> Vec<usize> {
             (0..6)
                 .filter(|daemon| {
                     fleet
-                        .brain(*daemon)
+                        .control(*daemon)
                         .is_some_and(|control| control.selected_services().any(|s| s == "s"))
                 })
                 .collect()
@@ -717,7 +734,7 @@
         );
         fleet.kill(former);
         fleet
-            .until(8_000, |fleet| {
+            .run_until(8_000, |fleet| {
                 owner_of(fleet, "rollout/s").is_some_and(|holder| holder != former)
             })
             .unwrap();
