--- a/control-daemon/src/face.rs
+++ b/control-daemon/src/face.rs
@@ -6,7 +6,7 @@
 use actix_web::web;
 use awc::Client;
 use coordination::{
-    placement::Bucket,
+    placement::TokenBucket,
     state_table::{SpecParser, parse_own_spec},
 };
 use futures_util::future::LocalBoxFuture;
@@ -22,12 +22,12 @@
     fn(Client, String, Rc<Pace>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
 
 /// What this daemon may take of the calls that the platform allows all daemons together.
-pub struct Pace(RefCell<Bucket>);
+pub struct Pace(RefCell<TokenBucket>);
 
 impl Default for Pace {
     fn default() -> Self {
         // Nothing is saved up: a call more at once would count against what the others may.
-        Pace(RefCell::new(Bucket::new(0.0, 1.0, clock::now())))
+        Pace(RefCell::new(TokenBucket::new(0.0, 1.0, clock::now())))
     }
 }
 impl Pace {
@@ -37,7 +37,7 @@
     }
     /// Waits until one more call may be made.
     pub async fn draw(&self) {
-        while !self.0.borrow_mut().draw(clock::now()) {
+        while !self.0.borrow_mut().try_draw(clock::now()) {
             tokio::time::sleep(PACE_LOOK).await;
         }
     }
--- a/coordination/examples/nominate.rs
+++ b/coordination/examples/nominate.rs
@@ -10,8 +10,8 @@
 
 use coordination::{
     bounds::Bounds,
-    pass::{Ask, Told},
-    placement::{Placement, Want},
+    pass::{RequestHead, ResponseSignals},
+    placement::{Placement, PlacementRequest},
 };
 use remote_calls::{EngineSpec, PathSpec, PlacedReplica};
 
@@ -59,16 +59,16 @@
     (p, all.into_iter().map(|r| r.id).collect())
 }
 
-fn ask(n: u64) -> Ask {
+fn ask(n: u64) -> RequestHead {
     let parts = if n.is_multiple_of(LONG) {
         vec![(n % SHARED, 13_300), (n << 32, 3_720)]
     } else {
         vec![(n % 16, 92), (n << 32, 291)]
     };
-    Ask {
+    RequestHead {
         tokens: (parts.iter().map(|p| p.1).sum(), 45),
-        parts,
-        ..Ask::default()
+        prefix_blocks: parts,
+        ..RequestHead::default()
     }
 }
 
@@ -81,18 +81,18 @@
         for n in 0..ROUNDS {
             let now = 10_000 + n * 85;
             let a = ask(n);
-            let w = Want {
+            let w = PlacementRequest {
                 lane: &lane,
-                ask: &a,
+                head: &a,
                 tried: &[],
-                evacuated: &BTreeSet::new(),
+                evacuated_zones: &BTreeSet::new(),
             };
             let began = Instant::now();
             let to = black_box(p.nominate("s", ids.iter(), &w, now));
             spent += began.elapsed().as_secs_f64();
             let Some(to) = to else { continue };
             p.send(&to, &a, now);
-            p.heard("s", &to.id, &Told::default(), now);
+            p.heard("s", &to.id, &ResponseSignals::default(), now);
             p.first_piece(&to.id, to.read_ms, 5.0, now);
             p.end(&to.id, None, false, now);
         }
--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -13,8 +13,8 @@
     control::{Control, ControlConfig, SPEC_KEY},
     edge_agent::EdgeAgent,
     membership::EDGE_ROLE,
-    pass::{Ask, PassEnd, Told},
-    proxy::{Admit, Placed, Proxy},
+    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    proxy::{Admission, Assignment, Proxy},
     register::Expect,
     timing::TICK_INTERVAL,
 };
@@ -84,8 +84,8 @@
     Synced(Effects),
     Tick,
     List,
-    First(Placed),
-    End(Placed),
+    First(Assignment),
+    End(Assignment),
 }
 
 struct Daemon<T> {
@@ -229,7 +229,7 @@
                 2_000,
                 w.rng.u64(..),
             );
-            p.set_reader(unpack);
+            p.set_spec_parser(unpack);
             p.set_bounds(Bounds::default(), regions.clone());
             w.agents.push(Daemon {
                 brain: Some(a),
@@ -419,7 +419,7 @@
                         if let (Message::TableUpdate(m), Some(p)) =
                             (e.msg, &mut self.proxies[me.1].brain)
                         {
-                            p.on_board(m, now);
+                            p.on_table_update(m, now);
                         }
                         None
                     }
@@ -478,22 +478,22 @@
             }
             (_, Ev::First(p)) => {
                 if let Some(b) = &mut self.proxies[me.1].brain {
-                    b.heard(
+                    b.on_response_head(
                         &p,
-                        &Told {
+                        &ResponseSignals {
                             load: Some((20, 0, 128)),
-                            ..Told::default()
+                            ..ResponseSignals::default()
                         },
                         now,
                     );
-                    b.first_piece(&p, now);
+                    b.on_first_chunk(&p, now);
                 }
                 self.at(WHOLE_ANSWER - FIRST, me, Ev::End(p));
             }
             (_, Ev::End(p)) => {
                 self.requests.1 += 1;
                 if let Some(b) = &mut self.proxies[me.1].brain {
-                    b.passed(&p, PassEnd::Answered, now);
+                    b.on_attempt_ended(&p, AttemptOutcome::Completed, now);
                 }
             }
             _ => {}
@@ -502,23 +502,23 @@
 
     fn request(&mut self, i: usize) {
         let (now, n) = (self.now, self.rng.usize(..self.size.busy));
-        let ask = Ask {
+        let ask = RequestHead {
             host: format!("tenant-{}.example", n / 3),
             path: format!("/v1/part-{}/chat", n % 3),
-            round: format!("{:016x}", self.rng.u64(..)),
+            attempt_id: format!("{:016x}", self.rng.u64(..)),
             tokens: (2_000, 423),
-            parts: vec![(n as u64 + 1, 1_400), (self.rng.u64(..), 600)],
-            ..Ask::default()
+            prefix_blocks: vec![(n as u64 + 1, 1_400), (self.rng.u64(..), 600)],
+            ..RequestHead::default()
         };
         let Some(p) = &mut self.proxies[i].brain else {
             return;
         };
         self.requests.0 += 1;
-        let Ok(lane) = p.path(&ask.host, &ask.path, now) else {
+        let Ok(lane) = p.find_lane(&ask.host, &ask.path, now) else {
             return self.requests.2 += 1;
         };
-        match p.pass(&lane, &ask, &[], now + lane.time_limit_ms, now) {
-            Admit::Go(placed) => self.at(FIRST, (Role::Proxy, i), Ev::First(placed)),
+        match p.assign_by_path(&lane, &ask, &[], now + lane.time_limit_ms, now) {
+            Admission::Assigned(placed) => self.at(FIRST, (Role::Proxy, i), Ev::First(placed)),
             _ => self.requests.2 += 1,
         }
     }
@@ -559,7 +559,7 @@
         self.proxies
             .iter()
             .flatten_brains()
-            .filter(|p| p.ready(self.now))
+            .filter(|p| p.is_ready(self.now))
             .count()
     }
     /// Percent of the other edges that an agent takes for live, on the average.
--- a/coordination/examples/slopes/world/day.rs
+++ b/coordination/examples/slopes/world/day.rs
@@ -37,7 +37,7 @@
             born,
             self.rng.u64(..),
         );
-        p.set_reader(unpack);
+        p.set_spec_parser(unpack);
         p.set_bounds(Bounds::default(), regions);
         (self.agents[i].brain, self.proxies[i].brain) = (Some(a), Some(p));
     }
@@ -45,7 +45,7 @@
         self.proxies[i]
             .brain
             .as_ref()
-            .is_some_and(|p| p.ready(self.now))
+            .is_some_and(|p| p.is_ready(self.now))
     }
     /// Edges of a zone, by number.
     pub fn edges_of(&self, zone: usize) -> Vec<usize> {
--- a/coordination/src/context/decide.rs
+++ b/coordination/src/context/decide.rs
@@ -4,18 +4,18 @@
 
 use remote_calls::{ContextRecord, ContextSpec, PlacedReplica, StandingPart};
 
-use super::{Chain, number};
+use super::{PromptChain, name_digest};
 use crate::{
     Ms,
-    context::demand::DEMAND_HALF,
-    placement::{CROSS_REGION_BYTE_MS, TOKEN_BYTES, again_ms, travel::FAR_MS},
+    context::demand::DEMAND_HALF_LIFE,
+    placement::{CROSS_REGION_BYTE_MS, TOKEN_BYTES, repeated_prefill_cost_ms, travel::FAR_MS},
     rendezvous::rendezvous_weight_of,
 };
 
 /// ms. A copy is planned for so long: less than a cache keeps what is asked for so often.
 const STANDING_FOR: Ms = 30_000;
 /// Copies in one record: with ids it stays some ten KB, which each edge gets at each change.
-pub const STANDING_MOST: usize = 128;
+pub const CONTEXT_COPIES_MAX: usize = 128;
 /// A copy is given back when it is worth less than this part of what would have it made.
 const GIVE_BACK_PART: f64 = 0.25;
 /// Asks in the window that one replica takes beside its other work: three a second, a fifth of what it reads.
@@ -25,13 +25,13 @@
 
 /// How often a region asks for a chain, decaying, and how often it was taken for ready there and was not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Asked {
-    pub asked: f64,
-    pub missed: f64,
+pub struct DemandCount {
+    pub requests: f64,
+    pub cache_misses: f64,
 }
 
 /// What the decision goes by.
-pub struct Inputs<'a> {
+pub struct PlacementInputs<'a> {
     pub spec: &'a ContextSpec,
     /// Tokens that a replica keeps.
     pub cache_tokens: u64,
@@ -42,15 +42,15 @@
     pub region: &'a dyn Fn(&str) -> String,
     /// Regions by the number of a lane's homes; a number that is not there gets no copies.
     pub homes: &'a BTreeMap<u64, Vec<String>>,
-    pub asked: &'a BTreeMap<(String, Chain), Asked>,
+    pub demand: &'a BTreeMap<(String, PromptChain), DemandCount>,
     /// Whoever took the duty over lately has not heard all edges: silence is no cold yet.
-    pub young: bool,
+    pub is_incomplete: bool,
 }
 
 /// A chain that a region may want a copy of.
 struct Wanted<'a> {
     region: &'a str,
-    chain: Chain,
+    chain: PromptChain,
     asked: f64,
     worth: f64,
     old: Option<&'a StandingPart>,
@@ -62,15 +62,16 @@
 }
 
 /// ms that a copy is worth over the time it is planned for, against those that it costs to read once.
-fn worth(c: &Chain, a: &Asked) -> f64 {
-    let a_window = DEMAND_HALF as f64 / std::f64::consts::LN_2;
+fn worth(c: &PromptChain, a: &DemandCount) -> f64 {
+    let a_window = DEMAND_HALF_LIFE as f64 / std::f64::consts::LN_2;
     let windows = STANDING_FOR as f64 / a_window;
     // Each time that it was not there after all it was read again, which undoes what others saved.
-    (a.asked * saves(c.tokens) - a.missed * again_ms(c.tokens)) * windows / again_ms(c.tokens)
+    (a.requests * saves(c.tokens) - a.cache_misses * repeated_prefill_cost_ms(c.tokens)) * windows
+        / repeated_prefill_cost_ms(c.tokens)
 }
 
 /// The next record. It differs from the old one only where that is worth it.
-pub fn decide(old: &ContextRecord, i: &Inputs) -> ContextRecord {
+pub fn next_record(old: &ContextRecord, i: &PlacementInputs) -> ContextRecord {
     let next = ContextRecord {
         service: old.service.clone(),
         version: i.version.into(),
@@ -89,19 +90,23 @@
         false => BTreeMap::new(),
     };
     let mut wanted: Vec<Wanted> = i
-        .asked
+        .demand
         .iter()
         .filter_map(|((r, c), a)| want(r, c, a, &stood, i))
         .collect();
-    let told: BTreeSet<(&str, u64)> = i.asked.keys().map(|(r, c)| (r.as_str(), c.chain)).collect();
-    if i.young {
+    let told: BTreeSet<(&str, u64)> = i
+        .demand
+        .keys()
+        .map(|(r, c)| (r.as_str(), c.chain))
+        .collect();
+    if i.is_incomplete {
         wanted.extend(
             stood
                 .iter()
                 .filter(|(k, _)| !told.contains(*k))
                 .map(|(k, p)| {
-                    let chain = Chain {
-                        version: number(i.version),
+                    let chain = PromptChain {
+                        version: name_digest(i.version),
                         homes: p.homes,
                         chain: p.chain,
                         tokens: p.tokens,
@@ -135,7 +140,7 @@
     let mut parts: Vec<StandingPart> = vec![];
     for w in wanted {
         let replicas = place(&w, i, room, &mut used);
-        if !replicas.is_empty() && parts.len() < STANDING_MOST {
+        if !replicas.is_empty() && parts.len() < CONTEXT_COPIES_MAX {
             parts.push(StandingPart {
                 chain: w.chain.chain,
                 tokens: w.chain.tokens,
@@ -152,13 +157,13 @@
 
 fn want<'a>(
     r: &'a str,
-    c: &Chain,
-    a: &Asked,
+    c: &PromptChain,
+    a: &DemandCount,
     stood: &BTreeMap<(&str, u64), &'a StandingPart>,
-    i: &Inputs<'a>,
+    i: &PlacementInputs<'a>,
 ) -> Option<Wanted<'a>> {
     // Counts for another version tell how popular the chain is, but what they were kept by is gone.
-    if c.version != number(i.version) || !may_stand(r, c, i) {
+    if c.version != name_digest(i.version) || !may_stand(r, c, i) {
         return None;
     }
     let old = stood.get(&(r, c.chain)).copied();
@@ -167,14 +172,14 @@
     (worth >= least).then_some(Wanted {
         region: r,
         chain: *c,
-        asked: a.asked,
+        asked: a.requests,
         worth,
         old,
     })
 }
 
 /// Whether a region may have a copy: inside the homes, and not where the chain has its one place anyway.
-fn may_stand(region: &str, c: &Chain, i: &Inputs) -> bool {
+fn may_stand(region: &str, c: &PromptChain, i: &PlacementInputs) -> bool {
     let Some(homes) = i.homes.get(&c.homes) else {
         return false;
     };
@@ -185,7 +190,7 @@
         .filter(|r| r.version == i.version)
         .map(|r| {
             (
-                rendezvous_weight_of(c.chain, number(&r.id)),
+                rendezvous_weight_of(c.chain, name_digest(&r.id)),
                 (i.region)(&r.zone),
             )
         })
@@ -196,7 +201,7 @@
 /// Replicas for a copy: those it stands on first, then by the chain's agreed order, as far as there is room.
 fn place<'a>(
     w: &Wanted,
-    i: &Inputs<'a>,
+    i: &PlacementInputs<'a>,
     room: u64,
     used: &mut BTreeMap<&'a str, u64>,
 ) -> Vec<String> {
@@ -209,7 +214,7 @@
     all.sort_by_key(|r| {
         std::cmp::Reverse((
             stands(r),
-            rendezvous_weight_of(w.chain.chain, number(&r.id)),
+            rendezvous_weight_of(w.chain.chain, name_digest(&r.id)),
         ))
     });
     let tokens = u64::from(w.chain.tokens);
--- a/coordination/src/context/standing.rs
+++ b/coordination/src/context/standing.rs
@@ -4,7 +4,7 @@
 
 use remote_calls::ContextRecord;
 
-use super::number;
+use super::name_digest;
 
 /// A service's copies: for which version, and on which replicas' lives each chain stands.
 #[derive(Clone, Debug, Default)]
@@ -14,15 +14,20 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct PlacedContext {
     services: BTreeMap<String, Copies>,
 }
 
-impl Standing {
+impl PlacedContext {
     pub fn set(&mut self, r: &ContextRecord, region: &str) {
         let here = r.parts.iter().filter(|p| p.region == region);
         let chains = here
-            .map(|p| (p.chain, p.replicas.iter().map(|id| number(id)).collect()))
+            .map(|p| {
+                (
+                    p.chain,
+                    p.replicas.iter().map(|id| name_digest(id)).collect(),
+                )
+            })
             .collect();
         self.services.insert(
             r.service.clone(),
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -21,7 +21,7 @@
     Effect, Effects, Ms, Row, WriteOutcome,
     bounds::Bounds,
     compressed,
-    context::{self, Demands, homes},
+    context::{self, FleetDemand, homes_digest},
     control::{rollouts::ROLLOUT_STALLED_AFTER, voters::JOINER_WINDOW},
     effect::{log_event, send},
     events,
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -1,7 +1,7 @@
 //! Copies of shared context, for the services whose duty is held here.
 
 use super::*;
-use crate::context::demand::DEMAND_OLD;
+use crate::context::demand::DEMAND_REPORT_MAX_AGE;
 
 /// ms. A record of copies is not written again before: each writing is a sync and a message to every edge.
 pub const CONTEXT_WRITE_INTERVAL: Ms = 3_000;
@@ -12,13 +12,13 @@
     /// Since when the duty is held here, and when the record was last written.
     held_since: Ms,
     written_at: Ms,
-    demand: Demands,
+    demand: FleetDemand,
 }
 
 impl Control {
     pub(super) fn on_demand(&mut self, from: &Name, m: ContextDemand, now: Ms) {
         if let Some(c) = self.context_roles.get_mut(&*m.service) {
-            c.demand.tell(from, m.chains.0, now);
+            c.demand.merge_report(from, m.chains.0, now);
         }
     }
 
@@ -50,7 +50,7 @@
                 ContextRole {
                     held_since: now,
                     written_at: 0,
-                    demand: Demands::default(),
+                    demand: FleetDemand::default(),
                 }
             });
             if now < d.written_at + CONTEXT_WRITE_INTERVAL
@@ -63,7 +63,7 @@
             };
             let region_of = |z: &str| regions::region_of(&self.config.regions, z).to_string();
             let edge = |n: &Name| self.followers.get(n).map(|a| region_of(&a.node.zone));
-            let asked = d.demand.sums(&edge, now);
+            let asked = d.demand.totals(&edge, now);
             let used: BTreeSet<&String> = r.groups.iter().flat_map(|g| &g.replicas).collect();
             let may = |p: &&remote_calls::PlacedReplica| {
                 used.contains(&p.id)
@@ -78,17 +78,18 @@
                 .paths
                 .iter()
                 .filter(|p| p.split.iter().any(|x| x.service == s.name));
-            let homes: BTreeMap<u64, Vec<String>> =
-                lanes.map(|p| (homes(&p.homes), p.homes.clone())).collect();
-            let i = context::Inputs {
+            let homes: BTreeMap<u64, Vec<String>> = lanes
+                .map(|p| (homes_digest(&p.homes), p.homes.clone()))
+                .collect();
+            let i = context::PlacementInputs {
                 spec: on,
                 cache_tokens: s.engine.as_ref().map_or(0, |e| e.cache_tokens),
                 version: &r.stable,
                 replicas: &replicas,
                 region: &region_of,
                 homes: &homes,
-                asked: &asked,
-                young: now.saturating_sub(d.held_since) < DEMAND_OLD,
+                demand: &asked,
+                is_incomplete: now.saturating_sub(d.held_since) < DEMAND_REPORT_MAX_AGE,
             };
             let old: Option<ContextRecord> = stands.and_then(|c| compressed::decode(&c.value.0));
             let none = || ContextRecord {
@@ -96,7 +97,7 @@
                 version: r.stable.clone(),
                 parts: vec![],
             };
-            let next = context::decide(old.as_ref().unwrap_or(&none()), &i);
+            let next = context::next_record(old.as_ref().unwrap_or(&none()), &i);
             let Some(v) = compressed::encode(&next).filter(|_| old.as_ref() != Some(&next)) else {
                 continue;
             };
--- a/coordination/src/pass.rs
+++ b/coordination/src/pass.rs
@@ -8,62 +8,62 @@
 use crate::Ms;
 
 /// A part of a prompt: its id and its size in tokens. A part is kept only behind all parts before it.
-pub type Part = (u64, u32);
+pub type PrefixBlock = (u64, u32);
 
 /// What a request tells of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct RequestHead {
     pub host: String,
     pub path: String,
     /// The caller's name for this try; it comes to one edge only.
-    pub round: String,
+    pub attempt_id: String,
     /// ms that the caller will wait, if it tells.
-    pub left: Option<Ms>,
+    pub time_left_ms: Option<Ms>,
     /// Last piece the caller already has, if it resumes.
-    pub after: Option<String>,
+    pub last_event_id: Option<String>,
     pub model: String,
     /// Tokens of the prompt, and most tokens out.
     pub tokens: (u32, u32),
     /// The parts of its prompt in order; the last is its own or its session's.
-    pub parts: Vec<Part>,
+    pub prefix_blocks: Vec<PrefixBlock>,
 }
 
 /// What an answer tells of its replica.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct ResponseSignals {
     /// The caller's name of the round that it answers.
-    pub round: Option<String>,
+    pub attempt_id: Option<String>,
     /// The replica says that it did not run the request.
     pub not_run: bool,
     /// Another replica, or another version, stands at this address.
-    pub other: bool,
+    pub is_other_replica: bool,
     /// Requests running, waiting, and places.
     pub load: Option<(u32, u32, u32)>,
     /// ms that it stays cold.
-    pub cold: Option<Ms>,
+    pub warmup_left_ms: Option<Ms>,
     /// Weights' versions that it ran, as it spells them.
-    pub versions: Option<String>,
+    pub weights_versions: Option<String>,
 }
 
 /// How a round ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PassEnd {
-    Answered,
+pub enum AttemptOutcome {
+    Completed,
     Slow,
     /// It may have run: a reset, a garbled answer, an early end, the replica's own failure.
     Failed,
     /// No channel: nothing was sent.
-    Unreachable,
+    ConnectRefused,
     /// Nothing came of opening a channel: its machine is off, or the way there is cut. Nothing was sent.
-    Dark,
+    ConnectTimedOut,
     /// Its time ran out without a head.
-    Silent,
+    ResponseTimedOut,
     /// The replica says that it did not run it and is full.
-    Full,
+    AtCapacity,
     /// Another replica or version stands at the address.
-    Other,
+    WrongReplica,
     /// The downstream left.
-    Dropped,
+    ClientGone,
 }
 
 /// A host as lanes name it: a port in it names the edge, not the lane.
@@ -75,11 +75,11 @@
 
 /// Index of a spec's paths: the longest prefix that begins a path wins.
 #[derive(Clone, Debug, Default)]
-pub struct Paths {
+pub struct LaneIndex {
     hosts: BTreeMap<String, Vec<std::sync::Arc<PathSpec>>>,
 }
 
-impl Paths {
+impl LaneIndex {
     pub fn new(all: Vec<PathSpec>) -> Self {
         let mut hosts: BTreeMap<String, Vec<std::sync::Arc<PathSpec>>> = BTreeMap::new();
         for p in all {
@@ -93,7 +93,7 @@
             v.sort_by_key(|p| std::cmp::Reverse(p.prefix.len()));
             v.shrink_to_fit();
         });
-        Paths { hosts }
+        LaneIndex { hosts }
     }
     pub fn find(&self, host: &str, path: &str) -> Option<std::sync::Arc<PathSpec>> {
         let path = path.split(['?', '#']).next().unwrap_or(path);
--- a/coordination/src/pass_stream.rs
+++ b/coordination/src/pass_stream.rs
@@ -8,7 +8,7 @@
 
 /// One answer's events, over all runs that make it up.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct ResumableEvents {
     /// Bytes of an event that is not whole yet.
     half: Vec<u8>,
     /// Id of the last whole event that was passed on.
@@ -21,9 +21,9 @@
     behind: bool,
 }
 
-impl Events {
+impl ResumableEvents {
     /// Takes bytes as they came; gives those that go on now.
-    pub fn take<'a>(&mut self, b: &'a [u8]) -> Cow<'a, [u8]> {
+    pub fn pass_through<'a>(&mut self, b: &'a [u8]) -> Cow<'a, [u8]> {
         if self.plain {
             return Cow::Borrowed(b);
         }
@@ -51,20 +51,20 @@
         Cow::Owned(out)
     }
     /// The replica ended its answer: what is left belongs to it too.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_remainder(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.half)
     }
     /// The run was cut; another will follow. Drops the torn event.
-    pub fn cut(&mut self) {
+    pub fn on_cut(&mut self) {
         self.half.clear();
         self.behind = true;
     }
     /// Whether a run that follows can be told where to go on.
-    pub fn resumable(&self) -> bool {
+    pub fn is_resumable(&self) -> bool {
         !self.plain && !self.unnamed
     }
     /// Id of the last whole event passed on, if any was.
-    pub fn last(&self) -> Option<&str> {
+    pub fn last_event_id(&self) -> Option<&str> {
         self.last.as_deref()
     }
 
@@ -96,7 +96,7 @@
             let e = &all[from..from + n];
             from += n;
             let number = |s: &str| s.parse::<u64>().ok();
-            let old = match (id(e), self.last()) {
+            let old = match (id(e), self.last_event_id()) {
                 (Some(x), Some(l)) => {
                     x == l || number(x).zip(number(l)).is_some_and(|(x, l)| x <= l)
                 }
--- a/coordination/src/placement/bucket.rs
+++ b/coordination/src/placement/bucket.rs
@@ -3,7 +3,7 @@
 use crate::Ms;
 
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Tokens a second, and most that are saved up.
     rate: f64,
     depth: f64,
@@ -11,10 +11,10 @@
     at: Ms,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Begins empty: whoever has just started does not know what was drawn before.
     pub fn new(rate: f64, depth: f64, now: Ms) -> Self {
-        Bucket {
+        TokenBucket {
             rate,
             depth,
             left: 0.0,
@@ -30,12 +30,12 @@
         self.left = (self.left + gone * self.rate).min(self.depth);
         self.at = self.at.max(now);
     }
-    pub fn has(&mut self, now: Ms) -> bool {
+    pub fn has_token(&mut self, now: Ms) -> bool {
         self.fill(now);
         self.left >= 1.0
     }
-    pub fn draw(&mut self, now: Ms) -> bool {
-        let has = self.has(now);
+    pub fn try_draw(&mut self, now: Ms) -> bool {
+        let has = self.has_token(now);
         if has {
             self.left -= 1.0;
         }
--- a/coordination/src/placement/budget.rs
+++ b/coordination/src/placement/budget.rs
@@ -11,12 +11,12 @@
 const BUDGET_KEPT: f64 = 0.7;
 
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Start, first rounds and second rounds of each slot of time, oldest first.
     slots: VecDeque<(Ms, u32, u32)>,
 }
 
-impl Budget {
+impl RetryBudget {
     fn slot(&mut self, now: Ms, window: Ms) -> &mut (Ms, u32, u32) {
         let at = now - now % BUDGET_SLOT;
         // A slot counts until the whole of it has left the window.
@@ -33,11 +33,11 @@
         let last = self.slots.len() - 1;
         &mut self.slots[last]
     }
-    pub fn first(&mut self, b: &Bounds, now: Ms) {
+    pub fn count_first_attempt(&mut self, b: &Bounds, now: Ms) {
         self.slot(now, b.retry_window).1 += 1;
     }
     /// Draws one second round, if the budget has one. `edges`: proxies that share what is free.
-    pub fn second(&mut self, b: &Bounds, edges: usize, now: Ms) -> bool {
+    pub fn try_draw_retry(&mut self, b: &Bounds, edges: usize, now: Ms) -> bool {
         self.slot(now, b.retry_window);
         let (first, second) = self
             .slots
--- a/coordination/src/placement/kept.rs
+++ b/coordination/src/placement/kept.rs
@@ -5,7 +5,7 @@
 use crate::Ms;
 
 /// ms. How long a prefix is taken to stay in a replica's cache.
-pub(crate) const PREFIX_KEPT: Ms = 120_000;
+pub(crate) const PREFIX_CACHE_TTL: Ms = 120_000;
 /// Shared parts remembered; some hundred bytes each would be too dear for more.
 const KEPT_PARTS: usize = 8_000;
 
@@ -20,7 +20,7 @@
         let new = self
             .at
             .insert((site, part), now)
-            .is_none_or(|t| now.saturating_sub(t) >= PREFIX_KEPT);
+            .is_none_or(|t| now.saturating_sub(t) >= PREFIX_CACHE_TTL);
         if self.at.len() <= KEPT_PARTS {
             return new;
         }
@@ -34,7 +34,7 @@
     pub fn has(&self, site: u64, part: u64, now: Ms) -> bool {
         self.at
             .get(&(site, part))
-            .is_some_and(|t| now.saturating_sub(*t) < PREFIX_KEPT)
+            .is_some_and(|t| now.saturating_sub(*t) < PREFIX_CACHE_TTL)
     }
     /// One part is not there after all.
     pub fn drop_part(&mut self, site: u64, part: u64) {
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -11,23 +11,23 @@
 mod reuse;
 mod site;
 pub(crate) mod travel;
-pub use nominate::OPENING_MS;
-pub use site::CHANNEL_RESTS;
+pub use nominate::CONNECT_COST_MS;
+pub use site::IDLE_CONNECTION_MAX_AGE;
 
 pub use averages::Averages;
-pub use bucket::Bucket;
-pub use budget::Budget;
+pub use bucket::TokenBucket;
+pub use budget::RetryBudget;
 pub use kept::Kept;
-pub use needed::Needed;
+pub use needed::HomeBoundDemand;
 use reach::Reach;
 use reuse::Reuse;
 
-pub use nominate::{Nominee, Placement, Want};
-pub use site::Site;
-pub use travel::Travel;
+pub use nominate::{Candidate, Placement, PlacementRequest};
+pub use site::ReplicaView;
+pub use travel::NetworkLatency;
 
 use crate::{
-    pass::{Ask, Part},
+    pass::{PrefixBlock, RequestHead},
     rendezvous::combine_hashes,
 };
 
@@ -43,29 +43,32 @@
 pub(crate) const CROSS_REGION_BYTE_MS: f64 = 0.006;
 
 /// The parts of a prompt that others may share: all but the last, which is the request's or its session's own.
-pub fn shared(parts: &[Part]) -> &[Part] {
+pub fn shared_prefix(parts: &[PrefixBlock]) -> &[PrefixBlock] {
     parts.split_last().map_or(&[], |(_, s)| s)
 }
-pub fn tokens(parts: &[Part]) -> u32 {
+pub fn token_count(parts: &[PrefixBlock]) -> u32 {
     parts.iter().fold(0u32, |a, p| a.saturating_add(p.1))
 }
 /// ms to read so many tokens.
-pub fn read_ms(tokens: u32) -> f64 {
+pub fn prefill_ms(tokens: u32) -> f64 {
     f64::from(tokens) / READ_TOKENS_A_MS
 }
 /// What it costs to read shared parts again: the time, and the work that others wait for.
-pub fn again_ms(tokens: u32) -> f64 {
+pub fn repeated_prefill_cost_ms(tokens: u32) -> f64 {
     if tokens == 0 {
         0.0
     } else {
-        SHARED_PART_MS + read_ms(tokens) * READ_AGAIN_WEIGHT
+        SHARED_PART_MS + prefill_ms(tokens) * READ_AGAIN_WEIGHT
     }
 }
 /// What it costs to carry a request to another region besides the time.
-pub fn carry_ms(ask: &Ask) -> f64 {
+pub fn cross_region_cost_ms(ask: &RequestHead) -> f64 {
     f64::from(ask.tokens.0.saturating_add(ask.tokens.1)) * TOKEN_BYTES * CROSS_REGION_BYTE_MS
 }
 /// The key whose agreed order of replicas a prompt follows: its longest shared chain.
-pub fn chain(parts: &[Part]) -> Option<u64> {
-    shared(parts).iter().map(|p| p.0).reduce(combine_hashes)
+pub fn prefix_chain(parts: &[PrefixBlock]) -> Option<u64> {
+    shared_prefix(parts)
+        .iter()
+        .map(|p| p.0)
+        .reduce(combine_hashes)
 }
--- a/coordination/src/placement/needed.rs
+++ b/coordination/src/placement/needed.rs
@@ -14,11 +14,11 @@
 
 /// Home-bound requests of each service, as the spec's paths have them.
 #[derive(Clone, Debug, Default)]
-pub struct Needed {
+pub struct HomeBoundDemand {
     by_service: BTreeMap<String, BTreeSet<Bound>>,
 }
 
-impl Needed {
+impl HomeBoundDemand {
     pub fn new(paths: &[PathSpec]) -> Self {
         let mut by_service: BTreeMap<String, BTreeSet<Bound>> = BTreeMap::new();
         for p in paths.iter().filter(|p| !p.homes.is_empty()) {
@@ -33,7 +33,7 @@
                     .insert(bound);
             }
         }
-        Needed { by_service }
+        HomeBoundDemand { by_service }
     }
     /// Whether requests more urgent than `rank` have only this region, and some others, to go to.
     pub fn by_more_urgent(&self, service: &str, rank: u32, region: &str) -> bool {
--- a/coordination/src/placement/nominate.rs
+++ b/coordination/src/placement/nominate.rs
@@ -7,14 +7,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    Averages, Kept, Needed, Reach, Reuse, Site, Travel, again_ms, carry_ms, chain, read_ms, shared,
-    tokens,
+    Averages, HomeBoundDemand, Kept, NetworkLatency, Reach, ReplicaView, Reuse,
+    cross_region_cost_ms, prefill_ms, prefix_chain, repeated_prefill_cost_ms, shared_prefix,
+    token_count,
 };
 use crate::{
     Ms,
     bounds::Bounds,
-    context::Standing,
-    pass::{Ask, Told},
+    context::PlacedContext,
+    pass::{RequestHead, ResponseSignals},
     placement::site::DOUBT_SHUNS,
     policy::{Mechanism, Policy},
     rendezvous::{rendezvous_weight, rendezvous_weight_of},
@@ -34,7 +35,7 @@
 /// ms. A step down a prompt's agreed order of replicas, so that all proxies overflow to the same one.
 const ORDER_MS: f64 = 3.0;
 /// ms. What opening a channel costs besides the way there and back: the replica's work and a price.
-pub const OPENING_MS: f64 = 2.0;
+pub const CONNECT_COST_MS: f64 = 2.0;
 /// ms. What it costs that one proxy of the region was lately failed by a replica: more than another replica beside it.
 const DOUBT_MS: f64 = 80.0;
 /// Doubt from which on a failure is no news: others were told.
@@ -65,7 +66,7 @@
 
 /// A replica that was nominated.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Nominee {
+pub struct Candidate {
     pub id: String,
     pub addr: String,
     pub version: String,
@@ -78,18 +79,18 @@
 }
 
 /// What a nomination is for.
-pub struct Want<'a> {
+pub struct PlacementRequest<'a> {
     pub lane: &'a PathSpec,
-    pub ask: &'a Ask,
+    pub head: &'a RequestHead,
     pub tried: &'a [String],
-    pub evacuated: &'a BTreeSet<String>,
+    pub evacuated_zones: &'a BTreeSet<String>,
 }
 
 /// ms. What a failed round costs its request: where another may follow, a whole one elsewhere that reads the prompt
 /// from its beginning; where none may, no less than the time in
 /// which it earns its worth.
-fn loss_ms(w: &Want) -> f64 {
-    let again = again_ms(w.ask.tokens.0) + OPENING_MS;
+fn loss_ms(w: &PlacementRequest) -> f64 {
+    let again = repeated_prefill_cost_ms(w.head.tokens.0) + CONNECT_COST_MS;
     let repeated = matches!(
         w.lane.kind,
         PathKind::Repeatable | PathKind::StreamResumable
@@ -102,7 +103,7 @@
 }
 
 /// Any replica may turn cold unseen: what it would then bear is not exceeded while others can take it.
-fn rate_ms(s: &Site, bears: f64, now: Ms) -> f64 {
+fn rate_ms(s: &ReplicaView, bears: f64, now: Ms) -> f64 {
     let next = s.rate_now(now) + 1.0;
     if bears > 0.0 && next > bears {
         RATE_MS * next / bears
@@ -116,7 +117,7 @@
     service: String,
     addr: String,
     version: String,
-    site: Site,
+    site: ReplicaView,
 }
 
 /// A zone as it is for one request.
@@ -137,7 +138,7 @@
 
 /// A replica that may take a request, and what it would cost.
 #[derive(Clone, Copy, Debug)]
-struct Candidate<'a> {
+struct ScoredReplica<'a> {
     id: &'a str,
     row: &'a Row,
     zone: ZoneView<'a>,
@@ -150,7 +151,7 @@
 }
 
 /// Keeps those that pass, if there are any.
-fn retain_if_any<'a>(all: &mut Vec<Candidate<'a>>, pass: impl Fn(&Candidate<'a>) -> bool) {
+fn retain_if_any<'a>(all: &mut Vec<ScoredReplica<'a>>, pass: impl Fn(&ScoredReplica<'a>) -> bool) {
     if all.iter().any(&pass) {
         all.retain(pass);
     }
@@ -159,8 +160,8 @@
 /// Places in the list, in the order that all proxies agree on for a prompt: copies that stand ready first, then, where
 /// each region has its own, replicas of this one. A prompt that is long to read comes first on a replica that is not
 /// needed so many times as often as on one that is.
-fn agreed_order(all: &[Candidate], key: Option<u64>, regional: bool) -> Vec<usize> {
-    let weight = |c: &Candidate| {
+fn agreed_order(all: &[ScoredReplica], key: Option<u64>, regional: bool) -> Vec<usize> {
+    let weight = |c: &ScoredReplica| {
         let hash = key.map_or(0, |k| rendezvous_weight_of(k, c.row.site.number));
         if regional || c.zone.needed {
             hash
@@ -168,7 +169,7 @@
             raised(hash, NOT_NEEDED_WEIGHT)
         }
     };
-    let rank = |c: &Candidate| (c.stands, !(regional && c.zone.far), weight(c));
+    let rank = |c: &ScoredReplica| (c.stands, !(regional && c.zone.far), weight(c));
     let mut order: Vec<((bool, bool, u64), usize)> = all.iter().map(rank).zip(0..).collect();
     order.sort_unstable_by(|a, b| b.cmp(a));
     order.into_iter().map(|o| o.1).collect()
@@ -186,11 +187,11 @@
     kept: Kept,
     reuse: Reuse,
     reach: Reach,
-    pub travel: Travel,
+    pub travel: NetworkLatency,
     pub bounds: Bounds,
     pub policy: Policy,
     /// Regions that home-bound requests depend on.
-    pub needed: Needed,
+    pub needed: HomeBoundDemand,
     engines: BTreeMap<String, EngineSpec>,
     /// By service.
     averages: BTreeMap<String, Averages>,
@@ -207,14 +208,14 @@
     /// Ids of replicas by the numbers of their lives.
     ids: BTreeMap<u64, String>,
     /// Copies of popular shared context that stand ready in this region.
-    standing: Standing,
+    standing: PlacedContext,
 }
 
 impl Placement {
     pub fn new(me: &str, zone: &str, regions: BTreeMap<String, String>, bounds: Bounds) -> Self {
         Placement {
             me: me.into(),
-            travel: Travel::new(zone, regions),
+            travel: NetworkLatency::new(zone, regions),
             bounds,
             ..Placement::default()
         }
@@ -259,7 +260,7 @@
                 addr: r.addr.clone(),
                 version: r.version.clone(),
                 // One that nobody told the places of is like its service's others, not full.
-                site: Site::new(number, &r.zone, if r.slots > 0 { r.slots } else { slots }),
+                site: ReplicaView::new(number, &r.zone, if r.slots > 0 { r.slots } else { slots }),
             });
             // What was kept by other weights is kept no more.
             if row.version != r.version {
@@ -274,7 +275,7 @@
     }
     /// Takes a service's copies of shared context; none where they are switched off.
     pub fn set_context(&mut self, service: &str, r: Option<&ContextRecord>) {
-        match r.filter(|_| self.policy.has(Mechanism::ContextCopies)) {
+        match r.filter(|_| self.policy.is_enabled(Mechanism::ContextCopies)) {
             Some(r) => self.standing.set(r, self.travel.home()),
             None => self.standing.unset(service),
         }
@@ -324,7 +325,7 @@
             .engines
             .get(service)
             .and_then(|e| e.cold_rate)
-            .filter(|_| self.policy.has(Mechanism::ColdRamp));
+            .filter(|_| self.policy.is_enabled(Mechanism::ColdRamp));
         let Some(rate) = told.filter(|r| *r > 0.0) else {
             return f64::MAX;
         };
@@ -355,20 +356,20 @@
         &mut self,
         service: &str,
         ids: impl Iterator<Item = &'a String>,
-        w: &Want,
+        w: &PlacementRequest,
         now: Ms,
-    ) -> Option<Nominee> {
+    ) -> Option<Candidate> {
         let ids: Vec<&String> = ids.filter(|id| !w.tried.contains(id)).collect();
         let held_back = self.held_back(service, &ids, w, now);
         let mut zones: Vec<ZoneView> = vec![];
-        let mut all: Vec<Candidate> = vec![];
+        let mut all: Vec<ScoredReplica> = vec![];
         for id in ids.into_iter().filter(|id| !held_back.contains(id)) {
             let Some(row) = self.rows.get(id.as_str()) else {
                 continue;
             };
             let zone = self.view(service, &mut zones, &row.site.zone, w, now);
             if zone.allowed {
-                all.push(Candidate {
+                all.push(ScoredReplica {
                     id,
                     row,
                     zone,
@@ -384,7 +385,7 @@
         retain_if_any(&mut all, |c| c.zone.reached);
         self.weigh(service, &mut all, w, now);
         let best = all.iter().min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-        Some(self.nominee(best, w.ask, now))
+        Some(self.nominee(best, w.head, now))
     }
 
     /// Cold replicas that have had this proxy's part of what they bear.
@@ -392,7 +393,7 @@
         &mut self,
         service: &str,
         ids: &[&'a String],
-        w: &Want,
+        w: &PlacementRequest,
         now: Ms,
     ) -> Vec<&'a String> {
         let is_cold = |r: &Row| r.site.is_cold(now) && self.allows(&r.site.zone, w);
@@ -416,10 +417,10 @@
     }
 
     /// Whether homes and evacuations let a request go to a zone.
-    fn allows(&self, zone: &str, w: &Want) -> bool {
+    fn allows(&self, zone: &str, w: &PlacementRequest) -> bool {
         let region = self.travel.region(zone);
         let home = w.lane.homes.is_empty() || w.lane.homes.iter().any(|h| h == region);
-        home && !w.evacuated.contains(zone)
+        home && !w.evacuated_zones.contains(zone)
     }
 
     /// What a zone is like for this request: worked out once for all its replicas.
@@ -428,19 +429,19 @@
         service: &str,
         seen: &mut Vec<ZoneView<'a>>,
         zone: &'a str,
-        w: &Want,
+        w: &PlacementRequest,
         now: Ms,
     ) -> ZoneView<'a> {
         if let Some(v) = seen.iter().find(|v| v.name == zone) {
             return *v;
         }
         let (region, far) = (self.travel.region(zone), self.travel.far(zone));
-        let zone_counts = self.policy.has(Mechanism::ZoneReach);
-        let region_counts = self.policy.has(Mechanism::RegionReach) && far;
+        let zone_counts = self.policy.is_enabled(Mechanism::ZoneReach);
+        let region_counts = self.policy.is_enabled(Mechanism::RegionReach) && far;
         let reached = (!zone_counts || self.reach.may_try_zone(zone, now))
             && (!region_counts || self.reach.may_try(region, now));
         let allowed = self.allows(zone, w);
-        let needed = self.policy.has(Mechanism::NeededRegions)
+        let needed = self.policy.is_enabled(Mechanism::NeededRegions)
             && self.needed.by_more_urgent(service, w.lane.rank, region);
         let v = ZoneView {
             name: zone,
@@ -454,15 +455,15 @@
         v
     }
 
-    fn weigh(&self, service: &str, all: &mut [Candidate], w: &Want, now: Ms) {
-        let parts = shared(&w.ask.parts);
-        let again = again_ms(tokens(parts));
-        let carry = if self.policy.has(Mechanism::CarryCost) {
-            carry_ms(w.ask)
+    fn weigh(&self, service: &str, all: &mut [ScoredReplica], w: &PlacementRequest, now: Ms) {
+        let parts = shared_prefix(&w.head.prefix_blocks);
+        let again = repeated_prefill_cost_ms(token_count(parts));
+        let carry = if self.policy.is_enabled(Mechanism::CarryCost) {
+            cross_region_cost_ms(w.head)
         } else {
             0.0
         };
-        let key = chain(&w.ask.parts);
+        let key = prefix_chain(&w.head.prefix_blocks);
         let near = all.iter().map(|c| c.zone.way).fold(f64::MAX, f64::min);
         // A prompt whose shared parts are dear to read again has one place among all; of others each region has one.
         let regional = again < carry + near;
@@ -480,7 +481,7 @@
         let mine = order.iter().copied().find(|i| copy && !all[*i].zone.far);
         let averages = self.averages(service);
         let (failing, bears) = (loss_ms(w), self.borne(service));
-        let agreed = self.policy.has(Mechanism::AgreedOrder);
+        let agreed = self.policy.is_enabled(Mechanism::AgreedOrder);
         for (step, i) in order.into_iter().enumerate() {
             let c = &all[i];
             let s = &c.row.site;
@@ -509,8 +510,8 @@
 
     /// Where parts are asked for so often that carrying them away each time costs more than reading them once, this
     /// region has a copy of its own. Where copies are decided for all, that decision counts.
-    fn wants_copy(&self, service: &str, all: &[Candidate], again: f64, carry: f64) -> bool {
-        if !self.policy.has(Mechanism::RegionCopy)
+    fn wants_copy(&self, service: &str, all: &[ScoredReplica], again: f64, carry: f64) -> bool {
+        if !self.policy.is_enabled(Mechanism::RegionCopy)
             || self.standing.on(service)
             || all.iter().any(|c| c.keeps && !c.zone.far)
         {
@@ -526,26 +527,33 @@
     }
 
     /// ms until a first piece would come from a replica that had all its places free.
-    fn wait_ms(&self, c: &Candidate, averages: &Averages, now: Ms) -> f64 {
+    fn wait_ms(&self, c: &ScoredReplica, averages: &Averages, now: Ms) -> f64 {
         let s = &c.row.site;
-        let lag = if self.policy.has(Mechanism::Lag) {
+        let lag = if self.policy.is_enabled(Mechanism::Lag) {
             s.lag(averages, now)
         } else {
             0.0
         };
         // Opening a channel takes the way there and back once more.
-        let opens = self.policy.has(Mechanism::ChannelsAtHand) && !s.at_hand(now);
-        c.zone.way + lag + s.reads(now) + if opens { c.zone.way + OPENING_MS } else { 0.0 }
+        let opens = self.policy.is_enabled(Mechanism::ChannelsAtHand) && !s.at_hand(now);
+        c.zone.way
+            + lag
+            + s.reads(now)
+            + if opens {
+                c.zone.way + CONNECT_COST_MS
+            } else {
+                0.0
+            }
     }
 
     /// ms that failures there are expected to cost. `failing`: what one costs this request.
-    fn failure_ms(&self, s: &Site, failing: f64, now: Ms) -> f64 {
-        let doubt = if self.policy.has(Mechanism::Doubt) {
+    fn failure_ms(&self, s: &ReplicaView, failing: f64, now: Ms) -> f64 {
+        let doubt = if self.policy.is_enabled(Mechanism::Doubt) {
             s.doubt(now) * DOUBT_MS
         } else {
             0.0
         };
-        let risk = if self.policy.has(Mechanism::Risk) {
+        let risk = if self.policy.is_enabled(Mechanism::Risk) {
             s.risk(now) * failing
         } else {
             0.0
@@ -554,13 +562,13 @@
     }
 
     /// ms that the requests there cost the next one.
-    fn fullness_ms(&self, s: &Site, load: f64) -> f64 {
-        let each = if self.policy.has(Mechanism::Load) {
+    fn fullness_ms(&self, s: &ReplicaView, load: f64) -> f64 {
+        let each = if self.policy.is_enabled(Mechanism::Load) {
             load * LOAD_MS
         } else {
             0.0
         };
-        if !self.policy.has(Mechanism::Filling) {
+        if !self.policy.is_enabled(Mechanism::Filling) {
             return each;
         }
         // Waiting for a place begins well before all are taken: requests come in clumps, and batches slow down.
@@ -578,12 +586,12 @@
             .engines
             .get(service)
             .and_then(|e| e.cold_rate)
-            .filter(|_| self.policy.has(Mechanism::RateGuard));
+            .filter(|_| self.policy.is_enabled(Mechanism::RateGuard));
         rate.unwrap_or(0.0) * self.bounds.cold_over / self.edges() as f64
     }
 
     fn keeps(&self, site: u64, parts: &[(u64, u32)], now: Ms) -> bool {
-        self.policy.has(Mechanism::KeptParts)
+        self.policy.is_enabled(Mechanism::KeptParts)
             && parts
                 .iter()
                 .filter(|p| p.1 >= KEPT_TOKENS)
@@ -591,16 +599,16 @@
             && parts.iter().any(|p| p.1 >= KEPT_TOKENS)
     }
 
-    fn nominee(&self, c: &Candidate, ask: &Ask, now: Ms) -> Nominee {
+    fn nominee(&self, c: &ScoredReplica, ask: &RequestHead, now: Ms) -> Candidate {
         let r = c.row;
         let kept = if c.keeps {
-            tokens(shared(&ask.parts))
+            token_count(shared_prefix(&ask.prefix_blocks))
         } else {
             0
         };
-        let read = read_ms(ask.tokens.0.saturating_sub(kept));
+        let read = prefill_ms(ask.tokens.0.saturating_sub(kept));
         let expected = c.zone.way + r.site.reads(now) + read;
-        Nominee {
+        Candidate {
             id: c.id.into(),
             addr: r.addr.clone(),
             version: r.version.clone(),
@@ -612,7 +620,7 @@
 
     // ---- what becomes of it ----
 
-    pub fn send(&mut self, n: &Nominee, ask: &Ask, now: Ms) {
+    pub fn send(&mut self, n: &Candidate, ask: &RequestHead, now: Ms) {
         let Some(r) = self.rows.get_mut(&n.id) else {
             return;
         };
@@ -623,7 +631,7 @@
         if self.travel.far(&r.site.zone) {
             self.reach.tried(self.travel.region(&r.site.zone), now);
         }
-        let parts: Vec<u64> = shared(&ask.parts)
+        let parts: Vec<u64> = shared_prefix(&ask.prefix_blocks)
             .iter()
             .filter(|p| p.1 >= KEPT_TOKENS)
             .map(|p| p.0)
@@ -645,7 +653,7 @@
             return all;
         }
         self.told_at = now;
-        if !self.policy.has(Mechanism::ToldReadings) {
+        if !self.policy.is_enabled(Mechanism::ToldReadings) {
             self.untold.clear();
         }
         for r in std::mem::take(&mut self.untold) {
@@ -666,7 +674,7 @@
             return vec![];
         }
         self.failing_at = now;
-        if !self.policy.has(Mechanism::Doubt) {
+        if !self.policy.is_enabled(Mechanism::Doubt) {
             self.failing.clear();
         }
         std::mem::take(&mut self.failing).into_iter().collect()
@@ -711,7 +719,7 @@
         self.travel.took(&zone, took as f64);
         self.reach.sign(self.travel.region(&zone), &zone);
     }
-    pub fn heard(&mut self, service: &str, id: &str, t: &Told, now: Ms) {
+    pub fn heard(&mut self, service: &str, id: &str, t: &ResponseSignals, now: Ms) {
         let cold_ms = self.engines.get(service).map_or(0, |e| e.cold_ms);
         let Some(r) = self.rows.get_mut(id) else {
             return;
@@ -725,10 +733,10 @@
                 .or_default()
                 .saw_load(running + waiting);
         }
-        if let Some(ms) = t.cold.filter(|m| *m > 0) {
+        if let Some(ms) = t.warmup_left_ms.filter(|m| *m > 0) {
             r.site.set_cold(now + ms, now);
         }
-        if t.other {
+        if t.is_other_replica {
             return;
         }
         // What did not answer for a while has most likely started anew, and bears little yet.
--- a/coordination/src/placement/site.rs
+++ b/coordination/src/placement/site.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     Ms,
-    pass::Told,
-    placement::{Averages, Bucket},
+    pass::ResponseSignals,
+    placement::{Averages, TokenBucket},
 };
 
 /// ms. A replica that waits for nobody's first piece longer than this is quiet: new requests go elsewhere.
@@ -15,7 +15,7 @@
 /// ms. A replica that failed is left alone for so long, doubled each time, at most so long.
 const DOWN_MOST: Ms = 2_000;
 /// ms. A channel that rested for longer is taken to be no longer of use: what may run once takes none.
-pub const CHANNEL_RESTS: Ms = 900;
+pub const IDLE_CONNECTION_MAX_AGE: Ms = 900;
 /// Proxies whose word counts: by then all requests that have another replica go there.
 const DOUBT_MOST: f64 = 4.0;
 /// ms. Doubt fades by e in this time: then somebody tries it again.
@@ -41,7 +41,7 @@
 const OTHERS_MOST: f64 = 4_000.0;
 
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct ReplicaView {
     /// Number of this life of the replica, for tables keyed by it.
     pub number: u64,
     pub zone: String,
@@ -79,12 +79,12 @@
     heard_at: Ms,
     /// It bears little until then.
     cold_until: Ms,
-    cold: Option<Bucket>,
+    cold: Option<TokenBucket>,
 }
 
-impl Site {
+impl ReplicaView {
     pub fn new(number: u64, zone: &str, slots: u32) -> Self {
-        Site {
+        ReplicaView {
             number,
             zone: zone.into(),
             slots,
@@ -130,7 +130,7 @@
         while self
             .rests
             .front()
-            .is_some_and(|t| now.saturating_sub(*t) > CHANNEL_RESTS)
+            .is_some_and(|t| now.saturating_sub(*t) > IDLE_CONNECTION_MAX_AGE)
         {
             self.rests.pop_front();
         }
@@ -139,7 +139,7 @@
     pub fn at_hand(&self, now: Ms) -> bool {
         self.rests
             .back()
-            .is_some_and(|t| now.saturating_sub(*t) <= CHANNEL_RESTS)
+            .is_some_and(|t| now.saturating_sub(*t) <= IDLE_CONNECTION_MAX_AGE)
     }
     /// Another proxy sent a prompt that takes so long to read.
     pub fn others_read(&mut self, ms: f64, now: Ms) {
@@ -177,7 +177,7 @@
         self.heard_at = now;
         self.waits_since = (self.unheard > 0).then_some(now);
     }
-    pub fn heard(&mut self, t: &Told, now: Ms) {
+    pub fn heard(&mut self, t: &ResponseSignals, now: Ms) {
         self.sign(now);
         if let Some((running, waiting, slots)) = t.load {
             self.told = Some((running, waiting, self.open, now));
@@ -294,13 +294,15 @@
         if !self.is_cold(now) {
             return true;
         }
-        let b = self.cold.get_or_insert_with(|| Bucket::new(rate, 1.0, now));
+        let b = self
+            .cold
+            .get_or_insert_with(|| TokenBucket::new(rate, 1.0, now));
         b.set_rate(rate, now);
-        b.has(now)
+        b.has_token(now)
     }
     pub fn warm_one(&mut self, now: Ms) {
         if let Some(b) = self.cold.as_mut().filter(|_| now < self.cold_until) {
-            b.draw(now);
+            b.try_draw(now);
         }
     }
 }
--- a/coordination/src/placement/travel.rs
+++ b/coordination/src/placement/travel.rs
@@ -14,16 +14,16 @@
 const TRAVEL_WEIGHT: f64 = 0.25;
 
 #[derive(Clone, Debug, Default)]
-pub struct Travel {
+pub struct NetworkLatency {
     zone: String,
     regions: Regions,
     /// ms there and back, by zone.
     took: BTreeMap<String, f64>,
 }
 
-impl Travel {
+impl NetworkLatency {
     pub fn new(zone: &str, regions: Regions) -> Self {
-        Travel {
+        NetworkLatency {
             zone: zone.into(),
             regions,
             took: BTreeMap::new(),
--- a/coordination/src/policy.rs
+++ b/coordination/src/policy.rs
@@ -92,7 +92,7 @@
             left_out: left_out.into_iter().fold(0, |bits, m| bits | 1 << m as u32),
         }
     }
-    pub fn has(self, m: Mechanism) -> bool {
+    pub fn is_enabled(self, m: Mechanism) -> bool {
         self.left_out & (1 << m as u32) == 0
     }
 }
--- a/coordination/src/policy/tests.rs
+++ b/coordination/src/policy/tests.rs
@@ -6,11 +6,11 @@
 fn nothing_is_left_out_by_default_and_each_mechanism_alone_can_be() {
     let all = Policy::default();
     for m in Mechanism::ALL {
-        expect_true!(all.has(*m));
+        expect_true!(all.is_enabled(*m));
         let p = Policy::without([*m]);
         let others = Mechanism::ALL.iter().filter(|o| *o != m);
         expect_that!(
-            (p.has(*m), others.clone().all(|o| p.has(*o))),
+            (p.is_enabled(*m), others.clone().all(|o| p.is_enabled(*o))),
             eq((false, true)),
             "{}",
             m.name()
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -20,11 +20,11 @@
 use crate::{
     Ms,
     bounds::Bounds,
-    context::{Chain, Demand},
+    context::{LocalDemand, PromptChain},
     control::SPEC_KEY,
     edge_agent::{REJECT_ALL, STABLE_ONLY},
-    pass::Paths,
-    placement::{Budget, Placement},
+    pass::LaneIndex,
+    placement::{Placement, RetryBudget},
     policy::{Mechanism, Policy},
     proxy::buffer::SECOND_ROUNDS_FREE,
     rendezvous::rendezvous_weight,
@@ -37,47 +37,47 @@
 
 /// Where a round goes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct Assignment {
     pub service: String,
     pub lane: String,
     pub version: String,
     pub replica: String,
     pub addr: String,
     pub role: GroupRole,
-    pub warm: bool,
-    pub at: Ms,
+    pub cached: bool,
+    pub assigned_at: Ms,
     /// Number of a round that came by host and path; 0 for others.
-    pub flight: u64,
+    pub attempt: u64,
 }
 
-impl Placed {
+impl Assignment {
     /// Whether it was chosen so long ago that the process must have slept since.
-    pub fn stale(&self, now: Ms) -> bool {
-        now.saturating_sub(self.at) > PLACE_OLD
+    pub fn is_stale(&self, now: Ms) -> bool {
+        now.saturating_sub(self.assigned_at) > PLACE_OLD
     }
 }
 
 /// How a round ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Answered,
+pub enum OutcomeClass {
+    Succeeded,
     /// Slower than the lane's expected time by far.
     Slow,
     /// The replica or its version is at fault.
     Failed,
     /// The caller went away: no verdict on the version.
-    Dropped,
+    ClientGone,
     /// The replica had no place: it ran nothing.
-    Busy,
+    NotRun,
 }
 
 /// What to do with a request that wants a place.
 #[derive(Clone, Debug)]
-pub enum Admit {
-    Go(Placed),
+pub enum Admission {
+    Assigned(Assignment),
     /// Every place is taken; wait for one if the buffer has room.
-    Full,
-    Reject(Fault),
+    NoFreeSlot,
+    Rejected(Fault),
 }
 
 #[derive(Clone, Debug)]
@@ -106,7 +106,7 @@
 /// Shared context that a replica was taken to keep.
 #[derive(Clone, Debug)]
 struct Ready {
-    chain: Chain,
+    chain: PromptChain,
     parts: Vec<u64>,
 }
 
@@ -172,15 +172,15 @@
     reader: SpecParser,
     /// Place of the spec on the board that was read last, and the index of its paths.
     read: (u64, u64),
-    paths: Paths,
+    paths: LaneIndex,
     placement: Placement,
-    budgets: BTreeMap<String, Budget>,
+    budgets: BTreeMap<String, RetryBudget>,
     flights: BTreeMap<u64, Flight>,
     flight: u64,
     /// Places of the records of copies of shared context that were read last, and how often shared context is asked
     /// for; by service, and only where copies are kept.
     contexts: BTreeMap<String, (u64, u64)>,
-    demand: BTreeMap<String, Demand>,
+    demand: BTreeMap<String, LocalDemand>,
 }
 
 /// Groups of one version as one pool: a baseline is told apart for counting, and a prompt that lies in its cache
@@ -235,7 +235,7 @@
             counters: BTreeMap::new(),
             reader: parse_own_spec,
             read: (0, 0),
-            paths: Paths::default(),
+            paths: LaneIndex::default(),
             placement: Placement::new(&me, &at, BTreeMap::new(), Bounds::default()),
             budgets: BTreeMap::new(),
             flights: BTreeMap::new(),
@@ -245,7 +245,7 @@
         }
     }
     /// Another spelling of the operator's document than the product's own.
-    pub fn set_reader(&mut self, r: SpecParser) {
+    pub fn set_spec_parser(&mut self, r: SpecParser) {
         self.reader = r;
     }
     /// Bounds to keep and the region of each zone; before anything is placed.
@@ -259,12 +259,12 @@
         self.placement.policy = p;
     }
     pub fn has(&self, m: Mechanism) -> bool {
-        self.placement.policy.has(m)
+        self.placement.policy.is_enabled(m)
     }
     fn count(&mut self, what: &'static str) {
         *self.counters.entry(what).or_default() += 1;
     }
-    pub fn ready(&self, now: Ms) -> bool {
+    pub fn is_ready(&self, now: Ms) -> bool {
         self.rule >= STABLE_ONLY && now < self.until && self.whole && self.spec.is_some()
     }
     pub fn spec_version(&self) -> u64 {
--- a/coordination/src/proxy/buffer.rs
+++ b/coordination/src/proxy/buffer.rs
@@ -17,7 +17,7 @@
 impl Proxy {
     /// Whether a second round may be made: a small share of first rounds, and a few for free.
     /// None for a tier that a better one presses back: what is left is that one's.
-    pub fn second_round(&mut self, rank: u32, now: Ms) -> bool {
+    pub fn try_draw_named_retry(&mut self, rank: u32, now: Ms) -> bool {
         if self.budget < 100 || !self.has(Mechanism::SecondRounds) || self.pressing(rank, now) > 0 {
             self.count("second_rounds_denied");
             return false;
@@ -27,14 +27,14 @@
         true
     }
 
-    pub fn first_round(&mut self) {
+    pub fn count_first_attempt(&mut self) {
         // Nothing is saved up beyond the few: a quiet hour must not pay for a burst when replicas fail.
         self.budget = (self.budget + SECOND_ROUNDS).min(SECOND_ROUNDS_FREE * 100);
         self.count("first_rounds");
     }
 
     /// Lets a request wait for a place; the worst of a full buffer gives way. Gives tokens to reject.
-    pub fn wait(&mut self, token: u64, rank: u32, time_left: Ms, now: Ms) -> Vec<u64> {
+    pub fn enqueue(&mut self, token: u64, rank: u32, time_left: Ms, now: Ms) -> Vec<u64> {
         let until = now + (time_left * WAIT_PERCENT / 100).min(WAIT_MAX);
         let at = self
             .waiting
@@ -52,12 +52,12 @@
             .collect()
     }
 
-    pub fn unwait(&mut self, token: u64) {
+    pub fn dequeue(&mut self, token: u64) {
         self.waiting.retain(|w| w.token != token);
     }
 
     /// Tokens to try again, best first, and tokens whose wait is over.
-    pub fn waiters(&mut self, now: Ms) -> (Vec<u64>, Vec<u64>) {
+    pub fn poll_queue(&mut self, now: Ms) -> (Vec<u64>, Vec<u64>) {
         let late: Vec<u64> = self
             .waiting
             .iter()
--- a/coordination/src/proxy/counts.rs
+++ b/coordination/src/proxy/counts.rs
@@ -2,7 +2,7 @@
 
 use remote_calls::{GroupRole, RolloutRecord, ServiceMode, ServiceSpec};
 
-use super::{Ended, Placed, Proxy};
+use super::{Assignment, OutcomeClass, Proxy};
 use crate::{
     Ms,
     version_health::{Verdict, VersionHealth, replica_bit},
@@ -37,16 +37,16 @@
         }
     }
 
-    pub(super) fn tally(&mut self, p: &Placed, i: usize) {
+    pub(super) fn tally(&mut self, p: &Assignment, i: usize) {
         self.add(p, i, 1);
     }
 
-    pub(super) fn add(&mut self, p: &Placed, i: usize, n: u64) {
+    pub(super) fn add(&mut self, p: &Assignment, i: usize, n: u64) {
         let k = (
             p.service.clone(),
             p.version.clone(),
             p.lane.clone(),
-            p.warm,
+            p.cached,
             p.role as u8,
         );
         self.change += 1;
@@ -59,7 +59,7 @@
     }
 
     /// A round ended. Gives the version that this proxy begins to cap, if it does.
-    pub fn done(&mut self, p: &Placed, e: Ended, now: Ms) -> Option<String> {
+    pub fn record_outcome(&mut self, p: &Assignment, e: OutcomeClass, now: Ms) -> Option<String> {
         let k = (p.replica.clone(), p.version.clone());
         if let Some(n) = self.open.get_mut(&k) {
             *n = n.saturating_sub(1);
@@ -74,31 +74,31 @@
         }
         // What came by host and path has told its replica's row already.
         match e {
-            Ended::Answered if p.flight == 0 => self.placement.trust(&p.replica),
-            Ended::Failed if p.flight == 0 => {
+            OutcomeClass::Succeeded if p.attempt == 0 => self.placement.trust(&p.replica),
+            OutcomeClass::Failed if p.attempt == 0 => {
                 self.placement
-                    .doubt(&p.replica, now.saturating_sub(p.at), now)
+                    .doubt(&p.replica, now.saturating_sub(p.assigned_at), now)
             }
             _ => {}
         }
         match e {
-            Ended::Answered => self.tally(p, 1),
-            Ended::Slow => {
+            OutcomeClass::Succeeded => self.tally(p, 1),
+            OutcomeClass::Slow => {
                 self.tally(p, 1);
                 self.tally(p, 3);
             }
-            Ended::Failed => {
+            OutcomeClass::Failed => {
                 self.tally(p, 2);
                 let k = (
                     p.service.clone(),
                     p.version.clone(),
                     p.lane.clone(),
-                    p.warm,
+                    p.cached,
                     p.role as u8,
                 );
                 self.tallies.entry(k).or_default()[6] |= replica_bit(&p.replica);
             }
-            Ended::Dropped | Ended::Busy => {}
+            OutcomeClass::ClientGone | OutcomeClass::NotRun => {}
         }
         // This proxy caps a version as soon as its own counts show failures; the control plane's cut follows.
         let stable = self.records.get(&p.service).map(|r| r.2.stable.clone())?;
--- a/coordination/src/proxy/news.rs
+++ b/coordination/src/proxy/news.rs
@@ -8,13 +8,13 @@
     ProxyReport, TableUpdate as BoardMsg,
 };
 
-use super::{Placed, Proxy, Ready, TallyKey};
+use super::{Assignment, Proxy, Ready, TallyKey};
 use crate::{
     Ms,
-    context::{Chain, homes, number},
+    context::{PromptChain, homes_digest, name_digest},
     control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
-    pass::{Ask, Paths},
-    placement::{Needed, Nominee, chain, shared, tokens},
+    pass::{LaneIndex, RequestHead},
+    placement::{Candidate, HomeBoundDemand, prefix_chain, shared_prefix, token_count},
     register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
     state_table::version_stamp,
 };
@@ -23,7 +23,7 @@
 const CONTEXT_TOKENS: u32 = 1_000;
 
 impl Proxy {
-    pub fn on_board(&mut self, m: BoardMsg, now: Ms) {
+    pub fn on_table_update(&mut self, m: BoardMsg, now: Ms) {
         (self.rule, self.until, self.nodes) = (m.serving_rule, m.valid_until, m.nodes.0);
         self.heard = if m.proxy_incarnation == self.born {
             m.counters_through.min(self.change)
@@ -71,8 +71,9 @@
             let mut s = (self.reader)(&c.value.0);
             self.read = version_stamp(c);
             // Tenants bring paths by the ten thousand: the index alone has them.
-            self.placement.needed = Needed::new(s.as_ref().map_or(&[], |s| &s.paths));
-            self.paths = Paths::new(s.as_mut().map_or(vec![], |s| std::mem::take(&mut s.paths)));
+            self.placement.needed = HomeBoundDemand::new(s.as_ref().map_or(&[], |s| &s.paths));
+            self.paths =
+                LaneIndex::new(s.as_mut().map_or(vec![], |s| std::mem::take(&mut s.paths)));
             for v in s.iter().flat_map(|s| &s.services) {
                 v.engine
                     .iter()
@@ -170,7 +171,7 @@
     }
 
     /// Everything counted and open.
-    pub fn hello(&self, now: Ms) -> ProxyReport {
+    pub fn full_report(&self, now: Ms) -> ProxyReport {
         let opens = self
             .open
             .iter()
@@ -193,7 +194,7 @@
     /// What the agent does not have yet: lanes are many, and most rest.
     pub fn news(&self, now: Ms) -> ProxyReport {
         if self.heard == 0 {
-            return self.hello(now);
+            return self.full_report(now);
         }
         let opens = self.moved.keys().map(|k| OpenStreams {
             replica: k.0.as_str().into(),
@@ -236,12 +237,12 @@
     }
 
     /// What shared context is often asked for here, for the holders of the services' duties.
-    pub fn demands(&mut self, now: Ms) -> Vec<DemandMsg> {
+    pub fn context_demands(&mut self, now: Ms) -> Vec<DemandMsg> {
         let edges = self.placement.edges();
-        let due = self.demand.iter_mut().filter(|(_, d)| d.due(edges, now));
+        let due = self.demand.iter_mut().filter(|(_, d)| d.is_due(edges, now));
         due.map(|(s, d)| DemandMsg {
             service: s.as_str().into(),
-            chains: List(d.tell(now)),
+            chains: List(d.report(now)),
         })
         .collect()
     }
@@ -251,23 +252,29 @@
         &mut self,
         lane: &PathSpec,
         service: &str,
-        n: &Nominee,
-        ask: &Ask,
+        n: &Candidate,
+        ask: &RequestHead,
         now: Ms,
     ) -> Option<Ready> {
-        let (Some(key), parts) = (chain(&ask.parts), shared(&ask.parts)) else {
+        let (Some(key), parts) = (
+            prefix_chain(&ask.prefix_blocks),
+            shared_prefix(&ask.prefix_blocks),
+        ) else {
             return None;
         };
-        if tokens(parts) < CONTEXT_TOKENS || !self.placement.has_context(service) {
+        if token_count(parts) < CONTEXT_TOKENS || !self.placement.has_context(service) {
             return None;
         }
-        let c = Chain {
-            version: number(&n.version),
-            homes: homes(&lane.homes),
+        let c = PromptChain {
+            version: name_digest(&n.version),
+            homes: homes_digest(&lane.homes),
             chain: key,
-            tokens: tokens(parts),
+            tokens: token_count(parts),
         };
-        self.demand.entry(service.into()).or_default().ask(c, now);
+        self.demand
+            .entry(service.into())
+            .or_default()
+            .count_request(c, now);
         n.warm.then(|| Ready {
             chain: c,
             parts: parts.iter().map(|p| p.0).collect(),
@@ -275,17 +282,17 @@
     }
 
     /// A first piece came so late that what was taken for ready was read again.
-    pub(super) fn miss_context(&mut self, p: &Placed, r: Ready, now: Ms) {
+    pub(super) fn miss_context(&mut self, p: &Assignment, r: Ready, now: Ms) {
         self.count("context_missed");
         self.placement.missed(&p.replica, &r.parts);
         self.demand
             .entry(p.service.clone())
             .or_default()
-            .miss(r.chain, now);
+            .count_miss(r.chain, now);
     }
 
     /// What another proxy sent, and what failed it.
-    pub fn on_readings(&mut self, m: PrefillReport, now: Ms) {
+    pub fn on_prefill_report(&mut self, m: PrefillReport, now: Ms) {
         m.prefills
             .iter()
             .for_each(|r| self.placement.on_reading(r, now));
--- a/coordination/src/proxy/pass.rs
+++ b/coordination/src/proxy/pass.rs
@@ -4,12 +4,12 @@
 
 use remote_calls::{DownstreamLimits, Fault, GroupRole, Outcome, PathSpec};
 
-use super::{Admit, Ended, Flight, Placed, Proxy, pools};
+use super::{Admission, Assignment, Flight, OutcomeClass, Proxy, pools};
 use crate::{
     Ms,
     edge_agent::REJECT_ALL,
-    pass::{Ask, PassEnd, Told},
-    placement::{Nominee, Want, read_ms},
+    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    placement::{Candidate, PlacementRequest, prefill_ms},
     policy::Mechanism,
     version_health::log_ms,
 };
@@ -21,12 +21,12 @@
 
 impl Proxy {
     /// What a caller by host and path may send, and how long it may take or rest.
-    pub fn limits(&self) -> Option<&DownstreamLimits> {
+    pub fn client_limits(&self) -> Option<&DownstreamLimits> {
         self.spec.as_ref()?.limits.as_ref()
     }
 
     /// The lane of a request, if this edge may serve at all.
-    pub fn path(&mut self, host: &str, path: &str, now: Ms) -> Result<Arc<PathSpec>, Fault> {
+    pub fn find_lane(&mut self, host: &str, path: &str, now: Ms) -> Result<Arc<PathSpec>, Fault> {
         if self.rule == REJECT_ALL || now >= self.until {
             return Err(self.reject("no_rule", "check_rule", "this edge may not serve now"));
         }
@@ -41,16 +41,16 @@
     }
 
     /// Nominates a replica for a request. `tried`: replicas that it went to before.
-    pub fn pass(
+    pub fn assign_by_path(
         &mut self,
         lane: &PathSpec,
-        ask: &Ask,
+        ask: &RequestHead,
         tried: &[String],
         until: Ms,
         now: Ms,
-    ) -> Admit {
+    ) -> Admission {
         if now >= until {
-            return Admit::Reject(self.reject(
+            return Admission::Rejected(self.reject(
                 "no_time",
                 "nominate",
                 "it could not end in its time left",
@@ -61,26 +61,28 @@
                 self.budgets
                     .entry(service.clone())
                     .or_default()
-                    .first(&self.placement.bounds, now);
+                    .count_first_attempt(&self.placement.bounds, now);
             }
             for (role, version, ids) in pools(self.groups(&service, now)) {
                 let evacuated = std::mem::take(&mut self.evacuated);
                 let leaving = &self.leaving;
                 let open = ids.iter().filter(|id| !leaving.contains(*id));
-                let w = Want {
+                let w = PlacementRequest {
                     lane,
-                    ask,
+                    head: ask,
                     tried,
-                    evacuated: &evacuated,
+                    evacuated_zones: &evacuated,
                 };
                 let n = self.placement.nominate(&service, open, &w, now);
                 self.evacuated = evacuated;
                 if let Some(n) = n {
-                    return Admit::Go(self.fly(lane, service, role, version, n, ask, now));
+                    return Admission::Assigned(
+                        self.fly(lane, service, role, version, n, ask, now),
+                    );
                 }
             }
         }
-        Admit::Reject(self.reject("no_replica", "nominate", "no replica may take it now"))
+        Admission::Rejected(self.reject("no_replica", "nominate", "no replica may take it now"))
     }
 
     /// Services of a lane, one drawn by weight first; the others may serve it too if that one has nobody.
@@ -109,10 +111,10 @@
         service: String,
         role: GroupRole,
         version: String,
-        n: Nominee,
-        ask: &Ask,
+        n: Candidate,
+        ask: &RequestHead,
         now: Ms,
-    ) -> Placed {
+    ) -> Assignment {
         let ready = self.ask_context(lane, &service, &n, ask, now);
         self.placement.send(&n, ask, now);
         self.flight += 1;
@@ -128,16 +130,16 @@
                 ready,
             },
         );
-        let p = Placed {
+        let p = Assignment {
             service,
             lane: lane.lane.clone(),
             version,
             replica: n.id,
             addr: n.addr,
             role,
-            warm: n.warm,
-            at: now,
-            flight: self.flight,
+            cached: n.warm,
+            assigned_at: now,
+            attempt: self.flight,
         };
         self.opens((p.replica.clone(), p.version.clone()));
         self.share_out(&p.service, role);
@@ -146,11 +148,11 @@
     }
 
     /// Draws a second round on the budget that holds over all proxies.
-    pub fn second_pass(&mut self, service: &str, now: Ms) -> bool {
+    pub fn try_draw_retry(&mut self, service: &str, now: Ms) -> bool {
         let edges = self.placement.edges();
         let b = self.budgets.entry(service.into()).or_default();
-        let may = self.placement.policy.has(Mechanism::SecondRounds)
-            && b.second(&self.placement.bounds, edges, now);
+        let may = self.placement.policy.is_enabled(Mechanism::SecondRounds)
+            && b.try_draw_retry(&self.placement.bounds, edges, now);
         self.count(if may {
             "second_rounds"
         } else {
@@ -160,28 +162,28 @@
     }
 
     /// Most channels this proxy may hold to each replica of a service.
-    pub fn channels(&self, service: &str) -> usize {
+    pub fn max_connections(&self, service: &str) -> usize {
         self.placement.channels(service)
     }
 
     /// ms there and back to a replica, as far as is known.
-    pub fn way(&self, p: &Placed) -> Ms {
+    pub fn round_trip_ms(&self, p: &Assignment) -> Ms {
         self.placement.way(&p.replica)
     }
 
     /// A channel was opened; it took so long.
-    pub fn opened(&mut self, p: &Placed, took: Ms, _now: Ms) {
+    pub fn on_connected(&mut self, p: &Assignment, took: Ms, _now: Ms) {
         self.placement.opened(&p.replica, took);
     }
 
     /// An answer's head came.
-    pub fn heard(&mut self, p: &Placed, t: &Told, now: Ms) {
+    pub fn on_response_head(&mut self, p: &Assignment, t: &ResponseSignals, now: Ms) {
         self.placement.heard(&p.service, &p.replica, t, now);
     }
 
     /// The first event or bytes of an answer came.
-    pub fn first_piece(&mut self, p: &Placed, now: Ms) {
-        let Some(f) = self.flights.get_mut(&p.flight) else {
+    pub fn on_first_chunk(&mut self, p: &Assignment, now: Ms) {
+        let Some(f) = self.flights.get_mut(&p.attempt) else {
             return;
         };
         let Some(read) = f.read_ms.take() else { return };
@@ -193,7 +195,7 @@
         // Others' prompts make a replica late too: it must be late by most of what reading the shared parts takes, and
         // beyond what it lately was.
         let missed = ready.filter(|r| {
-            late - self.placement.lag(&p.replica, now) > read_ms(r.chain.tokens) * MISSED_PART
+            late - self.placement.lag(&p.replica, now) > prefill_ms(r.chain.tokens) * MISSED_PART
         });
         self.placement.first_piece(&p.replica, read, late, now);
         if let Some(r) = missed {
@@ -204,27 +206,38 @@
     }
 
     /// A round ended; said once for each. Gives the version that this proxy begins to cap, if it does.
-    pub fn passed(&mut self, p: &Placed, e: PassEnd, now: Ms) -> Option<String> {
-        let f = self.flights.remove(&p.flight)?;
+    pub fn on_attempt_ended(
+        &mut self,
+        p: &Assignment,
+        e: AttemptOutcome,
+        now: Ms,
+    ) -> Option<String> {
+        let f = self.flights.remove(&p.attempt)?;
         let failed = matches!(
             e,
-            PassEnd::Failed | PassEnd::Unreachable | PassEnd::Dark | PassEnd::Silent
+            AttemptOutcome::Failed
+                | AttemptOutcome::ConnectRefused
+                | AttemptOutcome::ConnectTimedOut
+                | AttemptOutcome::ResponseTimedOut
         );
         self.placement.end(&p.replica, f.read_ms, failed, now);
-        if e == PassEnd::Dark {
+        if e == AttemptOutcome::ConnectTimedOut {
             self.placement.dark(&p.replica, now);
         }
-        if e == PassEnd::Other {
+        if e == AttemptOutcome::WrongReplica {
             self.placement.gone(&p.replica);
         }
         let ended = match e {
-            PassEnd::Answered if f.slow => Ended::Slow,
-            PassEnd::Answered => Ended::Answered,
-            PassEnd::Slow => Ended::Slow,
-            PassEnd::Failed | PassEnd::Silent => Ended::Failed,
-            PassEnd::Unreachable | PassEnd::Dark | PassEnd::Full | PassEnd::Other => Ended::Busy,
-            PassEnd::Dropped => Ended::Dropped,
+            AttemptOutcome::Completed if f.slow => OutcomeClass::Slow,
+            AttemptOutcome::Completed => OutcomeClass::Succeeded,
+            AttemptOutcome::Slow => OutcomeClass::Slow,
+            AttemptOutcome::Failed | AttemptOutcome::ResponseTimedOut => OutcomeClass::Failed,
+            AttemptOutcome::ConnectRefused
+            | AttemptOutcome::ConnectTimedOut
+            | AttemptOutcome::AtCapacity
+            | AttemptOutcome::WrongReplica => OutcomeClass::NotRun,
+            AttemptOutcome::ClientGone => OutcomeClass::ClientGone,
         };
-        self.done(p, ended, now)
+        self.record_outcome(p, ended, now)
     }
 }
--- a/coordination/src/proxy/place.rs
+++ b/coordination/src/proxy/place.rs
@@ -7,9 +7,10 @@
 };
 use wire_messages::Node;
 
-use super::{Admit, Placed, Proxy, Seen};
+use super::{Admission, Assignment, Proxy, Seen};
 use crate::{
-    Ms, claims, edge_agent::REJECT_ALL, placement::kept::PREFIX_KEPT, rendezvous::rendezvous_weight,
+    Ms, claims, edge_agent::REJECT_ALL, placement::kept::PREFIX_CACHE_TTL,
+    rendezvous::rendezvous_weight,
 };
 
 /// ms. Least and most of Retry-After; the spread keeps rejected callers from returning together.
@@ -171,7 +172,7 @@
     }
 
     /// Checks a request that has come to run, before anything is claimed for it.
-    pub fn check(&mut self, q: &RunRequest, now: Ms) -> Result<u32, Fault> {
+    pub fn check_request(&mut self, q: &RunRequest, now: Ms) -> Result<u32, Fault> {
         let spec = self.allowed(now)?;
         let (s, l, rank, _) = Self::lane(&spec, &q.service, &q.lane, &q.tier)?;
         if claims::holders(&q.request).is_none() {
@@ -216,18 +217,18 @@
     }
 
     /// Finds a place now. `tried`: replicas that already failed this request.
-    pub fn place(&mut self, q: &RunRequest, tried: &[String], now: Ms) -> Admit {
+    pub fn assign_named(&mut self, q: &RunRequest, tried: &[String], now: Ms) -> Admission {
         let spec = match self.allowed(now) {
             Ok(s) => s,
-            Err(f) => return Admit::Reject(f),
+            Err(f) => return Admission::Rejected(f),
         };
         let (s, rank, keep) = match Self::lane(&spec, &q.service, &q.lane, &q.tier) {
             Ok((s, _, r, k)) => (s, r, k),
-            Err(f) => return Admit::Reject(f),
+            Err(f) => return Admission::Rejected(f),
         };
         let zones = match self.homes(s, &q.homes) {
             Ok(z) => z,
-            Err(f) => return Admit::Reject(f),
+            Err(f) => return Admission::Rejected(f),
         };
         // Near first: the edge's own zone, then the other homes.
         let own: BTreeSet<String> = zones
@@ -255,19 +256,23 @@
                     .and_then(|r| r.2.replicas.iter().find(|p| p.id == id))
                     .map(|p| p.addr.clone());
                 let Some(addr) = addr else { continue };
-                return Admit::Go(self.begin(q, role, v, id, addr, now));
+                return Admission::Assigned(self.begin(q, role, v, id, addr, now));
             }
         }
         self.press(rank, now);
         // A second round does not wait again: its answer is due at once.
         if !tried.is_empty() {
-            return Admit::Reject(self.reject("full", "place", "no other replica has a place"));
+            return Admission::Rejected(self.reject(
+                "full",
+                "place",
+                "no other replica has a place",
+            ));
         }
-        Admit::Full
+        Admission::NoFreeSlot
     }
 
     /// The place of a run that a caller goes on with: its own replica and no other.
-    pub fn resume(&mut self, q: &RunRequest, id: &str, now: Ms) -> Option<Placed> {
+    pub fn assign_resumed(&mut self, q: &RunRequest, id: &str, now: Ms) -> Option<Assignment> {
         let r = &self.records.get(&q.service)?.2;
         let addr = r.replicas.iter().find(|p| p.id == id)?.addr.clone();
         if !q.homes.contains(&self.seen.get(id)?.report.zone) {
@@ -282,7 +287,7 @@
         Some(self.begin(q, GroupRole::Stable, version, id.into(), addr, now))
     }
 
-    pub fn expected(&self, service: &str, lane: &str) -> Ms {
+    pub fn expected_ms(&self, service: &str, lane: &str) -> Ms {
         let s = self
             .spec
             .as_ref()
@@ -299,17 +304,17 @@
         replica: String,
         addr: String,
         now: Ms,
-    ) -> Placed {
+    ) -> Assignment {
         let mut warm = false;
         for p in &q.prefixes {
             let k = (replica.clone(), format!("{version} {p}"));
             warm |= self
                 .warm
                 .insert(k, now)
-                .is_some_and(|t| now - t < PREFIX_KEPT);
+                .is_some_and(|t| now - t < PREFIX_CACHE_TTL);
         }
         if self.warm.len() > PREFIXES {
-            let old = now.saturating_sub(PREFIX_KEPT / 2);
+            let old = now.saturating_sub(PREFIX_CACHE_TTL / 2);
             self.warm.retain(|_, t| *t > old);
         }
         if let Some(s) = self.seen.get_mut(&replica) {
@@ -317,16 +322,16 @@
         }
         self.opens((replica.clone(), version.clone()));
         self.share_out(&q.service, role);
-        let p = Placed {
+        let p = Assignment {
             service: q.service.clone(),
             lane: q.lane.clone(),
             version,
             replica,
             addr,
             role,
-            warm,
-            at: now,
-            flight: 0,
+            cached: warm,
+            assigned_at: now,
+            attempt: 0,
         };
         self.tally(&p, 0);
         p
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -8,7 +8,7 @@
 use crate::{
     Ms,
     edge_agent::SERVE_ALL,
-    placement::kept::PREFIX_KEPT,
+    placement::kept::PREFIX_CACHE_TTL,
     policy::Mechanism,
     proxy::buffer::WAITING,
     rendezvous::rendezvous_weight,
@@ -30,7 +30,7 @@
 
 impl Proxy {
     /// Replicas to ask for their reports: id and address.
-    pub fn replicas(&self) -> Vec<(String, String)> {
+    pub fn replicas_to_poll(&self) -> Vec<(String, String)> {
         let all = self.records.values().flat_map(|r| &r.2.replicas);
         // What the record tells of a replica needs no asking.
         let all = all.filter(|p| p.slots == 0);
@@ -219,7 +219,7 @@
         let k = (id.to_string(), format!("{version} {prefix}"));
         self.warm
             .get(&k)
-            .is_some_and(|t| now.saturating_sub(*t) < PREFIX_KEPT)
+            .is_some_and(|t| now.saturating_sub(*t) < PREFIX_CACHE_TTL)
     }
 
     /// The replica for a prompt: the first in its longest prefix's order that is not too busy, else the freest.
--- a/coordination/src/request.rs
+++ b/coordination/src/request.rs
@@ -5,35 +5,35 @@
 
 use crate::{
     claims::{self, GRANTED, HELD_BY_OTHER, VOIDED},
-    proxy::{Ended, Placed},
+    proxy::{Assignment, OutcomeClass},
 };
 
 /// Why a round was not begun.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NotBegun {
+pub enum AttemptError {
     /// The replica said that it runs nothing of it, or no connection was opened: certainly not run.
     NotRun(Fault),
     /// A byte may have reached the replica.
     Unknown(Fault),
     /// The process slept between choosing the place and calling it: what it chose by may have lapsed.
-    Stale,
+    StaleAssignment,
 }
 
-impl std::fmt::Display for NotBegun {
+impl std::fmt::Display for AttemptError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            NotBegun::NotRun(x) | NotBegun::Unknown(x) => x.fmt(f),
-            NotBegun::Stale => f.write_str("the place was stale"),
+            AttemptError::NotRun(x) | AttemptError::Unknown(x) => x.fmt(f),
+            AttemptError::StaleAssignment => f.write_str("the place was stale"),
         }
     }
 }
 
-impl NotBegun {
-    pub fn ended(&self) -> Ended {
+impl AttemptError {
+    pub fn outcome_class(&self) -> OutcomeClass {
         match self {
-            NotBegun::NotRun(f) if f.code == "busy" => Ended::Busy,
-            NotBegun::NotRun(_) | NotBegun::Stale => Ended::Dropped,
-            NotBegun::Unknown(_) => Ended::Failed,
+            AttemptError::NotRun(f) if f.code == "busy" => OutcomeClass::NotRun,
+            AttemptError::NotRun(_) | AttemptError::StaleAssignment => OutcomeClass::ClientGone,
+            AttemptError::Unknown(_) => OutcomeClass::Failed,
         }
     }
 }
@@ -45,35 +45,35 @@
     Claim {
         void: bool,
     },
-    Place,
-    Call(Placed),
+    Assign,
+    Call(Assignment),
     /// Ask the budget for a second round.
-    Budget,
+    DrawRetry,
     /// The round has begun: pass its lines on.
-    Stream(Placed),
+    Stream(Assignment),
     /// The final answer, at once.
     Reply(Fault),
 }
 
 /// What came of a step.
 #[derive(Clone, Debug)]
-pub enum Got {
+pub enum StepResult {
     Checked(Result<u32, Fault>),
     Claimed(u8),
-    Placed(Result<Placed, Fault>),
-    Begun(Result<(), NotBegun>),
+    Assigned(Result<Assignment, Fault>),
+    Started(Result<(), AttemptError>),
     /// The budget's word; without one, the rejection to give.
-    Budget(Result<(), Fault>),
+    RetryDrawn(Result<(), Fault>),
 }
 
 #[derive(Clone, Debug)]
 pub struct Request {
-    pub q: RunRequest,
+    pub run_request: RunRequest,
     /// Tells this try of the request from every other.
-    pub round: u64,
+    pub attempt_seed: u64,
     pub rank: u32,
     pub tried: Vec<String>,
-    placed: Option<Placed>,
+    placed: Option<Assignment>,
     /// A rejection that waits for its void.
     pending: Option<Fault>,
     /// A round was tried of which nobody knows whether it ran.
@@ -83,8 +83,8 @@
 impl Request {
     pub fn new(q: RunRequest, round: u64) -> Self {
         Request {
-            q,
-            round,
+            run_request: q,
+            attempt_seed: round,
             rank: 0,
             tried: vec![],
             placed: None,
@@ -95,76 +95,82 @@
 
     /// What a claim is made on, and how long ago it was first used: the caller's own key, or the id.
     pub fn claimed_name(&self) -> (String, u64) {
-        match &self.q.key {
+        match &self.run_request.key {
             Some(k) => (
                 format!("{}{}", claims::CALLER_KEY_PREFIX, k.value.as_str()),
                 k.first_used_ms_ago,
             ),
-            None => (self.q.request.clone(), 0),
+            None => (self.run_request.request.clone(), 0),
         }
     }
 
     fn claims(&self) -> bool {
         // A resume reads on in a run that was claimed when it began.
-        self.q.run_once && self.q.resume.is_none()
+        self.run_request.run_once && self.run_request.resume.is_none()
     }
 
     /// "Not run" must stay true: a majority voids a run-once id before it is said.
     fn give_up(&mut self, mut f: Fault) -> Step {
-        if self.perhaps || self.q.resume.is_some() || f.outcome == Some(Outcome::Unknown) {
+        if self.perhaps || self.run_request.resume.is_some() || f.outcome == Some(Outcome::Unknown)
+        {
             f.outcome = Some(Outcome::Unknown);
             return Step::Reply(f);
         }
         f.outcome = Some(Outcome::NotRun);
-        if !self.claims() || (self.q.key.is_none() && claims::holders(&self.q.request).is_none()) {
+        if !self.claims()
+            || (self.run_request.key.is_none()
+                && claims::holders(&self.run_request.request).is_none())
+        {
             return Step::Reply(f);
         }
         self.pending = Some(f);
         Step::Claim { void: true }
     }
 
-    pub fn next(&mut self, got: Got) -> Step {
+    pub fn next(&mut self, got: StepResult) -> Step {
         match got {
-            Got::Checked(Ok(rank)) => {
+            StepResult::Checked(Ok(rank)) => {
                 self.rank = rank;
                 if self.claims() {
                     Step::Claim { void: false }
                 } else {
-                    Step::Place
+                    Step::Assign
                 }
             }
-            Got::Checked(Err(f)) => self.give_up(f),
-            Got::Claimed(state) => self.claimed(state),
-            Got::Placed(Ok(p)) => {
+            StepResult::Checked(Err(f)) => self.give_up(f),
+            StepResult::Claimed(state) => self.claimed(state),
+            StepResult::Assigned(Ok(p)) => {
                 self.placed = Some(p.clone());
                 Step::Call(p)
             }
-            Got::Placed(Err(f)) => self.give_up(f),
-            Got::Begun(Ok(())) => match self.placed.clone() {
+            StepResult::Assigned(Err(f)) => self.give_up(f),
+            StepResult::Started(Ok(())) => match self.placed.clone() {
                 Some(p) => Step::Stream(p),
-                None => Step::Place,
+                None => Step::Assign,
             },
-            Got::Begun(Err(NotBegun::Unknown(f))) => {
+            StepResult::Started(Err(AttemptError::Unknown(f))) => {
                 self.perhaps = true;
                 // What may run only once is never tried again after a byte may have reached a replica.
-                if self.q.run_once || self.q.resume.is_some() {
+                if self.run_request.run_once || self.run_request.resume.is_some() {
                     return Step::Reply(f.outcome(Outcome::Unknown));
                 }
                 self.again()
             }
-            Got::Begun(Err(NotBegun::Stale)) => Step::Place,
-            Got::Begun(Err(NotBegun::NotRun(f))) if self.q.resume.is_some() => {
+            StepResult::Started(Err(AttemptError::StaleAssignment)) => Step::Assign,
+            StepResult::Started(Err(AttemptError::NotRun(f)))
+                if self.run_request.resume.is_some() =>
+            {
                 Step::Reply(f.outcome(Outcome::Unknown))
             }
-            Got::Begun(Err(NotBegun::NotRun(_))) => self.again(),
-            Got::Budget(Ok(())) => Step::Place,
-            Got::Budget(Err(f)) => self.give_up(f),
+            StepResult::Started(Err(AttemptError::NotRun(_))) => self.again(),
+            StepResult::RetryDrawn(Ok(())) => Step::Assign,
+            StepResult::RetryDrawn(Err(f)) => self.give_up(f),
         }
     }
 
     fn again(&mut self) -> Step {
         self.tried.extend(self.placed.take().map(|p| p.replica));
-        Step::Budget
+        Step::DrawRetry
     }
 
     fn claimed(&mut self, state: u8) -> Step {
@@ -178,7 +184,7 @@
         }
         let f = |code: &str, m: &str| Fault::new(code, "claim", m);
         match state {
-            GRANTED => Step::Place,
+            GRANTED => Step::Assign,
             VOIDED => Step::Reply(
                 f("voided", "the request was given up before and never runs")
                     .outcome(Outcome::NotRun),
--- a/coordination/src/request/tests.rs
+++ b/coordination/src/request/tests.rs
@@ -10,17 +10,17 @@
 fn fault() -> Fault {
     Fault::new("lost", "x", "x")
 }
-fn placed() -> Placed {
-    Placed {
+fn placed() -> Assignment {
+    Assignment {
         service: "s".into(),
         lane: "l".into(),
         version: "v".into(),
         replica: "r".into(),
         addr: "a".into(),
         role: remote_calls::GroupRole::Stable,
-        warm: false,
-        at: 0,
-        flight: 0,
+        cached: false,
+        assigned_at: 0,
+        attempt: 0,
     }
 }
 fn outcome(s: Step) -> Option<Outcome> {
@@ -31,23 +31,23 @@
 #[gtest]
 fn run_once_is_never_called_again_after_a_byte_may_have_left() {
     let mut r = request(true);
-    r.next(Got::Checked(Ok(0)));
-    r.next(Got::Claimed(GRANTED));
-    r.next(Got::Placed(Ok(placed())));
+    r.next(StepResult::Checked(Ok(0)));
+    r.next(StepResult::Claimed(GRANTED));
+    r.next(StepResult::Assigned(Ok(placed())));
     expect_that!(
-        outcome(r.next(Got::Begun(Err(NotBegun::Unknown(fault()))))),
+        outcome(r.next(StepResult::Started(Err(AttemptError::Unknown(fault()))))),
         eq(Some(Outcome::Unknown))
     );
     // The same for what may run often ends in a second round, but never in "not run".
     let mut r = request(false);
-    r.next(Got::Checked(Ok(0)));
-    r.next(Got::Placed(Ok(placed())));
+    r.next(StepResult::Checked(Ok(0)));
+    r.next(StepResult::Assigned(Ok(placed())));
     expect_that!(
-        r.next(Got::Begun(Err(NotBegun::Unknown(fault())))),
-        eq(&Step::Budget)
+        r.next(StepResult::Started(Err(AttemptError::Unknown(fault())))),
+        eq(&Step::DrawRetry)
     );
     expect_that!(
-        outcome(r.next(Got::Budget(Err(fault())))),
+        outcome(r.next(StepResult::RetryDrawn(Err(fault())))),
         eq(Some(Outcome::Unknown))
     );
 }
@@ -62,9 +62,9 @@
     ] {
         let mut r = request(true);
         expect_that!(
-            r.next(Got::Checked(Err(fault()))),
+            r.next(StepResult::Checked(Err(fault()))),
             eq(&Step::Claim { void: true })
         );
-        expect_that!(outcome(r.next(Got::Claimed(state))), eq(Some(said)));
+        expect_that!(outcome(r.next(StepResult::Claimed(state))), eq(Some(said)));
     }
 }
--- a/coordination/src/stream.rs
+++ b/coordination/src/stream.rs
@@ -7,9 +7,9 @@
 
 /// What a line means for the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum CheckedLine {
     /// Pass it on.
-    Line(StreamLine),
+    Forward(StreamLine),
     /// The end mark, whole: pass it on, the round is over.
     End(StreamLine),
     /// No whole answer will come; the line that tells the caller so.
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Lines {
+pub struct LineChecker {
     request: String,
     replica: String,
     /// The run that is read: a resume's own, else the one that the first line names.
@@ -29,11 +29,11 @@
     over: bool,
 }
 
-impl Lines {
+impl LineChecker {
     /// `resume`: the run that the caller goes on with, and the last piece that it already has.
     pub fn new(request: &str, replica: &str, resume: Option<&ResumePoint>) -> Self {
         let (run, after) = (resume.map(|r| r.run.clone()), resume.map_or(0, |r| r.after));
-        Lines {
+        LineChecker {
             request: request.into(),
             replica: replica.into(),
             run,
@@ -44,7 +44,7 @@
         }
     }
 
-    pub fn broken(&mut self, code: &str, m: impl Into<String>) -> Next {
+    pub fn broken(&mut self, code: &str, m: impl Into<String>) -> CheckedLine {
         self.over = true;
         let f = Fault::new(code, "read_stream", m)
             .peer(self.replica.clone())
@@ -55,21 +55,21 @@
     fn differs(&self, e: &StreamEnd) -> bool {
         matches!((&self.text, &e.digest), (Some(t), Some(d)) if *d != text_digest(t))
     }
-    fn unknown(&self, f: Fault) -> Next {
+    fn unknown(&self, f: Fault) -> CheckedLine {
         let end = StreamEnd {
             outcome: Outcome::Unknown,
             pieces: self.next - 1,
             digest: None,
             fault: Some(f),
         };
-        Next::Broken(StreamLine {
+        CheckedLine::Broken(StreamLine {
             start: None,
             piece: None,
             end: Some(end),
         })
     }
 
-    pub fn take(&mut self, l: StreamLine) -> Next {
+    pub fn check(&mut self, l: StreamLine) -> CheckedLine {
         match (&l.start, &l.piece, &l.end) {
             _ if self.over => self.broken("over", "the round has ended"),
             (Some(_), None, None) if self.begun => {
@@ -84,7 +84,7 @@
             }
             (Some(_), None, None) => {
                 self.begun = true;
-                Next::Line(l)
+                CheckedLine::Forward(l)
             }
             _ if !self.begun => self.broken("bad_stream", "nothing told whose answer this is"),
             (None, Some(p), None) if p.n == self.next => {
@@ -92,7 +92,7 @@
                 if let Some(t) = &mut self.text {
                     t.push_str(&p.text);
                 }
-                Next::Line(l)
+                CheckedLine::Forward(l)
             }
             (None, Some(p), None) => {
                 let m = format!("piece {} came where {} was due", p.n, self.next);
@@ -107,7 +107,7 @@
                 if e.outcome == Outcome::Answered && e.pieces + 1 == self.next =>
             {
                 self.over = true;
-                Next::End(l)
+                CheckedLine::End(l)
             }
             (None, None, Some(e)) if e.outcome != Outcome::Answered => {
                 self.over = true;
--- a/coordination/src/stream/tests.rs
+++ b/coordination/src/stream/tests.rs
@@ -49,13 +49,13 @@
         replica: "r".into(),
         after,
     };
-    let mut l = Lines::new("q", "r", (after > 0).then_some(&at));
+    let mut l = LineChecker::new("q", "r", (after > 0).then_some(&at));
     let mut ok = false;
     for x in lines {
-        match l.take(x) {
-            Next::Line(_) => {}
-            Next::End(_) => ok = true,
-            Next::Broken(_) => return false,
+        match l.check(x) {
+            CheckedLine::Forward(_) => {}
+            CheckedLine::End(_) => ok = true,
+            CheckedLine::Broken(_) => return false,
         }
     }
     ok
--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -1,14 +1,14 @@
 //! Calls to the platform: one bound for the whole fleet, also while a duty goes from one holder to another.
 
-use coordination::{Ms, control::call_rate_share, placement::Bucket};
+use coordination::{Ms, control::call_rate_share, placement::TokenBucket};
 use googletest::prelude::*;
 
 /// Most calls in any second, of callers who call whenever they may; each begins and ends at times of its own.
 fn most(rate: f64, callers: &[(Ms, Ms)], share: f64) -> usize {
     let mut at: Vec<Ms> = vec![];
     for &(from, to) in callers {
-        let mut b = Bucket::new(share, 1.0, from);
-        at.extend((from..to).filter(|t| b.draw(*t)));
+        let mut b = TokenBucket::new(share, 1.0, from);
+        at.extend((from..to).filter(|t| b.try_draw(*t)));
     }
     at.sort_unstable();
     assert!(rate > 0.0 && !at.is_empty());
--- a/coordination/tests/context_demand.rs
+++ b/coordination/tests/context_demand.rs
@@ -5,17 +5,18 @@
 use coordination::{
     Ms,
     context::{
-        Asked, Chain, DEMAND_CHAINS, DEMAND_EVERY, DEMAND_HALF, DEMAND_OLD, DEMAND_TOLD, Demand,
-        Demands, Inputs, STANDING_MOST, decide, homes, number,
+        CONTEXT_COPIES_MAX, DEMAND_HALF_LIFE, DEMAND_REPORT_INTERVAL_MIN, DEMAND_REPORT_MAX_AGE,
+        DemandCount, FleetDemand, LocalDemand, PlacementInputs, PromptChain, REPORTED_CHAINS_MAX,
+        TRACKED_CHAINS_MAX, homes_digest, name_digest, next_record,
     },
     wire::{ContextDemand as DemandMsg, List, Name, encode},
 };
 use googletest::prelude::*;
 use remote_calls::{ContextRecord, ContextSpec, PlacedReplica};
 
-fn chain(c: u64) -> Chain {
-    Chain {
-        version: number("v1"),
+fn chain(c: u64) -> PromptChain {
+    PromptChain {
+        version: name_digest("v1"),
         homes: 0,
         chain: c,
         tokens: 13_300,
@@ -36,7 +37,7 @@
     }
     fn count(&self, c: u64, now: Ms) -> f64 {
         self.0.get(&c).map_or(0.0, |(n, at)| {
-            n * 0.5f64.powf((now - at) as f64 / DEMAND_HALF as f64)
+            n * 0.5f64.powf((now - at) as f64 / DEMAND_HALF_LIFE as f64)
         })
     }
 }
@@ -52,8 +53,8 @@
             .collect();
         let mut rng = fastrand::Rng::with_seed(3);
         let (mut all, mut sum, mut truth) = (
-            vec![Demand::default(); edges],
-            Demands::default(),
+            vec![LocalDemand::default(); edges],
+            FleetDemand::default(),
             Truth::default(),
         );
         let (mut bytes, mut now) = (0, 0);
@@ -62,18 +63,18 @@
             let c = zipf(&mut rng, &sums);
             truth.ask(c, now);
             let e = rng.usize(..edges);
-            all[e].ask(chain(c), now);
-            if all[e].due(edges, now) {
-                let parts = all[e].tell(now);
-                expect_that!(parts.len(), le(DEMAND_TOLD));
+            all[e].count_request(chain(c), now);
+            if all[e].is_due(edges, now) {
+                let parts = all[e].report(now);
+                expect_that!(parts.len(), le(REPORTED_CHAINS_MAX));
                 bytes += encode(&envelope(&parts)).map_or(0, |b| b.len());
-                sum.tell(&Name(format!("e{e}")), parts, now);
+                sum.merge_report(&Name(format!("e{e}")), parts, now);
             }
         }
-        let told = sum.sums(&|_| Some("r".into()), now);
+        let told = sum.totals(&|_| Some("r".into()), now);
         let count = |c: u64| {
             told.get(&("r".to_string(), chain(c)))
-                .map_or(0.0, |a| a.asked)
+                .map_or(0.0, |a| a.requests)
         };
         // Never more than was asked, but for decay in steps of a second.
         let over = (0..chains as u64)
@@ -81,8 +82,8 @@
             .fold(0.0, f64::max);
         expect_that!(over, le(0.5), "{edges} edges");
         // Too low by what the summaries err by, what was cut off, and what has not been told yet.
-        let lately: f64 = rate * DEMAND_HALF as f64 / 1_000.0 / std::f64::consts::LN_2;
-        let most = lately / DEMAND_CHAINS as f64 + lately * 0.15;
+        let lately: f64 = rate * DEMAND_HALF_LIFE as f64 / 1_000.0 / std::f64::consts::LN_2;
+        let most = lately / TRACKED_CHAINS_MAX as f64 + lately * 0.15;
         let under = (0..20)
             .map(|c| truth.count(c, now) - count(c))
             .fold(0.0, f64::max);
@@ -115,42 +116,42 @@
 
 #[gtest]
 fn what_is_not_asked_for_any_more_decays_and_an_edge_that_is_gone_counts_no_more() {
-    let mut d = Demand::default();
-    (0..100).for_each(|i| d.ask(chain(1), i * 10));
+    let mut d = LocalDemand::default();
+    (0..100).for_each(|i| d.count_request(chain(1), i * 10));
     let count = |p: &[coordination::wire::ChainDemand]| p.first().map_or(0, |p| p.requests / 256);
-    expect_that!(count(&d.tell(1_000)), ge(90));
+    expect_that!(count(&d.report(1_000)), ge(90));
     expect_that!(
-        count(&d.tell(1_000 + 2 * DEMAND_HALF)),
+        count(&d.report(1_000 + 2 * DEMAND_HALF_LIFE)),
         all![ge(20), le(26)]
     );
-    expect_that!(d.tell(1_000 + 20 * DEMAND_HALF), is_empty());
-    let mut all = Demands::default();
-    let mut d = Demand::default();
-    (0..100).for_each(|_| d.ask(chain(1), 0));
-    all.tell(&"e".into(), d.tell(0), 0);
+    expect_that!(d.report(1_000 + 20 * DEMAND_HALF_LIFE), is_empty());
+    let mut all = FleetDemand::default();
+    let mut d = LocalDemand::default();
+    (0..100).for_each(|_| d.count_request(chain(1), 0));
+    all.merge_report(&"e".into(), d.report(0), 0);
     // Told twice it counts once.
-    all.tell(&"e".into(), d.tell(0), 0);
-    let sum = |all: &mut Demands, now| {
-        all.sums(&|_| Some("r".into()), now)
+    all.merge_report(&"e".into(), d.report(0), 0);
+    let sum = |all: &mut FleetDemand, now| {
+        all.totals(&|_| Some("r".into()), now)
             .values()
-            .map(|a| a.asked)
+            .map(|a| a.requests)
             .sum::<f64>()
     };
     expect_that!(sum(&mut all, 0), near(100.0, 1.0));
-    expect_that!(sum(&mut all, DEMAND_HALF), near(50.0, 1.0));
-    expect_that!(sum(&mut all, DEMAND_OLD), eq(0.0));
-    expect_that!(DEMAND_EVERY * 3, lt(DEMAND_OLD));
+    expect_that!(sum(&mut all, DEMAND_HALF_LIFE), near(50.0, 1.0));
+    expect_that!(sum(&mut all, DEMAND_REPORT_MAX_AGE), eq(0.0));
+    expect_that!(DEMAND_REPORT_INTERVAL_MIN * 3, lt(DEMAND_REPORT_MAX_AGE));
 }
 
 #[gtest]
 fn a_flood_of_names_takes_no_more_memory_and_moves_no_copy() {
-    let mut d = Demand::default();
+    let mut d = LocalDemand::default();
     let mut rng = fastrand::Rng::with_seed(1);
     for i in 0..200_000u64 {
         // One in fifty asks for the same; all others for what nobody asked before.
-        d.ask(chain(if i % 50 == 0 { 1 } else { rng.u64(2..) }), i / 10);
+        d.count_request(chain(if i % 50 == 0 { 1 } else { rng.u64(2..) }), i / 10);
     }
-    let all = d.tell(20_000);
+    let all = d.report(20_000);
     expect_that!(all.first().map(|p| p.chain), some(eq(1)));
     let sure = |p: &coordination::wire::ChainDemand| p.requests - p.overcount;
     expect_that!(
@@ -182,7 +183,7 @@
     replicas: Vec<PlacedReplica>,
     homes: Vec<String>,
     young: bool,
-    asked: BTreeMap<(String, Chain), Asked>,
+    asked: BTreeMap<(String, PromptChain), DemandCount>,
 }
 impl Case {
     fn new() -> Self {
@@ -196,17 +197,22 @@
         }
     }
     fn ask(&mut self, zone: &str, c: u64, asked: f64) {
-        let c = Chain {
-            homes: homes(&self.homes),
+        let c = PromptChain {
+            homes: homes_digest(&self.homes),
             ..chain(c)
         };
-        self.asked
-            .insert((format!("r{zone}"), c), Asked { asked, missed: 0.0 });
+        self.asked.insert(
+            (format!("r{zone}"), c),
+            DemandCount {
+                requests: asked,
+                cache_misses: 0.0,
+            },
+        );
     }
     fn decide(&self, old: &ContextRecord) -> ContextRecord {
-        decide(
+        next_record(
             old,
-            &Inputs {
+            &PlacementInputs {
                 spec: &ContextSpec {
                     on: self.on,
                     share_percent: self.share,
@@ -215,9 +221,9 @@
                 version: "v1",
                 replicas: &self.replicas,
                 region: &|z| format!("r{z}"),
-                homes: &[(homes(&self.homes), self.homes.clone())].into(),
-                asked: &self.asked,
-                young: self.young,
+                homes: &[(homes_digest(&self.homes), self.homes.clone())].into(),
+                demand: &self.asked,
+                is_incomplete: self.young,
             },
         )
     }
@@ -243,9 +249,9 @@
     expect_that!(r.parts.len(), ge(30));
     expect_that!(k.decide(&r), eq(&r));
     // Half as many asks, or half as many more, is no reason to move what stands.
-    k.asked.values_mut().for_each(|a| a.asked *= 0.5);
+    k.asked.values_mut().for_each(|a| a.requests *= 0.5);
     expect_that!(k.decide(&r), eq(&r));
-    k.asked.values_mut().for_each(|a| a.asked *= 3.0);
+    k.asked.values_mut().for_each(|a| a.requests *= 3.0);
     let more = k.decide(&r);
     expect_true!(r.parts.iter().all(|p| more.parts.contains(p)));
     // What is not asked for is given back; but not by one who has not heard everybody.
@@ -268,7 +274,7 @@
             .for_each(|z| k.ask(z, c, 30.0 + c as f64));
     }
     let r = k.decide(&none());
-    expect_that!(r.parts.len(), eq(STANDING_MOST));
+    expect_that!(r.parts.len(), eq(CONTEXT_COPIES_MAX));
     // The most popular ones go first.
     expect_that!(r.parts.iter().map(|p| p.chain).min(), some(ge(400)));
     expect_that!(
@@ -324,6 +330,8 @@
     let mut k = Case::new();
     (0..20).for_each(|c| ["a", "b", "c"].iter().for_each(|z| k.ask(z, c, 20.0)));
     let r = k.decide(&none());
-    k.asked.values_mut().for_each(|a| a.missed = a.asked / 2.0);
+    k.asked
+        .values_mut()
+        .for_each(|a| a.cache_misses = a.requests / 2.0);
     expect_that!(k.decide(&r).parts, is_empty());
 }
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -5,7 +5,7 @@
 
 use coordination::{
     Ms,
-    context::number,
+    context::name_digest,
     register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
     rendezvous::rendezvous_weight,
     wire::{ChainDemand, ContextDemand, List, Message, Node, Poll},
@@ -47,7 +47,7 @@
 }
 fn popular(chain: u64, asks: u32) -> ChainDemand {
     ChainDemand {
-        weights_version: number("v1"),
+        weights_version: name_digest("v1"),
         homes_digest: 0,
         chain,
         tokens: 13_300,
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -7,8 +7,8 @@
     Effect, Effects, Ms, Row,
     control::{Control, ControlConfig, SPEC_KEY},
     edge_agent::EdgeAgent,
-    pass::{Ask, PassEnd},
-    proxy::{Admit, Placed, Proxy},
+    pass::{AttemptOutcome, RequestHead},
+    proxy::{Admission, Assignment, Proxy},
     register::Expect,
     timing::TICK_INTERVAL,
 };
@@ -33,7 +33,7 @@
     lost: u32,
     twice: u32,
     queue: Vec<(Ms, Name, Name, Message)>,
-    running: Vec<(Ms, Placed)>,
+    running: Vec<(Ms, Assignment)>,
     passed: u64,
     /// Tallies and opens told in polls; the longest poll's.
     told: usize,
@@ -102,7 +102,7 @@
         let out = b.control.write(SPEC_KEY, Expect::Any, spec(), b.now).1;
         b.carry("c", out);
         b.run(5_000, 0);
-        assert!(b.proxy.ready(b.now));
+        assert!(b.proxy.is_ready(b.now));
         b
     }
 
@@ -163,7 +163,7 @@
             }
             _ => {
                 if let Message::TableUpdate(m) = msg {
-                    self.proxy.on_board(m, now);
+                    self.proxy.on_table_update(m, now);
                 }
             }
         }
@@ -184,7 +184,8 @@
                 .partition(|r| r.0 <= now && !self.held);
             self.running = left;
             for (_, p) in ended {
-                self.proxy.passed(&p, PassEnd::Answered, now);
+                self.proxy
+                    .on_attempt_ended(&p, AttemptOutcome::Completed, now);
             }
             if self.rng.u64(..1_000) < rate {
                 self.request();
@@ -222,16 +223,19 @@
     }
     fn request(&mut self) {
         let (now, n) = (self.now, self.rng.usize(..LANES));
-        let ask = Ask {
+        let ask = RequestHead {
             host: "h".into(),
             path: format!("/{n}/x"),
-            round: n.to_string(),
-            ..Ask::default()
+            attempt_id: n.to_string(),
+            ..RequestHead::default()
         };
-        let Ok(lane) = self.proxy.path("h", &ask.path, now) else {
+        let Ok(lane) = self.proxy.find_lane("h", &ask.path, now) else {
             return;
         };
-        if let Admit::Go(p) = self.proxy.pass(&lane, &ask, &[], now + 60_000, now) {
+        if let Admission::Assigned(p) =
+            self.proxy
+                .assign_by_path(&lane, &ask, &[], now + 60_000, now)
+        {
             self.passed += 1;
             self.running.push((now + self.rng.u64(50..3_000), p));
         }
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -6,11 +6,11 @@
 
 use coordination::{
     Ms,
-    context::{self, DEMAND_OLD, Demands},
+    context::{self, DEMAND_REPORT_MAX_AGE, FleetDemand},
     control::CONTEXT_WRITE_INTERVAL,
     edge_agent::SERVE_ALL,
-    pass::{Ask, PassEnd, Told},
-    proxy::{Admit, Placed, Proxy},
+    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    proxy::{Admission, Assignment, Proxy},
     rendezvous::rendezvous_weight_of,
     wire::{Blob, Change, List, Node, TableUpdate},
 };
@@ -59,7 +59,7 @@
     epoch: u64,
     since: Ms,
     next: Ms,
-    demands: Demands,
+    demands: FleetDemand,
     frozen_until: Ms,
 }
 
@@ -82,7 +82,7 @@
 enum Ev {
     Arrive {
         proxy: usize,
-        placed: Placed,
+        placed: Assignment,
         parts: Vec<(u64, u32)>,
         at: Ms,
         chain: u64,
@@ -90,7 +90,7 @@
     },
     First {
         proxy: usize,
-        placed: Placed,
+        placed: Assignment,
         at: Ms,
         chain: u64,
         read: bool,
@@ -198,7 +198,7 @@
                 epoch: 1,
                 since: 1_000,
                 next: 0,
-                demands: Demands::default(),
+                demands: FleetDemand::default(),
                 frozen_until: 0,
             },
             rival: None,
@@ -238,7 +238,7 @@
                 leases: List::default(),
                 nodes: nodes.clone(),
             };
-            p.on_board(m, 1_000);
+            p.on_table_update(m, 1_000);
         }
         w.roll();
         // Until every proxy has the record.
@@ -306,7 +306,7 @@
             epoch: self.holder.epoch + 1,
             since: self.now + 2_000,
             next: self.now + 2_000,
-            demands: Demands::default(),
+            demands: FleetDemand::default(),
             frozen_until: 0,
         };
         self.rival = Some(std::mem::replace(&mut self.holder, next));
@@ -319,7 +319,7 @@
                 epoch: 0,
                 since: 0,
                 next: 0,
-                demands: Demands::default(),
+                demands: FleetDemand::default(),
                 frozen_until: 0,
             },
         );
@@ -338,23 +338,26 @@
         let edge = |n: &coordination::wire::Name| {
             Some(region_of(ZONES[n[1..].parse::<usize>().ok()? % 3]))
         };
-        let asked = h.demands.sums(&edge, self.now);
+        let asked = h.demands.totals(&edge, self.now);
         let rows: Vec<PlacedReplica> = self
             .rows()
             .into_iter()
             .filter(|r| r.version == self.version)
             .collect();
-        let homes: BTreeMap<u64, Vec<String>> =
-            [(context::homes(&self.lane.homes), self.lane.homes.clone())].into();
-        let i = context::Inputs {
+        let homes: BTreeMap<u64, Vec<String>> = [(
+            context::homes_digest(&self.lane.homes),
+            self.lane.homes.clone(),
+        )]
+        .into();
+        let i = context::PlacementInputs {
             spec: &self.spec,
             cache_tokens: 348_000,
             version: &self.version,
             replicas: &rows,
             region: &region_of,
             homes: &homes,
-            asked: &asked,
-            young: self.now.saturating_sub(h.since) < DEMAND_OLD,
+            demand: &asked,
+            is_incomplete: self.now.saturating_sub(h.since) < DEMAND_REPORT_MAX_AGE,
         };
         let none = ContextRecord {
             service: SERVICE.into(),
@@ -362,7 +365,7 @@
             parts: vec![],
         };
         let old = self.record.as_ref().map_or(none, |r| r.2.clone());
-        let next = context::decide(&old, &i);
+        let next = context::next_record(&old, &i);
         if self.record.is_some() && next == old {
             return;
         }
@@ -397,14 +400,14 @@
         self.go(proxy, chain, parts, self.now, vec![]);
     }
     fn go(&mut self, proxy: usize, chain: u64, parts: Vec<(u64, u32)>, at: Ms, tried: Vec<String>) {
-        let ask = Ask {
+        let ask = RequestHead {
             tokens: (parts.iter().map(|p| p.1).sum(), 120),
-            parts: parts.clone(),
-            round: parts[1].0.to_string(),
-            ..Ask::default()
+            prefix_blocks: parts.clone(),
+            attempt_id: parts[1].0.to_string(),
+            ..RequestHead::default()
         };
-        let Admit::Go(placed) =
-            self.proxies[proxy].pass(&self.lane, &ask, &tried, Ms::MAX, self.now)
+        let Admission::Assigned(placed) =
+            self.proxies[proxy].assign_by_path(&self.lane, &ask, &tried, Ms::MAX, self.now)
         else {
             self.rejected += 1;
             self.open.remove(&(parts[1].0 & !(1 << 40)));
@@ -428,7 +431,7 @@
     }
     /// Zone of the replica that comes first in a chain's agreed order.
     fn one_place(&self, chain: u64) -> Option<&str> {
-        let of = |e: &&Engine| rendezvous_weight_of(chain, context::number(&e.row.id));
+        let of = |e: &&Engine| rendezvous_weight_of(chain, context::name_digest(&e.row.id));
         self.engines
             .values()
             .filter(|e| e.row.version == self.version)
@@ -456,7 +459,11 @@
                 let now = self.now;
                 let Some(e) = self.engines.get_mut(&placed.replica).filter(|e| e.up) else {
                     // Refused before a byte was read: it may go elsewhere.
-                    self.proxies[proxy].passed(&placed, PassEnd::Unreachable, now);
+                    self.proxies[proxy].on_attempt_ended(
+                        &placed,
+                        AttemptOutcome::ConnectRefused,
+                        now,
+                    );
                     tried.push(placed.replica);
                     return self.go(proxy, chain, parts, at, tried);
                 };
@@ -489,16 +496,16 @@
             } => {
                 let distant = self.one_place(chain).is_some_and(|z| z != ZONES[proxy % 3]);
                 let (now, p) = (self.now, &mut self.proxies[proxy]);
-                p.heard(
+                p.on_response_head(
                     &placed,
-                    &Told {
+                    &ResponseSignals {
                         load: Some((4, 0, 64)),
-                        ..Told::default()
+                        ..ResponseSignals::default()
                     },
                     now,
                 );
-                p.first_piece(&placed, now);
-                p.passed(&placed, PassEnd::Answered, now);
+                p.on_first_chunk(&placed, now);
+                p.on_attempt_ended(&placed, AttemptOutcome::Completed, now);
                 self.calls.push(Call {
                     at,
                     region: proxy % 3,
@@ -508,7 +515,7 @@
                     replica: placed.replica,
                     first: now - at,
                     read,
-                    warm: placed.warm,
+                    warm: placed.cached,
                 });
             }
             Ev::Board { proxy, m } => {
@@ -525,9 +532,9 @@
                     leases: List::default(),
                     nodes: edges(self.proxies.len()),
                 };
-                self.proxies[proxy].on_board(m, self.now);
+                self.proxies[proxy].on_table_update(m, self.now);
             }
-            Ev::Readings { proxy, m } => self.proxies[proxy].on_readings(m, self.now),
+            Ev::Readings { proxy, m } => self.proxies[proxy].on_prefill_report(m, self.now),
             Ev::Demand { from, m } => {
                 self.told_bytes += 36 * m.chains.len() as u64;
                 let now = self.now;
@@ -535,9 +542,11 @@
                 if now < self.holder.since {
                     return;
                 }
-                self.holder
-                    .demands
-                    .tell(&format!("e{from}").as_str().into(), m.chains.0, now);
+                self.holder.demands.merge_report(
+                    &format!("e{from}").as_str().into(),
+                    m.chains.0,
+                    now,
+                );
             }
         }
     }
@@ -560,7 +569,7 @@
                     );
                 }
             }
-            for m in self.proxies[i].demands(self.now) {
+            for m in self.proxies[i].context_demands(self.now) {
                 self.push(WAY + 2, Ev::Demand { from: i, m });
             }
         }
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -4,8 +4,8 @@
 
 use coordination::{
     bounds::Bounds,
-    pass::{Ask, Told},
-    placement::{Budget, Needed, Placement, Want},
+    pass::{RequestHead, ResponseSignals},
+    placement::{HomeBoundDemand, Placement, PlacementRequest, RetryBudget},
     wire::Prefill,
 };
 use googletest::prelude::*;
@@ -56,11 +56,11 @@
     };
     (0..n).map(one).collect()
 }
-fn ask(parts: &[(u64, u32)]) -> Ask {
-    Ask {
+fn ask(parts: &[(u64, u32)]) -> RequestHead {
+    RequestHead {
         tokens: (parts.iter().map(|p| p.1).sum(), 40),
-        parts: parts.to_vec(),
-        ..Ask::default()
+        prefix_blocks: parts.to_vec(),
+        ..RequestHead::default()
     }
 }
 /// One request through a proxy; it is answered at once if `answered`.
@@ -68,20 +68,20 @@
     p: &mut Placement,
     ids: &[String],
     lane: &PathSpec,
-    a: &Ask,
+    a: &RequestHead,
     answered: bool,
     now: u64,
 ) -> Option<String> {
-    let w = Want {
+    let w = PlacementRequest {
         lane,
-        ask: a,
+        head: a,
         tried: &[],
-        evacuated: &BTreeSet::new(),
+        evacuated_zones: &BTreeSet::new(),
     };
     let n = p.nominate("s", ids.iter(), &w, now)?;
     p.send(&n, a, now);
     if answered {
-        p.heard("s", &n.id, &Told::default(), now);
+        p.heard("s", &n.id, &ResponseSignals::default(), now);
         p.first_piece(&n.id, n.read_ms, 0.0, now);
         p.end(&n.id, None, false, now);
     }
@@ -133,15 +133,15 @@
         ..Bounds::default()
     };
     for n in [1, 6, 88] {
-        let mut all = vec![Budget::default(); n];
+        let mut all = vec![RetryBudget::default(); n];
         let (mut first, mut second): (Vec<u64>, Vec<u64>) = (vec![], vec![]);
         // A quiet time, then everything fails: every first round wants as many second ones as it can get.
         for now in (0..40_000u64).step_by(20) {
             let p = &mut all[(now / 20) as usize % n];
-            p.first(&b, now);
+            p.count_first_attempt(&b, now);
             first.push(now);
             for _ in 0..3 {
-                if now > 15_000 && p.second(&b, n, now) {
+                if now > 15_000 && p.try_draw_retry(&b, n, now) {
                     second.push(now);
                 }
             }
@@ -245,11 +245,11 @@
     }
     let gone: BTreeSet<String> = ["b".to_string()].into();
     let (l, a) = (lane(&["rb"]), ask(&[(1, 10)]));
-    let w = Want {
+    let w = PlacementRequest {
         lane: &l,
-        ask: &a,
+        head: &a,
         tried: &[],
-        evacuated: &gone,
+        evacuated_zones: &gone,
     };
     expect_that!(p.nominate("s", ids.iter(), &w, 10), none());
 }
@@ -288,11 +288,11 @@
                 busy(p, now);
             }
             let a = ask(&[(now % 7, 55), (now, 290)]);
-            let w = Want {
+            let w = PlacementRequest {
                 lane: &l,
-                ask: &a,
+                head: &a,
                 tried: &[],
-                evacuated: &BTreeSet::new(),
+                evacuated_zones: &BTreeSet::new(),
             };
             let Some(x) = p.nominate("s", ids.iter(), &w, now) else {
                 continue;
@@ -304,7 +304,7 @@
                 p.end(&x.id, Some(x.read_ms), true, now);
                 continue;
             }
-            p.heard("s", &x.id, &Told::default(), now);
+            p.heard("s", &x.id, &ResponseSignals::default(), now);
             p.first_piece(&x.id, x.read_ms, 0.0, now);
             p.end(&x.id, None, false, now);
         }
@@ -508,11 +508,11 @@
     let (mut tries, mut tries_far) = (vec![], 0);
     for now in (1_000..7_000u64).step_by(10) {
         let i = (now / 10) as usize % 30;
-        let w = Want {
+        let w = PlacementRequest {
             lane: &l,
-            ask: &a,
+            head: &a,
             tried: &[],
-            evacuated: &BTreeSet::new(),
+            evacuated_zones: &BTreeSet::new(),
         };
         let n = fleet[i].nominate("s", ids.iter(), &w, now).unwrap();
         fleet[i].send(&n, &a, now);
@@ -553,11 +553,11 @@
     let (l, a) = (lane(&[]), ask(&[(1, 10)]));
     let mut fleet = fleet(6, &all);
     let number = |p: &mut Placement, id: &str| {
-        let w = Want {
+        let w = PlacementRequest {
             lane: &l,
-            ask: &a,
+            head: &a,
             tried: &[],
-            evacuated: &BTreeSet::new(),
+            evacuated_zones: &BTreeSet::new(),
         };
         let n = p.nominate("s", [id.to_string()].iter(), &w, 10).unwrap();
         p.send(&n, &a, 10);
@@ -611,9 +611,9 @@
     p.heard(
         "s",
         &busy,
-        &Told {
+        &ResponseSignals {
             load: Some((64, 30, 64)),
-            ..Told::default()
+            ..ResponseSignals::default()
         },
         104_100,
     );
@@ -655,9 +655,9 @@
             p.heard(
                 "s",
                 id,
-                &Told {
+                &ResponseSignals {
                     load: Some((30, 0, 64)),
-                    ..Told::default()
+                    ..ResponseSignals::default()
                 },
                 now,
             );
@@ -771,11 +771,11 @@
         } else {
             ask(&[(100 + k % 20, 55), (200 + k % 500, 42), (9_000 + k, 290)])
         };
-        let w = Want {
+        let w = PlacementRequest {
             lane: &l,
-            ask: &a,
+            head: &a,
             tried: &[],
-            evacuated: &BTreeSet::new(),
+            evacuated_zones: &BTreeSet::new(),
         };
         let to = p.nominate("s", ids.iter(), &w, now).unwrap();
         p.send(&to, &a, now);
@@ -784,7 +784,7 @@
         longs += usize::from(k % 6 == 0 && to.id == "r0");
         spoiled += usize::from(fails);
         if !fails {
-            p.heard("s", &to.id, &Told::default(), now);
+            p.heard("s", &to.id, &ResponseSignals::default(), now);
             p.first_piece(&to.id, to.read_ms, 0.0, now);
         }
         p.end(&to.id, fails.then_some(to.read_ms), fails, now);
@@ -815,15 +815,15 @@
     let late = |fleet: &mut [Placement], ids: &[String], n: u64, now: u64| {
         let p = &mut fleet[n as usize % PROXIES];
         let a = short(n);
-        let w = Want {
+        let w = PlacementRequest {
             lane: &l,
-            ask: &a,
+            head: &a,
             tried: &[],
-            evacuated: &BTreeSet::new(),
+            evacuated_zones: &BTreeSet::new(),
         };
         let to = p.nominate("s", ids.iter(), &w, now).unwrap();
         p.send(&to, &a, now);
-        p.heard("s", &to.id, &Told::default(), now);
+        p.heard("s", &to.id, &ResponseSignals::default(), now);
         p.first_piece(&to.id, to.read_ms, 20.0 + (n % 50) as f64, now);
         p.end(&to.id, None, false, now);
         to.id
@@ -870,11 +870,11 @@
             p.end(&id, Some(read), true, now);
         }
         let a = ask(&[(now, 55), (now << 32, 300)]);
-        let w = Want {
+        let w = PlacementRequest {
             lane: &l,
-            ask: &a,
+            head: &a,
             tried: &[],
-            evacuated: &BTreeSet::new(),
+            evacuated_zones: &BTreeSet::new(),
         };
         let n = p.nominate("s", ids.iter(), &w, now).unwrap();
         p.send(&n, &a, now);
@@ -927,7 +927,7 @@
         };
         fleet
             .iter_mut()
-            .for_each(|p| p.needed = Needed::new(&[short.clone(), long.clone()]));
+            .for_each(|p| p.needed = HomeBoundDemand::new(&[short.clone(), long.clone()]));
         let first = |n: u64| ask(&[(n, 13_000), (n << 32, 3_000)]);
         (0..PROMPTS)
             .filter(|n| {
--- a/coordination/tests/suspect.rs
+++ b/coordination/tests/suspect.rs
@@ -3,8 +3,8 @@
 use coordination::{
     Ms,
     edge_agent::SERVE_ALL,
-    pass::{Ask, PassEnd},
-    proxy::{Admit, Placed, Proxy},
+    pass::{AttemptOutcome, RequestHead},
+    proxy::{Admission, Assignment, Proxy},
 };
 use googletest::prelude::*;
 use remote_calls::PathSpec;
@@ -67,7 +67,7 @@
             }]),
             nodes: List::default(),
         };
-        self.proxy.on_board(m, self.now);
+        self.proxy.on_table_update(m, self.now);
     }
     /// The new version has `share`; the old side's flag stands or not.
     fn record(&mut self, phase: &str, share: u32, flag: bool) {
@@ -86,16 +86,16 @@
             "groups": [group("v2", share, false), group("v1", 100 - share, flag)]});
         self.told(change("rollout/s", self.written, &r));
     }
-    fn go(&mut self) -> Option<Placed> {
+    fn go(&mut self) -> Option<Assignment> {
         self.now += 20;
-        match self.proxy.pass(
+        match self.proxy.assign_by_path(
             &self.lane.clone(),
-            &Ask::default(),
+            &RequestHead::default(),
             &[],
             self.now + 10_000,
             self.now,
         ) {
-            Admit::Go(p) => Some(p),
+            Admission::Assigned(p) => Some(p),
             _ => None,
         }
     }
@@ -112,11 +112,11 @@
         for _ in 0..200 {
             let Some(p) = self.go() else { continue };
             let end = if p.version == "v2" {
-                PassEnd::Failed
+                AttemptOutcome::Failed
             } else {
-                PassEnd::Answered
+                AttemptOutcome::Completed
             };
-            self.proxy.passed(&p, end, self.now + 10);
+            self.proxy.on_attempt_ended(&p, end, self.now + 10);
         }
     }
 }
--- a/coordination/tests/tenants.rs
+++ b/coordination/tests/tenants.rs
@@ -95,8 +95,8 @@
 
 fn proxy(reader: fn(&[u8]) -> Option<Spec>) -> Proxy {
     let mut p = Proxy::new("p".into(), "z".into(), "http".into(), 1, 1);
-    p.set_reader(reader);
-    p.on_board(board(1), 10);
+    p.set_spec_parser(reader);
+    p.on_table_update(board(1), 10);
     p
 }
 
@@ -107,12 +107,12 @@
     let mut p = proxy(tenants);
     expect_that!(HELD.load(Relaxed) - before, le(3 * TENANTS * PATH_BYTES));
     // The next spec takes the place of the one before.
-    p.on_board(board(2), 20);
+    p.on_table_update(board(2), 20);
     expect_that!(HELD.load(Relaxed) - before, le(3 * TENANTS * PATH_BYTES));
     let mut seen = BTreeSet::new();
     for i in 0..3 * TENANTS {
         let l = p
-            .path(
+            .find_lane(
                 &format!("tenant-{}.example", i / 3),
                 &format!("/v1/part-{}/chat", i % 3),
                 30,
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -6,7 +6,7 @@
 use awc::Client;
 use coordination::{
     Ms,
-    proxy::{Admit, Ended, Placed},
+    proxy::{Admission, Assignment, OutcomeClass},
     timing::{REPORT_INTERVAL, TICK_INTERVAL},
 };
 use daemon_parts::{
@@ -26,7 +26,7 @@
 struct Waiter {
     q: RunRequest,
     tried: Vec<String>,
-    to: oneshot::Sender<Result<Placed, Fault>>,
+    to: oneshot::Sender<Result<Assignment, Fault>>,
 }
 
 pub struct ProxyActor {
@@ -65,7 +65,7 @@
     /// Gives places that came free to those who wait, best tier first.
     fn wake(&mut self) {
         let now = clock::now();
-        let (tokens, late) = hold(&self.brain).waiters(now);
+        let (tokens, late) = hold(&self.brain).poll_queue(now);
         if tokens.is_empty() && late.is_empty() {
             return;
         }
@@ -76,19 +76,19 @@
             let Some(w) = self.waiting.get(&t) else {
                 continue;
             };
-            let admit = hold(&self.brain).place(&w.q, &w.tried, now);
+            let admit = hold(&self.brain).assign_named(&w.q, &w.tried, now);
             let r = match admit {
-                Admit::Go(p) => Ok(p),
-                Admit::Reject(f) => Err(f),
-                Admit::Full => continue,
+                Admission::Assigned(p) => Ok(p),
+                Admission::Rejected(f) => Err(f),
+                Admission::NoFreeSlot => continue,
             };
-            hold(&self.brain).unwait(t);
+            hold(&self.brain).dequeue(t);
             let Some(w) = self.waiting.remove(&t) else {
                 continue;
             };
             // A caller that left while waiting gives its place back.
             if let Err(Ok(p)) = w.to.send(r) {
-                hold(&self.brain).done(&p, Ended::Dropped, now);
+                hold(&self.brain).record_outcome(&p, OutcomeClass::ClientGone, now);
             }
         }
     }
@@ -106,7 +106,7 @@
             return;
         }
         self.next_report = now + REPORT_INTERVAL;
-        let all = hold(&self.brain).replicas();
+        let all = hold(&self.brain).replicas_to_poll();
         for (_, addr) in all {
             let c = self.client.clone();
             let f = async move {
@@ -146,7 +146,7 @@
 impl ProxyActor {
     /// Tells the holders of duties, by way of the agent, which shared context is often asked for.
     fn tell_demands(&mut self, now: Ms) {
-        let all = hold(&self.brain).demands(now);
+        let all = hold(&self.brain).context_demands(now);
         if let Some(ch) = &mut self.ch {
             all.into_iter().for_each(|m| ch.send(&self.agent, m.into()));
         }
@@ -191,8 +191,8 @@
             );
         }
         match m.0.msg {
-            Message::PrefillReport(r) => hold(&self.brain).on_readings(r, clock::now()),
-            Message::TableUpdate(b) => hold(&self.brain).on_board(b, clock::now()),
+            Message::PrefillReport(r) => hold(&self.brain).on_prefill_report(r, clock::now()),
+            Message::TableUpdate(b) => hold(&self.brain).on_table_update(b, clock::now()),
             Message::ClaimResult(t) => {
                 if let Some(s) = self.claims.remove(&t.token) {
                     let _ = s.send(t.state);
@@ -249,7 +249,7 @@
 
 /// Finds a place, waiting in the buffer if all are taken.
 #[derive(Message)]
-#[rtype(result = "Result<Placed, Fault>")]
+#[rtype(result = "Result<Assignment, Fault>")]
 pub struct FindPlace {
     pub q: RunRequest,
     pub rank: u32,
@@ -257,14 +257,14 @@
     pub tried: Vec<String>,
 }
 impl Handler<FindPlace> for ProxyActor {
-    type Result = ResponseFuture<Result<Placed, Fault>>;
+    type Result = ResponseFuture<Result<Assignment, Fault>>;
     fn handle(&mut self, m: FindPlace, _: &mut Self::Context) -> Self::Result {
         let now = clock::now();
-        let admit = hold(&self.brain).place(&m.q, &m.tried, now);
+        let admit = hold(&self.brain).assign_named(&m.q, &m.tried, now);
         match admit {
-            Admit::Go(p) => return Box::pin(async { Ok(p) }),
-            Admit::Reject(f) => return Box::pin(async { Err(f) }),
-            Admit::Full => {}
+            Admission::Assigned(p) => return Box::pin(async { Ok(p) }),
+            Admission::Rejected(f) => return Box::pin(async { Err(f) }),
+            Admission::NoFreeSlot => {}
         }
         self.token += 1;
         let t = self.token;
@@ -277,7 +277,7 @@
                 to,
             },
         );
-        let worst = hold(&self.brain).wait(t, m.rank, m.time_left, now);
+        let worst = hold(&self.brain).enqueue(t, m.rank, m.time_left, now);
         for worst in worst {
             self.give_up(worst);
         }
@@ -292,11 +292,11 @@
 /// A round ended.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Done(pub Placed, pub Ended);
+pub struct Done(pub Assignment, pub OutcomeClass);
 impl Handler<Done> for ProxyActor {
     type Result = ();
     fn handle(&mut self, m: Done, _: &mut Self::Context) {
-        let suspect = hold(&self.brain).done(&m.0, m.1, clock::now());
+        let suspect = hold(&self.brain).record_outcome(&m.0, m.1, clock::now());
         if let Some(v) = suspect {
             event(coordination::events::VERSION_SUSPECTED, &m.0.replica, &v);
         }
--- a/edge-proxy/src/answer.rs
+++ b/edge-proxy/src/answer.rs
@@ -9,7 +9,7 @@
     http::header::{HeaderName, HeaderValue},
 };
 use bytes::Bytes;
-use coordination::{events, pass::PassEnd, pass_stream::Events};
+use coordination::{events, pass::AttemptOutcome, pass_stream::ResumableEvents};
 use daemon_parts::{clock, limits::LATE_SLACK, logging::event};
 use futures_util::{Stream, stream::unfold};
 use http::{HeaderMap, StatusCode, header};
@@ -45,7 +45,7 @@
     body: Incoming,
     status: StatusCode,
     length: Length,
-    events: Option<Events>,
+    events: Option<ResumableEvents>,
     time: Pin<Box<Sleep>>,
     over: bool,
     _open: Open,
@@ -90,7 +90,7 @@
     let resumes = passage.lane.kind == PathKind::StreamResumable
         && head.status == StatusCode::OK
         && is_stream(&head.headers);
-    let events = (resumes && length == Length::Chunks).then(Events::default);
+    let events = (resumes && length == Length::Chunks).then(ResumableEvents::default);
     if events.is_none() {
         // Nothing can follow this round: what it was sent need not be kept while it streams.
         passage.upload = None;
@@ -139,7 +139,7 @@
                 biased;
                 f = self.body.frame() => f,
                 () = &mut self.time => {
-                    self.flight.end(PassEnd::Slow);
+                    self.flight.end(AttemptOutcome::Slow);
                     return Some(Err(self.broken("its time ran out").await));
                 }
             };
@@ -157,7 +157,7 @@
                     return self
                         .events
                         .as_mut()
-                        .map(|e| Bytes::from(e.rest()))
+                        .map(|e| Bytes::from(e.take_remainder()))
                         .filter(|b| !b.is_empty())
                         .map(Ok);
                 }
@@ -178,7 +178,7 @@
 
     fn whole_events(&mut self, b: Bytes) -> Bytes {
         let Some(e) = &mut self.events else { return b };
-        let n = match e.take(&b) {
+        let n = match e.pass_through(&b) {
             std::borrow::Cow::Borrowed(x) => x.len(),
             std::borrow::Cow::Owned(x) => return Bytes::from(x),
         };
@@ -189,9 +189,9 @@
     fn whole(&mut self) {
         self.over = true;
         self.flight.end(if self.status.is_server_error() {
-            PassEnd::Failed
+            AttemptOutcome::Failed
         } else {
-            PassEnd::Answered
+            AttemptOutcome::Completed
         });
         if let Some(c) = self.channel.take() {
             self.passage.pool.rest(c, clock::now());
@@ -201,22 +201,25 @@
     /// The replica cut its answer off. A stream goes on at another, behind the last whole event.
     async fn cut(&mut self, why: String) -> Result<(), String> {
         event(events::ATTEMPT_FAILED, &self.flight.placed.replica, &why);
-        self.flight.end(PassEnd::Failed);
+        self.flight.end(AttemptOutcome::Failed);
         self.channel = None;
-        let Some(e) = self.events.as_mut().filter(|e| e.resumable()) else {
+        let Some(e) = self.events.as_mut().filter(|e| e.is_resumable()) else {
             return Err(why);
         };
-        e.cut();
+        e.on_cut();
         let p = &mut self.passage;
         p.perhaps = true;
         p.tried.push(self.flight.placed.replica.clone());
-        if let Some(v) = e.last().and_then(|l| http::HeaderValue::from_str(l).ok()) {
+        if let Some(v) = e
+            .last_event_id()
+            .and_then(|l| http::HeaderValue::from_str(l).ok())
+        {
             p.headers.insert(LAST_EVENT_ID, v);
-            p.ask.after = e.last().map(str::to_string);
+            p.ask.last_event_id = e.last_event_id().map(str::to_string);
         }
         let mut b = p.begin().await.map_err(|(_, f)| f.to_string())?;
         if b.head.status != StatusCode::OK || !is_stream(&b.head.headers) {
-            b.flight.end(PassEnd::Failed);
+            b.flight.end(AttemptOutcome::Failed);
             return Err(format!("the run that follows answered {}", b.head.status));
         }
         self.length = length(&b.head.headers, &b.body);
--- a/edge-proxy/src/downstream.rs
+++ b/edge-proxy/src/downstream.rs
@@ -160,7 +160,7 @@
     while !w.all.borrow().is_empty() {
         tokio::time::sleep(Duration::from_millis(DOWNSTREAM_LOOK)).await;
         looks.at(clock::now());
-        let limits = hold(&brain).limits().cloned().unwrap_or_default();
+        let limits = hold(&brain).client_limits().cloned().unwrap_or_default();
         w.all.borrow_mut().retain(|d| {
             let Some(d) = d.upgrade() else { return false };
             d.state.set(looks.state(d.state.get()));
--- a/edge-proxy/src/front.rs
+++ b/edge-proxy/src/front.rs
@@ -98,7 +98,7 @@
 
 /// Whether this edge serves, for those who list it.
 fn ready(f: &Front) -> HttpResponse {
-    let ok = !f.stopping.is_begun() && hold(&f.brain).ready(clock::now());
+    let ok = !f.stopping.is_begun() && hold(&f.brain).is_ready(clock::now());
     if ok {
         HttpResponse::Ok().finish()
     } else {
@@ -110,7 +110,7 @@
 /// for a rejection that comes late is worth less than one at once.
 async fn begun(f: &Front) {
     let until = clock::now() + f.not_yet;
-    while !hold(&f.brain).ready(clock::now()) && clock::now() < until {
+    while !hold(&f.brain).is_ready(clock::now()) && clock::now() < until {
         tokio::time::sleep(NOT_YET_LOOK).await;
     }
 }
@@ -146,8 +146,8 @@
     let (lane, limits) = {
         let mut b = hold(&f.brain);
         (
-            b.path(host, r.uri().path(), now),
-            b.limits().cloned().unwrap_or_default(),
+            b.find_lane(host, r.uri().path(), now),
+            b.client_limits().cloned().unwrap_or_default(),
         )
     };
     let headers = headers(&r);
@@ -162,7 +162,7 @@
     }
     let ask = f.dialect.ask(host, r.uri().path(), &headers);
     let longest = lane.as_ref().map_or(NO_LANE_LIMIT, |l| l.time_limit_ms);
-    let until = came + ask.left.map_or(longest, |l| l.min(longest));
+    let until = came + ask.time_left_ms.map_or(longest, |l| l.min(longest));
     open.until(until);
     let length = headers
         .get(header::CONTENT_LENGTH)
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -14,9 +14,9 @@
 use awc::Client;
 use coordination::{
     Ms, claims, events,
-    proxy::{Ended, Placed, SLOW_FACTOR},
-    request::{Got, NotBegun, Request, Step},
-    stream::Next,
+    proxy::{Assignment, OutcomeClass, SLOW_FACTOR},
+    request::{AttemptError, Request, Step, StepResult},
+    stream::CheckedLine,
 };
 use daemon_parts::{
     clock,
@@ -78,45 +78,47 @@
 }
 
 /// Does the steps of one request until it streams or its final answer is known.
-async fn steps(b: &Brain, r: &mut Request, until: Ms) -> Result<(Placed, Round), Fault> {
+async fn steps(b: &Brain, r: &mut Request, until: Ms) -> Result<(Assignment, Round), Fault> {
     let mut step = Step::Check;
     let mut begun = None;
     loop {
         let got = match step {
             Step::Check => {
-                let q = r.q.clone();
-                let checked = look(b, move |a, now| hold(&a.brain).check(&q, now))
+                let q = r.run_request.clone();
+                let checked = look(b, move |a, now| hold(&a.brain).check_request(&q, now))
                     .await
                     .map_err(|a| a.1)?;
                 if checked.is_ok() {
-                    let _ = look(b, |a, _| hold(&a.brain).first_round()).await;
+                    let _ = look(b, |a, _| hold(&a.brain).count_first_attempt()).await;
                 }
-                Got::Checked(checked)
+                StepResult::Checked(checked)
             }
             Step::Claim { void } => {
                 let (request, age) = r.claimed_name();
                 let ask = AskClaim {
                     request,
-                    round: r.round,
+                    round: r.attempt_seed,
                     void,
                     age,
                 };
-                Got::Claimed(b.send(ask).await.unwrap_or(claims::ABSTAINED))
+                StepResult::Claimed(b.send(ask).await.unwrap_or(claims::ABSTAINED))
             }
-            Step::Place => Got::Placed(place(b, r, until).await),
-            Step::Call(p) if p.stale(clock::now()) => {
-                let _ = b.send(Done(p, Ended::Dropped)).await;
-                Got::Begun(Err(NotBegun::Stale))
+            Step::Assign => StepResult::Assigned(place(b, r, until).await),
+            Step::Call(p) if p.is_stale(clock::now()) => {
+                let _ = b.send(Done(p, OutcomeClass::ClientGone)).await;
+                StepResult::Started(Err(AttemptError::StaleAssignment))
             }
             Step::Call(p) => {
-                let x = round::begin(&client(), &r.q, &p, until).await;
+                let x = round::begin(&client(), &r.run_request, &p, until).await;
                 if let Err(e) = &x {
                     event(events::ATTEMPT_FAILED, &p.replica, &e.to_string());
-                    let _ = b.send(Done(p, e.ended())).await;
+                    let _ = b.send(Done(p, e.outcome_class())).await;
                 }
-                Got::Begun(x.map(|round| begun = Some(round)))
+                StepResult::Started(x.map(|round| begun = Some(round)))
+            }
+            Step::DrawRetry => {
+                StepResult::RetryDrawn(budget(b, r.rank, &r.run_request.request).await)
             }
-            Step::Budget => Got::Budget(budget(b, r.rank, &r.q.request).await),
             Step::Stream(p) => match begun.take() {
                 Some(round) => return Ok((p, round)),
                 None => {
@@ -130,10 +132,10 @@
     }
 }
 
-async fn place(b: &Brain, r: &Request, until: Ms) -> Result<Placed, Fault> {
-    if let Some(at) = &r.q.resume {
-        let (q, id) = (r.q.clone(), at.replica.clone());
-        let found = look(b, move |a, now| hold(&a.brain).resume(&q, &id, now))
+async fn place(b: &Brain, r: &Request, until: Ms) -> Result<Assignment, Fault> {
+    if let Some(at) = &r.run_request.resume {
+        let (q, id) = (r.run_request.clone(), at.replica.clone());
+        let found = look(b, move |a, now| hold(&a.brain).assign_resumed(&q, &id, now))
             .await
             .map_err(|a| a.1)?;
         return found.ok_or_else(|| {
@@ -142,7 +144,7 @@
     }
     let time_left = until.saturating_sub(clock::now());
     let m = FindPlace {
-        q: r.q.clone(),
+        q: r.run_request.clone(),
         rank: r.rank,
         time_left,
         tried: r.tried.clone(),
@@ -153,7 +155,7 @@
 async fn budget(b: &Brain, rank: u32, request: &str) -> Result<(), Fault> {
     let r = look(b, move |a, now| {
         let mut b = hold(&a.brain);
-        if b.second_round(rank, now) {
+        if b.try_draw_named_retry(rank, now) {
             return Ok(());
         }
         Err(b.reject(
@@ -173,33 +175,42 @@
 }
 
 /// Passes a begun round on until its end; whatever is not the end mark ends as unknown.
-async fn pass_on(b: Brain, q: RunRequest, p: Placed, mut r: Round, out: Lines) {
-    let expected = look(&b, move |a, _| hold(&a.brain).expected(&q.service, &q.lane))
-        .await
-        .unwrap_or(0);
+async fn pass_on(b: Brain, q: RunRequest, p: Assignment, mut r: Round, out: Lines) {
+    let expected = look(&b, move |a, _| {
+        hold(&a.brain).expected_ms(&q.service, &q.lane)
+    })
+    .await
+    .unwrap_or(0);
     let ended = loop {
         let (l, end) = match r.next().await {
-            Next::Line(l) => (l, None),
-            Next::End(l) => {
-                let slow =
-                    expected > 0 && clock::now().saturating_sub(p.at) > expected * SLOW_FACTOR;
-                (l, Some(if slow { Ended::Slow } else { Ended::Answered }))
+            CheckedLine::Forward(l) => (l, None),
+            CheckedLine::End(l) => {
+                let slow = expected > 0
+                    && clock::now().saturating_sub(p.assigned_at) > expected * SLOW_FACTOR;
+                (
+                    l,
+                    Some(if slow {
+                        OutcomeClass::Slow
+                    } else {
+                        OutcomeClass::Succeeded
+                    }),
+                )
             }
-            Next::Broken(l) => {
+            CheckedLine::Broken(l) => {
                 let f = l
                     .end
                     .as_ref()
                     .and_then(|e| e.fault.as_ref())
                     .map(|f| f.to_string());
                 event(events::ATTEMPT_FAILED, &p.replica, &f.unwrap_or_default());
-                (l, Some(Ended::Failed))
+                (l, Some(OutcomeClass::Failed))
             }
         };
         let mut v = serde_json::to_vec(&l).unwrap_or_default();
         v.push(b'\n');
         // A caller that left leaves its replica too; nothing is said about the version.
         if out.send(Ok(Bytes::from(v))).await.is_err() {
-            break end.unwrap_or(Ended::Dropped);
+            break end.unwrap_or(OutcomeClass::ClientGone);
         }
         if let Some(e) = end {
             break e;
@@ -238,7 +249,7 @@
         }
     };
     let (s, lines) = mpsc::channel(LINES);
-    actix_rt::spawn(pass_on(b, r.q, p, round, s));
+    actix_rt::spawn(pass_on(b, r.run_request, p, round, s));
     // The request is open until its caller has the last line.
     let body = futures_util::stream::unfold((lines, open), async |(mut lines, open)| {
         Some((lines.recv().await?, (lines, open)))
@@ -252,7 +263,7 @@
 
 async fn health(b: Brain) -> Reply {
     let (name, ok) = look(&b, |a, now| {
-        (a.name.clone(), hold(&a.brain).ready(now) && !a.stopping)
+        (a.name.clone(), hold(&a.brain).is_ready(now) && !a.stopping)
     })
     .await?;
     let detail = if ok { "serves" } else { "may not serve now" }.into();
@@ -277,7 +288,7 @@
             .map(|(n, v)| (n.to_string(), *v))
             .collect();
         v.push(("spec_version".into(), b.spec_version()));
-        for t in b.hello(now).counters.0 {
+        for t in b.full_report(now).counters.0 {
             let at = format!(
                 "{}/{}/{}/{}/{}",
                 t.service,
@@ -331,7 +342,7 @@
             .get("host")
             .and_then(|v| v.to_str().ok())
             .unwrap_or_default();
-        ours && hold(&brain).path(host, path, clock::now()).is_err()
+        ours && hold(&brain).find_lane(host, path, clock::now()).is_err()
     };
     c.app_data(web::Data::from(f.stopping.clone()))
         .app_data(web::Data::new(f))
--- a/edge-proxy/src/lib.rs
+++ b/edge-proxy/src/lib.rs
@@ -50,7 +50,7 @@
         clock::born(),
         fastrand::u64(..),
     );
-    b.set_reader(reader);
+    b.set_spec_parser(reader);
     b.set_policy(p.policy);
     b.set_bounds(p.bounds.clone(), p.regions.clone());
     b
--- a/edge-proxy/src/pass.rs
+++ b/edge-proxy/src/pass.rs
@@ -7,8 +7,8 @@
 
 use coordination::{
     Ms, events,
-    pass::{Ask, PassEnd, Told},
-    proxy::Admit,
+    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    proxy::Admission,
 };
 use daemon_parts::{
     clock,
@@ -47,7 +47,7 @@
     pub dialect: Arc<dyn Dialect>,
     pub pool: Rc<Pool>,
     pub lane: Arc<PathSpec>,
-    pub ask: Ask,
+    pub ask: RequestHead,
     pub until: Ms,
     pub method: Method,
     pub uri: Uri,
@@ -106,22 +106,31 @@
         if self.rounds >= self.lane.rounds || self.upload.is_none() {
             return Err(self.give_up("no further round is allowed"));
         }
-        if !hold(&self.brain).second_pass(&self.service, clock::now()) {
-            event(events::RETRY_BUDGET_EXHAUSTED, "caller", &self.ask.round);
+        if !hold(&self.brain).try_draw_retry(&self.service, clock::now()) {
+            event(
+                events::RETRY_BUDGET_EXHAUSTED,
+                "caller",
+                &self.ask.attempt_id,
+            );
             return Err(self.give_up("the budget for further rounds is spent"));
         }
-        event(events::RETRIED, "caller", &self.ask.round);
+        event(events::RETRIED, "caller", &self.ask.attempt_id);
         self.drawn = true;
         Ok(())
     }
 
     async fn round(&mut self) -> Round {
-        let admit =
-            hold(&self.brain).pass(&self.lane, &self.ask, &self.tried, self.until, clock::now());
+        let admit = hold(&self.brain).assign_by_path(
+            &self.lane,
+            &self.ask,
+            &self.tried,
+            self.until,
+            clock::now(),
+        );
         let placed = match admit {
-            Admit::Go(p) => p,
-            Admit::Reject(f) => return Round::End(self.reject(f)),
-            Admit::Full => return Round::End(self.give_up("every place is taken")),
+            Admission::Assigned(p) => p,
+            Admission::Rejected(f) => return Round::End(self.reject(f)),
+            Admission::NoFreeSlot => return Round::End(self.give_up("every place is taken")),
         };
         self.service.clone_from(&placed.service);
         let mut flight = Flight::new(self.brain.clone(), placed);
@@ -142,9 +151,9 @@
             };
             let now = clock::now();
             // The process slept since: what the place was chosen by may have lapsed.
-            if flight.placed.stale(now) {
+            if flight.placed.is_stale(now) {
                 self.pool.rest(channel, now);
-                flight.end(PassEnd::Dropped);
+                flight.end(AttemptOutcome::ClientGone);
                 return Round::Again;
             }
             let left = self.until.saturating_sub(now);
@@ -175,11 +184,11 @@
         let p = &f.placed;
         let (most, way) = {
             let b = hold(&self.brain);
-            (b.channels(&p.service), b.way(p))
+            (b.max_connections(&p.service), b.round_trip_ms(p))
         };
         let left = self.until.saturating_sub(clock::now());
         let (c, took) = self.pool.open(&p.addr, most, way, left).await?;
-        hold(&self.brain).opened(p, took, clock::now());
+        hold(&self.brain).on_connected(p, took, clock::now());
         Ok(c)
     }
 
@@ -199,14 +208,14 @@
     fn unreached(&mut self, mut f: Flight, why: Unopened) -> Round {
         match why {
             // That is our own bound: the replica is none the worse for it.
-            Unopened::Full => f.end(PassEnd::Full),
+            Unopened::Full => f.end(AttemptOutcome::AtCapacity),
             Unopened::Lost(why) => {
                 event(events::ATTEMPT_FAILED, &f.placed.replica, &why);
-                f.end(PassEnd::Unreachable);
+                f.end(AttemptOutcome::ConnectRefused);
             }
             Unopened::Dark(why) => {
                 event(events::ATTEMPT_FAILED, &f.placed.replica, &why);
-                f.end(PassEnd::Dark);
+                f.end(AttemptOutcome::ConnectTimedOut);
             }
         }
         self.tried.push(f.placed.replica.clone());
@@ -225,11 +234,11 @@
     /// It may have run.
     fn lost(&mut self, mut f: Flight, why: &str) -> Round {
         if self.over.get() {
-            f.end(PassEnd::Dropped);
+            f.end(AttemptOutcome::ClientGone);
             return Round::End(too_large());
         }
         event(events::ATTEMPT_FAILED, &f.placed.replica, why);
-        f.end(PassEnd::Failed);
+        f.end(AttemptOutcome::Failed);
         self.tried.push(f.placed.replica.clone());
         self.perhaps = true;
         if self.repeatable() {
@@ -239,7 +248,7 @@
     }
 
     fn silent(&mut self, mut f: Flight) -> Round {
-        f.end(PassEnd::Silent);
+        f.end(AttemptOutcome::ResponseTimedOut);
         let m = Fault::new("no_time", "await_answer", "its time ran out")
             .peer(f.placed.replica.clone());
         Round::End((StatusCode::GATEWAY_TIMEOUT, m.outcome(Outcome::Unknown)))
@@ -251,7 +260,7 @@
         if !self.own(&told) {
             return self.lost(f, "the answer belongs to another request");
         }
-        hold(&self.brain).heard(&f.placed, &told, clock::now());
+        hold(&self.brain).on_response_head(&f.placed, &told, clock::now());
         c.heed(&head.headers);
         if !told.not_run {
             return Round::Begun(Box::new(Begun {
@@ -261,17 +270,21 @@
                 body,
             }));
         }
-        event(events::ATTEMPT_FAILED, &f.placed.replica, "it did not run it");
-        f.end(if told.other {
-            PassEnd::Other
+        event(
+            events::ATTEMPT_FAILED,
+            &f.placed.replica,
+            "it did not run it",
+        );
+        f.end(if told.is_other_replica {
+            AttemptOutcome::WrongReplica
         } else {
-            PassEnd::Full
+            AttemptOutcome::AtCapacity
         });
         self.tried.push(f.placed.replica.clone());
         self.refusal = Some((head.status, retry_after(&head.headers)));
         // Another replica stands behind a channel that told so: nothing more goes there, and the one that was meant
         // is as good as out of reach, so the round is not spent.
-        if told.other {
+        if told.is_other_replica {
             self.rounds -= 1;
             return self.elsewhere();
         }
@@ -280,10 +293,10 @@
     }
 
     /// Whether an answer is to this very request. One that names none is believed only where a doubt does no harm.
-    fn own(&self, t: &Told) -> bool {
-        match &t.round {
-            Some(r) => *r == self.ask.round,
-            None => self.ask.round.is_empty() || (t.not_run && self.repeatable()),
+    fn own(&self, t: &ResponseSignals) -> bool {
+        match &t.attempt_id {
+            Some(r) => *r == self.ask.attempt_id,
+            None => self.ask.attempt_id.is_empty() || (t.not_run && self.repeatable()),
         }
     }
 
--- a/edge-proxy/src/round.rs
+++ b/edge-proxy/src/round.rs
@@ -6,9 +6,9 @@
 use awc::Client;
 use coordination::{
     Ms,
-    proxy::Placed,
-    request::NotBegun,
-    stream::{Lines, Next},
+    proxy::Assignment,
+    request::AttemptError,
+    stream::{CheckedLine, LineChecker},
 };
 use daemon_parts::{
     clock,
@@ -21,14 +21,19 @@
 
 /// A begun round: lines come one at a time.
 pub struct Round {
-    lines: Lines,
+    lines: LineChecker,
     body: Body,
     buffer: Vec<u8>,
     until: Ms,
 }
 
 /// Begins a round. Connecting is told apart from sending: before it nothing can have reached the replica.
-pub async fn begin(c: &Client, q: &RunRequest, p: &Placed, until: Ms) -> Result<Round, NotBegun> {
+pub async fn begin(
+    c: &Client,
+    q: &RunRequest,
+    p: &Assignment,
+    until: Ms,
+) -> Result<Round, AttemptError> {
     let left = until.saturating_sub(clock::now());
     let body = GenerateRequest {
         request: q.request.clone(),
@@ -49,7 +54,7 @@
     .await;
     let fault = |code: &str, m: String| Fault::new(code, "call_replica", m).peer(p.replica.clone());
     if !matches!(open, Ok(Ok(_))) {
-        return Err(NotBegun::NotRun(fault(
+        return Err(AttemptError::NotRun(fault(
             "replica_gone",
             "no connection".into(),
         )));
@@ -60,19 +65,21 @@
     let mut a = r
         .send_json(&body)
         .await
-        .map_err(|e| NotBegun::Unknown(fault("replica_lost", e.to_string())))?;
+        .map_err(|e| AttemptError::Unknown(fault("replica_lost", e.to_string())))?;
     if !a.status().is_success() {
         let b = a.body().limit(LINE_MAX).await.unwrap_or_default();
         // Only the replica's own word that it did not run counts; any other failure may have run.
         return Err(match serde_json::from_slice::<Fault>(&b) {
             Ok(f) if f.outcome == Some(Outcome::NotRun) => {
-                NotBegun::NotRun(f.peer(p.replica.clone()))
+                AttemptError::NotRun(f.peer(p.replica.clone()))
+            }
+            Ok(f) => AttemptError::Unknown(f.peer(p.replica.clone())),
+            Err(_) => {
+                AttemptError::Unknown(fault("replica_failed", format!("status {}", a.status())))
             }
-            Ok(f) => NotBegun::Unknown(f.peer(p.replica.clone())),
-            Err(_) => NotBegun::Unknown(fault("replica_failed", format!("status {}", a.status()))),
         });
     }
-    let lines = Lines::new(&q.request, &p.replica, q.resume.as_ref());
+    let lines = LineChecker::new(&q.request, &p.replica, q.resume.as_ref());
     Ok(Round {
         lines,
         body: Box::pin(a),
@@ -82,12 +89,12 @@
 }
 
 impl Round {
-    pub async fn next(&mut self) -> Next {
+    pub async fn next(&mut self) -> CheckedLine {
         loop {
             if let Some(i) = self.buffer.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=i).collect();
                 return match serde_json::from_slice::<StreamLine>(&line) {
-                    Ok(l) => self.lines.take(l),
+                    Ok(l) => self.lines.check(l),
                     Err(_) => self.lines.broken("bad_stream", "a line is no stream line"),
                 };
             }
--- a/edge-proxy/src/shared.rs
+++ b/edge-proxy/src/shared.rs
@@ -5,8 +5,8 @@
 
 use coordination::{
     Ms, events,
-    pass::PassEnd,
-    proxy::{Placed, Proxy},
+    pass::AttemptOutcome,
+    proxy::{Assignment, Proxy},
 };
 use daemon_parts::{clock, logging::event};
 
@@ -21,13 +21,13 @@
 /// One round at one replica. However its work ends, the brain hears of it exactly once.
 pub struct Flight {
     brain: Shared,
-    pub placed: Placed,
+    pub placed: Assignment,
     pieces: bool,
     ended: bool,
 }
 
 impl Flight {
-    pub fn new(brain: Shared, placed: Placed) -> Self {
+    pub fn new(brain: Shared, placed: Assignment) -> Self {
         Flight {
             brain,
             placed,
@@ -37,14 +37,14 @@
     }
     pub fn first_piece(&mut self, now: Ms) {
         if !std::mem::replace(&mut self.pieces, true) {
-            hold(&self.brain).first_piece(&self.placed, now);
+            hold(&self.brain).on_first_chunk(&self.placed, now);
         }
     }
-    pub fn end(&mut self, e: PassEnd) {
+    pub fn end(&mut self, e: AttemptOutcome) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let suspect = hold(&self.brain).passed(&self.placed, e, clock::now());
+        let suspect = hold(&self.brain).on_attempt_ended(&self.placed, e, clock::now());
         if let Some(v) = suspect {
             event(events::VERSION_SUSPECTED, &self.placed.replica, &v);
         }
@@ -54,6 +54,6 @@
 impl Drop for Flight {
     /// The downstream left: nobody was there any more to say how it ended.
     fn drop(&mut self) {
-        self.end(PassEnd::Dropped);
+        self.end(AttemptOutcome::ClientGone);
     }
 }
--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -242,7 +242,7 @@
         // Time enough that it is served as soon as it may be, however busy the machine is.
         let e = Edge::of(Bounds::default(), 3_600_000, Lane::of("once", 1), &[r.addr]).await;
         let rule = |e: &Edge, rule, until| {
-            hold(&e.brain).on_board(
+            hold(&e.brain).on_table_update(
                 TableUpdate {
                     serving_rule: rule,
                     valid_until: until,
@@ -809,7 +809,7 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let ready = async |rule, until| {
-            hold(&e.brain).on_board(
+            hold(&e.brain).on_table_update(
                 TableUpdate {
                     serving_rule: rule,
                     valid_until: until,
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -14,8 +14,8 @@
     Ms,
     bounds::Bounds,
     edge_agent::SERVE_ALL,
-    pass::{Ask, Told},
-    proxy::{Placed, Proxy},
+    pass::{RequestHead, ResponseSignals},
+    proxy::{Assignment, Proxy},
     wire::{Blob, Change, TableUpdate},
 };
 use daemon_parts::{clock, limits::NOT_YET};
@@ -44,29 +44,29 @@
     h.get(n)?.to_str().ok().map(str::to_string)
 }
 impl Dialect for Plain {
-    fn ask(&self, host: &str, path: &str, h: &HeaderMap) -> Ask {
+    fn ask(&self, host: &str, path: &str, h: &HeaderMap) -> RequestHead {
         let left = text(h, "left").and_then(|v| v.parse().ok());
         let round = text(h, "round").unwrap_or_default();
-        Ask {
+        RequestHead {
             host: host.into(),
             path: path.into(),
-            round,
-            left,
-            after: text(h, "last-event-id"),
-            ..Ask::default()
+            attempt_id: round,
+            time_left_ms: left,
+            last_event_id: text(h, "last-event-id"),
+            ..RequestHead::default()
         }
     }
-    fn dress(&self, h: &mut HeaderMap, _: &PathSpec, p: &Placed, left: Ms) {
+    fn dress(&self, h: &mut HeaderMap, _: &PathSpec, p: &Assignment, left: Ms) {
         h.insert("replica", p.replica.parse().unwrap());
         h.insert("left", left.into());
     }
-    fn told(&self, status: u16, h: &HeaderMap) -> Told {
+    fn told(&self, status: u16, h: &HeaderMap) -> ResponseSignals {
         let not_run = status == 421 || h.contains_key("not-run");
-        Told {
-            round: text(h, "round"),
+        ResponseSignals {
+            attempt_id: text(h, "round"),
             not_run,
-            other: status == 421,
-            ..Told::default()
+            is_other_replica: status == 421,
+            ..ResponseSignals::default()
         }
     }
     fn ready_path(&self) -> &str {
@@ -420,8 +420,8 @@
             .collect(),
             ..TableUpdate::default()
         };
-        b.on_board(m, clock::now());
-        assert!(b.ready(clock::now()), "the test's spec is none");
+        b.on_table_update(m, clock::now());
+        assert!(b.is_ready(clock::now()), "the test's spec is none");
         let brain: Shared = Arc::new(Mutex::new(b));
         let (front, ready) = (bound(), bound());
         let (addr, ready_addr) = (front.local_addr().unwrap(), ready.local_addr().unwrap());
@@ -449,7 +449,7 @@
     /// The spec changes while the edge runs.
     pub fn set_spec(&self, version: u64, lane: &Lane) {
         let changes = [change("spec", version, &spec(lane))].into_iter().collect();
-        hold(&self.brain).on_board(
+        hold(&self.brain).on_table_update(
             TableUpdate {
                 serving_rule: SERVE_ALL,
                 valid_until: u64::MAX,
@@ -462,7 +462,7 @@
     /// Rounds that the brain holds to be open.
     pub fn open(&self) -> u32 {
         hold(&self.brain)
-            .hello(clock::now())
+            .full_report(clock::now())
             .open_streams
             .0
             .iter()
@@ -471,7 +471,7 @@
     }
     /// Sums over the brain's tallies: sent, answered, failed.
     pub fn tallies(&self) -> (u64, u64, u64) {
-        let all = hold(&self.brain).hello(clock::now()).counters.0;
+        let all = hold(&self.brain).full_report(clock::now()).counters.0;
         all.iter().fold((0, 0, 0), |a, t| {
             (a.0 + t.sent, a.1 + t.succeeded, a.2 + t.failed)
         })
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -11,13 +11,13 @@
     },
     edge_agent::EdgeAgent,
     policy::Policy,
-    proxy::{Admit, Ended, Placed, Proxy},
+    proxy::{Admission, Assignment, OutcomeClass, Proxy},
     register::ROLLOUT_PREFIX,
     rendezvous::text_digest,
-    request::{Got, NotBegun, Request, Step},
+    request::{AttemptError, Request, Step, StepResult},
     rollout::Order,
     state_table::{VersionStamp, version_stamp},
-    stream::{Lines, Next},
+    stream::{CheckedLine, LineChecker},
 };
 use remote_calls::{
     Fault as CallFault, LoadedWeights, NominateRequest, Nomination, OrderAction, Outcome,
@@ -161,12 +161,12 @@
     Call {
         flow: u64,
         life: u64,
-        p: Placed,
+        p: Assignment,
     },
     Begun {
         flow: u64,
         life: u64,
-        got: Result<(), NotBegun>,
+        got: Result<(), AttemptError>,
     },
     Produce {
         id: String,
@@ -291,8 +291,8 @@
     edge: usize,
     life: u64,
     req: Option<Request>,
-    placed: Option<Placed>,
-    lines: Option<Lines>,
+    placed: Option<Assignment>,
+    lines: Option<LineChecker>,
     until: Ms,
     token: u64,
     text: String,
@@ -738,7 +738,7 @@
             Ev::Line { flow, life, line } => self.line(flow, life, line),
             Ev::ClaimLate { flow, token } => {
                 if self.claims.remove(&token).is_some() {
-                    self.drive(flow, Got::Claimed(claims::ABSTAINED));
+                    self.drive(flow, StepResult::Claimed(claims::ABSTAINED));
                 }
             }
             Ev::TimeUp { flow } => self.lost(flow),
--- a/fleet-simulator/src/world/callers.rs
+++ b/fleet-simulator/src/world/callers.rs
@@ -4,9 +4,9 @@
 use coordination::{claims::CLAIM_TIMEOUT, proxy::SLOW_FACTOR};
 
 /// With the guard off a replica's failures are not held against it.
-fn spared(off: Option<Guard>, e: Ended) -> Ended {
-    if off == Some(Guard::Doubt) && matches!(e, Ended::Failed) {
-        Ended::Dropped
+fn spared(off: Option<Guard>, e: OutcomeClass) -> OutcomeClass {
+    if off == Some(Guard::Doubt) && matches!(e, OutcomeClass::Failed) {
+        OutcomeClass::ClientGone
     } else {
         e
     }
@@ -230,7 +230,7 @@
         self.step(id, Step::Check);
     }
 
-    pub(super) fn drive(&mut self, id: u64, got: Got) {
+    pub(super) fn drive(&mut self, id: u64, got: StepResult) {
         let Some(f) = self.flows.get_mut(&id) else {
             return;
         };
@@ -257,25 +257,25 @@
             let Some(r) = f.req.as_mut() else { return };
             let got = match step {
                 Step::Check => {
-                    let c = p.check(&f.q, local);
+                    let c = p.check_request(&f.q, local);
                     if c.is_ok() {
                         // Carried is what a proxy takes up, not where a caller knocked.
                         f.told.proxy_zone = e.zone.clone();
-                        p.first_round();
+                        p.count_first_attempt();
                     }
-                    Got::Checked(c)
+                    StepResult::Checked(c)
                 }
                 Step::Claim { void }
                     if off == Some(Guard::Claims) || (void && off == Some(Guard::Void)) =>
                 {
-                    Got::Claimed(claims::GRANTED)
+                    StepResult::Claimed(claims::GRANTED)
                 }
                 Step::Claim { void } => {
                     let (name, age) = r.claimed_name();
                     let m = ClaimRequest {
                         token: self.seq,
                         request: name.into(),
-                        attempt: r.round,
+                        attempt: r.attempt_seed,
                         void: void.into(),
                         key_age_ms: age,
                     };
@@ -286,18 +286,19 @@
                     self.post_agent(edge, m.into());
                     return self.after(2 * CLAIM_TIMEOUT, Ev::ClaimLate { flow: id, token });
                 }
-                Step::Place => {
+                Step::Assign => {
                     if let Some(at) = &f.q.resume {
-                        let x = p.resume(&f.q, &at.replica, local);
-                        Got::Placed(
+                        let x = p.assign_resumed(&f.q, &at.replica, local);
+                        StepResult::Assigned(
                             x.ok_or_else(|| CallFault::new("replica_gone", "resume", "gone")),
                         )
                     } else {
-                        match p.place(&f.q, &r.tried, local) {
-                            Admit::Go(x) => Got::Placed(Ok(x)),
-                            Admit::Reject(x) => Got::Placed(Err(x)),
-                            Admit::Full => {
-                                let worst = p.wait(id, r.rank, f.until.saturating_sub(now), local);
+                        match p.assign_named(&f.q, &r.tried, local) {
+                            Admission::Assigned(x) => StepResult::Assigned(Ok(x)),
+                            Admission::Rejected(x) => StepResult::Assigned(Err(x)),
+                            Admission::NoFreeSlot => {
+                                let worst =
+                                    p.enqueue(id, r.rank, f.until.saturating_sub(now), local);
                                 for w in worst {
                                     self.no_place(w);
                                 }
@@ -306,9 +307,9 @@
                         }
                     }
                 }
-                Step::Call(x) if x.stale(local) => {
-                    p.done(&x, Ended::Dropped, local);
-                    Got::Begun(Err(NotBegun::Stale))
+                Step::Call(x) if x.is_stale(local) => {
+                    p.record_outcome(&x, OutcomeClass::ClientGone, local);
+                    StepResult::Started(Err(AttemptError::StaleAssignment))
                 }
                 Step::Call(x) => {
                     if f.q.resume.is_none() {
@@ -336,15 +337,17 @@
                         },
                     );
                 }
-                Step::Budget if off == Some(Guard::Budget) => Got::Budget(Ok(())),
-                Step::Budget => Got::Budget(if p.second_round(r.rank, local) {
-                    Ok(())
-                } else {
-                    Err(p.reject("full", "second_round", "no budget"))
-                }),
+                Step::DrawRetry if off == Some(Guard::Budget) => StepResult::RetryDrawn(Ok(())),
+                Step::DrawRetry => {
+                    StepResult::RetryDrawn(if p.try_draw_named_retry(r.rank, local) {
+                        Ok(())
+                    } else {
+                        Err(p.reject("full", "second_round", "no budget"))
+                    })
+                }
                 Step::Stream(x) => {
                     let at = f.q.resume.as_ref().filter(|_| off != Some(Guard::SameRun));
-                    f.lines = Some(Lines::new(&f.q.request, &x.replica, at));
+                    f.lines = Some(LineChecker::new(&f.q.request, &x.replica, at));
                     f.streaming = true;
                     // The proxy reads on until the time left is over, no longer.
                     let (ms, life) = (f.until.saturating_sub(now), f.life);
@@ -369,7 +372,7 @@
             return;
         };
         let x = p.reject("full", "wait", "no place came free soon enough");
-        self.drive(id, Got::Placed(Err(x)));
+        self.drive(id, StepResult::Assigned(Err(x)));
     }
 
     pub(super) fn wake(&mut self, i: usize) {
@@ -377,7 +380,7 @@
         let Some(p) = self.edges[i].proxy.as_mut() else {
             return;
         };
-        let (tokens, late) = p.waiters(now);
+        let (tokens, late) = p.poll_queue(now);
         for t in late {
             self.no_place(t);
         }
@@ -387,22 +390,22 @@
                 continue;
             };
             if f.edge != i || f.life != e.life {
-                p.unwait(t);
+                p.dequeue(t);
                 continue;
             }
             let Some(r) = &f.req else { continue };
-            let got = match p.place(&f.q, &r.tried, now) {
-                Admit::Full => continue,
-                Admit::Go(x) => Ok(x),
-                Admit::Reject(x) => Err(x),
+            let got = match p.assign_named(&f.q, &r.tried, now) {
+                Admission::NoFreeSlot => continue,
+                Admission::Assigned(x) => Ok(x),
+                Admission::Rejected(x) => Err(x),
             };
-            p.unwait(t);
-            self.drive(t, Got::Placed(got));
+            p.dequeue(t);
+            self.drive(t, StepResult::Assigned(got));
         }
     }
 
     /// A call reaches a replica, or does not.
-    pub(super) fn begun(&mut self, id: u64, life: u64, got: Result<(), NotBegun>) {
+    pub(super) fn begun(&mut self, id: u64, life: u64, got: Result<(), AttemptError>) {
         let Some(f) = self.flows.get(&id).filter(|f| f.life == life) else {
             return;
         };
@@ -416,12 +419,12 @@
         if got.is_err()
             && let (Err(e), Some(p)) = (&got, f.placed.take())
         {
-            let ended = spared(self.off, e.ended());
+            let ended = spared(self.off, e.outcome_class());
             if let Some(b) = self.edges[f.edge].proxy.as_mut() {
-                b.done(&p, ended, now);
+                b.record_outcome(&p, ended, now);
             }
         }
-        self.drive(id, Got::Begun(got));
+        self.drive(id, StepResult::Started(got));
     }
 
     /// A line of a replica reaches the proxy, which checks it and passes it on.
@@ -454,27 +457,29 @@
             lines.broken(code, "x")
         } else if self.off == Some(Guard::Lines) {
             if l.end.is_some() {
-                Next::End(l)
+                CheckedLine::End(l)
             } else {
-                Next::Line(l)
+                CheckedLine::Forward(l)
             }
         } else {
-            lines.take(l)
+            lines.check(l)
         };
         let next = match next {
-            Next::Broken(mut l) if self.off == Some(Guard::Stream) => {
+            CheckedLine::Broken(mut l) if self.off == Some(Guard::Stream) => {
                 if let Some(e) = &mut l.end {
                     e.outcome = Outcome::Answered;
                 }
-                Next::End(l)
+                CheckedLine::End(l)
             }
             n => n,
         };
         let (l, ended) = match next {
-            Next::Line(l) => (l, None),
-            Next::End(l) => (l, Some(Ended::Answered)),
-            Next::Broken(l) if self.off == Some(Guard::Health) => (l, Some(Ended::Answered)),
-            Next::Broken(l) => (l, Some(Ended::Failed)),
+            CheckedLine::Forward(l) => (l, None),
+            CheckedLine::End(l) => (l, Some(OutcomeClass::Succeeded)),
+            CheckedLine::Broken(l) if self.off == Some(Guard::Health) => {
+                (l, Some(OutcomeClass::Succeeded))
+            }
+            CheckedLine::Broken(l) => (l, Some(OutcomeClass::Failed)),
         };
         if let Some(s) = l.start {
             if !f.told.runs.contains(&s.run) {
@@ -499,14 +504,14 @@
             .find(|l| l.name == f.q.lane)
             .map_or(0, |l| l.expected_ms);
         if let Some(p) = &placed
-            && e == Ended::Answered
-            && local.saturating_sub(p.at) > expected * SLOW_FACTOR
+            && e == OutcomeClass::Succeeded
+            && local.saturating_sub(p.assigned_at) > expected * SLOW_FACTOR
         {
-            e = Ended::Slow;
+            e = OutcomeClass::Slow;
         }
         let edge = f.edge;
         if let (Some(p), Some(b)) = (placed, self.edges[edge].proxy.as_mut()) {
-            b.done(&p, spared(self.off, e), local);
+            b.record_outcome(&p, spared(self.off, e), local);
         }
         let Some(f) = self.flows.get_mut(&id) else {
             return;
@@ -606,7 +611,7 @@
         let local = self.clock(To::Proxy(edge));
         let e = &mut self.edges[edge];
         if let (Some(p), Some(b), true) = (placed, e.proxy.as_mut(), life == e.life) {
-            b.done(&p, Ended::Dropped, local);
+            b.record_outcome(&p, OutcomeClass::ClientGone, local);
         }
         let Some(f) = self.flows.get_mut(&id) else {
             return;
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -98,7 +98,7 @@
                 let Some(p) = self.edges[i].proxy.as_ref() else {
                     return;
                 };
-                let (hello, replicas) = (p.news(now), p.replicas());
+                let (hello, replicas) = (p.news(now), p.replicas_to_poll());
                 let told: Vec<_> = self.edges[i]
                     .proxy
                     .iter_mut()
@@ -110,7 +110,7 @@
                 let asked: Vec<_> = self.edges[i]
                     .proxy
                     .iter_mut()
-                    .flat_map(|p| p.demands(now))
+                    .flat_map(|p| p.context_demands(now))
                     .collect();
                 for m in asked {
                     self.post_agent(i, m.into());
--- a/fleet-simulator/src/world/engine.rs
+++ b/fleet-simulator/src/world/engine.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use coordination::{
-    pass::{Ask, PassEnd, Told as Heard},
-    placement::{CHANNEL_RESTS, OPENING_MS, shared},
+    pass::{AttemptOutcome, RequestHead, ResponseSignals as Heard},
+    placement::{CONNECT_COST_MS, IDLE_CONNECTION_MAX_AGE, shared_prefix},
 };
 use remote_calls::PathSpec;
 
@@ -31,11 +31,11 @@
 /// A request on its way.
 pub(super) struct Way {
     seen: Pass,
-    ask: Ask,
+    ask: RequestHead,
     lane: Option<Arc<PathSpec>>,
     edge: usize,
     life: u64,
-    placed: Option<Placed>,
+    placed: Option<Assignment>,
     tried: Vec<String>,
     until: Ms,
     events: u64,
@@ -84,7 +84,7 @@
     Ended {
         way: u64,
         round: usize,
-        how: PassEnd,
+        how: AttemptOutcome,
     },
     TimeUp {
         way: u64,
@@ -208,12 +208,12 @@
             parts.iter().map(|p| p.1).sum(),
             (events * e.params.event_tokens) as u32,
         );
-        let ask = Ask {
+        let ask = RequestHead {
             host: HOST.into(),
             path: format!("/{}/x", c.lane),
             tokens,
-            parts,
-            ..Ask::default()
+            prefix_blocks: parts,
+            ..RequestHead::default()
         };
         let seen = Pass {
             lane: c.lane.clone(),
@@ -253,13 +253,13 @@
         let Some(p) = e.proxy.as_mut() else {
             return self.engine_over(way, "unreachable");
         };
-        let lane = match p.path(&w.ask.host, &w.ask.path, now) {
+        let lane = match p.find_lane(&w.ask.host, &w.ask.path, now) {
             Ok(l) => l,
             Err(x) => return self.engine_over(way, &x.code),
         };
         let left = w.until.saturating_sub(self.now);
-        match p.pass(&lane, &w.ask, &w.tried, now + left, now) {
-            Admit::Go(placed) => {
+        match p.assign_by_path(&lane, &w.ask, &w.tried, now + left, now) {
+            Admission::Assigned(placed) => {
                 w.lane = Some(lane);
                 w.tried.push(placed.replica.clone());
                 let there = self
@@ -279,8 +279,8 @@
                     };
                 self.after(ms, Ev::Engine(EngineEv::Call { way, round }));
             }
-            Admit::Reject(x) => self.engine_over(way, &x.code),
-            Admit::Full => self.engine_over(way, "full"),
+            Admission::Rejected(x) => self.engine_over(way, &x.code),
+            Admission::NoFreeSlot => self.engine_over(way, "full"),
         }
     }
 
@@ -294,14 +294,14 @@
             .channels
             .entry((w.edge, w.seen.replica.clone()))
             .or_default();
-        rests.retain(|t| self.now - t <= CHANNEL_RESTS);
+        rests.retain(|t| self.now - t <= IDLE_CONNECTION_MAX_AGE);
         let opens = rests.pop().is_none();
         self.h.opened += u64::from(opens);
         opens
     }
     /// ms that opening a channel takes: the way there and back, and the replica's work on it.
     fn opening(&mut self, here: &str, there: &str) -> Ms {
-        self.latency(here, there) + self.latency(here, there) + OPENING_MS as Ms
+        self.latency(here, there) + self.latency(here, there) + CONNECT_COST_MS as Ms
     }
 
     fn engine_call(&mut self, way: u64, round: usize) {
@@ -315,7 +315,7 @@
         };
         let e = self.machine(To::Proxy(edge));
         let Some(r) = self.reps.get(&p.replica) else {
-            return self.engine_ended(way, round, PassEnd::Unreachable);
+            return self.engine_ended(way, round, AttemptOutcome::ConnectRefused);
         };
         let (rep, up, dark) = (
             (p.replica.clone(), r.r.zone.clone()),
@@ -329,7 +329,7 @@
                 Ev::Engine(EngineEv::Ended {
                     way,
                     round,
-                    how: PassEnd::Dark,
+                    how: AttemptOutcome::ConnectTimedOut,
                 }),
             );
         }
@@ -339,7 +339,7 @@
                 Ev::Engine(EngineEv::Ended {
                     way,
                     round,
-                    how: PassEnd::Unreachable,
+                    how: AttemptOutcome::ConnectRefused,
                 }),
             );
         }
@@ -362,7 +362,7 @@
 
     fn engine_push(&mut self, way: u64, round: usize, id: &str) {
         let Some(r) = self.reps.get(id).filter(|r| r.up) else {
-            return self.engine_ended(way, round, PassEnd::Failed);
+            return self.engine_ended(way, round, AttemptOutcome::Failed);
         };
         let (born, zone) = (r.born, r.r.zone.clone());
         let Some(params) = self.section().map(|s| s.params.clone()) else {
@@ -390,7 +390,7 @@
         if !e.push(Job {
             id: way,
             rank,
-            parts: w.ask.parts.clone(),
+            parts: w.ask.prefix_blocks.clone(),
             events: w.events,
         }) {
             return self.after(
@@ -398,7 +398,7 @@
                 Ev::Engine(EngineEv::Ended {
                     way,
                     round,
-                    how: PassEnd::Full,
+                    how: AttemptOutcome::AtCapacity,
                 }),
             );
         }
@@ -444,7 +444,7 @@
                 Ev::Engine(EngineEv::Ended {
                     way,
                     round,
-                    how: PassEnd::Failed,
+                    how: AttemptOutcome::Failed,
                 }),
             );
         }
@@ -540,7 +540,7 @@
         let placed = w.placed.clone();
         let now = self.clock(To::Proxy(edge));
         if let (Some(p), Some(b), 1) = (&placed, self.edges[edge].proxy.as_mut(), n) {
-            b.heard(
+            b.on_response_head(
                 p,
                 &Heard {
                     load: Some(load),
@@ -548,15 +548,15 @@
                 },
                 now,
             );
-            b.first_piece(p, now);
+            b.on_first_chunk(p, now);
         }
         if last {
-            self.engine_ended(way, round, PassEnd::Answered);
+            self.engine_ended(way, round, AttemptOutcome::Completed);
         }
     }
 
     /// A round has ended; a request goes on elsewhere if its lane and the budget let it.
-    fn engine_ended(&mut self, way: u64, round: usize, how: PassEnd) {
+    fn engine_ended(&mut self, way: u64, round: usize, how: AttemptOutcome) {
         let Some(w) = self
             .engines
             .ways
@@ -575,10 +575,18 @@
         };
         let service = placed.as_ref().map_or(String::new(), |p| p.service.clone());
         if let Some(p) = &placed {
-            let spared = self.off == Some(Guard::Doubt) && how != PassEnd::Full;
-            b.passed(p, if spared { PassEnd::Answered } else { how }, now);
+            let spared = self.off == Some(Guard::Doubt) && how != AttemptOutcome::AtCapacity;
+            b.on_attempt_ended(
+                p,
+                if spared {
+                    AttemptOutcome::Completed
+                } else {
+                    how
+                },
+                now,
+            );
         }
-        if how == PassEnd::Answered {
+        if how == AttemptOutcome::Completed {
             let rests = (edge, placed.map_or(String::new(), |p| p.replica));
             self.engines
                 .channels
@@ -590,7 +598,7 @@
         let Some(w) = self.engines.ways.get_mut(&way) else {
             return;
         };
-        let safe = how != PassEnd::Failed
+        let safe = how != AttemptOutcome::Failed
             || self.off == Some(Guard::Once)
             || w.lane
                 .as_ref()
@@ -598,15 +606,18 @@
         let forced = self.off == Some(Guard::Once) && round < 3;
         let more = forced
             || w.lane.as_ref().is_some_and(|l| round < l.rounds as usize)
-            || matches!(how, PassEnd::Unreachable | PassEnd::Dark) && round < 3;
-        if safe && more && b.second_pass(&service, now) {
+            || matches!(
+                how,
+                AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut
+            ) && round < 3;
+        if safe && more && b.try_draw_retry(&service, now) {
             return self.engine_take(way);
         }
         self.engine_over(
             way,
             match how {
-                PassEnd::Full => "full",
-                PassEnd::Unreachable | PassEnd::Dark => "unreachable",
+                AttemptOutcome::AtCapacity => "full",
+                AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut => "unreachable",
                 _ => "failed",
             },
         );
@@ -621,12 +632,12 @@
         let same = w.life == e.life;
         if let (Some(p), Some(b), true) = (w.placed.take(), e.proxy.as_mut(), same) {
             let spared = self.off == Some(Guard::Doubt);
-            b.passed(
+            b.on_attempt_ended(
                 &p,
                 if spared {
-                    PassEnd::Answered
+                    AttemptOutcome::Completed
                 } else {
-                    PassEnd::Silent
+                    AttemptOutcome::ResponseTimedOut
                 },
                 now,
             );
@@ -635,7 +646,10 @@
             e.cancel(way);
         }
         w.seen.tokens = w.ask.tokens.0;
-        w.seen.shared_tokens = shared(&w.ask.parts).iter().map(|p| p.1).sum();
+        w.seen.shared_tokens = shared_prefix(&w.ask.prefix_blocks)
+            .iter()
+            .map(|p| p.1)
+            .sum();
         (w.seen.end, w.seen.how) = (self.now, how.into());
         self.h.passes.push(w.seen);
     }
@@ -656,7 +670,7 @@
                 Ev::Engine(EngineEv::Ended {
                     way,
                     round,
-                    how: PassEnd::Failed,
+                    how: AttemptOutcome::Failed,
                 }),
             );
         }
--- a/fleet-simulator/src/world/engine/model.rs
+++ b/fleet-simulator/src/world/engine/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coordination::{pass::Part, rendezvous::combine_hashes};
+use coordination::{pass::PrefixBlock, rendezvous::combine_hashes};
 use serde::Deserialize;
 
 /// What an engine can do.
@@ -31,7 +31,7 @@
 pub struct Job {
     pub id: u64,
     pub rank: u32,
-    pub parts: Vec<Part>,
+    pub parts: Vec<PrefixBlock>,
     pub events: u64,
 }
 
@@ -77,9 +77,9 @@
 }
 
 /// Shared parts as they are kept: each behind all before it.
-fn chains(parts: &[Part]) -> Vec<(u64, u64)> {
+fn chains(parts: &[PrefixBlock]) -> Vec<(u64, u64)> {
     let shared = parts.split_last().map_or(&[][..], |s| s.1);
-    let next = |at: &mut u64, p: &Part| {
+    let next = |at: &mut u64, p: &PrefixBlock| {
         *at = combine_hashes(*at, p.0);
         Some((*at, u64::from(p.1)))
     };
--- a/fleet-simulator/src/world/engine/model/tests.rs
+++ b/fleet-simulator/src/world/engine/model/tests.rs
@@ -19,7 +19,7 @@
         ..p
     })
 }
-fn job(id: u64, rank: u32, shared: Part, own: u32) -> Job {
+fn job(id: u64, rank: u32, shared: PrefixBlock, own: u32) -> Job {
     Job {
         id,
         rank,
--- a/fleet-simulator/src/world/network.rs
+++ b/fleet-simulator/src/world/network.rs
@@ -216,17 +216,17 @@
                         (b.serving_rule, b.valid_until) = (2, Ms::MAX);
                     }
                     if let Some(p) = &mut self.edges[i].proxy {
-                        p.on_board(b, now);
+                        p.on_table_update(b, now);
                     }
                 }
                 Message::PrefillReport(r) => {
                     if let Some(p) = &mut self.edges[i].proxy {
-                        p.on_readings(r, now);
+                        p.on_prefill_report(r, now);
                     }
                 }
                 Message::ClaimResult(c) => {
                     if let Some(f) = self.claims.remove(&c.token) {
-                        self.drive(f, Got::Claimed(c.state));
+                        self.drive(f, StepResult::Claimed(c.state));
                     }
                 }
                 _ => {}
--- a/fleet-simulator/src/world/operators.rs
+++ b/fleet-simulator/src/world/operators.rs
@@ -148,7 +148,7 @@
             let Some(p) = e
                 .proxy
                 .as_ref()
-                .filter(|p| p.ready(self.clock(To::Proxy(i))))
+                .filter(|p| p.is_ready(self.clock(To::Proxy(i))))
             else {
                 continue;
             };
--- a/fleet-simulator/src/world/replicas.rs
+++ b/fleet-simulator/src/world/replicas.rs
@@ -218,7 +218,7 @@
         ids.get(n % ids.len().max(1)).map(|s| s.to_string())
     }
 
-    pub(super) fn call(&mut self, id: u64, life: u64, p: Placed) {
+    pub(super) fn call(&mut self, id: u64, life: u64, p: Assignment) {
         let now = self.now;
         let fault = |c: &str| CallFault::new(c, "call_replica", "x");
         let Some(f) = self.flows.get(&id) else { return };
@@ -227,7 +227,7 @@
             self.edges[f.edge].zone.clone(),
         );
         let (q, until) = (f.q.clone(), f.until);
-        let not_begun = |w: &mut World, ms: Ms, e: NotBegun| {
+        let not_begun = |w: &mut World, ms: Ms, e: AttemptError| {
             w.after(
                 ms,
                 Ev::Begun {
@@ -238,19 +238,27 @@
             )
         };
         let Some(r) = self.reps.get(&p.replica) else {
-            return not_begun(self, 2, NotBegun::NotRun(fault("replica_gone")));
+            return not_begun(self, 2, AttemptError::NotRun(fault("replica_gone")));
         };
         let rep = (p.replica.clone(), r.r.zone.clone());
         if self.cut(&edge, &rep) || self.cut(&rep, &edge) {
-            return not_begun(self, OPEN_LIMIT, NotBegun::NotRun(fault("replica_gone")));
+            return not_begun(
+                self,
+                OPEN_LIMIT,
+                AttemptError::NotRun(fault("replica_gone")),
+            );
         }
         if !r.up || r.r.addr != p.addr {
-            return not_begun(self, 2, NotBegun::NotRun(fault("replica_gone")));
+            return not_begun(self, 2, AttemptError::NotRun(fault("replica_gone")));
         }
         // Bytes were sent and nothing came of them; as often as not the replica has them all the same.
         let lost = self.loses();
         if lost && self.rng.bool() {
-            return not_begun(self, OPEN_LIMIT, NotBegun::Unknown(fault("replica_lost")));
+            return not_begun(
+                self,
+                OPEN_LIMIT,
+                AttemptError::Unknown(fault("replica_lost")),
+            );
         }
         let Some(r) = self.reps.get(&p.replica) else {
             return;
@@ -264,7 +272,7 @@
             return not_begun(
                 self,
                 until.saturating_sub(now).max(1),
-                NotBegun::Unknown(fault("replica_lost")),
+                AttemptError::Unknown(fault("replica_lost")),
             );
         }
         let crowd = u64::from(r.busy.values().sum::<u32>().saturating_sub(SLOTS));
@@ -281,7 +289,7 @@
                 if joins {
                     return self.join(id, life, &q, &p, ms);
                 }
-                return not_begun(self, ms, NotBegun::Unknown(fault("no_run")));
+                return not_begun(self, ms, AttemptError::Unknown(fault("no_run")));
             };
             w.readers.push((id, life, ms));
             let (x, text, made) = (*x, w.text.clone(), w.made);
@@ -317,7 +325,7 @@
             }
             return;
         }
-        let no = |c: &str| NotBegun::NotRun(fault(c).outcome(Outcome::NotRun));
+        let no = |c: &str| AttemptError::NotRun(fault(c).outcome(Outcome::NotRun));
         // One that leaves takes what it is sent all the same: keeping work from it is the daemons' part.
         if r.loaded.get(&p.version).is_none_or(|t| *t > now) {
             return not_begun(self, ms, no("not_loaded"));
@@ -417,7 +425,11 @@
             end_ms: Ms::MAX,
         });
         if lost {
-            not_begun(self, OPEN_LIMIT, NotBegun::Unknown(fault("replica_lost")));
+            not_begun(
+                self,
+                OPEN_LIMIT,
+                AttemptError::Unknown(fault("replica_lost")),
+            );
         } else {
             self.after(
                 ms,
@@ -451,7 +463,7 @@
         &self,
         q: &RunRequest,
         run: &str,
-        p: &Placed,
+        p: &Assignment,
         warm: bool,
     ) -> StreamLine {
         let s = StreamStart {
@@ -588,7 +600,7 @@
     }
 
     /// A resume of a run that this replica no longer has is answered by another run, numbered on.
-    fn join(&mut self, id: u64, life: u64, q: &RunRequest, p: &Placed, ms: Ms) {
+    fn join(&mut self, id: u64, life: u64, q: &RunRequest, p: &Assignment, ms: Ms) {
         let after = q.resume.as_ref().map_or(0, |r| r.after);
         self.after(
             ms,
