--- a/coordination/examples/nominate.rs
+++ b/coordination/examples/nominate.rs
@@ -55,7 +55,7 @@
             ..EngineSpec::default()
         },
     );
-    p.set_service("s", &all, &BTreeSet::new(), 0);
+    p.set_replicas("s", &all, &BTreeSet::new(), 0);
     (p, all.into_iter().map(|r| r.id).collect())
 }
 
@@ -88,13 +88,13 @@
                 evacuated_zones: &BTreeSet::new(),
             };
             let began = Instant::now();
-            let to = black_box(p.nominate("s", ids.iter(), &w, now));
+            let to = black_box(p.choose("s", ids.iter(), &w, now));
             spent += began.elapsed().as_secs_f64();
             let Some(to) = to else { continue };
-            p.send(&to, &a, now);
-            p.heard("s", &to.id, &ResponseSignals::default(), now);
-            p.first_piece(&to.id, to.read_ms, 5.0, now);
-            p.end(&to.id, None, false, now);
+            p.on_sent(&to, &a, now);
+            p.on_response_head("s", &to.id, &ResponseSignals::default(), now);
+            p.on_first_chunk(&to.id, to.prefill_ms, 5.0, now);
+            p.on_attempt_ended(&to.id, None, false, now);
         }
         println!("{replicas:8}  {:.1}", spent * 1e6 / ROUNDS as f64);
     }
--- a/coordination/src/context/demand.rs
+++ b/coordination/src/context/demand.rs
@@ -1,7 +1,7 @@
-//! How often shared chains are asked for: a heavy-hitter summary (filtered space-saving) that decays, in bounded memory,
-//! and the sum of all edges' summaries by region.
+//! How often shared chains are requested: on an edge a heavy-hitter summary (filtered space-saving) that decays, in
+//! bounded memory; on the lease holder the totals of all edges' summaries by region.
 
-use std::collections::BTreeMap;
+use std::{cmp::Reverse, collections::BTreeMap};
 
 use topk::FilteredSpaceSaving;
 use wire_messages::{ChainDemand, Name};
@@ -9,145 +9,199 @@
 use super::{DemandCount, PromptChain};
 use crate::Ms;
 
-/// Chains that an edge counts: a summary of so many errs by at most a 128th of what was asked for lately.
+/// Chains that an edge counts: a summary of so many errs by at most a 128th of the recent requests.
 pub const TRACKED_CHAINS_MAX: usize = 128;
-/// Units of one ask: counts decay as whole numbers.
-const ASK_UNIT: u64 = 256;
-/// ms. An ask counts half after so long: some asks of a popular chain lie within it, and busy hours move more slowly.
+/// Counting units of one request: counts decay as whole numbers.
+const REQUEST_UNITS: u64 = 256;
+/// A request counts half after this long: some requests of a popular chain lie within it, and daily load moves slower.
 pub const DEMAND_HALF_LIFE: Ms = 15_000;
-/// ms. Counts decay in steps of this.
-const DECAY_EVERY: Ms = 1_000;
-/// ms, at least and for each edge, between two tellings of what is asked for; and chains in one: the holder of the duty
-/// hears 50 KB a second at most.
+/// Counts decay in steps of this length.
+const DECAY_INTERVAL: Ms = 1_000;
+/// Shortest interval between two reports of an edge.
 pub const DEMAND_REPORT_INTERVAL_MIN: Ms = 1_000;
-/// ms, at least and for each edge, between two tellings of what is asked for; and chains in one: the holder of the duty
-/// hears 50 KB a second at most.
-const DEMAND_EVERY_EDGE: Ms = 25;
-/// ms, at least and for each edge, between two tellings of what is asked for; and chains in one: the holder of the duty
-/// hears 50 KB a second at most.
+/// Interval between two reports for each edge of the fleet: with [`REPORTED_CHAINS_MAX`] the lease holder receives 50 KB
+/// a second at most.
+const DEMAND_REPORT_INTERVAL_PER_EDGE: Ms = 25;
+/// Chains in one report.
 pub const REPORTED_CHAINS_MAX: usize = 32;
-/// ms. What an edge told counts no more after so long, several tellings of the largest fleets.
+/// An edge's report counts no more after this long, several report intervals of the largest fleets.
 pub const DEMAND_REPORT_MAX_AGE: Ms = 30_000;
 
-/// What one edge counts.
+/// Fraction of a count that is left after some time.
+fn decay_factor(elapsed: Ms) -> f64 {
+    0.5f64.powf(elapsed as f64 / DEMAND_HALF_LIFE as f64)
+}
+
+/// What one edge counts for one service.
 #[derive(Clone)]
 pub struct LocalDemand {
-    asked: FilteredSpaceSaving<PromptChain>,
-    /// Chains that were taken for ready and were read again; bounded, as each was asked for.
-    missed: BTreeMap<PromptChain, f64>,
-    decayed: Ms,
-    told: Ms,
+    requests: FilteredSpaceSaving<PromptChain>,
+    /// Chains that were assumed to be cached and were prefilled again; bounded like the requests.
+    cache_misses: BTreeMap<PromptChain, f64>,
+    decayed_at: Ms,
+    reported_at: Ms,
 }
 
 impl Default for LocalDemand {
     fn default() -> Self {
         LocalDemand {
-            asked: FilteredSpaceSaving::new(TRACKED_CHAINS_MAX),
-            missed: BTreeMap::new(),
-            decayed: 0,
-            told: 0,
+            requests: FilteredSpaceSaving::new(TRACKED_CHAINS_MAX),
+            cache_misses: BTreeMap::new(),
+            decayed_at: 0,
+            reported_at: 0,
         }
     }
 }
 
+/// A chain with the bounds of how often it was requested, in counting units.
+#[derive(Clone, Copy, Debug)]
+struct EstimatedCount {
+    chain: PromptChain,
+    estimate: u64,
+    overcount_max: u64,
+}
+
 impl LocalDemand {
-    pub fn count_request(&mut self, c: PromptChain, now: Ms) {
+    /// Counts a request for a chain.
+    pub fn count_request(&mut self, chain: PromptChain, now: Ms) {
         self.decay(now);
-        self.asked.insert(c, ASK_UNIT);
+        self.requests.insert(chain, REQUEST_UNITS);
     }
-    /// A chain was taken for ready and was not.
-    pub fn count_miss(&mut self, c: PromptChain, now: Ms) {
+
+    /// Counts a chain that was assumed to be cached and was not.
+    pub fn count_miss(&mut self, chain: PromptChain, now: Ms) {
         self.decay(now);
-        *self.missed.entry(c).or_default() += ASK_UNIT as f64;
-        if self.missed.len() > TRACKED_CHAINS_MAX {
-            let least = self
-                .missed
-                .iter()
-                .min_by(|a, b| a.1.total_cmp(b.1))
-                .map(|m| *m.0);
-            least.map(|c| self.missed.remove(&c));
+        *self.cache_misses.entry(chain).or_default() += REQUEST_UNITS as f64;
+        if self.cache_misses.len() > TRACKED_CHAINS_MAX {
+            self.remove_least_missed();
         }
     }
+
+    fn remove_least_missed(&mut self) {
+        let least = self
+            .cache_misses
+            .iter()
+            .min_by(|a, b| a.1.total_cmp(b.1))
+            .map(|(chain, _)| *chain);
+        if let Some(chain) = least {
+            self.cache_misses.remove(&chain);
+        }
+    }
+
     fn decay(&mut self, now: Ms) {
-        let past = now.saturating_sub(self.decayed) / DECAY_EVERY;
-        if past == 0 {
+        let steps = now.saturating_sub(self.decayed_at) / DECAY_INTERVAL;
+        if steps == 0 {
             return;
         }
-        self.decayed += past * DECAY_EVERY;
-        let f = 0.5f64.powf((past * DECAY_EVERY) as f64 / DEMAND_HALF_LIFE as f64);
-        self.asked.decay(f);
-        self.missed.retain(|_, n| {
-            *n *= f;
-            *n >= 1.0
-        });
+        self.decayed_at += steps * DECAY_INTERVAL;
+        let factor = decay_factor(steps * DECAY_INTERVAL);
+        self.requests.decay(factor);
+        for count in self.cache_misses.values_mut() {
+            *count *= factor;
+        }
+        self.cache_misses.retain(|_, count| *count >= 1.0);
     }
-    /// Whether it is time to tell: each holder bears the same, however large its fleet.
-    pub fn is_due(&self, edges: usize, now: Ms) -> bool {
-        now >= self.told + DEMAND_REPORT_INTERVAL_MIN.max(DEMAND_EVERY_EDGE * edges as Ms)
+
+    /// Whether a report is due: each lease holder bears the same, however large its fleet.
+    pub fn is_due(&self, edge_count: usize, now: Ms) -> bool {
+        let interval =
+            DEMAND_REPORT_INTERVAL_MIN.max(DEMAND_REPORT_INTERVAL_PER_EDGE * edge_count as Ms);
+        now >= self.reported_at + interval
     }
-    /// The chains most asked for. What is told replaces what was told before: it may be lost or come twice.
+
+    /// The most requested chains. A report replaces the one before, so it may be lost or arrive twice.
     pub fn report(&mut self, now: Ms) -> Vec<ChainDemand> {
-        self.told = now;
+        self.reported_at = now;
         self.decay(now);
-        let mut all: Vec<(PromptChain, u64, u64)> = self
-            .asked
+        let mut counts: Vec<EstimatedCount> = self
+            .requests
             .iter()
-            .map(|(c, e)| (*c, e.estimated_count(), e.associated_error()))
-            .filter(|c| c.1 > c.2)
+            .map(|(chain, entry)| EstimatedCount {
+                chain: *chain,
+                estimate: entry.estimated_count(),
+                overcount_max: entry.associated_error(),
+            })
+            .filter(|count| count.estimate > count.overcount_max)
             .collect();
-        // Of as many asks the lower number first, so that telling is the same everywhere.
-        all.sort_unstable_by_key(|(c, n, e)| (std::cmp::Reverse(n - e), *c));
-        all.truncate(REPORTED_CHAINS_MAX);
-        let missed = |c: &PromptChain| self.missed.get(c).copied().unwrap_or(0.0) as u32;
-        let one = |(c, n, e): (PromptChain, u64, u64)| ChainDemand {
-            weights_version: c.version,
-            homes_digest: c.homes,
-            chain: c.chain,
-            tokens: c.tokens,
-            requests: n as u32,
-            overcount: e as u32,
-            cache_misses: missed(&c),
-        };
-        all.into_iter().map(one).collect()
+        // Of equal counts the lower chain goes first, so that every process reports alike.
+        counts.sort_unstable_by_key(|count| {
+            (Reverse(count.estimate - count.overcount_max), count.chain)
+        });
+        counts.truncate(REPORTED_CHAINS_MAX);
+        counts
+            .iter()
+            .map(|count| self.chain_demand(count))
+            .collect()
+    }
+
+    fn chain_demand(&self, count: &EstimatedCount) -> ChainDemand {
+        let chain = count.chain;
+        ChainDemand {
+            weights_version: chain.version,
+            homes_digest: chain.homes,
+            chain: chain.chain,
+            tokens: chain.tokens,
+            requests: count.estimate as u32,
+            overcount: count.overcount_max as u32,
+            cache_misses: self.cache_misses.get(&chain).copied().unwrap_or(0.0) as u32,
+        }
     }
 }
 
-/// What all edges last told of one service.
+/// The newest report of one edge.
+#[derive(Clone, Debug)]
+struct EdgeReport {
+    received_at: Ms,
+    chains: Vec<ChainDemand>,
+}
+
+/// The newest reports of all edges for one service.
 #[derive(Clone, Debug, Default)]
 pub struct FleetDemand {
-    by: BTreeMap<Name, (Ms, Vec<ChainDemand>)>,
+    by_edge: BTreeMap<Name, EdgeReport>,
 }
 
 impl FleetDemand {
-    pub fn merge_report(&mut self, edge: &Name, all: Vec<ChainDemand>, now: Ms) {
-        self.by.insert(edge.clone(), (now, all));
+    /// Takes an edge's report in place of its last one.
+    pub fn merge_report(&mut self, edge: &Name, chains: Vec<ChainDemand>, now: Ms) {
+        self.by_edge.insert(
+            edge.clone(),
+            EdgeReport {
+                received_at: now,
+                chains,
+            },
+        );
     }
-    /// Sums by region and chain. Only what is sure counts: an estimate's error never makes a copy.
+
+    /// Totals by region and chain. Only what is certain counts: an estimate's error never leads to a copy.
     pub fn totals(
         &mut self,
-        region: &dyn Fn(&Name) -> Option<String>,
+        region_of_edge: &dyn Fn(&Name) -> Option<String>,
         now: Ms,
     ) -> BTreeMap<(String, PromptChain), DemandCount> {
-        self.by
-            .retain(|_, t| now.saturating_sub(t.0) < DEMAND_REPORT_MAX_AGE);
-        let mut sums: BTreeMap<(String, PromptChain), DemandCount> = BTreeMap::new();
-        for (edge, (at, all)) in &self.by {
-            let Some(r) = region(edge) else { continue };
-            // What was told a while ago has decayed since.
-            let f = 0.5f64.powf(now.saturating_sub(*at) as f64 / DEMAND_HALF_LIFE as f64)
-                / ASK_UNIT as f64;
-            for p in all {
-                let c = PromptChain {
-                    version: p.weights_version,
-                    homes: p.homes_digest,
-                    chain: p.chain,
-                    tokens: p.tokens,
+        self.by_edge
+            .retain(|_, report| now.saturating_sub(report.received_at) < DEMAND_REPORT_MAX_AGE);
+        let mut totals: BTreeMap<(String, PromptChain), DemandCount> = BTreeMap::new();
+        for (edge, report) in &self.by_edge {
+            let Some(region) = region_of_edge(edge) else {
+                continue;
+            };
+            // The counts have decayed since the report came.
+            let requests_per_unit =
+                decay_factor(now.saturating_sub(report.received_at)) / REQUEST_UNITS as f64;
+            for demand in &report.chains {
+                let chain = PromptChain {
+                    version: demand.weights_version,
+                    homes: demand.homes_digest,
+                    chain: demand.chain,
+                    tokens: demand.tokens,
                 };
-                let s = sums.entry((r.clone(), c)).or_default();
-                s.requests += f64::from(p.requests.saturating_sub(p.overcount)) * f;
-                s.cache_misses += f64::from(p.cache_misses) * f;
+                let total = totals.entry((region.clone(), chain)).or_default();
+                total.requests +=
+                    f64::from(demand.requests.saturating_sub(demand.overcount)) * requests_per_unit;
+                total.cache_misses += f64::from(demand.cache_misses) * requests_per_unit;
             }
         }
-        sums
+        totals
     }
 }
--- a/coordination/src/context/mod.rs
+++ b/coordination/src/context/mod.rs
@@ -1,41 +1,43 @@
-//! Popular shared context: how often shared parts of prompts are asked for, and where copies of them stand ready.
+//! Popular shared context: how often shared prefixes of prompts are requested (`demand`), where copies of them are to be
+//! kept ready (`planner`), and the copies of a proxy's own region (`placed_context`).
 
-mod decide;
 pub(crate) mod demand;
-mod standing;
-pub use decide::CONTEXT_COPIES_MAX;
+mod placed_context;
+mod planner;
+
 pub use demand::{
-    DEMAND_HALF_LIFE, DEMAND_REPORT_INTERVAL_MIN, DEMAND_REPORT_MAX_AGE, REPORTED_CHAINS_MAX,
-    TRACKED_CHAINS_MAX,
+    DEMAND_HALF_LIFE, DEMAND_REPORT_INTERVAL_MIN, DEMAND_REPORT_MAX_AGE, FleetDemand, LocalDemand,
+    REPORTED_CHAINS_MAX, TRACKED_CHAINS_MAX,
 };
-
-pub use decide::{DemandCount, PlacementInputs, next_record};
-pub use demand::{FleetDemand, LocalDemand};
-pub use standing::PlacedContext;
+pub use placed_context::{ChainCopies, PlacedContext};
+pub use planner::{CONTEXT_COPIES_MAX, DemandCount, PlacementInputs, next_record};
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What is counted: a shared chain for one version of weights, by requests of the same homes. A part is known by its
-/// place in the chain, so a chain's number stands for all parts of it.
+/// The unit in which demand is counted: a shared chain for one version of weights, requested with the same homes.
+/// A block's id depends on its place in the chain, so the chain's digest stands for all blocks of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PromptChain {
+    /// Digest of the version's name.
     pub version: u64,
+    /// Digest of the homes, see [`homes_digest`].
     pub homes: u64,
     pub chain: u64,
     pub tokens: u32,
 }
 
-/// Number of a name, as it goes on the wire.
+/// Digest of a name, as it goes on the wire.
 pub fn name_digest(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
-/// Number of a lane's homes; 0 where any region may serve.
-pub fn homes_digest(all: &[String]) -> u64 {
-    let mut all: Vec<&str> = all.iter().map(String::as_str).collect();
-    all.sort_unstable();
-    if all.is_empty() {
+
+/// Digest of a lane's homes, in any order; 0 where any region may serve.
+pub fn homes_digest(homes: &[String]) -> u64 {
+    let mut sorted: Vec<&str> = homes.iter().map(String::as_str).collect();
+    sorted.sort_unstable();
+    if sorted.is_empty() {
         0
     } else {
-        name_digest(&all.join(" ")).max(1)
+        name_digest(&sorted.join(" ")).max(1)
     }
 }
--- /dev/null
+++ b/coordination/src/context/planner.rs
@@ -0,0 +1,294 @@
+//! Which chains get a copy where, by the demand that edges reported: a pure function from the old record to the next.
+
+use std::{
+    cmp::{Ordering, Reverse},
+    collections::{BTreeMap, BTreeSet},
+};
+
+use remote_calls::{ContextRecord, ContextSpec, PlacedReplica, StandingPart};
+
+use super::{PromptChain, name_digest};
+use crate::{
+    Ms,
+    context::demand::DEMAND_HALF_LIFE,
+    placement::{
+        BYTES_PER_TOKEN, CROSS_REGION_MS_PER_BYTE, CROSS_REGION_ROUND_TRIP_MS,
+        repeated_prefill_cost_ms,
+    },
+    rendezvous::rendezvous_weight_of,
+};
+
+/// A copy is planned for this long: less than a cache keeps what is requested so often.
+const COPY_LIFETIME: Ms = 30_000;
+/// Copies in one record: with their ids it takes some ten KB, which each edge gets at each change.
+pub const CONTEXT_COPIES_MAX: usize = 128;
+/// A copy is dropped when its value falls below this fraction of what it takes to have it made.
+const DROP_VALUE_FRACTION: f64 = 0.25;
+/// Requests in the demand window that one replica takes besides its other work: three a second, a fifth of what it
+/// prefills.
+const REQUESTS_PER_COPY: f64 = 64.0;
+/// Tokens of a prompt that are its own, where only its chain is known.
+const OWN_TOKENS_ASSUMED: u32 = 2_000;
+
+/// How often a region requests a chain, decaying, and how often the chain was assumed to be cached there and was not.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct DemandCount {
+    pub requests: f64,
+    pub cache_misses: f64,
+}
+
+/// What the decision goes by.
+pub struct PlacementInputs<'a> {
+    pub spec: &'a ContextSpec,
+    /// Tokens that a replica's cache can hold.
+    pub cache_tokens: u64,
+    /// The current version of weights.
+    pub version: &'a str,
+    /// Replicas that may be used: none that drains or is in an evacuated zone.
+    pub replicas: &'a [PlacedReplica],
+    pub region: &'a dyn Fn(&str) -> String,
+    /// Regions by the digest of a lane's homes; a digest that is not there gets no copies.
+    pub homes: &'a BTreeMap<u64, Vec<String>>,
+    pub demand: &'a BTreeMap<(String, PromptChain), DemandCount>,
+    /// A lease holder that took over lately has not heard all edges: missing demand does not mean that there is none.
+    pub is_incomplete: bool,
+}
+
+/// Copies of the old record by region and chain.
+type CurrentCopies<'a> = BTreeMap<(&'a str, u64), &'a StandingPart>;
+
+/// A copy of a chain that a region may get or keep.
+struct ProposedCopy<'a> {
+    region: &'a str,
+    chain: PromptChain,
+    requests: f64,
+    value: f64,
+    current: Option<&'a StandingPart>,
+}
+
+impl ProposedCopy<'_> {
+    /// What exists goes before what would have to be prefilled.
+    fn priority(&self) -> f64 {
+        self.value
+            * if self.current.is_some() {
+                1.0 / DROP_VALUE_FRACTION
+            } else {
+                1.0
+            }
+    }
+
+    /// The most valuable first.
+    fn order(&self, other: &Self) -> Ordering {
+        other
+            .priority()
+            .total_cmp(&self.priority())
+            .then_with(|| (self.chain, self.region).cmp(&(other.chain, other.region)))
+    }
+}
+
+/// ms that one request saves where a copy is near.
+fn saved_ms_per_request(tokens: u32) -> f64 {
+    f64::from(tokens.saturating_add(OWN_TOKENS_ASSUMED))
+        * BYTES_PER_TOKEN
+        * CROSS_REGION_MS_PER_BYTE
+        + CROSS_REGION_ROUND_TRIP_MS
+}
+
+/// ms that a copy saves in its lifetime, against those that it costs to prefill once.
+fn copy_value(chain: &PromptChain, count: &DemandCount) -> f64 {
+    let window_ms = DEMAND_HALF_LIFE as f64 / std::f64::consts::LN_2;
+    let windows = COPY_LIFETIME as f64 / window_ms;
+    let prefill_cost_ms = repeated_prefill_cost_ms(chain.tokens);
+    // Each cache miss prefilled the chain again, which undoes what other requests saved.
+    (count.requests * saved_ms_per_request(chain.tokens) - count.cache_misses * prefill_cost_ms)
+        * windows
+        / prefill_cost_ms
+}
+
+/// The next record. It differs from the old one only where that is worth a change.
+pub fn next_record(old: &ContextRecord, inputs: &PlacementInputs) -> ContextRecord {
+    let empty = ContextRecord {
+        service: old.service.clone(),
+        version: inputs.version.into(),
+        parts: vec![],
+    };
+    if !inputs.spec.on || inputs.version.is_empty() {
+        return empty;
+    }
+    let current = current_copies(old, inputs);
+    let mut proposed: Vec<ProposedCopy> = inputs
+        .demand
+        .iter()
+        .filter_map(|((region, chain), count)| propose(region, chain, count, &current, inputs))
+        .collect();
+    if inputs.is_incomplete {
+        proposed.extend(unreported_copies(&current, inputs));
+    }
+    proposed.sort_by(ProposedCopy::order);
+    ContextRecord {
+        parts: place_copies(&proposed, inputs),
+        ..empty
+    }
+}
+
+/// Copies that exist. Those for another version hold nothing that this one could use.
+fn current_copies<'a>(old: &'a ContextRecord, inputs: &PlacementInputs) -> CurrentCopies<'a> {
+    if old.version != inputs.version {
+        return CurrentCopies::new();
+    }
+    old.parts
+        .iter()
+        .map(|copy| ((copy.region.as_str(), copy.chain), copy))
+        .collect()
+}
+
+/// Copies for which no edge has reported demand yet.
+fn unreported_copies<'a>(
+    current: &CurrentCopies<'a>,
+    inputs: &PlacementInputs,
+) -> Vec<ProposedCopy<'a>> {
+    let reported: BTreeSet<(&str, u64)> = inputs
+        .demand
+        .keys()
+        .map(|(region, chain)| (region.as_str(), chain.chain))
+        .collect();
+    current
+        .iter()
+        .filter(|(key, _)| !reported.contains(*key))
+        .map(|((region, _), copy)| ProposedCopy {
+            region,
+            chain: PromptChain {
+                version: name_digest(inputs.version),
+                homes: copy.homes,
+                chain: copy.chain,
+                tokens: copy.tokens,
+            },
+            requests: 0.0,
+            value: 1.0,
+            current: Some(copy),
+        })
+        .collect()
+}
+
+fn propose<'a>(
+    region: &'a str,
+    chain: &PromptChain,
+    count: &DemandCount,
+    current: &CurrentCopies<'a>,
+    inputs: &PlacementInputs<'a>,
+) -> Option<ProposedCopy<'a>> {
+    // Demand for another version tells how popular the chain is, but what its replicas had cached is gone.
+    if chain.version != name_digest(inputs.version) || !may_have_copy(region, chain, inputs) {
+        return None;
+    }
+    let current = current.get(&(region, chain.chain)).copied();
+    let value = copy_value(chain, count);
+    let value_min = if current.is_some() {
+        DROP_VALUE_FRACTION
+    } else {
+        1.0
+    };
+    (value >= value_min).then_some(ProposedCopy {
+        region,
+        chain: *chain,
+        requests: count.requests,
+        value,
+        current,
+    })
+}
+
+/// Whether a region may have a copy: it is one of the homes, and not the region where the chain is served anyway.
+fn may_have_copy(region: &str, chain: &PromptChain, inputs: &PlacementInputs) -> bool {
+    let Some(homes) = inputs.homes.get(&chain.homes) else {
+        return false;
+    };
+    let is_home = |region: &str| homes.is_empty() || homes.iter().any(|home| home == region);
+    let first_in_order = inputs
+        .replicas
+        .iter()
+        .filter(|replica| replica.version == inputs.version)
+        .map(|replica| {
+            let weight = rendezvous_weight_of(chain.chain, name_digest(&replica.id));
+            (weight, (inputs.region)(&replica.zone))
+        })
+        .filter(|(_, region)| is_home(region))
+        .max();
+    is_home(region) && first_in_order.is_some_and(|(_, first_region)| first_region != region)
+}
+
+/// Places the copies in their order, as far as the replicas and the record have room.
+fn place_copies(proposed: &[ProposedCopy], inputs: &PlacementInputs) -> Vec<StandingPart> {
+    let mut capacity = CacheCapacity {
+        tokens_per_replica: inputs.cache_tokens * u64::from(inputs.spec.share_percent) / 100,
+        used_tokens: BTreeMap::new(),
+    };
+    let mut copies: Vec<StandingPart> = vec![];
+    for copy in proposed {
+        let replicas = place_copy(copy, inputs, &mut capacity);
+        if !replicas.is_empty() && copies.len() < CONTEXT_COPIES_MAX {
+            copies.push(StandingPart {
+                chain: copy.chain.chain,
+                tokens: copy.chain.tokens,
+                homes: copy.chain.homes,
+                region: copy.region.into(),
+                replicas,
+            });
+        }
+    }
+    // In one order, so that a record differs only where copies do.
+    copies.sort_by(|a, b| (&a.region, a.chain).cmp(&(&b.region, b.chain)));
+    copies
+}
+
+/// Room for context copies in the caches of the replicas.
+struct CacheCapacity<'a> {
+    tokens_per_replica: u64,
+    used_tokens: BTreeMap<&'a str, u64>,
+}
+
+impl<'a> CacheCapacity<'a> {
+    /// Takes the tokens if the replica has room for them, and says whether it did.
+    fn try_reserve(&mut self, replica_id: &'a str, tokens: u64) -> bool {
+        let used = self.used_tokens.entry(replica_id).or_default();
+        let has_room = *used + tokens <= self.tokens_per_replica;
+        if has_room {
+            *used += tokens;
+        }
+        has_room
+    }
+}
+
+/// Replicas for a copy: those that have it first, then by the chain's agreed order, as far as there is room.
+fn place_copy<'a>(
+    copy: &ProposedCopy,
+    inputs: &PlacementInputs<'a>,
+    capacity: &mut CacheCapacity<'a>,
+) -> Vec<String> {
+    let copies_wanted = 1 + (copy.requests / REQUESTS_PER_COPY) as usize;
+    let has_copy = |replica: &PlacedReplica| {
+        copy.current
+            .is_some_and(|current| current.replicas.contains(&replica.id))
+    };
+    let mut eligible: Vec<&PlacedReplica> = inputs
+        .replicas
+        .iter()
+        .filter(|replica| {
+            replica.version == inputs.version
+                && (inputs.region)(&replica.zone) == copy.region
+                && (!replica.cold || has_copy(replica))
+        })
+        .collect();
+    eligible.sort_by_key(|replica| {
+        let weight = rendezvous_weight_of(copy.chain.chain, name_digest(&replica.id));
+        Reverse((has_copy(replica), weight))
+    });
+    let tokens = u64::from(copy.chain.tokens);
+    let mut chosen: Vec<String> = vec![];
+    for replica in eligible {
+        if chosen.len() < copies_wanted && capacity.try_reserve(&replica.id, tokens) {
+            chosen.push(replica.id.clone());
+        }
+    }
+    chosen.sort();
+    chosen
+}
--- /dev/null
+++ b/coordination/src/placement/events.rs
@@ -0,0 +1,253 @@
+//! What becomes of attempts, and what other proxies report of theirs.
+
+use std::collections::BTreeMap;
+
+use wire_messages::{List, Name, Prefill};
+
+use super::{Candidate, Placement, selection::cacheable_blocks, shared_prefix};
+use crate::{
+    Ms,
+    pass::{RequestHead, ResponseSignals},
+    policy::Mechanism,
+};
+
+/// Suspicion from which on a further failure is not reported: others know.
+const SUSPICION_REPORTED_MAX: f64 = 1.5;
+/// A replica that failed for so long has most likely restarted and is cold.
+const RESTART_AFTER: Ms = 400;
+/// Stands for any replica in the prefix cache, where it is recorded which prefixes were requested at all.
+const ANY_REPLICA: u64 = 0;
+
+impl Placement {
+    // ---- attempts of this proxy ----
+
+    /// An attempt goes to the chosen replica.
+    pub fn on_sent(&mut self, candidate: &Candidate, head: &RequestHead, now: Ms) {
+        let Some(entry) = self.replicas.get_mut(&candidate.id) else {
+            return;
+        };
+        entry.view.on_sent(candidate.prefill_ms, now);
+        let number = entry.view.number;
+        let zone = &entry.view.zone;
+        self.reachability.on_sent_to_zone(zone, now);
+        if self.latency.is_remote(zone) {
+            self.reachability
+                .on_sent_to_region(self.latency.region(zone), now);
+        }
+        let blocks: Vec<u64> = cacheable_blocks(shared_prefix(&head.prefix_blocks)).collect();
+        self.record_cached(number, &blocks, now);
+        // A short prefill delays nobody, and its blocks are sent again soon or do not matter.
+        if self.peer_reports.accepts_prefill(candidate.prefill_ms) {
+            self.peer_reports.add_prefill(Prefill {
+                replica_number: number,
+                duration_ms: candidate.prefill_ms as u32,
+                blocks: List(blocks),
+            });
+        }
+    }
+
+    fn record_cached(&mut self, replica_number: u64, blocks: &[u64], now: Ms) {
+        for block in blocks {
+            self.prefix_cache.insert(replica_number, *block, now);
+        }
+        // The last block stands for the whole chain, wherever it is cached.
+        if let Some(last) = blocks.last() {
+            let is_new = self.prefix_cache.insert(ANY_REPLICA, *last, now);
+            self.prefix_reuse.record(is_new);
+        }
+    }
+
+    /// A connection to a replica was opened; it took so long.
+    pub fn on_connected(&mut self, id: &str, took: Ms) {
+        let Some(entry) = self.replicas.get(id) else {
+            return;
+        };
+        let zone = &entry.view.zone;
+        self.latency.record(zone, took as f64);
+        self.reachability
+            .on_response(self.latency.region(zone), zone);
+    }
+
+    /// A connection to a replica did not open in time.
+    pub fn on_unreachable(&mut self, id: &str, now: Ms) {
+        if let Some(entry) = self.replicas.get(id) {
+            self.reachability
+                .on_unreachable(&entry.view.zone, entry.view.number, now);
+        }
+    }
+
+    /// A response's head came.
+    pub fn on_response_head(
+        &mut self,
+        service: &str,
+        id: &str,
+        signals: &ResponseSignals,
+        now: Ms,
+    ) {
+        let slow_start_ms = self.engines.get(service).map_or(0, |engine| engine.cold_ms);
+        let Some(entry) = self.replicas.get_mut(id) else {
+            return;
+        };
+        let view = &mut entry.view;
+        view.on_response_head(signals, now);
+        self.reachability
+            .on_response(self.latency.region(&view.zone), &view.zone);
+        if let Some((running, waiting, _)) = signals.load {
+            self.averages_by_service
+                .entry(service.into())
+                .or_default()
+                .record_load(running + waiting);
+        }
+        if let Some(left_ms) = signals.warmup_left_ms.filter(|left_ms| *left_ms > 0) {
+            view.start_slow(now + left_ms, now);
+        }
+        if signals.is_other_replica {
+            return;
+        }
+        if view
+            .on_recovered(now)
+            .is_some_and(|failed_for| failed_for >= RESTART_AFTER)
+        {
+            view.start_slow(now + slow_start_ms, now);
+        }
+    }
+
+    /// The first chunk of an attempt came, `late_ms` later than expected.
+    pub fn on_first_chunk(&mut self, id: &str, prefill_ms: f64, late_ms: f64, now: Ms) {
+        let Some(entry) = self.replicas.get_mut(id) else {
+            return;
+        };
+        let averages = self
+            .averages_by_service
+            .entry(entry.service.clone())
+            .or_default();
+        averages.record_first_chunk_lag(late_ms);
+        entry
+            .view
+            .on_first_chunk(prefill_ms, late_ms, averages, now);
+    }
+
+    /// An attempt is over. `unfinished_prefill_ms`: its prefill, if no first chunk has come. `failed`: the replica is at
+    /// fault.
+    pub fn on_attempt_ended(
+        &mut self,
+        id: &str,
+        unfinished_prefill_ms: Option<f64>,
+        failed: bool,
+        now: Ms,
+    ) {
+        let Some(entry) = self.replicas.get_mut(id) else {
+            return;
+        };
+        entry.view.on_attempt_ended(unfinished_prefill_ms);
+        if failed {
+            entry.view.on_failure(now);
+            self.suspect(id, 0, now);
+        } else if unfinished_prefill_ms.is_none() {
+            entry.view.suspicion.on_success();
+            entry.view.suspicion.on_own_attempt(false, now);
+            entry.view.on_connection_idle(now);
+        }
+    }
+
+    /// A replica failed a request of this proxy after `took` ms: it is suspected, and its region is told.
+    pub fn suspect(&mut self, id: &str, took: Ms, now: Ms) {
+        let Some(entry) = self.replicas.get_mut(id) else {
+            return;
+        };
+        let suspicion = &mut entry.view.suspicion;
+        if suspicion.level(now) < SUSPICION_REPORTED_MAX {
+            self.peer_reports.add_failing(entry.view.number);
+        }
+        suspicion.on_failure_report(self.edges.own_name(), now);
+        suspicion.on_own_attempt(true, now);
+        suspicion.extend_for(took);
+    }
+
+    /// A replica completed a request by named service.
+    pub fn on_success(&mut self, id: &str) {
+        if let Some(entry) = self.replicas.get_mut(id) {
+            entry.view.suspicion.on_success();
+        }
+    }
+
+    /// A replica prefilled blocks again that were assumed to be cached: they were evicted, or never there.
+    pub fn on_prefix_missed(&mut self, id: &str, blocks: &[u64]) {
+        let Some(entry) = self.replicas.get(id) else {
+            return;
+        };
+        for block in blocks {
+            self.prefix_cache.remove_block(entry.view.number, *block);
+        }
+    }
+
+    /// Another incarnation is at the address: the replica is gone, whatever the record still says.
+    pub fn remove_replaced(&mut self, id: &str) {
+        // Until the record says so, other proxies would go there for it too.
+        if let Some(entry) = self.replicas.get(id) {
+            self.peer_reports.add_failing(entry.view.number);
+        }
+        self.remove(id);
+    }
+
+    // ---- reports to and from other proxies ----
+
+    /// Prompts to report to other proxies now, by the region of the replicas.
+    pub fn take_prefills(&mut self, now: Ms) -> BTreeMap<Name, Vec<Prefill>> {
+        let is_enabled = self.policy.is_enabled(Mechanism::ToldReadings);
+        let edge_count = self.edge_count();
+        let mut by_region: BTreeMap<Name, Vec<Prefill>> = BTreeMap::new();
+        for prefill in self.peer_reports.take_prefills(is_enabled, edge_count, now) {
+            let zone = self
+                .replica_ids
+                .get(&prefill.replica_number)
+                .and_then(|id| self.zone_of(id))
+                .unwrap_or_default();
+            by_region
+                .entry(self.latency.region(zone).into())
+                .or_default()
+                .push(prefill);
+        }
+        by_region
+    }
+
+    /// Replicas that failed here, to report now to the other proxies of the region: they share the network to them.
+    pub fn take_failing(&mut self, now: Ms) -> Vec<u64> {
+        let is_enabled = self.policy.is_enabled(Mechanism::Doubt);
+        let edge_count = self.edge_count();
+        self.peer_reports.take_failing(is_enabled, edge_count, now)
+    }
+
+    /// A replica failed another proxy, which is in `reporter_zone`.
+    pub fn on_peer_failure(
+        &mut self,
+        replica_number: u64,
+        reporter: &str,
+        reporter_zone: &str,
+        now: Ms,
+    ) {
+        // From another region it may be the network that fails.
+        if self.latency.is_remote(reporter_zone) {
+            return;
+        }
+        if let Some(id) = self.replica_ids.get(&replica_number)
+            && let Some(entry) = self.replicas.get_mut(id)
+        {
+            entry.view.suspicion.on_failure_report(reporter, now);
+        }
+    }
+
+    /// Another proxy sent a long prompt.
+    pub fn on_peer_prefill(&mut self, prefill: &Prefill, now: Ms) {
+        let Some(id) = self.replica_ids.get(&prefill.replica_number) else {
+            return;
+        };
+        let Some(entry) = self.replicas.get_mut(id) else {
+            return;
+        };
+        entry
+            .view
+            .on_peer_prefill(f64::from(prefill.duration_ms), now);
+        self.record_cached(prefill.replica_number, &prefill.blocks, now);
+    }
+}
--- /dev/null
+++ b/coordination/src/placement/selection.rs
@@ -0,0 +1,275 @@
+//! Which replicas may take a request, and the choice of one of them.
+
+use std::collections::BTreeSet;
+
+use remote_calls::PathSpec;
+
+use super::{Placement, PrefixCache, ReplicaEntry};
+use crate::{
+    Ms,
+    pass::{PrefixBlock, RequestHead},
+    policy::Mechanism,
+};
+
+/// Fraction of a cold replica's rate that all proxies together use: the rest covers their not knowing of each other.
+const COLD_RATE_FRACTION: f64 = 0.9;
+/// Fraction of what a cold replica bears above its rate that the proxies' first attempts may use up together.
+const COLD_BURST_FRACTION: f64 = 0.7;
+/// Smallest shared blocks that are worth remembering, in tokens.
+const CACHED_BLOCK_TOKENS_MIN: u32 = 200;
+
+/// The replica that was chosen for a request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Candidate {
+    pub id: String,
+    pub addr: String,
+    pub version: String,
+    /// The prompt's shared prefix is assumed to be in the replica's cache.
+    pub cached: bool,
+    /// ms that the prompt takes to prefill there.
+    pub prefill_ms: f64,
+    /// Expected ms to the first chunk.
+    pub expected_ms: f64,
+}
+
+/// What a replica is chosen for.
+pub struct PlacementRequest<'a> {
+    pub lane: &'a PathSpec,
+    pub head: &'a RequestHead,
+    /// Replicas that the request went to before.
+    pub tried: &'a [String],
+    pub evacuated_zones: &'a BTreeSet<String>,
+}
+
+/// A zone as it is for one request.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ZoneView<'a> {
+    name: &'a str,
+    pub round_trip_ms: f64,
+    /// It is in another region.
+    pub is_remote: bool,
+    /// Homes and evacuations let the request go there.
+    is_allowed: bool,
+    /// More urgent, home-bound requests depend on it.
+    pub is_contended: bool,
+    /// It responds, or it is time to try it again.
+    is_reachable: bool,
+}
+
+/// A replica that may take a request, and what it would cost.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ScoredReplica<'a> {
+    id: &'a str,
+    pub entry: &'a ReplicaEntry,
+    pub zone: ZoneView<'a>,
+    /// It is assumed to have the prompt's shared prefix cached.
+    pub is_cached: bool,
+    /// A context copy of the prefix is planned there.
+    pub has_placed_copy: bool,
+    /// ms of waiting, or what is worth as much.
+    pub cost_ms: f64,
+}
+
+/// Keeps those that fulfil the condition, if there are any.
+fn retain_if_any<'a>(
+    replicas: &mut Vec<ScoredReplica<'a>>,
+    condition: impl Fn(&ScoredReplica<'a>) -> bool,
+) {
+    if replicas.iter().any(&condition) {
+        replicas.retain(condition);
+    }
+}
+
+/// Ids of those blocks that are large enough to remember.
+pub(super) fn cacheable_blocks(blocks: &[PrefixBlock]) -> impl Iterator<Item = u64> {
+    blocks
+        .iter()
+        .filter(|(_, tokens)| *tokens >= CACHED_BLOCK_TOKENS_MIN)
+        .map(|(id, _)| *id)
+}
+
+/// Whether a replica is assumed to have all blocks cached that are worth remembering, of which there is at least one.
+pub(super) fn caches_prefix(
+    cache: &PrefixCache,
+    replica_number: u64,
+    blocks: &[PrefixBlock],
+    now: Ms,
+) -> bool {
+    cacheable_blocks(blocks).all(|id| cache.contains(replica_number, id, now))
+        && cacheable_blocks(blocks).next().is_some()
+}
+
+impl Placement {
+    /// Chooses the replica with the least expected cost among those of `replica_ids` that may take the request.
+    pub fn choose<'a>(
+        &mut self,
+        service: &str,
+        replica_ids: impl Iterator<Item = &'a String>,
+        request: &PlacementRequest,
+        now: Ms,
+    ) -> Option<Candidate> {
+        let mut untried: Vec<&String> = replica_ids
+            .filter(|id| !request.tried.contains(id))
+            .collect();
+        let held_back = self.held_back_by_slow_start(service, &untried, request, now);
+        untried.retain(|id| !held_back.contains(id));
+        let mut replicas = self.allowed_replicas(service, &untried, request, now);
+        // Replicas that fail are left alone while there are others; where there are none they are better than nothing.
+        retain_if_any(&mut replicas, |replica| {
+            replica.entry.view.is_available(now)
+        });
+        // A region or zone that is cut off is tried now and then, not at each of its replicas.
+        retain_if_any(&mut replicas, |replica| replica.zone.is_reachable);
+        self.score(service, &mut replicas, request, now);
+        let best = replicas
+            .iter()
+            .min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))?;
+        Some(Self::candidate(best, request, now))
+    }
+
+    fn candidate(replica: &ScoredReplica, request: &PlacementRequest, now: Ms) -> Candidate {
+        let prefill_ms = Self::prefill_ms_at(replica, request);
+        let entry = replica.entry;
+        Candidate {
+            id: replica.id.into(),
+            addr: entry.addr.clone(),
+            version: entry.version.clone(),
+            cached: replica.is_cached,
+            prefill_ms,
+            expected_ms: replica.zone.round_trip_ms
+                + entry.view.pending_prefill_ms(now)
+                + prefill_ms,
+        }
+    }
+
+    /// Known replicas in zones where the request may go.
+    fn allowed_replicas<'a>(
+        &'a self,
+        service: &str,
+        ids: &[&'a String],
+        request: &PlacementRequest,
+        now: Ms,
+    ) -> Vec<ScoredReplica<'a>> {
+        let mut zones: Vec<ZoneView> = vec![];
+        let mut allowed: Vec<ScoredReplica> = vec![];
+        for id in ids {
+            let Some(entry) = self.replicas.get(id.as_str()) else {
+                continue;
+            };
+            let zone = self.zone_view(service, &mut zones, &entry.view.zone, request, now);
+            if zone.is_allowed {
+                allowed.push(ScoredReplica {
+                    id,
+                    entry,
+                    zone,
+                    is_cached: false,
+                    has_placed_copy: false,
+                    cost_ms: 0.0,
+                });
+            }
+        }
+        allowed
+    }
+
+    // ---- zones ----
+
+    /// Whether homes and evacuations let a request go to a zone.
+    fn is_zone_allowed(&self, zone: &str, request: &PlacementRequest) -> bool {
+        let region = self.latency.region(zone);
+        let homes = &request.lane.homes;
+        let is_home = homes.is_empty() || homes.iter().any(|home| home == region);
+        is_home && !request.evacuated_zones.contains(zone)
+    }
+
+    /// What a zone is like for this request: worked out once for all its replicas.
+    fn zone_view<'a>(
+        &'a self,
+        service: &str,
+        known: &mut Vec<ZoneView<'a>>,
+        zone: &'a str,
+        request: &PlacementRequest,
+        now: Ms,
+    ) -> ZoneView<'a> {
+        if let Some(view) = known.iter().find(|view| view.name == zone) {
+            return *view;
+        }
+        let region = self.latency.region(zone);
+        let view = ZoneView {
+            name: zone,
+            round_trip_ms: self.latency.round_trip_ms(zone),
+            is_remote: self.latency.is_remote(zone),
+            is_allowed: self.is_zone_allowed(zone, request),
+            is_contended: self.policy.is_enabled(Mechanism::NeededRegions)
+                && self
+                    .home_bound
+                    .has_more_urgent(service, request.lane.rank, region),
+            is_reachable: self.is_zone_reachable(zone, now),
+        };
+        known.push(view);
+        view
+    }
+
+    fn is_zone_reachable(&self, zone: &str, now: Ms) -> bool {
+        let region = self.latency.region(zone);
+        let checks_zone = self.policy.is_enabled(Mechanism::ZoneReach);
+        let checks_region =
+            self.policy.is_enabled(Mechanism::RegionReach) && self.latency.is_remote(zone);
+        (!checks_zone || self.reachability.may_try_zone(zone, now))
+            && (!checks_region || self.reachability.may_try_region(region, now))
+    }
+
+    // ---- slow start ----
+
+    /// Cold replicas that have had this proxy's share of what they bear.
+    fn held_back_by_slow_start<'a>(
+        &mut self,
+        service: &str,
+        ids: &[&'a String],
+        request: &PlacementRequest,
+        now: Ms,
+    ) -> Vec<&'a String> {
+        let cold: Vec<&String> = ids
+            .iter()
+            .copied()
+            .filter(|id| {
+                self.replicas.get(id.as_str()).is_some_and(|entry| {
+                    entry.view.is_warming_up(now) && self.is_zone_allowed(&entry.view.zone, request)
+                })
+            })
+            .collect();
+        let mut held_back = vec![];
+        for id in cold {
+            let rate = self.own_slow_start_rate(service, id);
+            if let Some(entry) = self.replicas.get_mut(id.as_str())
+                && !entry.view.slow_start_allows(rate, now)
+            {
+                held_back.push(id);
+            }
+        }
+        held_back
+    }
+
+    /// This proxy's share of a cold replica's rate: none if other proxies are to warm it up.
+    fn own_slow_start_rate(&self, service: &str, replica_id: &str) -> f64 {
+        let engine_rate = self
+            .engines
+            .get(service)
+            .and_then(|engine| engine.cold_rate)
+            .filter(|_| self.policy.is_enabled(Mechanism::ColdRamp));
+        let Some(rate) = engine_rate.filter(|rate| *rate > 0.0) else {
+            return f64::MAX;
+        };
+        // Each proxy that warms it up may send one attempt at the same moment: there are no more of them than attempts
+        // that the replica bears above its rate.
+        let burst = rate * (self.bounds.cold_over - 1.0).max(0.0) + self.bounds.cold_slack;
+        let proxies = self
+            .edge_count()
+            .min((burst * COLD_BURST_FRACTION).max(1.0) as usize)
+            .max(1);
+        if self.edges.edges_ahead(replica_id) >= proxies {
+            0.0
+        } else {
+            rate * COLD_RATE_FRACTION / proxies as f64
+        }
+    }
+}
--- a/coordination/src/proxy/counts.rs
+++ b/coordination/src/proxy/counts.rs
@@ -74,10 +74,10 @@
         }
         // What came by host and path has told its replica's row already.
         match e {
-            OutcomeClass::Succeeded if p.attempt == 0 => self.placement.trust(&p.replica),
+            OutcomeClass::Succeeded if p.attempt == 0 => self.placement.on_success(&p.replica),
             OutcomeClass::Failed if p.attempt == 0 => {
                 self.placement
-                    .doubt(&p.replica, now.saturating_sub(p.assigned_at), now)
+                    .suspect(&p.replica, now.saturating_sub(p.assigned_at), now)
             }
             _ => {}
         }
--- a/coordination/src/proxy/news.rs
+++ b/coordination/src/proxy/news.rs
@@ -71,7 +71,7 @@
             let mut s = (self.reader)(&c.value.0);
             self.read = version_stamp(c);
             // Tenants bring paths by the ten thousand: the index alone has them.
-            self.placement.needed = HomeBoundDemand::new(s.as_ref().map_or(&[], |s| &s.paths));
+            self.placement.home_bound = HomeBoundDemand::new(s.as_ref().map_or(&[], |s| &s.paths));
             self.paths =
                 LaneIndex::new(s.as_mut().map_or(vec![], |s| std::mem::take(&mut s.paths)));
             for v in s.iter().flat_map(|s| &s.services) {
@@ -102,7 +102,7 @@
             let old = self.records.get(&s).map_or(BTreeSet::new(), |o| {
                 o.2.replicas.iter().map(|p| p.id.clone()).collect()
             });
-            self.placement.set_service(&s, &r.replicas, &old, now);
+            self.placement.set_replicas(&s, &r.replicas, &old, now);
             self.records.insert(s, (at.0, at.1, r));
         }
         self.read_contexts();
@@ -214,8 +214,11 @@
     /// Long prompts that went out since this was last asked, by the region where they are read, and replicas that failed
     /// here, for other proxies. Who shares this region's ways is told of the failures.
     pub fn readings(&mut self, now: Ms) -> impl Iterator<Item = PrefillReport> {
-        let (mut all, failing) = (self.placement.readings(now), self.placement.failing(now));
-        let home: Name = self.placement.travel.home().into();
+        let (mut all, failing) = (
+            self.placement.take_prefills(now),
+            self.placement.take_failing(now),
+        );
+        let home: Name = self.placement.latency.own_region().into();
         if !failing.is_empty() {
             all.entry(home.clone()).or_default();
         }
@@ -238,7 +241,7 @@
 
     /// What shared context is often asked for here, for the holders of the services' duties.
     pub fn context_demands(&mut self, now: Ms) -> Vec<DemandMsg> {
-        let edges = self.placement.edges();
+        let edges = self.placement.edge_count();
         let due = self.demand.iter_mut().filter(|(_, d)| d.is_due(edges, now));
         due.map(|(s, d)| DemandMsg {
             service: s.as_str().into(),
@@ -275,7 +278,7 @@
             .entry(service.into())
             .or_default()
             .count_request(c, now);
-        n.warm.then(|| Ready {
+        n.cached.then(|| Ready {
             chain: c,
             parts: parts.iter().map(|p| p.0).collect(),
         })
@@ -284,7 +287,7 @@
     /// A first piece came so late that what was taken for ready was read again.
     pub(super) fn miss_context(&mut self, p: &Assignment, r: Ready, now: Ms) {
         self.count("context_missed");
-        self.placement.missed(&p.replica, &r.parts);
+        self.placement.on_prefix_missed(&p.replica, &r.parts);
         self.demand
             .entry(p.service.clone())
             .or_default()
@@ -295,9 +298,9 @@
     pub fn on_prefill_report(&mut self, m: PrefillReport, now: Ms) {
         m.prefills
             .iter()
-            .for_each(|r| self.placement.on_reading(r, now));
+            .for_each(|r| self.placement.on_peer_prefill(r, now));
         m.failing_replicas
             .iter()
-            .for_each(|n| self.placement.on_failing(*n, &m.proxy, &m.zone, now));
+            .for_each(|n| self.placement.on_peer_failure(*n, &m.proxy, &m.zone, now));
     }
 }
--- a/coordination/src/proxy/pass.rs
+++ b/coordination/src/proxy/pass.rs
@@ -73,7 +73,7 @@
                     tried,
                     evacuated_zones: &evacuated,
                 };
-                let n = self.placement.nominate(&service, open, &w, now);
+                let n = self.placement.choose(&service, open, &w, now);
                 self.evacuated = evacuated;
                 if let Some(n) = n {
                     return Admission::Assigned(
@@ -116,14 +116,14 @@
         now: Ms,
     ) -> Assignment {
         let ready = self.ask_context(lane, &service, &n, ask, now);
-        self.placement.send(&n, ask, now);
+        self.placement.on_sent(&n, ask, now);
         self.flight += 1;
         let slow = lane.expected_ms.max(1) as f64 * SLOW_FACTOR as f64;
         self.flights.insert(
             self.flight,
             Flight {
-                read_ms: Some(n.read_ms),
-                expected: n.expected,
+                read_ms: Some(n.prefill_ms),
+                expected: n.expected_ms,
                 at: now,
                 slow_ms: slow,
                 slow: false,
@@ -137,7 +137,7 @@
             replica: n.id,
             addr: n.addr,
             role,
-            cached: n.warm,
+            cached: n.cached,
             assigned_at: now,
             attempt: self.flight,
         };
@@ -149,7 +149,7 @@
 
     /// Draws a second round on the budget that holds over all proxies.
     pub fn try_draw_retry(&mut self, service: &str, now: Ms) -> bool {
-        let edges = self.placement.edges();
+        let edges = self.placement.edge_count();
         let b = self.budgets.entry(service.into()).or_default();
         let may = self.placement.policy.is_enabled(Mechanism::SecondRounds)
             && b.try_draw_retry(&self.placement.bounds, edges, now);
@@ -163,22 +163,23 @@
 
     /// Most channels this proxy may hold to each replica of a service.
     pub fn max_connections(&self, service: &str) -> usize {
-        self.placement.channels(service)
+        self.placement.max_connections(service)
     }
 
     /// ms there and back to a replica, as far as is known.
     pub fn round_trip_ms(&self, p: &Assignment) -> Ms {
-        self.placement.way(&p.replica)
+        self.placement.round_trip_ms(&p.replica)
     }
 
     /// A channel was opened; it took so long.
     pub fn on_connected(&mut self, p: &Assignment, took: Ms, _now: Ms) {
-        self.placement.opened(&p.replica, took);
+        self.placement.on_connected(&p.replica, took);
     }
 
     /// An answer's head came.
     pub fn on_response_head(&mut self, p: &Assignment, t: &ResponseSignals, now: Ms) {
-        self.placement.heard(&p.service, &p.replica, t, now);
+        self.placement
+            .on_response_head(&p.service, &p.replica, t, now);
     }
 
     /// The first event or bytes of an answer came.
@@ -195,9 +196,10 @@
         // Others' prompts make a replica late too: it must be late by most of what reading the shared parts takes, and
         // beyond what it lately was.
         let missed = ready.filter(|r| {
-            late - self.placement.lag(&p.replica, now) > prefill_ms(r.chain.tokens) * MISSED_PART
+            late - self.placement.first_chunk_lag_ms(&p.replica, now)
+                > prefill_ms(r.chain.tokens) * MISSED_PART
         });
-        self.placement.first_piece(&p.replica, read, late, now);
+        self.placement.on_first_chunk(&p.replica, read, late, now);
         if let Some(r) = missed {
             self.miss_context(p, r, now);
         }
@@ -220,12 +222,13 @@
                 | AttemptOutcome::ConnectTimedOut
                 | AttemptOutcome::ResponseTimedOut
         );
-        self.placement.end(&p.replica, f.read_ms, failed, now);
+        self.placement
+            .on_attempt_ended(&p.replica, f.read_ms, failed, now);
         if e == AttemptOutcome::ConnectTimedOut {
-            self.placement.dark(&p.replica, now);
+            self.placement.on_unreachable(&p.replica, now);
         }
         if e == AttemptOutcome::WrongReplica {
-            self.placement.gone(&p.replica);
+            self.placement.remove_replaced(&p.replica);
         }
         let ended = match e {
             AttemptOutcome::Completed if f.slow => OutcomeClass::Slow,
--- a/coordination/src/proxy/place.rs
+++ b/coordination/src/proxy/place.rs
@@ -9,7 +9,7 @@
 
 use super::{Admission, Assignment, Proxy, Seen};
 use crate::{
-    Ms, claims, edge_agent::REJECT_ALL, placement::kept::PREFIX_CACHE_TTL,
+    Ms, claims, edge_agent::REJECT_ALL, placement::prefix_cache::PREFIX_CACHE_TTL,
     rendezvous::rendezvous_weight,
 };
 
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -8,7 +8,7 @@
 use crate::{
     Ms,
     edge_agent::SERVE_ALL,
-    placement::kept::PREFIX_CACHE_TTL,
+    placement::prefix_cache::PREFIX_CACHE_TTL,
     policy::Mechanism,
     proxy::buffer::WAITING,
     rendezvous::rendezvous_weight,
@@ -178,7 +178,7 @@
         // One may say that it is well and fail what it is sent: it is left alone while others have places.
         let sure: Vec<_> = fit
             .iter()
-            .filter(|(s, _)| !self.placement.shuns(&s.report.replica, now))
+            .filter(|(s, _)| !self.placement.is_suspected(&s.report.replica, now))
             .copied()
             .collect();
         if sure.is_empty() { fit } else { sure }
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -51,7 +51,7 @@
         );
         p.set_edges(names.clone(), &names[i], 0);
         p.set_engine("s", &engine());
-        p.set_service("s", all, &BTreeSet::new(), 0);
+        p.set_replicas("s", all, &BTreeSet::new(), 0);
         p
     };
     (0..n).map(one).collect()
@@ -78,19 +78,19 @@
         tried: &[],
         evacuated_zones: &BTreeSet::new(),
     };
-    let n = p.nominate("s", ids.iter(), &w, now)?;
-    p.send(&n, a, now);
+    let n = p.choose("s", ids.iter(), &w, now)?;
+    p.on_sent(&n, a, now);
     if answered {
-        p.heard("s", &n.id, &ResponseSignals::default(), now);
-        p.first_piece(&n.id, n.read_ms, 0.0, now);
-        p.end(&n.id, None, false, now);
+        p.on_response_head("s", &n.id, &ResponseSignals::default(), now);
+        p.on_first_chunk(&n.id, n.prefill_ms, 0.0, now);
+        p.on_attempt_ended(&n.id, None, false, now);
     }
     Some(n.id)
 }
 
 /// What a proxy tells others of, wherever it is read.
 fn told(p: &mut Placement, now: u64) -> Vec<Prefill> {
-    p.readings(now).into_values().flatten().collect()
+    p.take_prefills(now).into_values().flatten().collect()
 }
 
 #[gtest]
@@ -180,7 +180,7 @@
         for (i, p) in fleet.iter_mut().enumerate() {
             let short = ask(&[(k, 55), (2_000 + k, 40), (i as u64, 290)]);
             let id = go(p, &ids, &l, &short, true, 20).unwrap();
-            expect_that!(p.zone(&id).unwrap(), eq(["a", "b", "c"][i % 3]));
+            expect_that!(p.zone_of(&id).unwrap(), eq(["a", "b", "c"][i % 3]));
         }
     }
 }
@@ -201,10 +201,11 @@
             for i in (0..proxies).map(|i| (i + k as usize) % 6) {
                 let a = ask(&[(k + 1, 13_000), (1_000 + now + i as u64, 3_000)]);
                 let id = go(&mut fleet[i], &ids, &l, &a, true, now).unwrap();
-                far[t as usize] += usize::from(fleet[i].zone(&id) != Some(["a", "b", "c"][i % 3]));
+                far[t as usize] +=
+                    usize::from(fleet[i].zone_of(&id) != Some(["a", "b", "c"][i % 3]));
                 copies.insert((k, id));
                 for r in told(&mut fleet[i], now) {
-                    fleet[(i + 3) % 6].on_reading(&r, now);
+                    fleet[(i + 3) % 6].on_peer_prefill(&r, now);
                 }
             }
         }
@@ -251,7 +252,7 @@
         tried: &[],
         evacuated_zones: &gone,
     };
-    expect_that!(p.nominate("s", ids.iter(), &w, 10), none());
+    expect_that!(p.choose("s", ids.iter(), &w, 10), none());
 }
 
 #[gtest]
@@ -265,12 +266,12 @@
     let busy = |p: &mut Placement, now| {
         for id in ids
             .iter()
-            .filter(|id| p.zone(id) == Some("a"))
+            .filter(|id| p.zone_of(id) == Some("a"))
             .cloned()
             .collect::<Vec<_>>()
         {
             let n = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
-            p.on_reading(
+            p.on_peer_prefill(
                 &Prefill {
                     replica_number: n,
                     duration_ms: 400,
@@ -294,19 +295,19 @@
                 tried: &[],
                 evacuated_zones: &BTreeSet::new(),
             };
-            let Some(x) = p.nominate("s", ids.iter(), &w, now) else {
+            let Some(x) = p.choose("s", ids.iter(), &w, now) else {
                 continue;
             };
-            let away = p.zone(&x.id) != Some("a");
-            p.send(&x, &a, now);
+            let away = p.zone_of(&x.id) != Some("a");
+            p.on_sent(&x, &a, now);
             n += usize::from(away);
             if away && cut {
-                p.end(&x.id, Some(x.read_ms), true, now);
+                p.on_attempt_ended(&x.id, Some(x.prefill_ms), true, now);
                 continue;
             }
-            p.heard("s", &x.id, &ResponseSignals::default(), now);
-            p.first_piece(&x.id, x.read_ms, 0.0, now);
-            p.end(&x.id, None, false, now);
+            p.on_response_head("s", &x.id, &ResponseSignals::default(), now);
+            p.on_first_chunk(&x.id, x.prefill_ms, 0.0, now);
+            p.on_attempt_ended(&x.id, None, false, now);
         }
         n
     };
@@ -332,7 +333,7 @@
     let mut p = fleet(3, &all).remove(0);
     let (l, a) = (lane(&[]), ask(&[(1, 10)]));
     let bad = go(&mut p, &ids, &l, &a, false, 1_000).unwrap();
-    p.end(&bad, Some(1.0), true, 1_000);
+    p.on_attempt_ended(&bad, Some(1.0), true, 1_000);
     (0..20).for_each(|i| {
         expect_that!(
             go(&mut p, &ids, &l, &a, true, 1_010 + i),
@@ -359,11 +360,15 @@
     let reads = go(&mut fleet[0], &ids, &l, &long, false, 1_000).unwrap();
     let told = told(&mut fleet[0], 1_050);
     expect_that!(told, len(eq(1)));
-    expect_that!(fleet[0].readings(1_500), is_empty(), "not so soon again");
+    expect_that!(
+        fleet[0].take_prefills(1_500),
+        is_empty(),
+        "not so soon again"
+    );
     let p = &mut fleet[3];
-    told.iter().for_each(|r| p.on_reading(r, 1_060));
+    told.iter().for_each(|r| p.on_peer_prefill(r, 1_060));
     // A news of a replica that is not known here is no news.
-    p.on_reading(
+    p.on_peer_prefill(
         &Prefill {
             replica_number: 1,
             duration_ms: 9,
@@ -400,7 +405,7 @@
                 true,
                 now,
             );
-            tellings += usize::from(!p.readings(now).is_empty());
+            tellings += usize::from(!p.take_prefills(now).is_empty());
         }
         expect_that!(tellings * n, le(60 * 130), "{n} edges");
         expect_that!(tellings, ge(15), "{n} edges");
@@ -422,7 +427,7 @@
             100,
         );
     }
-    let told = p.readings(1_000);
+    let told = p.take_prefills(1_000);
     expect_that!(
         told.iter()
             .map(|(r, v)| (r.to_string(), v.len()))
@@ -445,7 +450,7 @@
     let kept = go(&mut fleet[0], &others, &l, &long, true, 20).unwrap();
     told(&mut fleet[0], 1_000)
         .iter()
-        .for_each(|r| fleet[2].on_reading(r, 1_010));
+        .for_each(|r| fleet[2].on_peer_prefill(r, 1_010));
     expect_that!(
         go(&mut fleet[2], &ids, &l, &long, true, 5_000),
         some(eq(&kept))
@@ -473,10 +478,10 @@
         ..told[0].clone()
     };
     for p in &mut fleet[1..] {
-        told.iter().for_each(|r| p.on_reading(r, 1_010));
-        p.on_reading(&busy(1_000), 2_000);
+        told.iter().for_each(|r| p.on_peer_prefill(r, 1_010));
+        p.on_peer_prefill(&busy(1_000), 2_000);
         expect_that!(go(p, &ids, &l, &long, true, 2_010), some(eq(&first)));
-        p.on_reading(&busy(4_000), 3_000);
+        p.on_peer_prefill(&busy(4_000), 3_000);
         expect_that!(
             go(p, &ids, &l, &long, true, 3_010),
             some(not(eq(&first))),
@@ -487,11 +492,11 @@
 
 /// Says to each proxy of `to` what failed at the first.
 fn tell(from: &mut Placement, name: &str, zone: &str, to: &mut [Placement], now: u64) {
-    let failing = from.failing(now);
+    let failing = from.take_failing(now);
     to.iter_mut().for_each(|p| {
         failing
             .iter()
-            .for_each(|n| p.on_failing(*n, name, zone, now))
+            .for_each(|n| p.on_peer_failure(*n, name, zone, now))
     });
 }
 
@@ -514,14 +519,14 @@
             tried: &[],
             evacuated_zones: &BTreeSet::new(),
         };
-        let n = fleet[i].nominate("s", ids.iter(), &w, now).unwrap();
-        fleet[i].send(&n, &a, now);
+        let n = fleet[i].choose("s", ids.iter(), &w, now).unwrap();
+        fleet[i].on_sent(&n, &a, now);
         if n.id != dark {
-            fleet[i].first_piece(&n.id, n.read_ms, 0.0, now);
-            fleet[i].end(&n.id, None, false, now);
+            fleet[i].on_first_chunk(&n.id, n.prefill_ms, 0.0, now);
+            fleet[i].on_attempt_ended(&n.id, None, false, now);
             continue;
         }
-        fleet[i].end(&n.id, Some(n.read_ms), true, now);
+        fleet[i].on_attempt_ended(&n.id, Some(n.prefill_ms), true, now);
         if i.is_multiple_of(3) {
             tries.push(now);
         }
@@ -559,25 +564,25 @@
             tried: &[],
             evacuated_zones: &BTreeSet::new(),
         };
-        let n = p.nominate("s", [id.to_string()].iter(), &w, 10).unwrap();
-        p.send(&n, &a, 10);
-        p.end(id, Some(n.read_ms), true, 10);
-        p.failing(1_000)[0]
+        let n = p.choose("s", [id.to_string()].iter(), &w, 10).unwrap();
+        p.on_sent(&n, &a, 10);
+        p.on_attempt_ended(id, Some(n.prefill_ms), true, 10);
+        p.take_failing(1_000)[0]
     };
     let ra = number(&mut fleet[3], "ra");
     // The near one stays the better one, however often a single neighbour says that it failed.
-    (0..50).for_each(|i| fleet[0].on_failing(ra, "e3", "a", 2_000 + i));
+    (0..50).for_each(|i| fleet[0].on_peer_failure(ra, "e3", "a", 2_000 + i));
     expect_that!(go(&mut fleet[0], &ids, &l, &a, true, 2_060), some(eq("ra")));
     // Others say so too: until their word fades it is left to those that must.
     ["e6", "e9", "e12"]
         .iter()
-        .for_each(|e| fleet[0].on_failing(ra, e, "a", 2_100));
+        .for_each(|e| fleet[0].on_peer_failure(ra, e, "a", 2_100));
     expect_that!(go(&mut fleet[0], &ids, &l, &a, true, 2_110), some(eq("rb")));
     expect_that!(go(&mut fleet[0], &ids, &l, &a, true, 8_000), some(eq("ra")));
     // The word of another region may be about the way.
     ["e1", "e4", "e7", "e10"]
         .iter()
-        .for_each(|e| fleet[0].on_failing(ra, e, "b", 9_000));
+        .for_each(|e| fleet[0].on_peer_failure(ra, e, "b", 9_000));
     expect_that!(go(&mut fleet[0], &ids, &l, &a, true, 9_010), some(eq("ra")));
 }
 
@@ -608,7 +613,7 @@
     expect_that!(places(&mut p, 10_000, 2_000).len(), ge(15));
     // One that has come to hold much is left for another.
     let busy = places(&mut p, 100_000, 100).pop_first().unwrap();
-    p.heard(
+    p.on_response_head(
         "s",
         &busy,
         &ResponseSignals {
@@ -630,7 +635,7 @@
     let mut fleet = fleet(6, &all);
     let first = go(&mut fleet[0], &ids, &l, &a, true, 10).unwrap();
     let mut p = fleet.remove(3);
-    p.gone(&first);
+    p.remove_replaced(&first);
     tell(&mut p, "e3", "a", &mut fleet, 1_000);
     expect_that!(
         go(&mut fleet[0], &ids, &l, &a, true, 1_010),
@@ -652,7 +657,7 @@
     // Two of them have told theirs, and that they are well filled.
     for id in ["r0", "r1"] {
         for now in 0..20 {
-            p.heard(
+            p.on_response_head(
                 "s",
                 id,
                 &ResponseSignals {
@@ -675,19 +680,19 @@
 fn one_that_fails_what_it_is_sent_is_shunned_for_a_while() {
     let all = [replica("r0", "a", false), replica("r1", "a", false)];
     let mut p = fleet(1, &all).remove(0);
-    expect_that!(p.shuns("r0", 1_000), eq(false));
-    p.doubt("r0", 0, 1_000);
-    expect_that!(p.shuns("r0", 1_800), eq(true));
-    expect_that!(p.shuns("r1", 1_800), eq(false));
-    expect_that!(p.shuns("r0", 2_500), eq(false));
-    p.doubt("r0", 2_500, 5_000);
-    expect_that!(p.shuns("r0", 7_400), eq(true));
-    expect_that!(p.shuns("r0", 9_000), eq(false));
+    expect_that!(p.is_suspected("r0", 1_000), eq(false));
+    p.suspect("r0", 0, 1_000);
+    expect_that!(p.is_suspected("r0", 1_800), eq(true));
+    expect_that!(p.is_suspected("r1", 1_800), eq(false));
+    expect_that!(p.is_suspected("r0", 2_500), eq(false));
+    p.suspect("r0", 2_500, 5_000);
+    expect_that!(p.is_suspected("r0", 7_400), eq(true));
+    expect_that!(p.is_suspected("r0", 9_000), eq(false));
     // It answers again: trust comes back sooner than by waiting.
-    p.doubt("r0", 0, 20_000);
-    p.trust("r0");
-    p.trust("r0");
-    expect_that!(p.shuns("r0", 20_010), eq(false));
+    p.suspect("r0", 0, 20_000);
+    p.on_success("r0");
+    p.on_success("r0");
+    expect_that!(p.is_suspected("r0", 20_010), eq(false));
 }
 
 /// What a failure costs counts, not a few ms: reading parts anew is cheaper than failing again and again.
@@ -705,13 +710,13 @@
     let long = ask(&[(7, 13_000), (8, 3_000)]);
     let mut p = fleet(1, &all).remove(0);
     let first = go(&mut p, &ids, &l, &long, true, 10).unwrap();
-    p.doubt(&first, 0, 1_000);
+    p.suspect(&first, 0, 1_000);
     expect_that!(
         go(&mut p.clone(), &ids, &l, &long, true, 1_010),
         some(eq(&first)),
         "one failure"
     );
-    (0..10).for_each(|i| p.doubt(&first, 0, 1_050 + i * 50));
+    (0..10).for_each(|i| p.suspect(&first, 0, 1_050 + i * 50));
     expect_that!(
         go(&mut p.clone(), &ids, &l, &long, true, 1_510),
         some(not(eq(&first)))
@@ -744,10 +749,10 @@
         .collect();
     let keeps = kept.iter().filter(|id| **id == "r0").count();
     let mut other = fleet[0].clone();
-    other.doubt("r0", 0, 4_000);
-    let number = other.failing(10_000)[0];
+    other.suspect("r0", 0, 4_000);
+    let number = other.take_failing(10_000)[0];
     let mut neighbour = fleet[0].clone();
-    (0..50).for_each(|i| neighbour.on_failing(number, "e3", "a", 4_000 + i));
+    (0..50).for_each(|i| neighbour.on_peer_failure(number, "e3", "a", 4_000 + i));
     let same = |p: &mut Placement| {
         (0..30)
             .filter(|k| {
@@ -777,17 +782,17 @@
             tried: &[],
             evacuated_zones: &BTreeSet::new(),
         };
-        let to = p.nominate("s", ids.iter(), &w, now).unwrap();
-        p.send(&to, &a, now);
+        let to = p.choose("s", ids.iter(), &w, now).unwrap();
+        p.on_sent(&to, &a, now);
         n += usize::from(to.id == "r0");
         let fails = to.id == "r0" && n % 5 < 3;
         longs += usize::from(k % 6 == 0 && to.id == "r0");
         spoiled += usize::from(fails);
         if !fails {
-            p.heard("s", &to.id, &ResponseSignals::default(), now);
-            p.first_piece(&to.id, to.read_ms, 0.0, now);
+            p.on_response_head("s", &to.id, &ResponseSignals::default(), now);
+            p.on_first_chunk(&to.id, to.prefill_ms, 0.0, now);
         }
-        p.end(&to.id, fails.then_some(to.read_ms), fails, now);
+        p.on_attempt_ended(&to.id, fails.then_some(to.prefill_ms), fails, now);
     }
     // A hundred long prompts, of which it keeps a part.
     expect_that!(
@@ -821,11 +826,11 @@
             tried: &[],
             evacuated_zones: &BTreeSet::new(),
         };
-        let to = p.nominate("s", ids.iter(), &w, now).unwrap();
-        p.send(&to, &a, now);
-        p.heard("s", &to.id, &ResponseSignals::default(), now);
-        p.first_piece(&to.id, to.read_ms, 20.0 + (n % 50) as f64, now);
-        p.end(&to.id, None, false, now);
+        let to = p.choose("s", ids.iter(), &w, now).unwrap();
+        p.on_sent(&to, &a, now);
+        p.on_response_head("s", &to.id, &ResponseSignals::default(), now);
+        p.on_first_chunk(&to.id, to.prefill_ms, 20.0 + (n % 50) as f64, now);
+        p.on_attempt_ended(&to.id, None, false, now);
         to.id
     };
     for n in 0..10_000 {
@@ -836,7 +841,7 @@
     let old: BTreeSet<String> = ids.iter().cloned().collect();
     fleet
         .iter_mut()
-        .for_each(|p| p.set_service("s", &all, &old, 30_000));
+        .for_each(|p| p.set_replicas("s", &all, &old, 30_000));
     let sent = (10_000..10_500)
         .filter(|n| late(&mut fleet, &ids, *n, 10_000 + n * 2) == "new")
         .count();
@@ -859,15 +864,15 @@
     let mut p = Placement::new("me", "lit", regions, Bounds::default());
     p.set_edges(vec!["me".into()], "me", 0);
     p.set_engine("s", &engine());
-    p.set_service("s", &all, &BTreeSet::new(), 0);
+    p.set_replicas("s", &all, &BTreeSet::new(), 0);
     let l = lane(&[]);
     let (mut dark, mut lit_again) = (vec![], 0);
     // A request each 20 ms; opening a channel to what is dark is given up 150 ms later.
     let mut opening: Vec<(u64, String, f64)> = vec![];
     for now in (1_000..12_000u64).step_by(20) {
         for (_, id, read) in opening.extract_if(.., |o| o.0 <= now) {
-            p.dark(&id, now);
-            p.end(&id, Some(read), true, now);
+            p.on_unreachable(&id, now);
+            p.on_attempt_ended(&id, Some(read), true, now);
         }
         let a = ask(&[(now, 55), (now << 32, 300)]);
         let w = PlacementRequest {
@@ -876,21 +881,21 @@
             tried: &[],
             evacuated_zones: &BTreeSet::new(),
         };
-        let n = p.nominate("s", ids.iter(), &w, now).unwrap();
-        p.send(&n, &a, now);
+        let n = p.choose("s", ids.iter(), &w, now).unwrap();
+        p.on_sent(&n, &a, now);
         let is_dark = ids
             .iter()
             .position(|i| *i == n.id)
             .is_some_and(|i| zone(i) == "dark");
         if is_dark && now < BACK {
             dark.push(now);
-            opening.push((now + 150, n.id, n.read_ms));
+            opening.push((now + 150, n.id, n.prefill_ms));
             continue;
         }
         lit_again += usize::from(is_dark && now > BACK + 3_000);
-        p.opened(&n.id, 1);
-        p.first_piece(&n.id, n.read_ms, 0.0, now);
-        p.end(&n.id, None, false, now);
+        p.on_connected(&n.id, 1);
+        p.on_first_chunk(&n.id, n.prefill_ms, 0.0, now);
+        p.on_attempt_ended(&n.id, None, false, now);
     }
     let first = dark.iter().filter(|t| **t < 1_600).count();
     let looks = dark.len() - first;
@@ -927,7 +932,7 @@
         };
         fleet
             .iter_mut()
-            .for_each(|p| p.needed = HomeBoundDemand::new(&[short.clone(), long.clone()]));
+            .for_each(|p| p.home_bound = HomeBoundDemand::new(&[short.clone(), long.clone()]));
         let first = |n: u64| ask(&[(n, 13_000), (n << 32, 3_000)]);
         (0..PROMPTS)
             .filter(|n| {
@@ -936,7 +941,7 @@
                     .filter_map(|p| go(&mut p.clone(), &ids, &long, &first(*n), true, 10))
                     .collect();
                 expect_that!(to, len(eq(1)), "proxies disagree about {n}");
-                to.iter().any(|id| fleet[0].zone(id) == Some("b"))
+                to.iter().any(|id| fleet[0].zone_of(id) == Some("b"))
             })
             .count()
     };
