--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -463,7 +463,10 @@
             (Role::Proxy, Ev::Tick) => {
                 if now >= self.next_hello[me.1] {
                     self.next_hello[me.1] = now + HELLO_EVERY;
-                    let hello = self.proxies[me.1].brain.as_ref().map(|p| p.news(now));
+                    let hello = self.proxies[me.1]
+                        .brain
+                        .as_ref()
+                        .map(|p| p.changed_report(now));
                     let agent = self.agents[me.1].addr.clone();
                     hello
                         .into_iter()
--- a/coordination/src/pass.rs
+++ b/coordination/src/pass.rs
@@ -66,6 +66,19 @@
     ClientGone,
 }
 
+impl AttemptOutcome {
+    /// Whether the replica counts as failing: it could not be reached, did not answer or answered wrongly.
+    pub fn is_replica_fault(self) -> bool {
+        matches!(
+            self,
+            AttemptOutcome::Failed
+                | AttemptOutcome::ConnectRefused
+                | AttemptOutcome::ConnectTimedOut
+                | AttemptOutcome::ResponseTimedOut
+        )
+    }
+}
+
 /// A host as lanes name it: a port in it names the edge, not the lane.
 pub fn host_name(host: &str) -> &str {
     host.rsplit_once(':')
--- /dev/null
+++ b/coordination/src/proxy/by_path.rs
@@ -0,0 +1,267 @@
+//! Requests that come by host and path: which replica each attempt goes to, and what becomes of it.
+
+use std::sync::Arc;
+
+use remote_calls::{DownstreamLimits, Fault, Outcome, PathSpec};
+
+use super::{
+    Admission, Assignment, OutcomeClass, Proxy,
+    context_demand::AssumedCached,
+    groups::{Group, merged_by_version},
+};
+use crate::{
+    Ms,
+    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    placement::{Candidate, PlacementRequest, prefill_ms},
+    policy::Mechanism,
+    version_health::log_ms,
+};
+
+/// Requests that take longer than a lane's expected time by this factor count as slow.
+pub const SLOW_FACTOR: u64 = 4;
+/// Fraction of a chain's prefill by which a first chunk must be late to show that the chain was prefilled again.
+const CACHE_MISS_LAG_FRACTION: f64 = 0.8;
+
+/// An attempt in flight.
+#[derive(Clone, Debug)]
+pub(super) struct OpenAttempt {
+    /// ms of prefill, until its first chunk has come.
+    unfinished_prefill_ms: Option<f64>,
+    expected_ms: f64,
+    sent_at: Ms,
+    slow_after_ms: f64,
+    is_slow: bool,
+    /// Its shared context, where that was assumed to be cached.
+    assumed_cached: Option<AssumedCached>,
+}
+
+impl Proxy {
+    /// What a client by host and path may send, and how long it may take or be idle.
+    pub fn client_limits(&self) -> Option<&DownstreamLimits> {
+        self.spec.as_ref()?.limits.as_ref()
+    }
+
+    /// The lane of a request.
+    ///
+    /// # Errors
+    /// A rejection if this edge may not serve, or a fault if no lane has this host and path.
+    pub fn find_lane(&mut self, host: &str, path: &str, now: Ms) -> Result<Arc<PathSpec>, Fault> {
+        self.serving_spec(now)?;
+        self.lanes.find(host, path).ok_or_else(|| {
+            Fault::new("not_found", "find_lane", "no lane has this host and path")
+                .outcome(Outcome::NotRun)
+        })
+    }
+
+    /// Assigns a replica to a request. `tried`: replicas that it went to before.
+    pub fn assign_by_path(
+        &mut self,
+        lane: &PathSpec,
+        head: &RequestHead,
+        tried: &[String],
+        until: Ms,
+        now: Ms,
+    ) -> Admission {
+        if now >= until {
+            let message = "it could not end in its time left";
+            return Admission::Rejected(self.reject("no_time", "nominate", message));
+        }
+        for service in self.services_by_weight(lane) {
+            if tried.is_empty() {
+                self.retry_budgets
+                    .entry(service.clone())
+                    .or_default()
+                    .count_first_attempt(&self.placement.bounds, now);
+            }
+            for group in merged_by_version(self.groups(&service, now)) {
+                let request = PlacementRequest {
+                    lane,
+                    head,
+                    tried,
+                    evacuated_zones: &self.evacuated,
+                };
+                let draining = &self.draining;
+                let replicas = group.replicas.iter().filter(|id| !draining.contains(*id));
+                let chosen = self.placement.choose(&service, replicas, &request, now);
+                if let Some(candidate) = chosen {
+                    let assignment = self.send_to(lane, service, group, candidate, head, now);
+                    return Admission::Assigned(assignment);
+                }
+            }
+        }
+        Admission::Rejected(self.reject("no_replica", "nominate", "no replica may take it now"))
+    }
+
+    /// Services of a lane, one drawn by weight first; the others may serve it too if that one has no replica.
+    fn services_by_weight(&mut self, lane: &PathSpec) -> Vec<String> {
+        let total_weight: u32 = lane.split.iter().map(|share| share.weight).sum();
+        let mut draw = if total_weight > 0 {
+            self.rng.u32(..total_weight)
+        } else {
+            0
+        };
+        let mut services: Vec<String> = vec![];
+        for share in lane.split.iter().filter(|share| share.weight > 0) {
+            let is_drawn = draw < share.weight;
+            if !services.contains(&share.service) {
+                let index = if is_drawn { 0 } else { services.len() };
+                services.insert(index, share.service.clone());
+            }
+            draw = if is_drawn {
+                u32::MAX
+            } else {
+                draw - share.weight
+            };
+        }
+        services
+    }
+
+    /// Records that an attempt goes to the candidate.
+    fn send_to(
+        &mut self,
+        lane: &PathSpec,
+        service: String,
+        group: Group,
+        candidate: Candidate,
+        head: &RequestHead,
+        now: Ms,
+    ) -> Assignment {
+        let assumed_cached = self.count_context_request(lane, &service, &candidate, head, now);
+        self.placement.on_sent(&candidate, head, now);
+        self.last_attempt += 1;
+        self.open_attempts.insert(
+            self.last_attempt,
+            OpenAttempt {
+                unfinished_prefill_ms: Some(candidate.prefill_ms),
+                expected_ms: candidate.expected_ms,
+                sent_at: now,
+                slow_after_ms: lane.expected_ms.max(1) as f64 * SLOW_FACTOR as f64,
+                is_slow: false,
+                assumed_cached,
+            },
+        );
+        let assignment = Assignment {
+            service,
+            lane: lane.lane.clone(),
+            version: group.version,
+            replica: candidate.id,
+            addr: candidate.addr,
+            role: group.role,
+            cached: candidate.cached,
+            assigned_at: now,
+            attempt: self.last_attempt,
+        };
+        self.record_sent(&assignment);
+        assignment
+    }
+
+    /// Draws a retry on the budget that holds over all proxies, and says whether there was one.
+    pub fn try_draw_retry(&mut self, service: &str, now: Ms) -> bool {
+        let edge_count = self.placement.edge_count();
+        let budget = self.retry_budgets.entry(service.into()).or_default();
+        let is_drawn = self.placement.policy.is_enabled(Mechanism::SecondRounds)
+            && budget.try_draw_retry(&self.placement.bounds, edge_count, now);
+        self.count(if is_drawn {
+            "second_rounds"
+        } else {
+            "second_rounds_denied"
+        });
+        is_drawn
+    }
+
+    /// Connections that this proxy may open to each replica of a service.
+    pub fn max_connections(&self, service: &str) -> usize {
+        self.placement.max_connections(service)
+    }
+
+    /// Round trip to the assigned replica, as far as is known.
+    pub fn round_trip_ms(&self, assignment: &Assignment) -> Ms {
+        self.placement.round_trip_ms(&assignment.replica)
+    }
+
+    /// A connection was opened; it took so long.
+    pub fn on_connected(&mut self, assignment: &Assignment, took: Ms, _now: Ms) {
+        self.placement.on_connected(&assignment.replica, took);
+    }
+
+    /// A response's head came.
+    pub fn on_response_head(
+        &mut self,
+        assignment: &Assignment,
+        signals: &ResponseSignals,
+        now: Ms,
+    ) {
+        self.placement
+            .on_response_head(&assignment.service, &assignment.replica, signals, now);
+    }
+
+    /// The first event or bytes of a response came.
+    pub fn on_first_chunk(&mut self, assignment: &Assignment, now: Ms) {
+        let Some(attempt) = self.open_attempts.get_mut(&assignment.attempt) else {
+            return;
+        };
+        let Some(prefill) = attempt.unfinished_prefill_ms.take() else {
+            return;
+        };
+        let took = now.saturating_sub(attempt.sent_at);
+        attempt.is_slow = took as f64 > attempt.slow_after_ms;
+        let late_ms = (took as f64 - attempt.expected_ms).max(0.0);
+        let assumed_cached = attempt.assumed_cached.take();
+        // Other prompts make a replica late too: it must be late by most of what the prefill of the chain takes, and
+        // beyond its recent lag.
+        let missed = assumed_cached.filter(|assumed| {
+            late_ms - self.placement.first_chunk_lag_ms(&assignment.replica, now)
+                > prefill_ms(assumed.chain.tokens) * CACHE_MISS_LAG_FRACTION
+        });
+        self.placement
+            .on_first_chunk(&assignment.replica, prefill, late_ms, now);
+        if let Some(missed) = missed {
+            self.count_context_miss(assignment, &missed, now);
+        }
+        self.ledger
+            .count(assignment, |counts| counts.first_chunks += 1);
+        self.ledger.count(assignment, |counts| {
+            counts.first_chunk_log_sum += log_ms(took);
+        });
+    }
+
+    /// An attempt is over; reported once for each. Gives the version that this proxy begins to cap, if it does.
+    pub fn on_attempt_ended(
+        &mut self,
+        assignment: &Assignment,
+        outcome: AttemptOutcome,
+        now: Ms,
+    ) -> Option<String> {
+        let attempt = self.open_attempts.remove(&assignment.attempt)?;
+        let replica = &assignment.replica;
+        self.placement.on_attempt_ended(
+            replica,
+            attempt.unfinished_prefill_ms,
+            outcome.is_replica_fault(),
+            now,
+        );
+        if outcome == AttemptOutcome::ConnectTimedOut {
+            self.placement.on_unreachable(replica, now);
+        }
+        if outcome == AttemptOutcome::WrongReplica {
+            self.placement.remove_replaced(replica);
+        }
+        let class = outcome_class(outcome, attempt.is_slow);
+        self.record_outcome(assignment, class, now)
+    }
+}
+
+/// The class in which an outcome is counted for its version.
+fn outcome_class(outcome: AttemptOutcome, is_slow: bool) -> OutcomeClass {
+    match outcome {
+        AttemptOutcome::Completed if is_slow => OutcomeClass::Slow,
+        AttemptOutcome::Completed => OutcomeClass::Succeeded,
+        AttemptOutcome::Slow => OutcomeClass::Slow,
+        AttemptOutcome::Failed | AttemptOutcome::ResponseTimedOut => OutcomeClass::Failed,
+        AttemptOutcome::ConnectRefused
+        | AttemptOutcome::ConnectTimedOut
+        | AttemptOutcome::AtCapacity
+        | AttemptOutcome::WrongReplica => OutcomeClass::NotRun,
+        AttemptOutcome::ClientGone => OutcomeClass::ClientGone,
+    }
+}
--- /dev/null
+++ b/coordination/src/proxy/groups.rs
@@ -0,0 +1,116 @@
+//! Which groups of a service's replicas may be used, and in which order they are tried.
+
+use remote_calls::{GroupRecord, GroupRole};
+
+use super::Proxy;
+use crate::{Ms, edge_agent::SERVE_ALL};
+
+/// Replicas that run one version of a service.
+#[derive(Clone, Debug)]
+pub(super) struct Group {
+    pub role: GroupRole,
+    pub version: String,
+    pub replicas: Vec<String>,
+}
+
+/// Groups of one version as one: a baseline is told apart for counting, and a prompt that is cached there is not to be
+/// prefilled again elsewhere for it.
+pub(super) fn merged_by_version(groups: Vec<Group>) -> Vec<Group> {
+    let mut merged: Vec<Group> = vec![];
+    for group in groups {
+        match merged
+            .iter_mut()
+            .find(|other| other.version == group.version)
+        {
+            Some(other) => other.replicas.extend(group.replicas),
+            None => merged.push(group),
+        }
+    }
+    merged
+}
+
+impl Proxy {
+    /// Groups in the order in which they are tried: by share, within leases.
+    pub(super) fn groups(&mut self, service: &str, now: Ms) -> Vec<Group> {
+        let Some(rollout) = self.rollouts.get(service) else {
+            return vec![];
+        };
+        let record = &rollout.record;
+        let lease = self
+            .leases
+            .get(service)
+            .filter(|lease| lease.expires_at > now && self.permission.rule == SERVE_ALL);
+        // The canary's lease must be for this very record or a later one of the same holder.
+        let canary_share = lease
+            .filter(|lease| {
+                lease.lease.epoch >= rollout.epoch && lease.lease.record_version >= rollout.version
+            })
+            .map_or(0, |lease| lease.lease.canary_share_percent);
+        let canary_is_due = canary_share > 0 && self.canary_credits.has_request(service);
+        // A version that is not the stable one needs a lease at all times, and gets only its share.
+        let is_barred = |version: &str| {
+            version != record.stable
+                && (lease.is_none() || self.version_guard.is_capped(version, now))
+        };
+        let mut canaries = vec![];
+        let mut others = vec![];
+        for group in record.groups.iter().filter(|group| group.share_percent > 0) {
+            match group.role {
+                GroupRole::Canary if canary_is_due && !is_barred(&group.version) => {
+                    canaries.push(group);
+                }
+                GroupRole::Canary => {}
+                _ if is_barred(&group.version) => {}
+                _ => others.push(group),
+            }
+        }
+        draw_first_by_share(&mut others, &mut self.rng);
+        if others.is_empty() {
+            others = fallback_groups(&record.groups, &record.stable);
+        }
+        canaries
+            .into_iter()
+            .chain(others)
+            .map(|group| Group {
+                role: group.role,
+                version: group.version.clone(),
+                replicas: group.replicas.clone(),
+            })
+            .collect()
+    }
+}
+
+/// Moves one group to the front, drawn by the groups' shares.
+fn draw_first_by_share(groups: &mut Vec<&GroupRecord>, rng: &mut fastrand::Rng) {
+    let total_share: u32 = groups.iter().map(|group| group.share_percent).sum();
+    let mut draw = if total_share > 0 {
+        rng.u32(..total_share)
+    } else {
+        0
+    };
+    let drawn = groups.iter().position(|group| {
+        let is_drawn = draw < group.share_percent;
+        draw = draw.saturating_sub(group.share_percent);
+        is_drawn
+    });
+    if let Some(index) = drawn {
+        let group = groups.remove(index);
+        groups.insert(0, group);
+    }
+}
+
+/// Groups to use while nothing else is leased: the stable version goes on wherever it is loaded, except where its replicas
+/// may be stopped at any moment, which is allowed only once the version that has the share was found good.
+fn fallback_groups<'a>(groups: &'a [GroupRecord], stable: &str) -> Vec<&'a GroupRecord> {
+    let stable_groups: Vec<&GroupRecord> = groups
+        .iter()
+        .filter(|group| group.version == stable && !group.allow_unload)
+        .collect();
+    if !stable_groups.is_empty() {
+        return stable_groups;
+    }
+    groups
+        .iter()
+        .filter(|group| group.share_percent > 0 && group.role != GroupRole::Canary)
+        .collect()
+}
--- /dev/null
+++ b/coordination/src/proxy/outcomes.rs
@@ -0,0 +1,153 @@
+//! What is counted of attempts, and the cap on a version that follows from it.
+
+use std::collections::BTreeSet;
+
+use remote_calls::{GroupRole, ServiceMode, ServiceSpec};
+use wire_messages::{List, OutcomeCounters};
+
+use super::{
+    Assignment, OutcomeClass, Proxy, attempt_ledger::CounterKey, version_guard::JudgedVersion,
+};
+use crate::{Ms, version_health::replica_bit};
+
+impl Proxy {
+    /// An attempt begins at its replica.
+    pub(super) fn record_sent(&mut self, assignment: &Assignment) {
+        self.ledger.open(assignment);
+        let share_percent = self.canary_share_percent(&assignment.service);
+        self.canary_credits
+            .count(&assignment.service, assignment.role, share_percent);
+        self.ledger.count(assignment, |counts| counts.sent += 1);
+    }
+
+    /// Percent of a service's requests that its canary may take; 0 where there is no canary.
+    fn canary_share_percent(&self, service: &str) -> u32 {
+        let has_canary = self.rollouts.get(service).is_some_and(|rollout| {
+            let groups = &rollout.record.groups;
+            groups.iter().any(|group| group.role == GroupRole::Canary)
+        });
+        if !has_canary {
+            return 0;
+        }
+        self.leases
+            .get(service)
+            .map_or(0, |lease| lease.lease.canary_share_percent)
+    }
+
+    /// An attempt is over. Gives the version that this proxy begins to cap, if it does.
+    pub fn record_outcome(
+        &mut self,
+        assignment: &Assignment,
+        outcome: OutcomeClass,
+        now: Ms,
+    ) -> Option<String> {
+        self.ledger.close(assignment);
+        self.reported_replicas.on_attempt_ended(&assignment.replica);
+        // Attempts that came by host and path have told placement already.
+        if assignment.attempt == 0 {
+            self.record_named_outcome(assignment, outcome, now);
+        }
+        self.count_outcome(assignment, outcome);
+        self.judge_version(assignment, now)
+    }
+
+    fn record_named_outcome(&mut self, assignment: &Assignment, outcome: OutcomeClass, now: Ms) {
+        match outcome {
+            OutcomeClass::Succeeded => self.placement.on_success(&assignment.replica),
+            OutcomeClass::Failed => {
+                let took = now.saturating_sub(assignment.assigned_at);
+                self.placement.suspect(&assignment.replica, took, now);
+            }
+            OutcomeClass::Slow | OutcomeClass::ClientGone | OutcomeClass::NotRun => {}
+        }
+    }
+
+    fn count_outcome(&mut self, assignment: &Assignment, outcome: OutcomeClass) {
+        match outcome {
+            OutcomeClass::Succeeded => self
+                .ledger
+                .count(assignment, |counts| counts.succeeded += 1),
+            OutcomeClass::Slow => {
+                self.ledger
+                    .count(assignment, |counts| counts.succeeded += 1);
+                self.ledger.count(assignment, |counts| counts.slow += 1);
+            }
+            OutcomeClass::Failed => self.ledger.count(assignment, |counts| {
+                counts.failed += 1;
+                counts.failed_replicas |= replica_bit(&assignment.replica);
+            }),
+            OutcomeClass::ClientGone | OutcomeClass::NotRun => {}
+        }
+    }
+
+    /// Caps the attempt's version if this proxy's own counts show failures; the control plane's decision follows.
+    fn judge_version(&mut self, assignment: &Assignment, now: Ms) -> Option<String> {
+        let service = &assignment.service;
+        let stable = self.rollouts.get(service)?.record.stable.clone();
+        let changed = self.ledger.take_unjudged(service);
+        let counters = self.outcome_counters(changed.iter(), now);
+        self.version_guard
+            .add_counters(service, &self.name, self.incarnation, &counters.0, now);
+        if assignment.version == stable {
+            return None;
+        }
+        let is_placed =
+            |spec: &ServiceSpec| spec.name == *service && spec.mode == ServiceMode::Placed;
+        let judged = JudgedVersion {
+            service,
+            version: &assignment.version,
+            stable: &stable,
+            is_placed: self
+                .spec
+                .as_ref()
+                .is_some_and(|spec| spec.services.iter().any(is_placed)),
+        };
+        self.version_guard
+            .judge(&judged, now)
+            .then(|| assignment.version.clone())
+    }
+
+    /// Counters of these cells, as they go on the wire.
+    pub(super) fn outcome_counters<'a>(
+        &self,
+        keys: impl Iterator<Item = &'a CounterKey>,
+        now: Ms,
+    ) -> List<OutcomeCounters> {
+        let mut reported_cells = BTreeSet::new();
+        keys.filter_map(|key| Some((key, self.ledger.counts(key)?)))
+            .map(|(key, counts)| {
+                // Recent outcomes are kept over all groups, so they go with the first of a cell's groups only.
+                let is_first_group =
+                    reported_cells.insert((&key.service, &key.version, &key.lane, key.cached));
+                let recent = if is_first_group {
+                    self.version_guard.recent(
+                        &key.service,
+                        &key.version,
+                        &key.lane,
+                        key.cached,
+                        now,
+                    )
+                } else {
+                    Default::default()
+                };
+                OutcomeCounters {
+                    service: key.service.as_str().into(),
+                    version: key.version.as_str().into(),
+                    lane: key.lane.as_str().into(),
+                    cached: key.cached.into(),
+                    group: key.role as u8,
+                    sent: counts.sent,
+                    succeeded: counts.succeeded,
+                    failed: counts.failed,
+                    slow: counts.slow,
+                    recent_ended: recent.ended,
+                    recent_failed: recent.failed,
+                    recent_slow: recent.slow,
+                    first_chunks: counts.first_chunks,
+                    first_chunk_log_sum: counts.first_chunk_log_sum,
+                    failed_replicas: counts.failed_replicas,
+                }
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/coordination/src/proxy/table_updates.rs
@@ -0,0 +1,147 @@
+//! Updates of the replicated state that the agent beside a proxy sends.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    mem,
+    sync::Arc,
+};
+
+use remote_calls::RolloutRecord;
+use wire_messages::{ProxyLease, TableUpdate};
+
+use super::{Proxy, RolloutEntry};
+use crate::{
+    Ms,
+    control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
+    pass::LaneIndex,
+    placement::HomeBoundDemand,
+    register::ROLLOUT_PREFIX,
+    state_table::{VersionStamp, version_stamp},
+};
+
+/// Takes a lease unless a newer one is there.
+fn merge_lease(leases: &mut BTreeMap<String, ProxyLease>, lease: ProxyLease) {
+    let service = lease.lease.service.to_string();
+    let order = |lease: &ProxyLease| (lease.lease.epoch, lease.expires_at);
+    if leases
+        .get(&service)
+        .is_none_or(|current| order(current) <= order(&lease))
+    {
+        leases.insert(service, lease);
+    }
+}
+
+impl Proxy {
+    /// Takes the serving rule, the nodes, leases and changed values.
+    pub fn on_table_update(&mut self, update: TableUpdate, now: Ms) {
+        self.permission.rule = update.serving_rule;
+        self.permission.valid_until = update.valid_until;
+        self.permission.has_snapshot |= update.is_snapshot != 0;
+        self.edges = update.nodes.0;
+        self.ledger
+            .acknowledge(if update.proxy_incarnation == self.incarnation {
+                update.counters_through
+            } else {
+                0
+            });
+        self.set_placement_edges(now);
+        let mut has_changed = false;
+        for change in &update.changes.0 {
+            has_changed |= self.state_table.merge(change);
+        }
+        for lease in update.leases.0 {
+            merge_lease(&mut self.leases, lease);
+        }
+        if has_changed {
+            self.read_state_table(now);
+        }
+    }
+
+    fn set_placement_edges(&mut self, now: Ms) {
+        let serving = || self.edges.iter().filter(|edge| !edge.http_addr.is_empty());
+        // An edge goes by its agent's name: a proxy knows its own by the address at which it answers callers.
+        let own_name = serving()
+            .find(|edge| edge.http_addr == self.http_addr)
+            .map_or(&self.name, |edge| &edge.name);
+        let names = serving().map(|edge| edge.name.to_string()).collect();
+        self.placement.set_edges(names, own_name, now);
+    }
+
+    fn read_state_table(&mut self, now: Ms) {
+        self.read_spec();
+        self.draining = self
+            .state_table
+            .with_prefix(DRAINING_PREFIX)
+            .map(|(replica, _)| replica.to_string())
+            .collect();
+        self.read_rollouts(now);
+        self.read_context_records();
+        let zones = self.spec.as_ref().map_or(&[][..], |spec| &spec.zones);
+        self.evacuated = zones
+            .iter()
+            .filter(|zone| evacuated(&self.state_table, &zone.name))
+            .map(|zone| zone.name.clone())
+            .collect();
+    }
+
+    /// Reads the spec once per change of its own: documents are long and records change often.
+    fn read_spec(&mut self) {
+        let Some(change) = self
+            .state_table
+            .get(SPEC_KEY)
+            .filter(|change| !change.value.0.is_empty())
+        else {
+            return;
+        };
+        let stamp = version_stamp(change);
+        if stamp == self.spec_stamp {
+            return;
+        }
+        let mut spec = (self.parse_spec)(&change.value.0);
+        self.spec_stamp = stamp;
+        // Tenants bring lanes by the ten thousand: the index alone has them.
+        let lanes = spec
+            .as_mut()
+            .map_or(vec![], |spec| mem::take(&mut spec.paths));
+        self.placement.home_bound = HomeBoundDemand::new(&lanes);
+        self.lanes = LaneIndex::new(lanes);
+        for service in spec.iter().flat_map(|spec| &spec.services) {
+            if let Some(engine) = &service.engine {
+                self.placement.set_engine(&service.name, engine);
+            }
+        }
+        self.spec = spec.map(Arc::new);
+    }
+
+    fn read_rollouts(&mut self, now: Ms) {
+        let changed: Vec<(String, VersionStamp)> = self
+            .state_table
+            .with_prefix(ROLLOUT_PREFIX)
+            .map(|(service, change)| (service.to_string(), version_stamp(change)))
+            .filter(|(service, stamp)| {
+                self.rollouts
+                    .get(service)
+                    .is_none_or(|rollout| (rollout.epoch, rollout.version) != *stamp)
+            })
+            .collect();
+        for (service, (epoch, version)) in changed {
+            let key = format!("{ROLLOUT_PREFIX}{service}");
+            let Some(record) = self.state_table.read::<RolloutRecord>(&key) else {
+                continue;
+            };
+            let previous = self.rollouts.get(&service).into_iter();
+            let previous_ids: BTreeSet<String> = previous
+                .flat_map(|rollout| &rollout.record.replicas)
+                .map(|replica| replica.id.clone())
+                .collect();
+            self.placement
+                .set_replicas(&service, &record.replicas, &previous_ids, now);
+            let rollout = RolloutEntry {
+                epoch,
+                version,
+                record,
+            };
+            self.rollouts.insert(service, rollout);
+        }
+    }
+}
--- /dev/null
+++ b/coordination/src/proxy/tier_pressure.rs
@@ -0,0 +1,71 @@
+//! Pressure of tiers: when a request finds no free slot, the tiers behind it lose some of theirs for a while.
+
+use std::collections::BTreeMap;
+
+use super::Proxy;
+use crate::{Ms, policy::Mechanism};
+
+/// Percent of a replica's slots that tiers behind lose each time a request ahead of them finds none.
+const PRESSURE_STEP_PERCENT: u32 = 5;
+/// Percent that they lose at most: all of them.
+const PRESSURE_MAX_PERCENT: u32 = 100;
+/// Percent that they get back a second.
+const PRESSURE_DECAY_PERCENT_PER_SECOND: u64 = 20;
+
+/// Percent of each replica's slots kept from the tiers behind one, as of when it was last raised.
+#[derive(Clone, Copy, Debug)]
+struct RaisedPressure {
+    percent: u32,
+    raised_at: Ms,
+}
+
+impl RaisedPressure {
+    fn percent_at(&self, now: Ms) -> u32 {
+        let decayed =
+            now.saturating_sub(self.raised_at) * PRESSURE_DECAY_PERCENT_PER_SECOND / 1_000;
+        self.percent.saturating_sub(decayed as u32)
+    }
+}
+
+/// The pressure that each rank exerts on those behind it.
+#[derive(Clone, Debug, Default)]
+pub(super) struct TierPressure {
+    by_rank: BTreeMap<u32, RaisedPressure>,
+}
+
+impl TierPressure {
+    /// Percent of each replica's slots that a rank must leave to more urgent ones.
+    fn percent(&self, rank: u32, now: Ms) -> u32 {
+        self.by_rank
+            .range(..rank)
+            .map(|(_, pressure)| pressure.percent_at(now))
+            .max()
+            .unwrap_or(0)
+    }
+
+    fn set(&mut self, rank: u32, percent: u32, now: Ms) {
+        let pressure = RaisedPressure {
+            percent,
+            raised_at: now,
+        };
+        self.by_rank.insert(rank, pressure);
+    }
+}
+
+impl Proxy {
+    /// Percent of each replica's slots that a rank must leave to more urgent ones; 0 where that is switched off.
+    pub(super) fn tier_pressure_percent(&self, rank: u32, now: Ms) -> u32 {
+        if self.is_enabled(Mechanism::TierPressure) {
+            self.tier_pressure.percent(rank, now)
+        } else {
+            0
+        }
+    }
+
+    /// A request of this rank found no free slot: the tiers behind it get fewer.
+    pub(super) fn raise_tier_pressure(&mut self, rank: u32, now: Ms) {
+        let percent = self.tier_pressure_percent(rank + 1, now) + PRESSURE_STEP_PERCENT;
+        self.tier_pressure
+            .set(rank, percent.min(PRESSURE_MAX_PERCENT), now);
+    }
+}
--- /dev/null
+++ b/coordination/src/proxy/version_guard.rs
@@ -0,0 +1,108 @@
+//! This proxy's own verdict on versions: it caps one as soon as its own counts show failures, before the control plane
+//! does.
+
+use std::collections::BTreeMap;
+
+use wire_messages::{Name, OutcomeCounters};
+
+use crate::{
+    Ms,
+    version_health::{Verdict, VersionHealth},
+};
+
+/// A version that was capped stays so until it has shown no failures for this long.
+const CAP_DURATION: Ms = 15_000;
+
+/// Recent outcomes of one version, lane and cache state.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RecentOutcomes {
+    pub ended: u64,
+    pub failed: u64,
+    pub slow: u64,
+}
+
+/// Health of versions by this proxy's own counts, and versions that are capped.
+#[derive(Default)]
+pub(super) struct VersionGuard {
+    health_by_service: BTreeMap<String, VersionHealth>,
+    capped_until: BTreeMap<String, Ms>,
+}
+
+/// What a version is judged by.
+pub(super) struct JudgedVersion<'a> {
+    pub service: &'a str,
+    pub version: &'a str,
+    pub stable: &'a str,
+    /// The platform places versions: few replicas have the new one, and one that crashes is no version's fault.
+    pub is_placed: bool,
+}
+
+impl VersionGuard {
+    /// Whether a version gets nothing because its failures showed here.
+    pub fn is_capped(&self, version: &str, now: Ms) -> bool {
+        self.capped_until
+            .get(version)
+            .is_some_and(|until| *until > now)
+    }
+
+    /// Recent outcomes of a cell, over all groups.
+    pub fn recent(
+        &self,
+        service: &str,
+        version: &str,
+        lane: &str,
+        cached: bool,
+        now: Ms,
+    ) -> RecentOutcomes {
+        let Some(health) = self.health_by_service.get(service) else {
+            return RecentOutcomes::default();
+        };
+        let (ended, failed, slow) = health.recent(version, lane, cached, now);
+        RecentOutcomes {
+            ended,
+            failed,
+            slow,
+        }
+    }
+
+    /// Takes in counters of a service that changed.
+    pub fn add_counters(
+        &mut self,
+        service: &str,
+        source: &Name,
+        incarnation: u64,
+        counters: &[OutcomeCounters],
+        now: Ms,
+    ) {
+        let health = self
+            .health_by_service
+            .entry(service.into())
+            .or_insert_with(|| {
+                // This proxy has counted everything itself: nothing came before.
+                let mut health = VersionHealth::default();
+                health.add_counters(source, incarnation, &[]);
+                health
+            });
+        health.add_counters(source, incarnation, counters);
+        health.tick(now);
+    }
+
+    /// Judges a version and caps it if it fails. Says whether it was not capped before.
+    pub fn judge(&mut self, judged: &JudgedVersion, now: Ms) -> bool {
+        let Some(health) = self.health_by_service.get(judged.service) else {
+            return false;
+        };
+        let verdict = if judged.is_placed {
+            health.judge_placed(judged.version, None, now)
+        } else {
+            health.judge(judged.version, judged.stable, now)
+        };
+        if verdict == Verdict::Fine {
+            return false;
+        }
+        let previous = self
+            .capped_until
+            .insert(judged.version.into(), now + CAP_DURATION);
+        previous.is_none_or(|until| until <= now)
+    }
+}
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -201,7 +201,7 @@
                 self.list();
             }
             if now.is_multiple_of(HELLO_EVERY) {
-                let hello = self.proxy.news(now);
+                let hello = self.proxy.changed_report(now);
                 self.post("p", &"a".into(), hello.into());
             }
         }
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -555,7 +555,7 @@
             if self.cut.contains(&i) {
                 continue;
             }
-            let told: Vec<_> = self.proxies[i].readings(self.now).collect();
+            let told: Vec<_> = self.proxies[i].take_prefill_reports(self.now).collect();
             for m in told {
                 // Agents pass them on in their own region and in that of the replicas.
                 let hears = |j: &usize| j % 3 == i % 3 || region_of(ZONES[j % 3]) == *m.region;
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -132,7 +132,7 @@
             return;
         }
         self.next_hello = now + HELLO_EVERY;
-        let mut m = hold(&self.brain).news(now);
+        let mut m = hold(&self.brain).changed_report(now);
         // A proxy that stops is no longer nominated.
         if self.stopping {
             m.http_addr = Name::default();
@@ -153,7 +153,7 @@
     }
     /// Tells other proxies, by way of the agents, which long prompts went where.
     fn tell_readings(&mut self, now: Ms) {
-        let all: Vec<_> = hold(&self.brain).readings(now).collect();
+        let all: Vec<_> = hold(&self.brain).take_prefill_reports(now).collect();
         let Some(ch) = &mut self.ch else { return };
         all.into_iter().for_each(|m| ch.send(&self.agent, m.into()));
     }
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -98,11 +98,11 @@
                 let Some(p) = self.edges[i].proxy.as_ref() else {
                     return;
                 };
-                let (hello, replicas) = (p.news(now), p.replicas_to_poll());
+                let (hello, replicas) = (p.changed_report(now), p.replicas_to_poll());
                 let told: Vec<_> = self.edges[i]
                     .proxy
                     .iter_mut()
-                    .flat_map(|p| p.readings(now))
+                    .flat_map(|p| p.take_prefill_reports(now))
                     .collect();
                 for m in told {
                     self.post_agent(i, m.into());
