--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -8,7 +8,7 @@
 use super::{Control, DRAINING_PREFIX, NO_CALLER, evacuated};
 use crate::{
     Effects, Ms, compressed,
-    context::{self, Asked, Chain, DEMAND_OLD, Demands, homes},
+    context::{self, DEMAND_REPORT_MAX_AGE, DemandCount, FleetDemand, PromptChain, homes_digest},
     effect::log_event,
     events, regions,
     register::{CONTEXT_PREFIX, Expect, ROLLOUT_PREFIX},
@@ -22,11 +22,11 @@
 pub(super) struct ContextRole {
     held_since: Ms,
     written_at: Ms,
-    demand: Demands,
+    demand: FleetDemand,
 }
 
 /// Demand for shared chains by region.
-type RegionalDemand = BTreeMap<(String, Chain), Asked>;
+type RegionalDemand = BTreeMap<(String, PromptChain), DemandCount>;
 
 /// What a service's next record of copies is decided from.
 struct ContextDecision<'a> {
@@ -56,7 +56,7 @@
     /// Takes an edge's demand for a service's shared chains, if its copies are decided here.
     pub(super) fn on_demand(&mut self, from: &Name, demand: ContextDemand, now: Ms) {
         if let Some(role) = self.context_roles.get_mut(&*demand.service) {
-            role.demand.tell(from, demand.chains.0, now);
+            role.demand.merge_report(from, demand.chains.0, now);
         }
     }
 
@@ -127,7 +127,7 @@
             ContextRole {
                 held_since: now,
                 written_at: 0,
-                demand: Demands::default(),
+                demand: FleetDemand::default(),
             }
         })
     }
@@ -140,8 +140,11 @@
             let zone = &followers.get(edge)?.node.zone;
             Some(regions::region_of(regions, zone).to_string())
         };
-        let demand = role.demand.sums(&region_of_edge, now);
-        Some((demand, now.saturating_sub(role.held_since) < DEMAND_OLD))
+        let demand = role.demand.totals(&region_of_edge, now);
+        Some((
+            demand,
+            now.saturating_sub(role.held_since) < DEMAND_REPORT_MAX_AGE,
+        ))
     }
 
     /// Writes a service's next record of copies if it differs from the committed one.
@@ -188,24 +191,24 @@
             .paths
             .iter()
             .filter(|path| path.split.iter().any(|part| part.service == service.name))
-            .map(|path| (homes(&path.homes), path.homes.clone()))
+            .map(|path| (homes_digest(&path.homes), path.homes.clone()))
             .collect();
-        let inputs = context::Inputs {
+        let inputs = context::PlacementInputs {
             spec: decision.context_spec,
             cache_tokens: service.engine.as_ref().map_or(0, |e| e.cache_tokens),
             version: &rollout.stable,
             replicas: &replicas,
             region: &region_of,
             homes: &homes_by_number,
-            asked: &decision.demand,
-            young: decision.is_new_holder,
+            demand: &decision.demand,
+            is_incomplete: decision.is_new_holder,
         };
         let empty = ContextRecord {
             service: service.name.clone(),
             version: rollout.stable.clone(),
             parts: vec![],
         };
-        context::decide(old.unwrap_or(&empty), &inputs)
+        context::next_record(old.unwrap_or(&empty), &inputs)
     }
 
     /// Replicas that may keep copies: in use, not draining, and in no evacuated zone.
--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the platform: one rate limit for the whole fleet, also while a singleton role goes from
 //! one holder to another.
 
-use coordination::{Ms, control::call_rate_share, placement::Bucket};
+use coordination::{Ms, control::call_rate_share, placement::TokenBucket};
 use googletest::prelude::*;
 
 /// A daemon that calls whenever its share of the rate limit lets it.
@@ -14,8 +14,8 @@
 fn max_calls_per_second(callers: &[Caller], share: f64) -> usize {
     let mut called_at: Vec<Ms> = vec![];
     for caller in callers {
-        let mut bucket = Bucket::new(share, 1.0, caller.starts_at);
-        called_at.extend((caller.starts_at..caller.ends_at).filter(|now| bucket.draw(*now)));
+        let mut bucket = TokenBucket::new(share, 1.0, caller.starts_at);
+        called_at.extend((caller.starts_at..caller.ends_at).filter(|now| bucket.try_draw(*now)));
     }
     called_at.sort_unstable();
     assert!(!called_at.is_empty());
--- a/coordination/tests/outcome_counters.rs
+++ b/coordination/tests/outcome_counters.rs
@@ -10,8 +10,8 @@
     Effect, Effects, Ms, Row,
     control::{Control, SPEC_KEY},
     edge_agent::EdgeAgent,
-    pass::{Ask, PassEnd},
-    proxy::{Admit, Placed, Proxy},
+    pass::{AttemptOutcome, RequestHead},
+    proxy::{Admission, Assignment, Proxy},
     register::Expect,
     timing::TICK_INTERVAL,
 };
@@ -42,7 +42,7 @@
 
 struct RunningRequest {
     ends_at: Ms,
-    placed: Placed,
+    placed: Assignment,
 }
 
 /// What the agent's polls carried.
@@ -118,7 +118,7 @@
             .write(SPEC_KEY, Expect::Any, spec(), bench.now);
         bench.carry_out(CONTROL, effects);
         bench.run(5_000, 0);
-        assert!(bench.proxy.ready(bench.now));
+        assert!(bench.proxy.is_ready(bench.now));
         bench
     }
 
@@ -188,7 +188,7 @@
             }
             _ => {
                 if let Message::TableUpdate(update) = message {
-                    self.proxy.on_board(update, self.now);
+                    self.proxy.on_table_update(update, self.now);
                 }
             }
         }
@@ -216,7 +216,7 @@
                 self.list_replicas();
             }
             if now.is_multiple_of(REPORT_INTERVAL) {
-                let report = self.proxy.news(now);
+                let report = self.proxy.changed_report(now);
                 self.send(PROXY, &AGENT.into(), report.into());
             }
         }
@@ -244,7 +244,8 @@
             .partition(|request| request.ends_at <= now);
         self.running = running;
         for request in ended {
-            self.proxy.passed(&request.placed, PassEnd::Answered, now);
+            self.proxy
+                .on_attempt_ended(&request.placed, AttemptOutcome::Completed, now);
         }
     }
 
@@ -268,16 +269,19 @@
     fn start_request(&mut self) {
         let now = self.now;
         let lane_index = self.rng.usize(..LANE_COUNT);
-        let ask = Ask {
+        let ask = RequestHead {
             host: "h".into(),
             path: format!("/{lane_index}/x"),
-            round: lane_index.to_string(),
-            ..Ask::default()
+            attempt_id: lane_index.to_string(),
+            ..RequestHead::default()
         };
-        let Ok(lane) = self.proxy.path("h", &ask.path, now) else {
+        let Ok(lane) = self.proxy.find_lane("h", &ask.path, now) else {
             return;
         };
-        if let Admit::Go(placed) = self.proxy.pass(&lane, &ask, &[], now + 60_000, now) {
+        if let Admission::Assigned(placed) =
+            self.proxy
+                .assign_by_path(&lane, &ask, &[], now + 60_000, now)
+        {
             self.started_count += 1;
             let ends_at = now + self.rng.u64(50..3_000);
             self.running.push(RunningRequest { ends_at, placed });
