--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -222,7 +222,8 @@
         self.parsed.spec().cloned()
     }
 
-    /// Whether this daemon votes, has compared its slots with a majority, and knew everything it holds to be committed.
+    /// Whether this daemon votes, has compared its slots with a majority, and has known all that it has accepted to be
+    /// committed.
     pub fn is_settled(&self) -> bool {
         self.is_settled
     }
@@ -238,7 +239,9 @@
         self.was_suspended(now);
         let mut out = Vec::new();
         match message {
-            Message::Heartbeat(beat) => self.on_heartbeat(from, addr, beat, now, &mut out),
+            Message::Heartbeat(heartbeat) => {
+                self.on_heartbeat(from, addr, heartbeat, now, &mut out);
+            }
             Message::Prepare(prepare) => {
                 self.registers.on_prepare(addr, prepare, now, &mut out);
             }
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -74,6 +74,24 @@
     }
 }
 
+/// Where the first voters must be: names of members where these are configured, else the addresses of the seeds.
+struct BootstrapPlaces<'a> {
+    all: Vec<&'a Name>,
+    /// This daemon's own place, whether or not it is among them.
+    own: &'a Name,
+    are_names: bool,
+    /// The state in which daemons wait for the bootstrap.
+    state: PeerState,
+}
+
+impl BootstrapPlaces<'_> {
+    /// Whether a peer waits for the bootstrap at a place.
+    fn is_at(&self, place: &Name, name: &Name, peer: &Peer) -> bool {
+        let peer_place = if self.are_names { name } else { &peer.addr };
+        peer.heartbeat.state == self.state && peer_place == place
+    }
+}
+
 impl Control {
     /// Whether this very disk is a voter's.
     pub(super) fn is_listed_voter(&self) -> bool {
@@ -387,39 +405,52 @@
         if self.registers.members.member_epoch > 0 {
             return None;
         }
-        let config = &self.config;
-        let are_named = !config.members.is_empty();
-        let (own_place, places, state): (&Name, Vec<&Name>, PeerState) = if are_named {
-            (
-                &config.name,
-                config.members.iter().collect(),
-                PeerState::Blank,
-            )
-        } else {
-            let seeds = self.registers.members.voters.iter().map(|v| &v.addr);
-            (&config.addr, seeds.collect(), PeerState::Bootstrapping)
-        };
-        if places.iter().min() != Some(&own_place) {
+        let places = self.bootstrap_places();
+        if places.all.iter().min() != Some(&places.own) {
             return None;
         }
         let peer_at = |place: &Name| {
             let mut heard = self.peers.heard_within(PEER_TIMEOUT, now);
-            let found = heard.find(|(name, peer)| {
-                let found_place = if are_named { *name } else { &peer.addr };
-                peer.heartbeat.state == state && found_place == place
-            });
+            let found = heard.find(|(name, peer)| places.is_at(place, name, peer));
             found.map(|(name, peer)| peer.as_voter(name, 1))
         };
-        let others = places.into_iter().filter(|place| *place != own_place);
-        let mut voters = others.map(peer_at).collect::<Option<Vec<Voter>>>()?;
+        let others = places.all.iter().filter(|place| **place != places.own);
+        let mut voters = others
+            .map(|place| peer_at(place))
+            .collect::<Option<Vec<Voter>>>()?;
         let own = Voter {
-            name: config.name.clone(),
+            name: self.config.name.clone(),
             disk_id: self.voter_membership.disk_id,
-            addr: config.addr.clone(),
-            zone: config.zone.clone(),
+            addr: self.config.addr.clone(),
+            zone: self.config.zone.clone(),
             since_epoch: 1,
         };
         voters.insert(0, own);
         Some(voters)
     }
+
+    fn bootstrap_places(&self) -> BootstrapPlaces<'_> {
+        let config = &self.config;
+        if config.members.is_empty() {
+            BootstrapPlaces {
+                all: self
+                    .registers
+                    .members
+                    .voters
+                    .iter()
+                    .map(|v| &v.addr)
+                    .collect(),
+                own: &config.addr,
+                are_names: false,
+                state: PeerState::Bootstrapping,
+            }
+        } else {
+            BootstrapPlaces {
+                all: config.members.iter().collect(),
+                own: &config.name,
+                are_names: true,
+                state: PeerState::Blank,
+            }
+        }
+    }
 }
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -127,3 +127,6 @@
         text: text.into(),
     }
 }
+
+#[cfg(test)]
+mod tests;
