--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -284,7 +284,11 @@
                 }
             };
             if let Err(e) = r {
-                event(events::REPLICA_ORDER_FAILED, &service, &format!("{text}: {e}"));
+                event(
+                    events::REPLICA_ORDER_FAILED,
+                    &service,
+                    &format!("{text}: {e}"),
+                );
             }
         };
         ctx.spawn(f.into_actor(self));
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -158,8 +158,9 @@
 
     /// Requests sent that this daemon has counted: of a service, and of one of its versions.
     pub fn requests_counted(&self, service: &str, version: &str) -> (u64, u64) {
-        self.loops
-            .get(service)
-            .map_or((0, 0), |l| l.health.sent(version))
+        self.loops.get(service).map_or((0, 0), |l| {
+            let sent = l.health.sent(version);
+            (sent.all, sent.version)
+        })
     }
 }
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -1,7 +1,11 @@
 //! The rollout loops of the duties that are held here.
 
 use super::*;
-use crate::{control::followers::FOLLOWER_TIMEOUT, events::Event, rollout::Order};
+use crate::{
+    control::followers::FOLLOWER_TIMEOUT,
+    events::Event,
+    rollout::{Order, RolloutStep, VersionedPlan},
+};
 
 /// ms. The rollout loop's period.
 const ROLLOUT_INTERVAL: Ms = 300;
@@ -120,7 +124,10 @@
         let (now, name) = (pass.now, &service.name);
         let key = format!("{ROLLOUT_PREFIX}{name}");
         if service.mode == ServiceMode::Placed {
-            let plan = self.plans.get(name).map(|(n, p)| (*n, p));
+            let plan = self.plans.get(name).map(|(version, plan)| VersionedPlan {
+                version: *version,
+                plan,
+            });
             self.loops
                 .entry(name.clone())
                 .or_insert_with(|| RolloutLoop::new(now))
@@ -205,7 +212,13 @@
         let inputs = RolloutInputs {
             spec: pass.spec,
             service,
-            plan: self.plans.get(&service.name).map(|(n, p)| (*n, p)),
+            plan: self
+                .plans
+                .get(&service.name)
+                .map(|(version, plan)| VersionedPlan {
+                    version: *version,
+                    plan,
+                }),
             replica_list: &pass.platform.replicas,
             reports: &self.reports,
             draining: pass.draining,
@@ -217,12 +230,12 @@
             now,
             wall_clock_s: pass.wall_clock_s,
         };
-        let stepped = l.step(old, &inputs);
+        let RolloutStep { record, orders } = l.step(old, &inputs);
         if let Some(version) = l.bad_version.take() {
             out.push(log_event(events::VERSION_UNHEALTHY, &service.name, version));
         }
         self.loops.insert(service.name.clone(), l);
-        stepped
+        (record, orders)
     }
 
     /// Warnings of replicas that are gone: they are cleared by whoever owns them.
--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -571,7 +571,11 @@
             }
         }
         if got > 0 {
-            out.push(log_event(events::STATE_REPAIRED, addr, format!("{got} keys")));
+            out.push(log_event(
+                events::STATE_REPAIRED,
+                addr,
+                format!("{got} keys"),
+            ));
         }
     }
 
--- /dev/null
+++ b/coordination/src/rollout/placed/adoption.rs
@@ -0,0 +1,160 @@
+//! Release plans: how each daemon learns of one, when the lease holder adopts it, and which versions it has retired.
+
+use remote_calls::{GroupRecord, GroupRole, PlatformReplica, RolloutPhase, RolloutRecord};
+
+use super::super::{
+    RolloutInputs, RolloutLoop, VersionedPlan,
+    exposure::AcceptedPlan,
+    groups::{group, is_in_progress, is_unload_allowed},
+};
+use crate::Ms;
+
+/// ms. A version that is planned again waits so long for its former replicas to leave the list.
+const REPLICA_REMOVAL_TIME: Ms = 10_000;
+
+impl RolloutLoop {
+    /// Takes note of a plan, whoever has the lease: its deadline and counts run by this daemon's own clock, and
+    /// evidence from before it is about other replicas.
+    pub fn observe_plan(&mut self, plan: Option<VersionedPlan>, now: Ms, wall_clock_s: u64) {
+        // What is there at the first look may have been ordered long ago.
+        let is_fresh = std::mem::replace(&mut self.placed.has_observed_plans, true);
+        let Some(plan) = plan else {
+            self.placed.accepted_plan = None;
+            return;
+        };
+        let accepted = self.placed.accepted_plan.as_ref();
+        if accepted.is_some_and(|accepted| accepted.version == plan.version) {
+            return;
+        }
+        // A process that has just started was told of the last half minute, which is of the plan's own replicas.
+        if is_fresh && accepted.is_none_or(|accepted| accepted.target != plan.plan.target) {
+            self.health.restart(now);
+        }
+        self.placed.accepted_plan = Some(AcceptedPlan::new(
+            plan,
+            &self.health,
+            is_fresh,
+            now,
+            wall_clock_s,
+        ));
+    }
+
+    /// Groups that may be unloaded and whose replicas are still listed; they get nothing, whatever comes.
+    pub(super) fn retired_groups(
+        &self,
+        record: &RolloutRecord,
+        listed: &[&PlatformReplica],
+        inputs: &RolloutInputs,
+    ) -> Vec<GroupRecord> {
+        // A flag of a rollout that is not completed yet may have to be taken back.
+        if record.phase == RolloutPhase::Baking {
+            return vec![];
+        }
+        let is_planned_again = |version: &str| {
+            inputs.plan.is_some_and(|plan| {
+                plan.version != record.failed_plan && plan.plan.target == version
+            })
+        };
+        let has_waited = self.placed.accepted_plan.as_ref().is_some_and(|plan| {
+            inputs.now.saturating_sub(plan.accepted_at) >= REPLICA_REMOVAL_TIME
+        });
+        let mut retired = vec![];
+        for group in record.groups.iter().filter(|group| group.allow_unload) {
+            let is_planned = is_planned_again(&group.version);
+            // Planned again, a version's new replicas are others than those that were to go.
+            if is_planned && has_waited {
+                continue;
+            }
+            let replicas: Vec<String> = if is_planned {
+                let is_listed = |id: &&String| listed.iter().any(|replica| replica.id == **id);
+                group.replicas.iter().filter(is_listed).cloned().collect()
+            } else {
+                let of_version = listed
+                    .iter()
+                    .filter(|replica| replica.version == group.version);
+                of_version.map(|replica| replica.id.clone()).collect()
+            };
+            if !replicas.is_empty() {
+                retired.push(GroupRecord {
+                    replicas,
+                    ..group.clone()
+                });
+            }
+        }
+        retired
+    }
+
+    /// Adopts a new plan, or reverts what a replaced one began.
+    pub(super) fn adopt_placed_plan(
+        &mut self,
+        record: &mut RolloutRecord,
+        previous: &RolloutRecord,
+        usable: &[&PlatformReplica],
+        retired: &[GroupRecord],
+        inputs: &RolloutInputs,
+    ) {
+        if is_in_progress(record.phase) {
+            return self.follow_plan_in_progress(record, inputs);
+        }
+        let Some(VersionedPlan { version, plan }) = inputs
+            .plan
+            .filter(|plan| plan.version != record.plan_version)
+        else {
+            return;
+        };
+        let has_reverted = record.phase != RolloutPhase::Reverting
+            || record
+                .target
+                .as_ref()
+                .is_none_or(|target| is_unload_allowed(previous, target));
+        // Replicas that were to go for good must not pass for those of the new plan.
+        let is_retired = retired.iter().any(|group| group.version == plan.target);
+        if !has_reverted || usable.is_empty() || is_retired {
+            return;
+        }
+        record.target = Some(plan.target.clone());
+        record.plan_version = version;
+        self.placed.forget_drains();
+        self.begin_placed_rollout(record, &plan.target, usable, inputs.now);
+    }
+
+    /// The accepted plan is current, and what another began is reverted first.
+    fn follow_plan_in_progress(&mut self, record: &mut RolloutRecord, inputs: &RolloutInputs) {
+        let current = inputs
+            .plan
+            .filter(|plan| Some(&plan.plan.target) == record.target.as_ref());
+        if let Some(plan) = current {
+            record.plan_version = plan.version;
+            return;
+        }
+        self.enter_phase(record, RolloutPhase::Reverting, inputs.now);
+        self.placed.share_changed_in = inputs.record_version + 1;
+    }
+
+    /// Enters the phase in which a rollout of `target` begins: none where all replicas have it, and no canary where
+    /// it is the stable version.
+    fn begin_placed_rollout(
+        &mut self,
+        record: &mut RolloutRecord,
+        target: &str,
+        usable: &[&PlatformReplica],
+        now: Ms,
+    ) {
+        let on_target = usable
+            .iter()
+            .filter(|replica| replica.version == target && replica.loaded)
+            .count();
+        if on_target == usable.len() {
+            // Everything is on it already: there is nothing to move.
+            record.stable = target.into();
+            record.target = None;
+            self.enter_phase(record, RolloutPhase::Steady, now);
+        } else if record.stable == target && on_target > 0 {
+            self.enter_phase(record, RolloutPhase::Shifting, now);
+            let share = (on_target * 100 / usable.len()) as u32;
+            record.groups = vec![group(GroupRole::Stable, target, share, vec![])];
+        } else {
+            self.enter_phase(record, RolloutPhase::Canary, now);
+        }
+    }
+}
--- a/coordination/src/rollout/tests.rs
+++ b/coordination/src/rollout/tests.rs
@@ -1,7 +1,16 @@
+use std::collections::{BTreeMap, BTreeSet};
+
 use googletest::prelude::*;
+use remote_calls::{
+    GroupRole, OrderAction, PlatformReplica, ReleasePlan, ReplicaReport, RolloutPhase,
+    RolloutRecord, Spec,
+};
 use serde_json::json;
 
-use super::*;
+use super::{
+    Order, RolloutInputs, RolloutLoop, RolloutStep, VersionedPlan, groups::group, initial_record,
+};
+use crate::{Ms, bounds::Bounds};
 
 struct Bench {
     spec: Spec,
@@ -56,7 +65,7 @@
             let i = RolloutInputs {
                 spec: &self.spec,
                 service: &self.spec.services[0],
-                plan: plan.map(|p| (1, p)),
+                plan: plan.map(|plan| VersionedPlan { version: 1, plan }),
                 replica_list: &self.platform,
                 reports: &self.reports,
                 draining: &leaving,
@@ -68,7 +77,7 @@
                 now: self.now,
                 wall_clock_s: self.now / 1_000,
             };
-            let (r, orders) = self.l.step(&self.r, &i);
+            let RolloutStep { record: r, orders } = self.l.step(&self.r, &i);
             self.r = r;
             let serving = |r: &RolloutRecord| {
                 r.groups
--- /dev/null
+++ b/coordination/src/rollout/unloading.rs
@@ -0,0 +1,105 @@
+//! The end of a rollout: baking, in which the stable version stays loaded without a share, and unloading of whichever
+//! version is no longer wanted, after a completion or a reversal.
+
+use remote_calls::{GroupRole, OrderAction, RolloutPhase, RolloutRecord, ZoneCount};
+
+use super::{Order, RolloutLoop, RolloutView, groups::group, orders::ORDER_REPEAT_INTERVAL};
+
+impl RolloutLoop {
+    /// Keeps the stable version loaded while the target has everything: turning back needs no load.
+    pub(super) fn step_baking(&mut self, record: &mut RolloutRecord, view: &RolloutView) {
+        let now = view.inputs.now;
+        if self.reverts_bad_target(record, now) {
+            return;
+        }
+        let Some(target) = record.target.clone() else {
+            return;
+        };
+        let stable = record.stable.clone();
+        record.retiring.clear();
+        record.groups = vec![
+            group(
+                GroupRole::Stable,
+                &target,
+                100,
+                view.ready_replicas(&target),
+            ),
+            group(GroupRole::Stable, &stable, 0, view.ready_replicas(&stable)),
+        ];
+        if now.saturating_sub(self.phase_since) >= view.inputs.spec.bake_ms {
+            record.stable = target;
+            record.target = Some(stable);
+            self.enter_phase(record, RolloutPhase::Unloading, now);
+        }
+    }
+
+    /// Unloads `target`, which is no longer wanted, once it serves nothing. The flag that allows it is set here,
+    /// because the rollout was completed or reverted, and cleared when nothing reports the version.
+    pub(super) fn step_unloading(
+        &mut self,
+        record: &mut RolloutRecord,
+        view: &RolloutView,
+        orders: &mut Vec<Order>,
+    ) {
+        let now = view.inputs.now;
+        self.revert_completed_version(record, view);
+        let Some(unwanted) = record.target.clone() else {
+            return;
+        };
+        let stable = record.stable.clone();
+        record.retiring.clear();
+        let loaded: Vec<String> = view
+            .usable
+            .iter()
+            .filter(|replica| view.has_loaded(&replica.id, &unwanted))
+            .map(|replica| replica.id.clone())
+            .collect();
+        let phase_age = now.saturating_sub(self.phase_since);
+        for id in &loaded {
+            let has_ended =
+                view.open_streams(id, &unwanted) == 0 && phase_age > ORDER_REPEAT_INTERVAL;
+            // Nothing is unloaded where the stable version is not ready, or streams have time left.
+            if (has_ended || phase_age > view.drain_limit()) && view.is_ready(id, &stable) {
+                self.order_replica(view, id, OrderAction::Unload, &unwanted, orders);
+            }
+        }
+        // The flag was written in an earlier record before anything could be unloaded under it.
+        let is_done = loaded.is_empty() && phase_age > ORDER_REPEAT_INTERVAL;
+        let mut unwanted_group = group(GroupRole::Stable, &unwanted, 0, loaded);
+        unwanted_group.allow_unload = true;
+        let ready = view.ready_replicas(&stable);
+        record.groups = vec![
+            group(GroupRole::Stable, &stable, 100, ready),
+            unwanted_group,
+        ];
+        if is_done {
+            record.target = None;
+            record.groups.truncate(1);
+            self.enter_phase(record, RolloutPhase::Steady, now);
+        }
+    }
+
+    /// Reverts a completed version that turns bad while the former one can still carry every zone.
+    fn revert_completed_version(&mut self, record: &mut RolloutRecord, view: &RolloutView) {
+        let now = view.inputs.now;
+        let Some(former) = record.target.clone() else {
+            return;
+        };
+        if record.phase != RolloutPhase::Unloading || !self.health.fails(&record.stable, now) {
+            return;
+        }
+        let remaining = view.ready_replicas(&former);
+        let keeps_floor = |count: &ZoneCount| {
+            let here = remaining.iter().filter(|id| view.zone(id) == count.zone);
+            here.count() >= count.floor as usize
+        };
+        if !view.inputs.service.zones.iter().all(keeps_floor) {
+            return;
+        }
+        let bad = std::mem::replace(&mut record.stable, former);
+        record.target = Some(bad.clone());
+        record.failed_plan = record.plan_version;
+        self.bad_version = Some(bad);
+        self.enter_phase(record, RolloutPhase::Reverting, now);
+    }
+}
--- a/coordination/src/rollout_status.rs
+++ b/coordination/src/rollout_status.rs
@@ -1,10 +1,13 @@
-//! Where the newest order of a rollout stands, as its operator is told.
+//! Where the newest release plan of a service stands, as its operator is told.
 
 use remote_calls::{ReleasePlan, RolloutPhase, RolloutRecord};
 
+use crate::rollout::VersionedPlan;
+
+/// Where a release plan stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutStatus {
-    /// Nothing was ordered, or what was is under way.
+    /// Nothing was planned, or what was is in progress.
     InService,
     /// The target carries everything; the old replicas may be stopped at once.
     Completed,
@@ -12,40 +15,39 @@
     Reverted,
 }
 
-/// Whether an order is the one that stands, sent again: as long as that is under way or its time is not over.
-/// The wall's clock alone would not do: where it is ahead, an order repeated there would begin anew, with all its counts.
+/// Whether `new` repeats the current plan: as long as that is in progress or its deadline has not passed. The wall
+/// clock alone would not do: where it is ahead, a plan repeated there would begin anew, with all its counts.
 pub fn is_repeated_plan(
     record: Option<&RolloutRecord>,
-    old: (u64, &ReleasePlan),
+    current: VersionedPlan,
     new: &ReleasePlan,
-    wall: u64,
+    wall_clock_s: u64,
 ) -> bool {
-    old.1.target == new.target
-        && (old.1.complete_by >= wall
-            || rollout_status(record, Some(old)).0 == RolloutStatus::InService)
+    current.plan.target == new.target
+        && (current.plan.complete_by >= wall_clock_s
+            || rollout_status(record, Some(current)) == RolloutStatus::InService)
 }
 
-/// `plan`: its version and itself. Gives the version asked for too.
+/// Where the newest plan of a service stands by its rollout record.
 pub fn rollout_status(
     record: Option<&RolloutRecord>,
-    plan: Option<(u64, &ReleasePlan)>,
-) -> (RolloutStatus, String) {
-    let Some((version, plan)) = plan else {
-        return (RolloutStatus::InService, String::new());
+    plan: Option<VersionedPlan>,
+) -> RolloutStatus {
+    let Some(VersionedPlan { version, plan }) = plan else {
+        return RolloutStatus::InService;
     };
-    let at = |s: RolloutStatus| (s, plan.target.clone());
     // A record that is older or newer than the plan proves nothing of it: replicas are stopped on this word.
-    let Some(r) = record.filter(|r| r.plan_version == version) else {
-        return at(RolloutStatus::InService);
+    let Some(record) = record.filter(|record| record.plan_version == version) else {
+        return RolloutStatus::InService;
     };
-    let rests = matches!(r.phase, RolloutPhase::Steady | RolloutPhase::Unloading);
-    let flagged = r
+    let is_at_rest = matches!(record.phase, RolloutPhase::Steady | RolloutPhase::Unloading);
+    let is_unload_allowed = record
         .groups
         .iter()
-        .any(|g| g.version == plan.target && g.allow_unload);
-    at(match r.failed_plan == version {
-        true if rests || flagged => RolloutStatus::Reverted,
-        false if rests => RolloutStatus::Completed,
+        .any(|group| group.version == plan.target && group.allow_unload);
+    match record.failed_plan == version {
+        true if is_at_rest || is_unload_allowed => RolloutStatus::Reverted,
+        false if is_at_rest => RolloutStatus::Completed,
         _ => RolloutStatus::InService,
-    })
+    }
 }
--- a/coordination/src/version_health.rs
+++ b/coordination/src/version_health.rs
@@ -80,6 +80,15 @@
     Bad,
 }
 
+/// Requests sent to replicas.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SentCounts {
+    /// Of all versions.
+    pub all: u64,
+    /// Of one version.
+    pub version: u64,
+}
+
 /// A cell by its number, and what it counted.
 type Row = (u32, OutcomeCounts);
 
--- a/coordination/src/version_health/placed.rs
+++ b/coordination/src/version_health/placed.rs
@@ -1,7 +1,9 @@
 //! The verdict on a version that runs beside others for a short time: the sooner it falls the fewer meet it,
 //! and yet a replica that crashes, or a cut, is no version's fault.
 
-use super::{Cell, EVER, LOG_UNITS_PER_DOUBLING, LONG_WINDOW, Verdict, VersionHealth, higher};
+use super::{
+    Cell, EVER, LOG_UNITS_PER_DOUBLING, LONG_WINDOW, SentCounts, Verdict, VersionHealth, higher,
+};
 use crate::{Ms, version_health::HEALTH_WINDOWS};
 
 /// Standard deviations by which bad ends must exceed the others' rate: three where the others have none at all.
@@ -206,13 +208,16 @@
         })
     }
 
-    /// Requests sent since this daemon counts, of all versions and of one.
-    pub fn sent(&self, version: &str) -> (u64, u64) {
+    /// Requests sent since this daemon counts.
+    pub fn sent(&self, version: &str) -> SentCounts {
         let of = |mine: bool| -> u64 {
             let cells = self.cells.iter().filter(|(c, _)| !mine || &*c.0 == version);
             cells.map(|(_, n)| self.sums[*n as usize].sent).sum()
         };
-        (of(false), of(true))
+        SentCounts {
+            all: of(false),
+            version: of(true),
+        }
     }
 
     /// Requests a second that were lately sent to all versions.
--- a/coordination/tests/rollout_placed.rs
+++ b/coordination/tests/rollout_placed.rs
@@ -5,7 +5,7 @@
 use coordination::{
     Ms,
     bounds::Bounds,
-    rollout::{RolloutInputs, RolloutLoop, initial_record},
+    rollout::{RolloutInputs, RolloutLoop, RolloutStep, VersionedPlan, initial_record},
     rollout_status::{RolloutStatus, is_repeated_plan, rollout_status},
     version_health::{log_ms, replica_bit},
     wire::OutcomeCounters,
@@ -66,25 +66,24 @@
     }
 }
 
+fn versioned(version: u64, plan: &ReleasePlan) -> VersionedPlan<'_> {
+    VersionedPlan { version, plan }
+}
+
 impl Bench {
     fn wall(&self) -> u64 {
         (self.now / 1_000).saturating_add_signed(self.ahead)
     }
-    fn pass(&mut self, plan: Option<(u64, &ReleasePlan)>) {
+    fn pass(&mut self, plan: Option<VersionedPlan>) {
         self.now += PASS;
         self.listed = self.now;
         self.step(plan);
     }
-    fn step(&mut self, plan: Option<(u64, &ReleasePlan)>) {
+    fn step(&mut self, plan: Option<VersionedPlan>) {
         self.look(plan, &BTreeMap::new(), self.written as u64);
     }
     /// A pass by what edges tell: streams on replicas, and the newest record that all have seen.
-    fn look(
-        &mut self,
-        plan: Option<(u64, &ReleasePlan)>,
-        opens: &BTreeMap<String, u64>,
-        seen: u64,
-    ) {
+    fn look(&mut self, plan: Option<VersionedPlan>, opens: &BTreeMap<String, u64>, seen: u64) {
         let (reports, open) = (BTreeMap::new(), |id: &str, _: &str| {
             opens.get(id).copied().unwrap_or(0)
         });
@@ -103,7 +102,7 @@
             now: self.now,
             wall_clock_s: self.wall(),
         };
-        let (r, orders) = self.l.step(&self.r, &i);
+        let RolloutStep { record: r, orders } = self.l.step(&self.r, &i);
         assert_that!(orders, is_empty());
         self.written += usize::from(r != self.r);
         self.r = r;
@@ -560,8 +559,8 @@
         {
             broken.push("withdrawn before the share moved".into());
         }
-        let plan = self.plan.as_ref().map(|(n, p)| (*n, p));
-        let (at, target) = rollout_status(Some(r), plan);
+        let plan = self.plan.as_ref().map(|(n, p)| versioned(*n, p));
+        let at = rollout_status(Some(r), plan);
         if at != RolloutStatus::InService && self.done.is_none() {
             let gone = if at == RolloutStatus::Completed {
                 "v1"
@@ -573,7 +572,7 @@
                 .iter()
                 .all(|g| g.version != gone || g.allow_unload && g.share_percent == 0);
             if at == RolloutStatus::Completed && !flag {
-                broken.push(format!("{at:?} of {target} without a flag that stands"));
+                broken.push(format!("{at:?} of {wanted} without a flag that stands"));
             }
             let left = self
                 .streams
@@ -684,15 +683,18 @@
             let plan = self.plan.clone().filter(|_| now >= self.ordered);
             let (old, seen) = (self.b.r.clone(), self.followed_version());
             self.other.health.tick(now);
-            self.other
-                .observe_plan(plan.as_ref().map(|(n, p)| (*n, p)), now, self.b.wall());
+            self.other.observe_plan(
+                plan.as_ref().map(|(n, p)| versioned(*n, p)),
+                now,
+                self.b.wall(),
+            );
             self.other.on_lease_lost(now);
             if self.changes.first().is_some_and(|t| *t <= now) {
                 self.changes.remove(0);
                 std::mem::swap(&mut self.b.l, &mut self.other);
             }
             self.b.look(
-                plan.as_ref().map(|(n, p)| (*n, p)),
+                plan.as_ref().map(|(n, p)| versioned(*n, p)),
                 &self.opens.clone(),
                 seen,
             );
@@ -1221,23 +1223,23 @@
     let mut f = fleet(9, 100.0, 12, Some(FAILS), 1);
     f.run(60_000);
     let plan = f.plan.clone().unwrap().1;
-    let of = |n: u64| rollout_status(Some(&f.b.r), Some((n, &plan))).0;
+    let of = |n: u64| rollout_status(Some(&f.b.r), Some(versioned(n, &plan)));
     expect_that!(
         (of(1), of(2)),
         eq((RolloutStatus::Reverted, RolloutStatus::InService))
     );
     expect_that!(
-        rollout_status(None, Some((1, &plan))).0,
+        rollout_status(None, Some(versioned(1, &plan))),
         eq(RolloutStatus::InService)
     );
-    (0..10).for_each(|_| f.b.pass(Some((1, &plan))));
+    (0..10).for_each(|_| f.b.pass(Some(versioned(1, &plan))));
     expect_that!(
         (f.b.r.phase, f.b.r.groups.len()),
         eq((RolloutPhase::Steady, 1))
     );
     // A failed version stays out, whatever starts it.
     f.b.list.push(replica("a-late", "v2"));
-    f.b.pass(Some((1, &plan)));
+    f.b.pass(Some(versioned(1, &plan)));
     expect_false!(f.b.r.replicas.iter().any(|p| p.id == "a-late"));
     // An order for what serves already is completed at once.
     let same = ReleasePlan {
@@ -1245,9 +1247,9 @@
         ..plan.clone()
     };
     f.b.list.retain(|p| p.version == "v1");
-    f.b.pass(Some((2, &same)));
+    f.b.pass(Some(versioned(2, &same)));
     expect_that!(
-        rollout_status(Some(&f.b.r), Some((2, &same))).0,
+        rollout_status(Some(&f.b.r), Some(versioned(2, &same))),
         eq(RolloutStatus::Completed)
     );
 }
@@ -1438,17 +1440,20 @@
         complete_by: 100,
         ..order.clone()
     };
-    let same = |f: &Fleet, wall| is_repeated_plan(Some(&f.b.r), (1, &order), &again, wall);
+    let same = |f: &Fleet, wall| is_repeated_plan(Some(&f.b.r), versioned(1, &order), &again, wall);
     // The daemon that is asked may have a clock that is far ahead.
     f.run(10_500);
     expect_that!((same(&f, 12), same(&f, 40)), eq((true, true)));
-    expect_that!(is_repeated_plan(None, (1, &order), &again, 40), eq(true));
+    expect_that!(
+        is_repeated_plan(None, versioned(1, &order), &again, 40),
+        eq(true)
+    );
     let other = ReleasePlan {
         target: "v3".into(),
         ..again.clone()
     };
     expect_that!(
-        is_repeated_plan(Some(&f.b.r), (1, &order), &other, 12),
+        is_repeated_plan(Some(&f.b.r), versioned(1, &order), &other, 12),
         eq(false)
     );
     f.run(60_000);
--- a/edge-proxy/src/pass.rs
+++ b/edge-proxy/src/pass.rs
@@ -261,7 +261,11 @@
                 body,
             }));
         }
-        event(events::ATTEMPT_FAILED, &f.placed.replica, "it did not run it");
+        event(
+            events::ATTEMPT_FAILED,
+            &f.placed.replica,
+            "it did not run it",
+        );
         f.end(if told.other {
             PassEnd::Other
         } else {
--- a/fleet-simulator/src/world/placing.rs
+++ b/fleet-simulator/src/world/placing.rs
@@ -1,6 +1,7 @@
 //! A platform that places versions: what it lists, and what it starts and stops at an order.
 
 use coordination::{
+    rollout::VersionedPlan,
     rollout_status::{RolloutStatus, rollout_status},
     timing::SLOW_START_DURATION,
 };
@@ -72,13 +73,14 @@
                 .get(&format!("{PLAN_PREFIX}{service}"))
                 .map(|c| c.version)
                 .filter(|n| *n == version)?;
-            Some(
-                rollout_status(
-                    b.read(&format!("{ROLLOUT_PREFIX}{service}")).as_ref(),
-                    Some((n, &plan)),
-                )
-                .0,
-            )
+            let ordered = VersionedPlan {
+                version: n,
+                plan: &plan,
+            };
+            Some(rollout_status(
+                b.read(&format!("{ROLLOUT_PREFIX}{service}")).as_ref(),
+                Some(ordered),
+            ))
         });
         let of = |w: &World, new: bool| -> Vec<String> {
             w.reps
