--- a/coordination/src/proxy/news.rs
+++ b/coordination/src/proxy/news.rs
@@ -17,6 +17,7 @@
     placement::{Needed, Nominee, chain, shared, tokens},
     register::{CONTEXT_PREFIX, ROLLOUT_PREFIX},
     state_table::version_stamp,
+    version_health::OutcomeCounts,
 };
 
 /// Chains of fewer tokens are read sooner than a message crosses a region: they are not counted.
@@ -147,7 +148,7 @@
                     // Recent counts are kept over all groups, so they go with the first of a cell's groups only.
                     let first = told.insert((s, v, l, *warm));
                     let h = self.health.get(s).filter(|_| first);
-                    let new = h.map_or((0, 0, 0), |h| h.recent(v, l, *warm, now));
+                    let new = h.map_or_else(OutcomeCounts::default, |h| h.recent(v, l, *warm, now));
                     OutcomeCounters {
                         service: s.as_str().into(),
                         version: v.as_str().into(),
@@ -158,9 +159,9 @@
                         succeeded: n[1],
                         failed: n[2],
                         slow: n[3],
-                        recent_ended: new.0,
-                        recent_failed: new.1,
-                        recent_slow: new.2,
+                        recent_ended: new.ended,
+                        recent_failed: new.failed,
+                        recent_slow: new.slow,
                         first_chunks: n[4],
                         first_chunk_log_sum: n[5],
                         failed_replicas: n[6],
--- /dev/null
+++ b/coordination/src/version_health/counts.rs
@@ -0,0 +1,104 @@
+//! Counts of outcomes, and rates that are compared.
+
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::Ms;
+
+/// Parts of a doubling in a time's logarithm: a twentieth of a time is more than any comparison needs.
+pub(super) const LOG_UNITS_PER_DOUBLING: f64 = 16.0;
+
+/// Makes a set of counts that are added and subtracted field by field.
+macro_rules! counts {
+    ($($(#[$doc:meta])* $count:ident),* $(,)?) => {
+        /// What was counted of requests of one kind.
+        #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+        pub struct OutcomeCounts {
+            $($(#[$doc])* pub $count: u64,)*
+            /// Replicas that failed, by `replica_bit`.
+            pub failed_replicas: u64,
+        }
+
+        impl OutcomeCounts {
+            pub(super) fn minus(self, other: OutcomeCounts) -> OutcomeCounts {
+                OutcomeCounts {
+                    $($count: self.$count.saturating_sub(other.$count),)*
+                    failed_replicas: self.failed_replicas & !other.failed_replicas,
+                }
+            }
+
+            pub(super) fn plus(self, other: OutcomeCounts) -> OutcomeCounts {
+                OutcomeCounts {
+                    $($count: self.$count + other.$count,)*
+                    failed_replicas: self.failed_replicas | other.failed_replicas,
+                }
+            }
+        }
+    };
+}
+
+counts! {
+    /// Requests sent to replicas.
+    sent,
+    /// Requests that ended, well or not.
+    ended,
+    /// Requests that failed.
+    failed,
+    /// Requests that ended well but late.
+    slow,
+    /// First chunks received.
+    first_chunks,
+    /// Sum of `log_ms` of the times to the first chunks.
+    first_chunk_log_sum,
+}
+
+impl OutcomeCounts {
+    pub(super) fn failures(&self) -> Rate {
+        Rate {
+            ended: self.ended,
+            bad: self.failed,
+        }
+    }
+
+    pub(super) fn slowness(&self) -> Rate {
+        Rate {
+            ended: self.ended,
+            bad: self.slow,
+        }
+    }
+}
+
+/// Requests sent to replicas.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SentCounts {
+    /// Of all versions.
+    pub all: u64,
+    /// Of one version.
+    pub version: u64,
+}
+
+/// Requests that ended, and how many of them were bad.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Rate {
+    pub(super) ended: u64,
+    pub(super) bad: u64,
+}
+
+impl Rate {
+    /// Whether this rate exceeds the other's by more than so many percent of the requests.
+    pub(super) fn exceeds(self, other: Rate, margin_percent: u64) -> bool {
+        let other_ended = other.ended.max(1);
+        self.bad * 100 * other_ended > (other.bad * 100 + margin_percent * other_ended) * self.ended
+    }
+}
+
+/// The bit of a replica that failed. Replicas are told apart only as far as it takes to see whether there is
+/// more than one.
+pub fn replica_bit(replica: &str) -> u64 {
+    1 << (xxh3_64(replica.as_bytes()) % 64)
+}
+
+/// A time as its logarithm, in sixteenths of a doubling. Sums of these compare versions by geometric means, which
+/// a few long prompts hardly move.
+pub fn log_ms(ms: Ms) -> u64 {
+    ((ms.max(1) as f64).log2() * LOG_UNITS_PER_DOUBLING).round() as u64
+}
--- a/coordination/src/version_health/tests.rs
+++ b/coordination/src/version_health/tests.rs
@@ -1,6 +1,8 @@
 use googletest::prelude::*;
+use wire_messages::OutcomeCounters;
 
-use super::*;
+use super::{Verdict, VersionHealth, log_ms};
+use crate::Ms;
 
 fn tally(v: &str, lane: &str, warm: bool, ok: u64, failed: u64, slow: u64) -> OutcomeCounters {
     OutcomeCounters {
