--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -1,477 +1,208 @@
-//! The one owner of a control daemon's brain: works through its mailbox and carries effects out.
+//! The one owner of a control daemon's state machine: it works through its mailbox and carries effects out.
 
-use std::{
-    collections::{BTreeMap, HashMap},
-    rc::Rc,
-    time::Duration,
-};
+use std::{collections::HashMap, time::Duration};
 
 use actix::prelude::*;
 use awc::Client;
 use coordination::{
-    Effect, Effects, Ms, WriteOutcome,
+    Effects, WriteOutcome,
     control::{Control, ControlConfig},
     effect::log_event,
     events,
     register::Expect,
-    rollout::Order,
-    timing::{DISK_SYNC_TIMEOUT, REPORT_INTERVAL, TICK_INTERVAL},
+    timing::TICK_INTERVAL,
 };
 use daemon_parts::{
     channels::{Channels, Incoming},
-    clock, http,
-    limits::{CALL_LIMIT, DISK_AGAIN, MAILBOX},
-    logging::event,
+    clock,
+    limits::{DISK_AGAIN, MAILBOX},
     look::Look,
 };
-use remote_calls::{
-    Fault, OrderAnswer, PlatformDrain, PlatformList, PlatformStart, PlatformStarted, ReplicaOrder,
-    ReplicaReport, calls,
-};
+use remote_calls::Fault;
 use tokio::sync::oneshot;
 
-use crate::{
-    disk::{Disk, Held},
-    face::{ListCall, Pace, Replicas},
-};
+mod effects;
+mod lifecycle;
+mod orders;
+mod polling;
+
+use lifecycle::Lifecycle;
+use polling::ReplicaPolling;
 
+use crate::{disk::Disk, platform_adapter::ReplicaSource};
+
+/// Why a call is rejected while the disk fails.
+const DISK_DOES_NOT_WORK: &str = "this daemon's disk does not work";
+
+/// The one owner of a control daemon's state machine.
 pub struct ControlActor {
-    p: ControlConfig,
-    platform: String,
-    replicas: Replicas,
+    config: ControlConfig,
+    /// None while the disk fails: nothing is said, accepted or confirmed then.
+    control: Option<Control>,
+    lifecycle: Lifecycle,
     disk: Disk,
-    ch: Option<Channels>,
-    /// None while the disk fails: nothing is said, taken or confirmed then.
-    c: Option<Control>,
-    waiting: HashMap<u64, oneshot::Sender<WriteOutcome>>,
+    /// None before the actor starts.
+    channels: Option<Channels>,
     client: Client,
-    next_report: Ms,
-    /// A list call is under way: one that takes long must not put a later one's answer back.
-    listing: bool,
-    pace: Rc<Pace>,
-    next_open: Ms,
-    opening: bool,
-    stopping: bool,
-    /// When each sync that has not ended began, and how many there were.
-    syncing: BTreeMap<u64, Ms>,
-    syncs: u64,
-    /// Counts the brains: each opening of the disk begins another.
-    life: u64,
+    platform_addr: String,
+    polling: ReplicaPolling,
+    /// Callers that wait for a write or a read, by its token.
+    pending_calls: HashMap<u64, oneshot::Sender<WriteOutcome>>,
+    is_stopping: bool,
 }
 
 /// Writes a key.
 #[derive(Message)]
 #[rtype(result = "WriteOutcome")]
-pub struct Write {
+pub struct WriteKey {
+    /// The key.
     pub key: String,
+    /// What the write is compared with.
     pub expect: Expect,
+    /// The new value, as it is stored.
     pub value: Vec<u8>,
 }
 
-/// Asks for the newest version of a key that any majority has taken.
+/// Asks for the newest version of a key that any majority has accepted.
 #[derive(Message)]
 #[rtype(result = "WriteOutcome")]
-pub struct Newest(pub String);
+pub struct ReadNewest(pub String);
+
+/// The process will stop: leases and keys go to others first.
+#[derive(Message)]
+#[rtype(result = "()")]
+pub struct BeginShutdown;
 
 impl ControlActor {
-    pub fn new(p: ControlConfig, platform: String, replicas: Replicas, disk: Disk) -> Self {
-        let client = Client::builder().disable_timeout().finish();
-        let (waiting, c, ch) = (HashMap::new(), None, None);
-        let (next_report, listing, next_open, opening, stopping) = (0, false, 0, false, false);
-        let (syncing, syncs, life) = (BTreeMap::new(), 0, 0);
+    /// An actor that opens the disk when it starts.
+    pub fn new(
+        config: ControlConfig,
+        platform_addr: String,
+        replica_source: ReplicaSource,
+        disk: Disk,
+    ) -> Self {
         ControlActor {
-            p,
-            platform,
-            replicas,
+            config,
+            control: None,
+            lifecycle: Lifecycle::default(),
             disk,
-            ch,
-            c,
-            waiting,
-            client,
-            next_report,
-            listing,
-            pace: Rc::default(),
-            next_open,
-            opening,
-            stopping,
-            syncing,
-            syncs,
-            life,
+            channels: None,
+            client: Client::builder().disable_timeout().finish(),
+            platform_addr,
+            polling: ReplicaPolling::new(replica_source),
+            pending_calls: HashMap::new(),
+            is_stopping: false,
         }
     }
 
-    /// Carries out what was asked for and awaits its answer.
-    fn answer(
+    /// Starts a call at the state machine and awaits its outcome.
+    fn call(
         &mut self,
-        (token, out): (u64, Effects),
+        start: impl FnOnce(&mut Control) -> (u64, Effects),
         ctx: &mut Context<Self>,
     ) -> ResponseFuture<WriteOutcome> {
-        let (s, r) = oneshot::channel();
-        self.waiting.insert(token, s);
-        self.carry(out, ctx);
-        Box::pin(async move { r.await.unwrap_or(WriteOutcome::Unknown) })
-    }
-
-    fn carry(&mut self, effects: Effects, ctx: &mut Context<Self>) {
-        for e in effects {
-            match e {
-                Effect::Send { to, msg } => {
-                    if let Some(ch) = &mut self.ch {
-                        ch.send(&to, msg);
-                    }
-                }
-                Effect::Persist { rows, then } => self.persist(rows, then, ctx),
-                Effect::WriteFinished { token, outcome } => {
-                    if let Some(s) = self.waiting.remove(&token) {
-                        let _ = s.send(outcome);
-                    }
-                }
-                Effect::Order {
-                    service,
-                    epoch,
-                    until,
-                    order,
-                } => self.order(service, epoch, until, order, ctx),
-                Effect::Log {
-                    event: e,
-                    peer,
-                    text,
-                } => event(e, &peer, &text),
-            }
-        }
-    }
-
-    fn persist(&mut self, rows: Vec<coordination::Row>, then: Effects, ctx: &mut Context<Self>) {
-        self.syncs += 1;
-        let (n, life) = (self.syncs, self.life);
-        self.syncing.insert(n, clock::now());
-        let f = self
-            .disk
-            .sync(rows)
-            .into_actor(self)
-            .map(move |r, me, ctx| {
-                me.syncing.remove(&n);
-                match r {
-                    // What an earlier life waited for is not this one's to say.
-                    Ok(()) if me.life == life => me.carry(then, ctx),
-                    Ok(()) => {}
-                    Err(e) => me.disk_failed(&format!("{e:?}")),
-                }
-            });
-        ctx.spawn(f);
-    }
-
-    /// What the disk holds is no longer known: this life ends, and another begins when it can be read.
-    fn disk_failed(&mut self, why: &str) {
-        if self.c.take().is_some() {
-            event(events::DISK_FAILED, &self.p.name, &why.replace('\n', " "));
-        }
-        // Writes that wait may stand on other disks.
-        self.waiting.drain().for_each(|(_, s)| {
-            let _ = s.send(WriteOutcome::Unknown);
-        });
-        self.next_open = clock::now() + DISK_AGAIN;
-    }
-
-    fn reopen(&mut self, ctx: &mut Context<Self>) {
-        if self.opening || clock::now() < self.next_open {
-            return;
-        }
-        self.opening = true;
-        let f = self.disk.open().into_actor(self).map(|r, me, _| {
-            me.opening = false;
-            match r {
-                Ok(held) => me.begin(held),
-                Err(e) => {
-                    event(
-                        events::DISK_FAILED,
-                        &me.p.name,
-                        &format!("{e:?}").replace('\n', " "),
-                    );
-                    me.next_open = clock::now() + DISK_AGAIN;
-                }
-            }
-        });
-        ctx.spawn(f);
-    }
-
-    fn begin(&mut self, (id, blank, rows): Held) {
-        if blank {
-            event(events::DISK_BLANK, &self.p.name, "");
-        } else {
-            event(
-                events::DISK_RECOVERED,
-                &self.p.name,
-                &format!("{} rows", rows.len()),
-            );
-        }
-        self.life += 1;
-        self.c = Some(Control::new(
-            self.p.clone(),
-            id,
-            rows,
-            clock::born(),
-            clock::now(),
-        ));
-    }
-
-    fn order(
-        &mut self,
-        service: String,
-        epoch: u64,
-        until: Ms,
-        order: Order,
-        ctx: &mut Context<Self>,
-    ) {
-        // The process may have slept between the decision and here.
-        if clock::now() >= until {
-            event(events::LEASE_EXPIRED, &service, "an order was dropped");
-            return;
-        }
-        let text = format!("{order:?}");
-        event(events::REPLICA_ORDER, &service, &text);
-        let (c, platform) = (self.client.clone(), self.platform.clone());
-        let f = async move {
-            let r = match order {
-                Order::Replica {
-                    addr,
-                    action,
-                    version,
-                    ..
-                } => {
-                    let b = ReplicaOrder {
-                        service: service.clone(),
-                        epoch,
-                        action,
-                        version,
-                    };
-                    http::call::<_, OrderAnswer>(&c, &addr, calls::ORDER, Some(&b), CALL_LIMIT)
-                        .await
-                        .map(drop)
-                }
-                Order::Start { zone, version } => {
-                    let b = PlatformStart {
-                        service: service.clone(),
-                        zone,
-                        version,
-                        epoch,
-                    };
-                    http::call::<_, PlatformStarted>(
-                        &c,
-                        &platform,
-                        calls::PLATFORM_START,
-                        Some(&b),
-                        CALL_LIMIT,
-                    )
-                    .await
-                    .map(drop)
-                }
-                Order::Drain { id } => {
-                    let b = PlatformDrain {
-                        service: service.clone(),
-                        replica: id,
-                        epoch,
-                    };
-                    http::call::<_, OrderAnswer>(
-                        &c,
-                        &platform,
-                        calls::PLATFORM_DRAIN,
-                        Some(&b),
-                        CALL_LIMIT,
-                    )
-                    .await
-                    .map(drop)
-                }
-            };
-            if let Err(e) = r {
-                event(
-                    events::REPLICA_ORDER_FAILED,
-                    &service,
-                    &format!("{text}: {e}"),
-                );
-            }
-        };
-        ctx.spawn(f.into_actor(self));
-    }
-
-    /// Asks the platform and the replicas while a duty is held here.
-    fn ask_back_ends(&mut self, now: Ms, ctx: &mut Context<Self>) {
-        let Some(brain) = &self.c else { return };
-        if now < self.next_report || !brain.holds_any_role(now) {
-            return;
-        }
-        if let Replicas::Listed {
-            call,
-            every,
-            calm,
-            rate,
-        } = self.replicas
-        {
-            // Calls are priced, and most of the time the list stays as it is.
-            let every = if brain.is_list_stable(now) {
-                calm
-            } else {
-                every
-            };
-            self.pace.set_rate(brain.call_rate_share(rate));
-            return self.ask_list(call, now, every, ctx);
-        }
-        self.next_report = now + REPORT_INTERVAL;
-        let (c, a) = (self.client.clone(), self.platform.clone());
-        let f = async move {
-            http::call::<(), PlatformList>(&c, &a, calls::PLATFORM_LIST, None, CALL_LIMIT).await
+        let Some(control) = &mut self.control else {
+            return Box::pin(async { WriteOutcome::NotAccepted(DISK_DOES_NOT_WORK) });
         };
-        ctx.spawn(f.into_actor(self).map(move |r, me, _| {
-            if let (Ok(l), Some(c)) = (r, &mut me.c) {
-                c.on_replica_list(l, now);
-            }
-        }));
-        for (_, addr) in brain.replicas_to_poll() {
-            let c = self.client.clone();
-            let f = async move {
-                http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await
-            };
-            ctx.spawn(f.into_actor(self).map(move |r, me, _| {
-                if let (Ok(r), Some(c)) = (r, &mut me.c) {
-                    // Stamped with the asking: an answer that took long is old.
-                    c.on_report(r, now);
-                }
-            }));
-        }
-    }
-
-    /// Asks for a list that tells everything; one that fails changes nothing.
-    fn ask_list(&mut self, call: ListCall, now: Ms, every: Duration, ctx: &mut Context<Self>) {
-        if self.listing {
-            return;
-        }
-        (self.listing, self.next_report) = (true, now + every.as_millis() as Ms);
-        let f = call(
-            self.client.clone(),
-            self.platform.clone(),
-            self.pace.clone(),
-        )
-        .into_actor(self)
-        .map(move |r, me, _| {
-            me.listing = false;
-            match (r, &mut me.c) {
-                (Ok(l), Some(c)) => c.on_replica_list(l, now),
-                (Err(e), _) => event(events::REPLICA_LIST_FAILED, &me.platform, &e.to_string()),
-                _ => {}
-            }
-        });
-        ctx.spawn(f);
+        let (token, effects) = start(control);
+        let (sender, outcome) = oneshot::channel();
+        self.pending_calls.insert(token, sender);
+        self.execute(effects, ctx);
+        Box::pin(async move { outcome.await.unwrap_or(WriteOutcome::Unknown) })
     }
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let now = clock::now();
-        let Some(c) = &mut self.c else {
+        let Some(control) = &mut self.control else {
             return self.reopen(ctx);
         };
-        c.stopping = self.stopping;
-        // A disk that hangs says nothing; others must not wait for it, and take over what is owned here.
-        let ok = self
-            .syncing
-            .values()
-            .next()
-            .is_none_or(|t| now.saturating_sub(*t) <= DISK_SYNC_TIMEOUT);
-        if c.disk_healthy != ok {
-            c.disk_healthy = ok;
-            let e = if ok {
-                events::DISK_RECOVERED
-            } else {
-                events::DISK_FAILED
-            };
-            event(
-                e,
-                &self.p.name,
-                if ok {
-                    "it syncs again"
-                } else {
-                    "a sync takes too long"
-                },
-            );
-        }
-        let mut out = c.tick(now);
-        out.extend(c.run_rollouts(now, clock::wall_s()));
-        self.carry(out, ctx);
-        self.ask_back_ends(now, ctx);
+        control.stopping = self.is_stopping;
+        self.lifecycle.check_syncs(control, &self.config.name, now);
+        let mut effects = control.tick(now);
+        effects.extend(control.run_rollouts(now, clock::wall_s()));
+        self.execute(effects, ctx);
+        self.poll_replicas(now, ctx);
     }
 }
 
 impl Actor for ControlActor {
     type Context = Context<Self>;
+
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
-        self.ch = Some(Channels::new(
-            &self.p.name,
-            &self.p.addr,
+        self.channels = Some(Channels::new(
+            &self.config.name,
+            &self.config.addr,
             ctx.address().recipient(),
         ));
         self.reopen(ctx);
-        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, ctx| me.tick(ctx));
+        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |actor, ctx| {
+            actor.tick(ctx);
+        });
     }
 }
 
 impl Handler<Incoming> for ControlActor {
     type Result = ();
-    fn handle(&mut self, m: Incoming, ctx: &mut Self::Context) {
-        let Some(c) = &mut self.c else { return };
-        let out = c.on_message(&m.0.from, &m.0.addr, m.0.msg, clock::now());
-        self.carry(out, ctx);
+
+    fn handle(&mut self, Incoming(frame): Incoming, ctx: &mut Self::Context) {
+        let Some(control) = &mut self.control else {
+            return;
+        };
+        let effects = control.on_message(&frame.from, &frame.addr, frame.msg, clock::now());
+        self.execute(effects, ctx);
     }
 }
 
-impl Handler<Write> for ControlActor {
+impl Handler<WriteKey> for ControlActor {
     type Result = ResponseFuture<WriteOutcome>;
-    fn handle(&mut self, m: Write, ctx: &mut Self::Context) -> Self::Result {
-        let Some(c) = &mut self.c else {
-            return Box::pin(async {
-                WriteOutcome::NotAccepted("this daemon's disk does not work")
-            });
-        };
-        let asked = c.write(&m.key, m.expect, m.value, clock::now());
-        self.answer(asked, ctx)
+
+    fn handle(&mut self, write: WriteKey, ctx: &mut Self::Context) -> Self::Result {
+        let WriteKey { key, expect, value } = write;
+        self.call(
+            |control| control.write(&key, expect, value, clock::now()),
+            ctx,
+        )
     }
 }
 
-impl Handler<Newest> for ControlActor {
+impl Handler<ReadNewest> for ControlActor {
     type Result = ResponseFuture<WriteOutcome>;
-    fn handle(&mut self, m: Newest, ctx: &mut Self::Context) -> Self::Result {
-        let Some(c) = &mut self.c else {
-            return Box::pin(async {
-                WriteOutcome::NotAccepted("this daemon's disk does not work")
-            });
-        };
-        let asked = c.read_newest(&m.0, clock::now());
-        self.answer(asked, ctx)
+
+    fn handle(&mut self, ReadNewest(key): ReadNewest, ctx: &mut Self::Context) -> Self::Result {
+        self.call(|control| control.read_newest(&key, clock::now()), ctx)
     }
 }
 
 impl<T: Send + 'static> Handler<Look<Control, T>> for ControlActor {
     type Result = Result<T, ()>;
-    fn handle(&mut self, m: Look<Control, T>, _: &mut Self::Context) -> Self::Result {
+
+    fn handle(&mut self, Look(access): Look<Control, T>, _: &mut Self::Context) -> Self::Result {
         let now = clock::now();
-        self.c.as_mut().map(|c| (m.0)(c, now)).ok_or(())
+        self.control
+            .as_mut()
+            .map(|control| access(control, now))
+            .ok_or(())
     }
 }
 
-/// The process will stop: duties and keys go to others first.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Stopping;
-impl Handler<Stopping> for ControlActor {
+impl Handler<BeginShutdown> for ControlActor {
     type Result = ();
-    fn handle(&mut self, _: Stopping, ctx: &mut Self::Context) {
-        self.stopping = true;
-        let n = log_event(events::STOPPING, &self.p.name, "duties are handed over");
-        self.carry(vec![n], ctx);
+
+    fn handle(&mut self, _: BeginShutdown, ctx: &mut Self::Context) {
+        self.is_stopping = true;
+        let notice = log_event(
+            events::STOPPING,
+            &self.config.name,
+            "duties are handed over",
+        );
+        self.execute(vec![notice], ctx);
         self.tick(ctx);
     }
 }
 
-/// Why the brain could not be looked at.
-pub fn no_disk() -> Fault {
+/// Why the state machine could not be asked.
+pub fn disk_failed_fault() -> Fault {
     Fault::new(
         "disk_failed",
         "look",
--- /dev/null
+++ b/control-daemon/src/actor/orders.rs
@@ -0,0 +1,101 @@
+//! Sends orders of the rollout loops to replicas and the platform.
+
+use actix::prelude::*;
+use awc::Client;
+use coordination::{Ms, events, rollout::Order};
+use daemon_parts::{clock, http, limits::CALL_LIMIT, logging::event};
+use remote_calls::{
+    Fault, OrderAnswer, PlatformDrain, PlatformStart, PlatformStarted, ReplicaOrder, calls,
+};
+
+use super::ControlActor;
+
+/// An order, and the lease under which it is given.
+pub(super) struct LeasedOrder {
+    pub(super) service: String,
+    /// Orders under a lower epoch are rejected by whoever takes them.
+    pub(super) epoch: u64,
+    /// This daemon's time at which the lease ends.
+    pub(super) lease_until: Ms,
+    pub(super) order: Order,
+}
+
+impl ControlActor {
+    pub(super) fn send_order(&mut self, leased: LeasedOrder, ctx: &mut Context<Self>) {
+        // The process may have been suspended between the decision and here.
+        if clock::now() >= leased.lease_until {
+            event(
+                events::LEASE_EXPIRED,
+                &leased.service,
+                "an order was dropped",
+            );
+            return;
+        }
+        let service = leased.service.clone();
+        let text = format!("{:?}", leased.order);
+        event(events::REPLICA_ORDER, &service, &text);
+        let (client, platform_addr) = (self.client.clone(), self.platform_addr.clone());
+        let sent = async move {
+            if let Err(fault) = call_order(&client, &platform_addr, leased).await {
+                let cause = format!("{text}: {fault}");
+                event(events::REPLICA_ORDER_FAILED, &service, &cause);
+            }
+        };
+        ctx.spawn(sent.into_actor(self));
+    }
+}
+
+async fn call_order(
+    client: &Client,
+    platform_addr: &str,
+    leased: LeasedOrder,
+) -> Result<(), Fault> {
+    let LeasedOrder {
+        service,
+        epoch,
+        order,
+        ..
+    } = leased;
+    match order {
+        Order::Replica {
+            addr,
+            action,
+            version,
+            ..
+        } => {
+            let body = ReplicaOrder {
+                service,
+                epoch,
+                action,
+                version,
+            };
+            let call = calls::ORDER;
+            http::call::<_, OrderAnswer>(client, &addr, call, Some(&body), CALL_LIMIT)
+                .await
+                .map(drop)
+        }
+        Order::Start { zone, version } => {
+            let body = PlatformStart {
+                service,
+                zone,
+                version,
+                epoch,
+            };
+            let call = calls::PLATFORM_START;
+            http::call::<_, PlatformStarted>(client, platform_addr, call, Some(&body), CALL_LIMIT)
+                .await
+                .map(drop)
+        }
+        Order::Drain { id } => {
+            let body = PlatformDrain {
+                service,
+                replica: id,
+                epoch,
+            };
+            let call = calls::PLATFORM_DRAIN;
+            http::call::<_, OrderAnswer>(client, platform_addr, call, Some(&body), CALL_LIMIT)
+                .await
+                .map(drop)
+        }
+    }
+}
--- a/control-daemon/src/disk/tests.rs
+++ b/control-daemon/src/disk/tests.rs
@@ -1,6 +1,15 @@
+use std::path::PathBuf;
+
+use coordination::Row;
 use googletest::prelude::*;
+use rusqlite::{Connection, types::Value};
+use wire_messages::{Blob, Slot};
 
-use super::*;
+use super::{
+    Storage,
+    opening::{FILE, LAYOUT, OpenDatabase, open},
+    rows::write_rows,
+};
 
 fn slot(key: &str, version: u64, bytes: usize) -> Row {
     Row::Slot(Slot {
@@ -10,32 +19,38 @@
         ..Slot::default()
     })
 }
+
 fn folder(name: &str) -> PathBuf {
-    let d = std::env::temp_dir().join(format!("landingslip-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&d);
-    d
+    let folder = std::env::temp_dir().join(format!("landingslip-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    folder
 }
 
 #[gtest]
 fn synced_rows_return_and_a_full_disk_says_so_and_recovers() {
     let dir = folder("disk");
-    let (c, (id, blank, _)) = open(Storage::default(), &dir, 0).unwrap();
-    expect_true!(blank);
-    drop(c);
-    let (mut c, (again, blank, _)) = open(Storage::default(), &dir, 200_000).unwrap();
-    expect_that!((again, blank), eq((id, false)));
-    write(&mut c, &[slot("a", 1, 10)]).unwrap();
-    // The bound on growth is met: the write fails whole and nothing of it stands.
+    let first = open(Storage::default(), &dir, 0).unwrap().state;
+    expect_true!(first.is_blank);
+    let OpenDatabase {
+        mut connection,
+        state,
+    } = open(Storage::default(), &dir, 200_000).unwrap();
+    expect_that!((state.disk_id, state.is_blank), eq((first.disk_id, false)));
+    write_rows(&mut connection, &[slot("a", 1, 10)]).unwrap();
+    // The bound on growth is met: the write fails whole and nothing of it is stored.
     expect_that!(
-        write(&mut c, &[slot("a", 2, 10), slot("b", 1, 400_000)]),
+        write_rows(&mut connection, &[slot("a", 2, 10), slot("b", 1, 400_000)]),
         err(anything())
     );
-    drop(c);
-    let (mut c, (_, _, rows)) = open(Storage::default(), &dir, 200_000).unwrap();
-    expect_that!(rows, container_eq([slot("a", 1, 10)]));
-    // Rewriting a key reuses its room: many versions do not grow the file.
-    for v in 2..500 {
-        write(&mut c, &[slot("a", v, 20_000)]).unwrap();
+    drop(connection);
+    let OpenDatabase {
+        mut connection,
+        state,
+    } = open(Storage::default(), &dir, 200_000).unwrap();
+    expect_that!(state.rows, container_eq([slot("a", 1, 10)]));
+    // Rewriting a key reuses its pages: many versions do not grow the file.
+    for version in 2..500 {
+        write_rows(&mut connection, &[slot("a", version, 20_000)]).unwrap();
     }
     let _ = std::fs::remove_dir_all(&dir);
 }
@@ -44,42 +59,40 @@
 #[gtest]
 fn commits_are_synced_and_nothing_is_shared() {
     let dir = folder("setup");
-    let (c, _) = open(Storage::default(), &dir, 0).unwrap();
-    let text = |p: &str| {
-        c.query_row(&format!("PRAGMA {p}"), [], |r| {
-            r.get::<_, rusqlite::types::Value>(0)
-        })
-        .unwrap()
+    let connection = open(Storage::default(), &dir, 0).unwrap().connection;
+    let pragma = |name: &str| {
+        connection
+            .query_row(&format!("PRAGMA {name}"), [], |row| row.get::<_, Value>(0))
+            .unwrap()
     };
-    expect_that!(text("synchronous"), eq(&rusqlite::types::Value::Integer(2)));
-    expect_that!(
-        text("journal_mode"),
-        eq(&rusqlite::types::Value::Text("wal".into()))
-    );
-    expect_that!(
-        text("locking_mode"),
-        eq(&rusqlite::types::Value::Text("exclusive".into()))
-    );
+    expect_that!(pragma("synchronous"), eq(&Value::Integer(2)));
+    expect_that!(pragma("journal_mode"), eq(&Value::Text("wal".into())));
+    expect_that!(pragma("locking_mode"), eq(&Value::Text("exclusive".into())));
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// An older layout is taken over with all it holds; a newer one is left as it is, and named.
+/// An older layout is migrated with all it holds; a newer one is left as it is, and named.
 #[gtest]
 fn another_layout_is_migrated_or_named() {
     let dir = folder("layout");
-    let (mut c, _) = open(Storage::default(), &dir, 0).unwrap();
-    write(&mut c, &[slot("a", 1, 10)]).unwrap();
-    c.pragma_update(None, "user_version", 0).unwrap();
-    drop(c);
-    let (c, (.., rows)) = open(Storage::default(), &dir, 0).unwrap();
-    expect_that!(rows, container_eq([slot("a", 1, 10)]));
-    c.pragma_update(None, "user_version", LAYOUT + 1).unwrap();
-    drop(c);
-    let told = format!("{:?}", open(Storage::default(), &dir, 0).unwrap_err());
-    expect_that!(told, contains_substring(format!("layout {}", LAYOUT + 1)));
-    let c = Connection::open(dir.join(FILE)).unwrap();
+    let mut connection = open(Storage::default(), &dir, 0).unwrap().connection;
+    write_rows(&mut connection, &[slot("a", 1, 10)]).unwrap();
+    connection.pragma_update(None, "user_version", 0).unwrap();
+    drop(connection);
+    let OpenDatabase { connection, state } = open(Storage::default(), &dir, 0).unwrap();
+    expect_that!(state.rows, container_eq([slot("a", 1, 10)]));
+    connection
+        .pragma_update(None, "user_version", LAYOUT + 1)
+        .unwrap();
+    drop(connection);
+    let rejection = format!("{:?}", open(Storage::default(), &dir, 0).err().unwrap());
+    expect_that!(
+        rejection,
+        contains_substring(format!("layout {}", LAYOUT + 1))
+    );
+    let connection = Connection::open(dir.join(FILE)).unwrap();
     expect_that!(
-        c.query_row("SELECT count(*) FROM slots", [], |r| r.get::<_, i64>(0)),
+        connection.query_row("SELECT count(*) FROM slots", [], |row| row.get::<_, i64>(0)),
         ok(eq(&1))
     );
     let _ = std::fs::remove_dir_all(&dir);
--- /dev/null
+++ b/control-daemon/src/http/control_access.rs
@@ -0,0 +1,115 @@
+//! Access of HTTP handlers to the state machine: reads in its own turn, writes that await a majority.
+
+use actix::Addr;
+use actix_web::web;
+use coordination::{Ms, WriteOutcome, control::Control, register::Expect, wire::Change};
+use daemon_parts::{
+    http::Answer,
+    limits::{NEWS_EVERY, NEWS_TURNS},
+    look::Look,
+};
+use remote_calls::Fault;
+
+use crate::actor::{ControlActor, ReadNewest, WriteKey, disk_failed_fault};
+
+/// The actor that owns the state machine, as handlers get it.
+pub type ControlHandle = web::Data<Addr<ControlActor>>;
+
+/// The answer where the actor's mailbox is full.
+pub(super) fn overload<E>(_: E) -> Answer {
+    Fault::new("overload", "ask_owner", "the daemon's buffer is full")
+        .retry(1_000)
+        .into()
+}
+
+/// Runs a function on the state machine in its own turn.
+///
+/// # Errors
+/// If the daemon is overloaded or its disk fails.
+pub async fn with_control<T: Send + 'static>(
+    handle: &ControlHandle,
+    access: impl FnOnce(&mut Control, Ms) -> T + Send + 'static,
+) -> Result<T, Answer> {
+    handle
+        .send(Look(Box::new(access)))
+        .await
+        .map_err(overload)?
+        .map_err(|()| disk_failed_fault().into())
+}
+
+/// Has a value synced on a majority; gives its version.
+///
+/// # Errors
+/// If another write came first, no majority confirmed it, or the daemon takes no writes.
+pub async fn write_value(
+    handle: &ControlHandle,
+    key: &str,
+    expect: Expect,
+    value: Vec<u8>,
+) -> Result<u64, Answer> {
+    let write = WriteKey {
+        key: key.into(),
+        expect,
+        value,
+    };
+    let outcome = handle.send(write).await.map_err(overload)?;
+    committed_version(key, outcome)
+}
+
+/// The newest value of a key that any majority has accepted; none if there never was one.
+///
+/// # Errors
+/// If no majority answers, or the value has not come here in time.
+pub async fn read_newest(handle: &ControlHandle, key: &str) -> Result<Option<Change>, Answer> {
+    let read = ReadNewest(key.into());
+    let outcome = handle.send(read).await.map_err(overload)?;
+    let version = committed_version(key, outcome)?;
+    if version == 0 {
+        return Ok(None);
+    }
+    // The owner has sent it to all others by now; one who missed that is repaired.
+    for _ in 0..NEWS_TURNS {
+        let key = key.to_string();
+        let current = with_control(handle, move |control, _| {
+            control
+                .state_table()
+                .get(&key)
+                .filter(|change| change.version >= version)
+                .cloned()
+        })
+        .await?;
+        if current.is_some() {
+            return Ok(current);
+        }
+        actix_rt::time::sleep(NEWS_EVERY).await;
+    }
+    Err(Fault::new(
+        "not_settled",
+        "read_value",
+        format!("version {version} of {key} has not come here yet"),
+    )
+    .retry(500)
+    .into())
+}
+
+fn committed_version(key: &str, outcome: WriteOutcome) -> Result<u64, Answer> {
+    let fault = match outcome {
+        WriteOutcome::Accepted(version) => return Ok(version),
+        WriteOutcome::Conflict(version) => {
+            let message = format!("another write came first; version {version} of {key} stands");
+            Fault::new("conflict", "compare_version", message)
+                .field("expect_version")
+                .version(version)
+        }
+        WriteOutcome::NotAccepted(cause) => {
+            Fault::new("not_accepted", "sync_majority", cause).retry(1_000)
+        }
+        WriteOutcome::Unknown => {
+            let message = format!(
+                "no majority confirmed {key} in time; it may still stand: read it to find out"
+            );
+            Fault::new("unknown", "sync_majority", message).retry(1_000)
+        }
+    };
+    Err(fault.into())
+}
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -1,12 +1,14 @@
-//! The control daemon: control state on disk, key owners, duties, the rollout loop.
+//! The control daemon: control state on disk, key owners, singleton roles, the rollout loop.
 
 pub mod actor;
 pub mod disk;
-pub mod face;
 pub mod http;
+pub mod platform_adapter;
 
-use actix::Actor;
-use actix_web::{App, HttpServer, web};
+use std::time::Duration;
+
+use actix::{Actor, Addr};
+use actix_web::{App, HttpServer, dev::Server, web};
 use coordination::control::ControlConfig;
 use daemon_parts::{
     channels,
@@ -17,64 +19,81 @@
 };
 use error_stack::{Report, ResultExt};
 
-use crate::face::Face;
+use crate::{
+    actor::{BeginShutdown, ControlActor},
+    disk::Disk,
+    platform_adapter::PlatformAdapter,
+};
 
-/// ms. Time for the others to hear that this daemon goes: two beats.
-const FAREWELL: u64 = 2 * coordination::timing::HEARTBEAT_INTERVAL;
+/// ms. Time for the others to hear that this daemon stops: two heartbeats.
+const SHUTDOWN_NOTICE_TIME: u64 = 2 * coordination::timing::HEARTBEAT_INTERVAL;
 
 /// Runs until the process is asked to stop.
-pub async fn run(p: Params, face: Face) -> Result<(), Report<StartFault>> {
-    let _log = logging::start(&p.log)?;
-    let names = |v: &[String]| v.iter().map(|s| s.as_str().into()).collect();
-    let cp = ControlConfig {
-        name: p.name.as_str().into(),
-        zone: p.zone.as_str().into(),
-        addr: p.listen.as_str().into(),
-        http_addr: p.http.as_str().into(),
-        members: names(&p.members),
-        seeds: names(&p.seeds),
-        regions: p.regions.clone(),
-        spec_parser: face.reader,
-        bootstrap: p.founding,
-        bounds: p.bounds.clone(),
-    };
+///
+/// # Errors
+/// If the log, the signals or a port cannot be set up.
+pub async fn run(params: Params, adapter: PlatformAdapter) -> Result<(), Report<StartFault>> {
+    let _log = logging::start(&params.log)?;
     let signals = StopSignals::listen()?;
-    let disk = disk::Disk::start(p.data.clone().unwrap_or_default(), p.data_limit);
-    let brain = actor::ControlActor::new(cp, p.platform.clone(), face.replicas, disk).start();
-    channels::listen(&p.bind, brain.clone().recipient()).await?;
-    let b = web::Data::new(brain.clone());
+    let disk = Disk::start(params.data.clone().unwrap_or_default(), params.data_limit);
+    let control = ControlActor::new(
+        control_config(&params, &adapter),
+        params.platform.clone(),
+        adapter.replica_source,
+        disk,
+    )
+    .start();
+    channels::listen(&params.bind, control.clone().recipient()).await?;
+    let server = bind_http(&params, adapter, control.clone())?;
+    let notify_peers = async {
+        // The actor may have ended already.
+        let _ = control.send(BeginShutdown).await;
+        tokio::time::sleep(Duration::from_millis(SHUTDOWN_NOTICE_TIME)).await;
+    };
+    let addresses = format!("http {} processes {}", params.http, params.listen);
+    stop::serve(server, signals, &params.name, &addresses, notify_peers).await;
+    Ok(())
+}
+
+fn control_config(params: &Params, adapter: &PlatformAdapter) -> ControlConfig {
+    let names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
+    ControlConfig {
+        name: params.name.as_str().into(),
+        zone: params.zone.as_str().into(),
+        addr: params.listen.as_str().into(),
+        http_addr: params.http.as_str().into(),
+        members: names(&params.members),
+        seeds: names(&params.seeds),
+        regions: params.regions.clone(),
+        spec_parser: adapter.spec_parser,
+        bootstrap: params.founding,
+        bounds: params.bounds.clone(),
+    }
+}
+
+/// Serves the product's and the platform's routes at each HTTP address.
+fn bind_http(
+    params: &Params,
+    adapter: PlatformAdapter,
+    control: Addr<ControlActor>,
+) -> Result<Server, Report<StartFault>> {
+    let control = web::Data::new(control);
     let mut server = HttpServer::new(move || {
-        let limit = web::PayloadConfig::new(face.body_max);
         App::new()
-            .app_data(b.clone())
-            .app_data(limit)
-            .configure(face.routes)
+            .app_data(control.clone())
+            .app_data(web::PayloadConfig::new(adapter.max_body_bytes))
+            .configure(adapter.configure_routes)
             .configure(http::routes)
     })
     .workers(WORKERS)
     .shutdown_timeout(CONTROL_STOP.as_secs())
     .disable_signals();
-    for at in [&p.http, &p.directory]
-        .into_iter()
-        .filter(|a| !a.is_empty())
-    {
+    let addresses = [&params.http, &params.directory];
+    for address in addresses.into_iter().filter(|address| !address.is_empty()) {
         server = server
-            .bind(at)
+            .bind(address)
             .change_context(StartFault("bind the HTTP port"))
-            .attach_with(|| at.clone())?;
+            .attach_with(|| address.clone())?;
     }
-    let server = server.run();
-    let farewell = async {
-        let _ = brain.send(actor::Stopping).await;
-        tokio::time::sleep(std::time::Duration::from_millis(FAREWELL)).await;
-    };
-    stop::serve(
-        server,
-        signals,
-        &p.name,
-        &format!("http {} processes {}", p.http, p.listen),
-        farewell,
-    )
-    .await;
-    Ok(())
+    Ok(server.run())
 }
--- a/control-daemon/src/main.rs
+++ b/control-daemon/src/main.rs
@@ -1,22 +1,22 @@
-//! The control daemon: control state on disk, key owners, duties, the rollout loop.
+//! The control daemon: control state on disk, key owners, singleton roles, the rollout loop.
 
-use control_daemon::face::Face;
+use control_daemon::platform_adapter::PlatformAdapter;
 use daemon_parts::params::{self, EXIT_FAILED};
 
 #[actix_web::main]
 async fn main() {
-    let needs = [
+    let required = [
         "name", "zone", "listen", "http", "seeds", "members", "data", "platform",
     ];
-    let p = params::read_or_exit(
+    let params = params::read_or_exit(
         params::command(
             "control-daemon",
             "Keeps landingslip's control state and runs its duties",
         ),
-        &needs,
+        &required,
     );
-    if let Err(e) = control_daemon::run(p, Face::default()).await {
-        eprintln!("{e:?}");
+    if let Err(report) = control_daemon::run(params, PlatformAdapter::default()).await {
+        eprintln!("{report:?}");
         std::process::exit(EXIT_FAILED);
     }
 }
--- a/control-daemon/src/platform_adapter.rs
+++ b/control-daemon/src/platform_adapter.rs
@@ -9,34 +9,35 @@
     placement::Bucket,
     state_table::{SpecParser, parse_own_spec},
 };
-use futures_util::future::LocalBoxFuture;
-use remote_calls::{Fault, PlatformList};
-
 use daemon_parts::{
     clock,
     limits::{BODY_MAX, PACE_LOOK},
 };
+use futures_util::future::LocalBoxFuture;
+use remote_calls::{Fault, PlatformList};
 
-/// Asks for the whole list of replicas at an address, each of its calls at its pace.
+/// Asks for the complete list of replicas at an address, each of its calls within the rate limit.
 pub type ListCall =
-    fn(Client, String, Rc<Pace>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
+    fn(Client, String, Rc<CallRateLimiter>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
 
-/// What this daemon may take of the calls that the platform allows all daemons together.
-pub struct Pace(RefCell<Bucket>);
+/// This daemon's part of the calls that the platform allows all daemons together.
+pub struct CallRateLimiter(RefCell<Bucket>);
 
-impl Default for Pace {
+impl Default for CallRateLimiter {
     fn default() -> Self {
         // Nothing is saved up: a call more at once would count against what the others may.
-        Pace(RefCell::new(Bucket::new(0.0, 1.0, clock::now())))
+        CallRateLimiter(RefCell::new(Bucket::new(0.0, 1.0, clock::now())))
     }
 }
-impl Pace {
+
+impl CallRateLimiter {
     /// Calls a second from now on.
     pub fn set_rate(&self, rate: f64) {
         self.0.borrow_mut().set_rate(rate, clock::now());
     }
+
     /// Waits until one more call may be made.
-    pub async fn draw(&self) {
+    pub async fn acquire(&self) {
         while !self.0.borrow_mut().draw(clock::now()) {
             tokio::time::sleep(PACE_LOOK).await;
         }
@@ -45,37 +46,42 @@
 
 /// Where the list of replicas comes from.
 #[derive(Clone, Copy, Debug)]
-pub enum Replicas {
-    /// The platform takes our own calls, replicas answer reports and take orders.
-    Ownership,
+pub enum ReplicaSource {
+    /// The platform takes the product's own calls, replicas answer reports and take orders.
+    Polled,
     /// The list tells everything, and replicas take no orders.
-    /// `rate`: calls a second that the platform takes from all daemons together. `calm`: how often a list is asked for
-    /// that does not change.
     Listed {
+        /// How the list is asked for.
         call: ListCall,
-        every: Duration,
-        calm: Duration,
-        rate: f64,
+        /// How often.
+        interval: Duration,
+        /// How often while the list does not change.
+        stable_interval: Duration,
+        /// Calls a second that the platform takes from all daemons together.
+        rate_limit: f64,
     },
 }
 
+/// A platform's own part of the control daemon.
 #[derive(Clone, Copy)]
-pub struct Face {
-    pub reader: SpecParser,
-    /// Routes beside the product's own.
-    pub routes: fn(&mut web::ServiceConfig),
-    pub replicas: Replicas,
+pub struct PlatformAdapter {
+    /// Reads the operator's document.
+    pub spec_parser: SpecParser,
+    /// Adds routes beside the product's own.
+    pub configure_routes: fn(&mut web::ServiceConfig),
+    /// Where the list of replicas comes from.
+    pub replica_source: ReplicaSource,
     /// Largest body of a call, in bytes.
-    pub body_max: usize,
+    pub max_body_bytes: usize,
 }
 
-impl Default for Face {
+impl Default for PlatformAdapter {
     fn default() -> Self {
-        Face {
-            reader: parse_own_spec,
-            routes: |_| (),
-            replicas: Replicas::Ownership,
-            body_max: BODY_MAX,
+        PlatformAdapter {
+            spec_parser: parse_own_spec,
+            configure_routes: |_| (),
+            replica_source: ReplicaSource::Polled,
+            max_body_bytes: BODY_MAX,
         }
     }
 }
--- a/control-daemon/tests/disk.rs
+++ b/control-daemon/tests/disk.rs
@@ -6,7 +6,7 @@
     path::{Path, PathBuf},
 };
 
-use control_daemon::disk::Disk;
+use control_daemon::disk::{Disk, DiskState};
 use coordination::Row;
 use googletest::prelude::*;
 use rusqlite::Connection;
@@ -49,7 +49,11 @@
     files
         .iter()
         .for_each(|(n, b)| fs::write(dir.join(n), b).unwrap());
-    let (_, blank, rows) = block(Disk::start(dir.clone(), 0).open()).unwrap();
+    let DiskState {
+        is_blank: blank,
+        rows,
+        ..
+    } = block(Disk::start(dir.clone(), 0).open()).unwrap();
     let _ = fs::remove_dir_all(&dir);
     (blank, rows)
 }
@@ -189,7 +193,7 @@
         let second = disk.sync(vec![slot("a", 2 * v + 2, 10)]);
         block(async { (second.await.unwrap(), first.await.unwrap()) });
     }
-    let (.., rows) = block(disk.open()).unwrap();
+    let DiskState { rows, .. } = block(disk.open()).unwrap();
     expect_that!(versions(&rows).get("a"), some(eq(&100)));
     let _ = fs::remove_dir_all(&dir);
 }
@@ -209,7 +213,11 @@
     c.execute_batch(old).unwrap();
     drop(c);
     let disk = Disk::start(dir.clone(), 0);
-    let (id, blank, rows) = block(disk.open()).unwrap();
+    let DiskState {
+        disk_id: id,
+        is_blank: blank,
+        rows,
+    } = block(disk.open()).unwrap();
     expect_that!((id, blank), eq((9, false)));
     let voter = Voter {
         name: "c1".into(),
@@ -251,7 +259,7 @@
         ..s
     });
     block(disk.sync(vec![now.clone(), next.clone()])).unwrap();
-    let (.., rows) = block(disk.open()).unwrap();
+    let DiskState { rows, .. } = block(disk.open()).unwrap();
     expect_that!(rows, container_eq([now, next]));
     let _ = fs::remove_dir_all(&dir);
 }
@@ -270,7 +278,7 @@
     let old = "UPDATE slots SET past = x'00112233445566778899aabbccddeeff0011223344556677'; PRAGMA user_version = 4;";
     c.execute_batch(old).unwrap();
     drop(c);
-    let (.., rows) = block(Disk::start(dir.clone(), 0).open()).unwrap();
+    let DiskState { rows, .. } = block(Disk::start(dir.clone(), 0).open()).unwrap();
     expect_that!(rows, container_eq([slot("a", 3, 1)]));
     let _ = fs::remove_dir_all(&dir);
 }
--- a/control-daemon/tests/power.rs
+++ b/control-daemon/tests/power.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, path::PathBuf};
 
-use control_daemon::disk::{Disk, Held};
+use control_daemon::disk::{Disk, DiskState};
 use coordination::Row;
 use futures_util::FutureExt;
 use googletest::prelude::*;
@@ -174,7 +174,7 @@
 }
 
 /// Opens a folder with these files; gives what it held and what the opening did to it.
-fn opened(name: &str, files: &Files) -> (std::result::Result<Held, String>, Vec<Op>) {
+fn opened(name: &str, files: &Files) -> (std::result::Result<DiskState, String>, Vec<Op>) {
     with(name, |f| *f = Folder::of(files));
     let d = disk(name);
     let held = block(d.open()).map_err(|e| format!("{e:?}"));
@@ -194,8 +194,13 @@
     most: u64,
 }
 
-fn check(held: &std::result::Result<Held, String>, k: &Known, at: &str) {
-    let Ok((id, blank, rows)) = held else {
+fn check(held: &std::result::Result<DiskState, String>, k: &Known, at: &str) {
+    let Ok(DiskState {
+        disk_id: id,
+        is_blank: blank,
+        rows,
+    }) = held
+    else {
         return expect_that!(held, ok(anything()), "{at}: it cannot be opened");
     };
     if let Some(was) = k.id {
@@ -245,7 +250,11 @@
     let mut rng = fastrand::Rng::with_seed(11);
     let (name, folder) = ("power", "/power");
     let d = disk(folder);
-    let (id, blank, _) = block(d.open()).unwrap();
+    let DiskState {
+        disk_id: id,
+        is_blank: blank,
+        ..
+    } = block(d.open()).unwrap();
     expect_true!(blank);
     told(folder, 0);
     // Enough for the log to be folded in and begun anew; in between the folder is opened anew, as after a failed sync.
@@ -254,7 +263,10 @@
         block(d.sync(vec![slot("a", v, bytes), slot("b", v, bytes / 2)])).unwrap();
         told(folder, v);
         if v % 20 == 0 {
-            expect_that!(block(d.open()).map(|h| (h.0, h.1)), ok(eq(&(id, false))));
+            expect_that!(
+                block(d.open()).map(|state| (state.disk_id, state.is_blank)),
+                ok(eq(&(id, false)))
+            );
         }
     }
     let log = with(folder, |f| f.log.clone());
@@ -272,12 +284,12 @@
         let held = (0..TRIES)
             .find_map(|_| block(d.open()).ok())
             .expect("it opens in the end");
-        let v = version(&held.2);
+        let v = version(&held.rows);
         expect_that!(v, some(all!(ge(last), le(at))), "{folder}");
         if last > 0 {
-            expect_that!(Some(held.0), eq(*id), "{folder}");
+            expect_that!(Some(held.disk_id), eq(*id), "{folder}");
         }
-        *id = Some(held.0);
+        *id = Some(held.disk_id);
         v.unwrap_or(0)
     };
     let mut stands = reopen(&mut id, 0, 0);
@@ -363,6 +375,6 @@
     for s in taken {
         expect_that!(block(s), ok(anything()));
     }
-    let (.., rows) = block(d.open()).unwrap();
+    let DiskState { rows, .. } = block(d.open()).unwrap();
     expect_that!(version(&rows), eq(refused.map(|v| v - 1)));
 }
--- a/control-daemon/tests/stand_in/mod.rs
+++ b/control-daemon/tests/stand_in/mod.rs
@@ -112,19 +112,19 @@
     ONCE.call_once(register);
     Storage {
         vfs: Some(NAME),
-        make: |_| Ok(()),
-        sync_names,
-        write_anew,
+        create_folder: |_| Ok(()),
+        sync_folder,
+        rewrite_file,
     }
 }
-fn sync_names(p: &Path) -> io::Result<()> {
+fn sync_folder(p: &Path) -> io::Result<()> {
     let done = change(&p.to_string_lossy(), ffi::SQLITE_IOERR_DIR_FSYNC, |f| {
         f.log.push(Op::SyncNames)
     });
     done.map_err(|c| io::Error::other(format!("code {c}")))
 }
 
-fn write_anew(p: &Path) -> io::Result<()> {
+fn rewrite_file(p: &Path) -> io::Result<()> {
     let (folder, file) = p
         .to_str()
         .and_then(|p| p.rsplit_once('/'))
--- a/control-daemon/tests/stored_data.rs
+++ b/control-daemon/tests/stored_data.rs
@@ -7,7 +7,7 @@
 
 use std::{fs, path::PathBuf};
 
-use control_daemon::disk::Disk;
+use control_daemon::disk::{Disk, DiskState};
 use coordination::{
     Row,
     bounds::Bounds,
@@ -104,7 +104,7 @@
 }
 
 /// The fixture as the daemon's disk reads it, from a copy.
-fn opened(name: &str) -> (u64, bool, Vec<Row>) {
+fn opened(name: &str) -> DiskState {
     let folder =
         std::env::temp_dir().join(format!("landingslip-stored-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -147,7 +147,11 @@
 #[gtest]
 fn every_row_is_read_as_it_was_written() {
     let expected = Expected::read();
-    let (disk, blank, rows) = opened("rows");
+    let DiskState {
+        disk_id: disk,
+        is_blank: blank,
+        rows,
+    } = opened("rows");
     expect_that!((disk, blank), eq((expected.disk, false)));
     expect_that!(rows, container_eq(expected.rows()));
 }
@@ -155,7 +159,11 @@
 #[gtest]
 fn every_committed_value_is_served() {
     let expected = Expected::read();
-    let (disk, _, rows) = opened("served");
+    let DiskState {
+        disk_id: disk,
+        rows,
+        ..
+    } = opened("served");
     let control = control(rows, disk);
     for slot in expected
         .slots
@@ -183,7 +191,11 @@
 
 #[gtest]
 fn specs_records_and_voters_are_understood() {
-    let (disk, _, rows) = opened("understood");
+    let DiskState {
+        disk_id: disk,
+        rows,
+        ..
+    } = opened("understood");
     let control = control(rows, disk);
     expect_that!(control.spec().unwrap().canary_percent, eq(7));
     let status = control.status(1_000);
@@ -209,7 +221,11 @@
 /// Operators' dashboards name counters.
 #[gtest]
 fn counters_keep_their_names() {
-    let (disk, _, rows) = opened("counters");
+    let DiskState {
+        disk_id: disk,
+        rows,
+        ..
+    } = opened("counters");
     let names: Vec<&str> = control(rows, disk)
         .counters(1_000)
         .into_iter()
--- a/coordination/src/bounds.rs
+++ b/coordination/src/bounds.rs
@@ -1,13 +1,14 @@
-//! What operators promise their callers, as times, shares and rates. Shells read them from their params; state
-//! machines derive leases, lapses, drains and budgets from them.
+//! What operators promise their callers, as times, shares and rates. Runtimes read them from their settings;
+//! state machines derive leases, expiries, drains and budgets from them.
 
 use serde::Deserialize;
 
 use crate::{Ms, timing::LEASE_DURATION};
 
-/// Leases in a contact bound: a duty whose holder died is taken over, one lease later, well within it.
+/// Leases in a contact bound: a singleton role whose holder died is taken over, one lease later, well within it.
 const LEASES_PER_CONTACT_BOUND: Ms = 2;
 
+/// The bounds of one deployment.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
@@ -15,9 +16,9 @@
     pub contact: Ms,
     /// ms. An operator's order is answered by then.
     pub answer: Ms,
-    /// ms. A daemon that came back with a lost disk counts as whole again after so long.
+    /// ms. A daemon that came back with a lost disk has caught up after so long.
     pub sync: Ms,
-    /// ms. A leaving replica gets nothing new after so long.
+    /// ms. A draining replica gets nothing new after so long.
     pub drain: Ms,
     /// ms. From SIGTERM to SIGKILL.
     pub grace: Ms,
@@ -27,26 +28,32 @@
     pub evacuate: Ms,
     /// ms. A bad version gets nothing after so long.
     pub rollback: Ms,
-    /// Part of a service's requests that a version on trial may take, and so many besides.
+    /// Part of a service's requests that a version on trial may take.
     pub canary_share: f64,
+    /// Requests that it may take besides.
     pub canary_slack: f64,
-    /// Second rounds: part of first ones, over this window in ms, and so many besides.
+    /// Retries, as a part of first attempts over the window.
     pub retry_share: f64,
+    /// ms. That window.
     pub retry_window: Ms,
+    /// Retries that are allowed besides.
     pub retry_slack: f64,
-    /// A cold replica's rate may be exceeded by this factor, and so many besides.
+    /// Factor by which the rate of a replica that is warming up may be exceeded.
     pub cold_over: f64,
+    /// Requests that it may get besides.
     pub cold_slack: f64,
     /// s. Longest that callers may keep an answer on where to go.
     pub directory_s: u64,
-    /// Daemons with a disk, zones and regions of which so many may be lost at once.
+    /// Daemons with a disk that may be lost at once.
     pub lost_disks: u32,
+    /// Zones that may be lost at once.
     pub lost_zones: u32,
+    /// Regions that may be lost at once.
     pub lost_regions: u32,
 }
 
 impl Bounds {
-    /// ms. Life of a lease.
+    /// ms. How long a lease lasts.
     pub fn lease(&self) -> Ms {
         LEASE_DURATION.min(self.contact / LEASES_PER_CONTACT_BOUND)
     }
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a state machine wants done. Shells carry effects out; nothing else touches the world.
+//! What a state machine wants done. Runtimes carry effects out; nothing else touches the world.
 
 use wire_messages::{Message, Name, Slot, Voter};
 
@@ -6,29 +6,35 @@
 
 /// Milliseconds of a clock that also runs while the machine sleeps.
 pub type Ms = u64;
+/// What a state machine wants done, in this order.
 pub type Effects = Vec<Effect>;
 
-/// What the disk keeps.
+/// What the disk stores.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Row {
+    /// The acceptor's state for one key.
     Slot(Slot),
-    /// Member epoch, voters, how many there were before, whether this disk has caught up and votes, and whether it
-    /// voted until this member epoch, which gave its place away.
+    /// The membership; there is one.
     Members {
+        /// Rises with each change of the voters.
         member_epoch: u32,
+        /// How many voters there were in the epoch before.
         before: u32,
+        /// The voters of this epoch.
         voters: Vec<Voter>,
+        /// Whether this disk has caught up and votes.
         voting: bool,
+        /// Whether it voted until this member epoch, which gave its place away.
         left: bool,
     },
 }
 
 /// What became of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     /// Synced on a majority as this version.
     Accepted(u64),
-    /// Another write came first; this version stands.
+    /// Another write came first; this version is current.
     Conflict(u64),
     /// It was never offered to a disk and never will be.
     NotAccepted(&'static str),
@@ -36,42 +42,62 @@
     Unknown,
 }
 
+/// One thing that a state machine wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
+    /// Send a message to another process; it may get lost.
     Send {
+        /// The receiver.
         to: Name,
+        /// What to send.
         msg: Message,
     },
     /// Sync the rows, then do `then`. If syncing fails `then` is dropped and the machine restarts from disk.
     Persist {
+        /// What to store.
         rows: Vec<Row>,
+        /// What must not happen before the rows are durable.
         then: Effects,
     },
     /// A local caller's write ended.
     WriteFinished {
+        /// The write, as the caller was told.
         token: u64,
-        outcome: Outcome,
+        /// What became of it.
+        outcome: WriteOutcome,
     },
-    /// An order of a duty. Whoever carries it out checks `until` again first: the process may have slept.
+    /// An order under the lease of a service's rollout. Whoever carries it out checks `until` again first: the process
+    /// may have been suspended.
     Order {
+        /// The service.
         service: String,
+        /// Orders under a lower epoch are rejected.
         epoch: u64,
+        /// When the lease ends, by this daemon's monotonic clock.
         until: Ms,
+        /// What to order.
         order: Order,
     },
+    /// Log an event.
     Log {
+        /// Which.
         event: Event,
+        /// The process, service or key that it is about; may be empty.
         peer: Name,
+        /// Details.
         text: String,
     },
 }
 
+/// The effect that sends a message.
 pub fn send(to: &Name, msg: impl Into<Message>) -> Effect {
     Effect::Send {
         to: to.clone(),
         msg: msg.into(),
     }
 }
+
+/// The effect that logs an event.
 pub fn log_event(event: Event, peer: &str, text: impl Into<String>) -> Effect {
     Effect::Log {
         event,
--- a/coordination/src/events.rs
+++ b/coordination/src/events.rs
@@ -1,24 +1,32 @@
 //! Numbered log events. `docs/events.md` is the catalogue; a test keeps the two equal.
 
+/// How urgent an event is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Level {
+    /// Normal operation.
     Info,
+    /// Something is degraded and mends itself, or may need an operator.
     Warn,
+    /// An operator has to act.
     Error,
 }
 
-/// Number, name and level of an event.
+/// A kind of log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Event {
+    /// Its number; never used again for another event.
     pub number: u16,
+    /// Its name in log lines.
     pub name: &'static str,
+    /// How urgent it is.
     pub level: Level,
+    /// What happened.
     pub meaning: &'static str,
 }
 
 macro_rules! events {
     ($($number:literal $id:ident $level:ident $meaning:literal)*) => {
-        $(pub const $id: Event = Event { number: $number, name: stringify!($id), level: Level::$level, meaning: $meaning };)*
+        $(#[doc = $meaning] pub const $id: Event = Event { number: $number, name: stringify!($id), level: Level::$level, meaning: $meaning };)*
         /// All events, by number.
         pub const ALL: &[Event] = &[$($id),*];
     };
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -29,5 +29,5 @@
 pub mod version_health;
 pub mod voter_placement;
 
-pub use effect::{Effect, Effects, Ms, Outcome as WriteOutcome, Row, send};
+pub use effect::{Effect, Effects, Ms, Row, WriteOutcome, send};
 pub use wire_messages as wire;
--- a/coordination/src/shutdown.rs
+++ b/coordination/src/shutdown.rs
@@ -1,14 +1,15 @@
-//! A serving process from the moment it is asked to stop to its end: what it still takes, and when it ends.
+//! Graceful shutdown of a serving process: what it still accepts from the moment it is asked to stop, and when it ends.
 //!
-//! Callers keep lists of addresses and open connections, so a process that stops goes on serving for as long as a list
-//! may be kept. Then it refuses what is new, so that what it took has the rest of the grace to end.
+//! Clients keep lists of addresses and open connections, so a process that stops goes on serving for as long as a list
+//! may be kept. Then it rejects what is new, so that what it accepted has the rest of the grace period to end.
 
 use crate::Ms;
 
-/// ms. A process that is asked to stop serves on for so long: callers keep the directory's answers for two seconds, and
-/// until the directory has left a stopping edge out some more pass. What is taken last has the rest of the grace.
+/// ms. A process that is asked to stop serves on for so long: clients keep the directory's answers for two seconds, and
+/// until the directory has left a stopping edge out some more pass. What is accepted last has the rest of the grace
+/// period.
 pub const SERVE_AFTER_SIGTERM: Ms = 2_800;
-/// ms before the end of the grace. What has no answer then gets one, and the process ends.
+/// ms before the end of the grace period. What has no response then gets one, and the process ends.
 pub const FINAL_RESPONSE_MARGIN: Ms = 600;
 
 /// What a process does at a moment.
@@ -16,88 +17,92 @@
 pub enum Phase {
     /// It was not asked to stop.
     Serving,
-    /// It takes requests, and says with each answer that the connection ends with it.
-    Leaving,
-    /// It refuses what is new; what was taken goes on.
-    Refusing,
-    /// Its grace is over: what has no answer yet gets one, and the process ends.
-    Over,
+    /// It accepts requests, and says with each response that the connection ends with it.
+    Draining,
+    /// It rejects what is new; what was accepted goes on.
+    Rejecting,
+    /// Its grace period is over: what has no response yet gets one, and the process ends.
+    Expired,
 }
 
 /// When the phases begin.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
-    refuses: Ms,
-    over: Ms,
+    rejecting_at: Ms,
+    expired_at: Ms,
 }
 
 /// Requests that are open, and the phase that decides what becomes of them.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
     schedule: Option<Schedule>,
-    open: usize,
-    last_taken: Ms,
+    open_requests: usize,
+    last_accepted_at: Ms,
 }
 
 impl Shutdown {
-    /// The process is asked to stop and will be killed after the grace. A second signal changes nothing.
+    /// The process is asked to stop and will be killed after the grace period. A second signal changes nothing.
     pub fn begin(&mut self, grace: Ms, now: Ms) {
-        let over = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
-        // Whatever the grace, no more than half of it is spent on taking what then needs the other half to end.
-        let refuses = SERVE_AFTER_SIGTERM.min(over / 2);
+        let expires_after = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
+        // However long the grace period, no more than half of it is spent on accepting what then needs the other half
+        // to end.
+        let rejects_after = SERVE_AFTER_SIGTERM.min(expires_after / 2);
         self.schedule.get_or_insert(Schedule {
-            refuses: now + refuses,
-            over: now + over,
+            rejecting_at: now + rejects_after,
+            expired_at: now + expires_after,
         });
     }
 
+    /// What the process does now.
     pub fn phase(&self, now: Ms) -> Phase {
         match self.schedule {
             None => Phase::Serving,
-            Some(s) if now < s.refuses => Phase::Leaving,
-            Some(s) if now < s.over => Phase::Refusing,
-            Some(_) => Phase::Over,
+            Some(schedule) if now < schedule.rejecting_at => Phase::Draining,
+            Some(schedule) if now < schedule.expired_at => Phase::Rejecting,
+            Some(_) => Phase::Expired,
         }
     }
 
+    /// Whether the process was asked to stop.
     pub fn is_begun(&self) -> bool {
         self.schedule.is_some()
     }
 
     /// A request has begun to come in, whatever becomes of it.
-    pub fn opened(&mut self) {
-        self.open += 1;
+    pub fn on_request_opened(&mut self) {
+        self.open_requests += 1;
     }
 
-    /// Its answer has ended, or its caller has left.
-    pub fn closed(&mut self) {
-        self.open = self.open.saturating_sub(1);
+    /// Its response has ended, or its client has left.
+    pub fn on_request_closed(&mut self) {
+        self.open_requests = self.open_requests.saturating_sub(1);
     }
 
-    pub fn open(&self) -> usize {
-        self.open
+    /// Requests that have begun to come in and have not ended.
+    pub fn open_requests(&self) -> usize {
+        self.open_requests
     }
 
-    /// Whether a request that has come in whole is taken; otherwise it is to be refused at once.
-    pub fn take(&mut self, now: Ms) -> bool {
-        let taken = self.phase(now) < Phase::Refusing;
-        if taken {
-            self.last_taken = now;
+    /// Whether a request that was received completely is accepted; otherwise it is to be rejected at once.
+    pub fn accept(&mut self, now: Ms) -> bool {
+        let is_accepted = self.phase(now) < Phase::Rejecting;
+        if is_accepted {
+            self.last_accepted_at = now;
         }
-        taken
+        is_accepted
     }
 
-    /// When a request was last taken.
-    pub fn last_taken(&self) -> Ms {
-        self.last_taken
+    /// When a request was last accepted.
+    pub fn last_accepted_at(&self) -> Ms {
+        self.last_accepted_at
     }
 
-    /// Whether the process is to end: its grace is over, or nothing is open that it took.
+    /// Whether the process is to end: its grace period is over, or nothing is open that it accepted.
     pub fn is_done(&self, now: Ms) -> bool {
         match self.phase(now) {
-            Phase::Serving | Phase::Leaving => false,
-            Phase::Refusing => self.open == 0,
-            Phase::Over => true,
+            Phase::Serving | Phase::Draining => false,
+            Phase::Rejecting => self.open_requests == 0,
+            Phase::Expired => true,
         }
     }
 }
--- a/coordination/tests/shutdown.rs
+++ b/coordination/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The life of a serving process from SIGTERM to its end.
+//! Graceful shutdown of a serving process.
 
 use coordination::{
     Ms,
@@ -7,77 +7,87 @@
 use googletest::prelude::*;
 
 const GRACE: Ms = 8_000;
-const ASKED: Ms = 1_000_000;
+const STOPPED_AT: Ms = 1_000_000;
 
-fn asked() -> Shutdown {
-    let mut s = Shutdown::default();
-    s.begin(GRACE, ASKED);
-    s
+fn stopping() -> Shutdown {
+    let mut shutdown = Shutdown::default();
+    shutdown.begin(GRACE, STOPPED_AT);
+    shutdown
 }
 
 #[gtest]
-fn each_phase_follows_the_one_before_and_none_comes_back() {
+fn phases_follow_each_other_and_none_comes_back() {
     let idle = Shutdown::default();
     expect_that!(
-        (idle.phase(ASKED), idle.is_begun(), idle.is_done(Ms::MAX)),
+        (
+            idle.phase(STOPPED_AT),
+            idle.is_begun(),
+            idle.is_done(Ms::MAX)
+        ),
         eq((Phase::Serving, false, false))
     );
-    let s = asked();
-    let at = |ms: Ms| s.phase(ASKED + ms);
-    expect_that!(at(0), eq(Phase::Leaving));
-    expect_that!(at(SERVE_AFTER_SIGTERM - 1), eq(Phase::Leaving));
-    expect_that!(at(SERVE_AFTER_SIGTERM), eq(Phase::Refusing));
-    expect_that!(at(GRACE - FINAL_RESPONSE_MARGIN - 1), eq(Phase::Refusing));
-    expect_that!(at(GRACE - FINAL_RESPONSE_MARGIN), eq(Phase::Over));
+    let shutdown = stopping();
+    let at = |ms: Ms| shutdown.phase(STOPPED_AT + ms);
+    expect_that!(at(0), eq(Phase::Draining));
+    expect_that!(at(SERVE_AFTER_SIGTERM - 1), eq(Phase::Draining));
+    expect_that!(at(SERVE_AFTER_SIGTERM), eq(Phase::Rejecting));
+    expect_that!(at(GRACE - FINAL_RESPONSE_MARGIN - 1), eq(Phase::Rejecting));
+    expect_that!(at(GRACE - FINAL_RESPONSE_MARGIN), eq(Phase::Expired));
     let phases: Vec<Phase> = (0..GRACE).map(at).collect();
     expect_true!(phases.is_sorted());
 }
 
 #[gtest]
 fn a_second_signal_prolongs_nothing() {
-    let mut s = asked();
-    s.begin(GRACE, ASKED + 2_000);
-    expect_that!(s.phase(ASKED + SERVE_AFTER_SIGTERM), eq(Phase::Refusing));
-    expect_that!(s.phase(ASKED + GRACE), eq(Phase::Over));
+    let mut shutdown = stopping();
+    shutdown.begin(GRACE, STOPPED_AT + 2_000);
+    expect_that!(
+        shutdown.phase(STOPPED_AT + SERVE_AFTER_SIGTERM),
+        eq(Phase::Rejecting)
+    );
+    expect_that!(shutdown.phase(STOPPED_AT + GRACE), eq(Phase::Expired));
 }
 
 #[gtest]
-fn what_is_taken_last_has_more_than_half_of_the_grace_to_end() {
+fn what_is_accepted_last_has_more_than_half_of_the_grace_period_to_end() {
     for grace in [400, 1_000, 3_000, GRACE, 30_000, 600_000] {
-        let mut s = Shutdown::default();
-        s.begin(grace, ASKED);
-        let taken = (0..grace).rfind(|ms| s.take(ASKED + ms));
-        let over = (0..grace).find(|ms| s.phase(ASKED + ms) == Phase::Over);
-        let ends = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
-        expect_that!(over, some(eq(ends)), "grace {grace}");
-        // A grace that leaves no time refuses from the first moment.
+        let mut shutdown = Shutdown::default();
+        shutdown.begin(grace, STOPPED_AT);
+        let last_accepted = (0..grace).rfind(|ms| shutdown.accept(STOPPED_AT + ms));
+        let expired = (0..grace).find(|ms| shutdown.phase(STOPPED_AT + ms) == Phase::Expired);
+        let expires = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
+        expect_that!(expired, some(eq(expires)), "grace {grace}");
+        // A grace period that leaves no time rejects from the first moment.
         expect_that!(
-            taken.map_or(0, |t| t + 1),
-            eq(SERVE_AFTER_SIGTERM.min(ends / 2)),
+            last_accepted.map_or(0, |t| t + 1),
+            eq(SERVE_AFTER_SIGTERM.min(expires / 2)),
             "grace {grace}"
         );
     }
 }
 
 #[gtest]
-fn it_ends_with_the_last_request_it_took_and_not_before_it_refuses() {
-    let mut s = asked();
-    expect_true!(s.take(ASKED + 10));
-    s.opened();
-    s.opened();
-    s.closed();
-    expect_false!(s.is_done(ASKED + SERVE_AFTER_SIGTERM));
-    // One that is refused keeps it until its refusal has gone out.
-    s.opened();
-    expect_false!(s.take(ASKED + SERVE_AFTER_SIGTERM));
-    s.closed();
-    expect_false!(s.is_done(ASKED + SERVE_AFTER_SIGTERM + 1));
-    s.closed();
-    expect_that!((s.open(), s.last_taken()), eq((0, ASKED + 10)));
-    expect_false!(s.is_done(ASKED + SERVE_AFTER_SIGTERM - 1));
-    expect_true!(s.is_done(ASKED + SERVE_AFTER_SIGTERM));
-    // Whatever is still open, its grace is over some time.
-    s.opened();
-    expect_false!(s.is_done(ASKED + GRACE - FINAL_RESPONSE_MARGIN - 1));
-    expect_true!(s.is_done(ASKED + GRACE - FINAL_RESPONSE_MARGIN));
+fn it_ends_with_the_last_request_it_accepted_and_not_before_it_rejects() {
+    let mut shutdown = stopping();
+    expect_true!(shutdown.accept(STOPPED_AT + 10));
+    shutdown.on_request_opened();
+    shutdown.on_request_opened();
+    shutdown.on_request_closed();
+    expect_false!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM));
+    // One that is rejected keeps it until its response has gone out.
+    shutdown.on_request_opened();
+    expect_false!(shutdown.accept(STOPPED_AT + SERVE_AFTER_SIGTERM));
+    shutdown.on_request_closed();
+    expect_false!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM + 1));
+    shutdown.on_request_closed();
+    expect_that!(
+        (shutdown.open_requests(), shutdown.last_accepted_at()),
+        eq((0, STOPPED_AT + 10))
+    );
+    expect_false!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM - 1));
+    expect_true!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM));
+    // Whatever is still open, the grace period ends.
+    shutdown.on_request_opened();
+    expect_false!(shutdown.is_done(STOPPED_AT + GRACE - FINAL_RESPONSE_MARGIN - 1));
+    expect_true!(shutdown.is_done(STOPPED_AT + GRACE - FINAL_RESPONSE_MARGIN));
 }
--- a/edge-proxy/src/stopping.rs
+++ b/edge-proxy/src/stopping.rs
@@ -36,11 +36,11 @@
         self.state().is_begun()
     }
     pub fn open(&self) -> usize {
-        self.state().open()
+        self.state().open_requests()
     }
     /// Whether a request that has come in whole is taken.
     pub fn take(&self) -> bool {
-        self.state().take(clock::now())
+        self.state().accept(clock::now())
     }
     /// Returns when the grace is over.
     pub async fn over(&self) {
@@ -64,7 +64,7 @@
 
 impl Open {
     pub fn new(s: &Arc<Stopping>, r: &HttpRequest) -> Self {
-        s.state().opened();
+        s.state().on_request_opened();
         Open {
             stopping: s.clone(),
             held: r.conn_data::<Rc<Downstream>>().map(Held::new),
@@ -78,7 +78,7 @@
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.stopping.state().closed();
+        self.stopping.state().on_request_closed();
     }
 }
 
@@ -89,7 +89,7 @@
     while !s.state().is_done(clock::now()) {
         tokio::time::sleep(STOP_LOOK).await;
     }
-    let (open, taken) = (s.open(), s.state().last_taken());
+    let (open, taken) = (s.open(), s.state().last_accepted_at());
     if open > 0 {
         let text = format!(
             "open={open} last_taken_ms={} now_ms={}",
