--- a/control-daemon/src/actor/orders.rs
+++ b/control-daemon/src/actor/orders.rs
@@ -5,8 +5,9 @@
 use coordination::{Ms, events, rollout::Order};
 use daemon_parts::{clock, http, limits::CALL_LIMIT, logging::event};
 use remote_calls::{
-    Fault, OrderAnswer, PlatformDrain, PlatformStart, PlatformStarted, ReplicaOrder, calls,
+    Call, Fault, OrderAnswer, PlatformDrain, PlatformStart, PlatformStarted, ReplicaOrder, calls,
 };
+use serde::{Serialize, de::DeserializeOwned};
 
 use super::ControlActor;
 
@@ -45,6 +46,7 @@
     }
 }
 
+/// Makes the call that an order stands for.
 async fn call_order(
     client: &Client,
     platform_addr: &str,
@@ -69,10 +71,7 @@
                 action,
                 version,
             };
-            let call = calls::ORDER;
-            http::call::<_, OrderAnswer>(client, &addr, call, Some(&body), CALL_LIMIT)
-                .await
-                .map(drop)
+            post::<_, OrderAnswer>(client, &addr, calls::ORDER, &body).await
         }
         Order::Start { zone, version } => {
             let body = PlatformStart {
@@ -81,10 +80,7 @@
                 version,
                 epoch,
             };
-            let call = calls::PLATFORM_START;
-            http::call::<_, PlatformStarted>(client, platform_addr, call, Some(&body), CALL_LIMIT)
-                .await
-                .map(drop)
+            post::<_, PlatformStarted>(client, platform_addr, calls::PLATFORM_START, &body).await
         }
         Order::Drain { id } => {
             let body = PlatformDrain {
@@ -92,10 +88,19 @@
                 replica: id,
                 epoch,
             };
-            let call = calls::PLATFORM_DRAIN;
-            http::call::<_, OrderAnswer>(client, platform_addr, call, Some(&body), CALL_LIMIT)
-                .await
-                .map(drop)
+            post::<_, OrderAnswer>(client, platform_addr, calls::PLATFORM_DRAIN, &body).await
         }
     }
 }
+
+/// Posts a body; the answer has to be well-formed and is not needed.
+async fn post<Body: Serialize, Answer: DeserializeOwned>(
+    client: &Client,
+    addr: &str,
+    call: Call,
+    body: &Body,
+) -> Result<(), Fault> {
+    http::call::<_, Answer>(client, addr, call, Some(body), CALL_LIMIT)
+        .await
+        .map(drop)
+}
--- a/control-daemon/tests/power.rs
+++ b/control-daemon/tests/power.rs
@@ -9,7 +9,7 @@
 use coordination::Row;
 use futures_util::FutureExt;
 use googletest::prelude::*;
-use stand_in::{Folder, Ill, Op, heal, put, storage, with};
+use stand_in::{FaultKind, Folder, InjectedFault, Op, heal, put, storage, with};
 use wire_messages::{Blob, List, ReplacedValue, Slot};
 
 /// Bytes that a disk writes whole.
@@ -60,8 +60,8 @@
 fn disk(folder: &str) -> Disk {
     Disk::start_on(storage(), PathBuf::from(folder), 0)
 }
-fn told(folder: &str, v: u64) {
-    with(folder, |f| f.log.push(Op::Told(v)));
+fn acknowledge(folder: &str, v: u64) {
+    with(folder, |f| f.log.push(Op::Acknowledged(v)));
 }
 
 /// What is on a file's way to the disk, in order.
@@ -126,7 +126,7 @@
                 .filter(|c| !c.synced)
                 .for_each(|c| c.doubtful = true),
             Op::SyncNames => self.synced = self.names.clone(),
-            Op::Told(_) => {}
+            Op::Acknowledged(_) => {}
         }
     }
     /// What a loss of power leaves.
@@ -186,10 +186,10 @@
     (held, log)
 }
 
-/// What was told by then, and what was given to the disk.
+/// What was acknowledged by then, and what was given to the disk.
 struct Known {
     id: Option<u64>,
-    told: u64,
+    acknowledged: u64,
     /// Highest version that may be met.
     most: u64,
 }
@@ -206,7 +206,11 @@
     if let Some(was) = k.id {
         expect_that!((*id, *blank), eq((was, false)), "{at}: another disk");
     }
-    expect_that!(version(rows), some(all!(ge(k.told), le(k.most))), "{at}");
+    expect_that!(
+        version(rows),
+        some(all!(ge(k.acknowledged), le(k.most))),
+        "{at}"
+    );
 }
 
 /// Loses power at each step of a log, in some ways each; and again while the folder is opened.
@@ -215,16 +219,16 @@
         Platter::default(),
         Known {
             id: None,
-            told: 0,
+            acknowledged: 0,
             most: 1,
         },
     );
     for (n, op) in log.iter().enumerate() {
         p.step(op);
-        if let Op::Told(v) = op {
+        if let Op::Acknowledged(v) = op {
             k = Known {
                 id: Some(id),
-                told: *v,
+                acknowledged: *v,
                 most: v + 1,
             };
         }
@@ -256,12 +260,12 @@
         ..
     } = block(d.open()).unwrap();
     expect_true!(blank);
-    told(folder, 0);
+    acknowledge(folder, 0);
     // Enough for the log to be folded in and begun anew; in between the folder is opened anew, as after a failed sync.
     for v in 1..=45u64 {
         let bytes = rng.usize(1..60_000);
         block(d.sync(vec![slot("a", v, bytes), slot("b", v, bytes / 2)])).unwrap();
-        told(folder, v);
+        acknowledge(folder, v);
         if v % 20 == 0 {
             expect_that!(
                 block(d.open()).map(|state| (state.disk_id, state.is_blank)),
@@ -293,7 +297,7 @@
         v.unwrap_or(0)
     };
     let mut stands = reopen(&mut id, 0, 0);
-    told(folder, stands);
+    acknowledge(folder, stands);
     while stands < syncs {
         at = stands + 1;
         let bytes = rng.usize(1..90_000);
@@ -304,15 +308,15 @@
             stands = reopen(&mut id, last, at);
             last = stands;
         }
-        told(folder, last);
+        acknowledge(folder, last);
     }
     (id, at)
 }
 
-/// A disk that refuses, or has no room, from any step on for some steps: what was told stands, goes on standing, and is
+/// A disk that refuses, or has no room, from any step on for some steps: what was acknowledged is stored, stays so, and is
 /// found after a loss of power.
 #[gtest]
-fn a_disk_that_fails_for_a_while_loses_nothing_that_was_told() {
+fn a_disk_that_fails_for_a_while_loses_nothing_that_was_acknowledged() {
     let mut rng = fastrand::Rng::with_seed(12);
     let all = {
         work("/well", 24, &mut rng.clone());
@@ -321,9 +325,18 @@
     expect_that!(all, gt(600));
     let mut met = 0;
     for from in (1..all).step_by(4) {
-        for (long, how) in [(1, Ill::Refuses), (7, Ill::Full), (40, Ill::Refuses)] {
-            let folder = format!("/ill-{from}-{long}");
-            with(&folder, |f| f.ill = Some((from, from + long, how)));
+        for (long, how) in [
+            (1, FaultKind::Refuses),
+            (7, FaultKind::Full),
+            (40, FaultKind::Refuses),
+        ] {
+            let folder = format!("/fault-{from}-{long}");
+            with(&folder, |f| {
+                f.fault = Some(InjectedFault {
+                    steps: from..from + long,
+                    kind: how,
+                });
+            });
             let (id, most) = work(&folder, 24, &mut rng.clone());
             let log = with(&folder, |f| {
                 f.passing = true;
@@ -337,7 +350,7 @@
                 &held,
                 &Known {
                     id,
-                    told: most,
+                    acknowledged: most,
                     most,
                 },
                 &folder,
@@ -348,14 +361,19 @@
     expect_that!(met, gt(20));
 }
 
-/// While a disk hangs nothing is told; who gives it more than it can hold is told at once; and when it goes on all that it
+/// While a disk hangs nothing is acknowledged; who gives it more than it can queue is rejected at once; and when it goes on all that it
 /// took is there.
 #[gtest]
-fn a_disk_that_hangs_tells_nothing_and_loses_nothing() {
+fn a_disk_that_hangs_acknowledges_nothing_and_loses_nothing() {
     let folder = "/hangs";
     let d = disk(folder);
     block(d.open()).unwrap();
-    with(folder, |f| f.ill = Some((0, u64::MAX, Ill::Hangs)));
+    with(folder, |f| {
+        f.fault = Some(InjectedFault {
+            steps: 0..u64::MAX,
+            kind: FaultKind::Hangs,
+        });
+    });
     let mut first = Box::pin(d.sync(vec![slot("a", 1, 10), slot("b", 1, 10)]));
     let mut taken = vec![];
     let refused = (2..1_000_000).find(|v| {
--- a/control-daemon/tests/stand_in/mod.rs
+++ b/control-daemon/tests/stand_in/mod.rs
@@ -24,26 +24,33 @@
     /// A sync that failed: what was written before it is on the disk or not, and no later sync sees to it.
     SyncLost(usize),
     SyncNames,
-    /// The test was told that this version is synced; 0: the folder is open.
-    Told(u64),
+    /// This version was acknowledged as synced; 0: the folder is open.
+    Acknowledged(u64),
 }
 
 /// What becomes of the disk's operations, counted from its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ill {
+pub enum FaultKind {
     Refuses,
     Full,
     Hangs,
 }
 
+/// A fault that lasts for some steps.
+#[derive(Clone, Debug)]
+pub struct InjectedFault {
+    /// The steps that it befalls.
+    pub steps: std::ops::Range<u64>,
+    pub kind: FaultKind,
+}
+
 #[derive(Default)]
 pub struct Folder {
     files: Vec<Vec<u8>>,
     names: BTreeMap<String, usize>,
     pub log: Vec<Op>,
     pub steps: u64,
-    /// From which step to which, and how.
-    pub ill: Option<(u64, u64, Ill)>,
+    pub fault: Option<InjectedFault>,
     /// Open files. With the last of them a folder that is only passing goes.
     open: usize,
     pub passing: bool,
@@ -63,11 +70,12 @@
         }
     }
     /// Counts a step that changes something; gives the fault that it meets.
-    fn step(&mut self) -> Option<Ill> {
+    fn step(&mut self) -> Option<FaultKind> {
         self.steps += 1;
-        self.ill
-            .filter(|i| (i.0..i.1).contains(&self.steps))
-            .map(|i| i.2)
+        self.fault
+            .as_ref()
+            .filter(|fault| fault.steps.contains(&self.steps))
+            .map(|fault| fault.kind)
     }
 }
 
@@ -81,9 +89,9 @@
 pub fn with<T>(folder: &str, f: impl FnOnce(&mut Folder) -> T) -> T {
     f(folders().entry(folder.into()).or_default())
 }
-/// Ends what ails the disk, and wakes what hangs there.
+/// Ends the disk's fault, and resumes what hangs there.
 pub fn heal(folder: &str) {
-    with(folder, |f| f.ill = None);
+    with(folder, |folder| folder.fault = None);
     HEALED.notify_all();
 }
 /// As `with`, for an operation that changes something: it waits while the disk hangs.
@@ -92,11 +100,11 @@
     let d = all.entry(folder.into()).or_default();
     match d.step() {
         None => Ok(f(d)),
-        Some(Ill::Refuses) => Err(code),
-        Some(Ill::Full) => Err(ffi::SQLITE_FULL),
-        Some(Ill::Hangs) => {
+        Some(FaultKind::Refuses) => Err(code),
+        Some(FaultKind::Full) => Err(ffi::SQLITE_FULL),
+        Some(FaultKind::Hangs) => {
             let hangs = |all: &mut BTreeMap<String, Folder>| {
-                all.get(folder).is_some_and(|d| d.ill.is_some())
+                all.get(folder).is_some_and(|d| d.fault.is_some())
             };
             let mut all = HEALED
                 .wait_while(all, hangs)
--- a/coordination/src/rollout/placed.rs
+++ b/coordination/src/rollout/placed.rs
@@ -70,6 +70,21 @@
         RolloutStep::without_orders(record)
     }
 
+    /// Usable replicas that came less than the engine's warm-up time ago, or warm up by the platform's word.
+    fn warming_up_replicas<'a>(
+        &self,
+        usable: &[&'a PlatformReplica],
+        inputs: &RolloutInputs,
+    ) -> BTreeSet<&'a str> {
+        let engine = inputs.service.engine.as_ref();
+        let warmup_time = engine.map_or(0, |engine| engine.cold_ms);
+        usable
+            .iter()
+            .filter(|replica| self.placed.is_warming_up(replica, warmup_time, inputs.now))
+            .map(|replica| replica.id.as_str())
+            .collect()
+    }
+
     /// Sorts the usable replicas by side. Replicas of a plan that waits are on neither.
     fn split_sides<'a>(
         &self,
@@ -78,12 +93,7 @@
         usable: Vec<&'a PlatformReplica>,
         inputs: &'a RolloutInputs<'a>,
     ) -> Sides<'a> {
-        let warmup_time = inputs.service.engine.as_ref().map_or(0, |e| e.cold_ms);
-        let warming_up: BTreeSet<&str> = usable
-            .iter()
-            .filter(|replica| self.placed.is_warming_up(replica, warmup_time, inputs.now))
-            .map(|replica| replica.id.as_str())
-            .collect();
+        let warming_up = self.warming_up_replicas(&usable, inputs);
         let target = record.target.clone().unwrap_or_default();
         // What a plan names is on trial until it is completed, before it is adopted and after it failed too.
         let waiting_plan = inputs.plan.filter(|plan| {
--- a/coordination/src/rollout/placed/adoption.rs
+++ b/coordination/src/rollout/placed/adoption.rs
@@ -65,15 +65,7 @@
             if is_planned && has_waited {
                 continue;
             }
-            let replicas: Vec<String> = if is_planned {
-                let is_listed = |id: &&String| listed.iter().any(|replica| replica.id == **id);
-                group.replicas.iter().filter(is_listed).cloned().collect()
-            } else {
-                let of_version = listed
-                    .iter()
-                    .filter(|replica| replica.version == group.version);
-                of_version.map(|replica| replica.id.clone()).collect()
-            };
+            let replicas = remaining_replicas(group, is_planned, listed);
             if !replicas.is_empty() {
                 retired.push(GroupRecord {
                     replicas,
@@ -158,3 +150,21 @@
         }
     }
 }
+
+/// Replicas of a retired group that are still listed: those that it named where its version is planned again, else all
+/// of its version.
+fn remaining_replicas(
+    group: &GroupRecord,
+    is_planned_again: bool,
+    listed: &[&PlatformReplica],
+) -> Vec<String> {
+    if is_planned_again {
+        let is_listed = |id: &&String| listed.iter().any(|replica| replica.id == **id);
+        return group.replicas.iter().filter(is_listed).cloned().collect();
+    }
+    listed
+        .iter()
+        .filter(|replica| replica.version == group.version)
+        .map(|replica| replica.id.clone())
+        .collect()
+}
--- a/coordination/src/rollout/placed/shifting.rs
+++ b/coordination/src/rollout/placed/shifting.rs
@@ -58,20 +58,7 @@
             && is_share_seen
             && !awaits_streams
             && serving.is_empty();
-        record.groups = vec![
-            group(
-                GroupRole::Stable,
-                &record.stable,
-                100 - next_share,
-                replica_ids(&serving),
-            ),
-            group(
-                GroupRole::Stable,
-                &sides.target,
-                next_share,
-                replica_ids(&warm),
-            ),
-        ];
+        assign_placed_shares(record, sides, next_share, &serving, &warm);
         if is_done {
             self.enter_phase(record, RolloutPhase::Baking, now);
             self.step_placed_baking(record, sides);
@@ -148,3 +135,22 @@
         .copied()
         .collect()
 }
+
+fn assign_placed_shares(
+    record: &mut RolloutRecord,
+    sides: &Sides,
+    target_share: u32,
+    old: &[&PlatformReplica],
+    new: &[&PlatformReplica],
+) {
+    let (stable, target) = (&record.stable, &sides.target);
+    record.groups = vec![
+        group(
+            GroupRole::Stable,
+            stable,
+            100 - target_share,
+            replica_ids(old),
+        ),
+        group(GroupRole::Stable, target, target_share, replica_ids(new)),
+    ];
+}
--- a/coordination/src/rollout/tests.rs
+++ b/coordination/src/rollout/tests.rs
@@ -16,13 +16,13 @@
     spec: Spec,
     platform: Vec<PlatformReplica>,
     reports: BTreeMap<String, (ReplicaReport, Ms)>,
-    l: RolloutLoop,
-    r: RolloutRecord,
+    rollout_loop: RolloutLoop,
+    record: RolloutRecord,
     now: Ms,
 }
 
 /// One zone of two replicas with a floor of one; a canary of a quiet service passes by time.
-fn bench(mode: &str) -> Bench {
+fn new_bench(mode: &str) -> Bench {
     let spec: Spec = serde_json::from_value(json!({"zones": [{"name": "a"}], "tiers": [], "canary_percent": 10, "bake_ms": 5000,
         "services": [{"name": "s", "version": "v1", "mode": mode, "lanes": [{"name": "l", "time_limit_ms": 1000, "expected_ms": 10}],
             "zones": [{"zone": "a", "replicas": 2, "floor": 1}]}]}))
@@ -31,18 +31,18 @@
         {"id": "a-1", "zone": "a", "addr": "x", "service": "s", "version": "v1", "state": "running"},
         {"id": "a-2", "zone": "a", "addr": "y", "service": "s", "version": "v1", "state": "running"}]))
     .unwrap();
-    let r = initial_record(&spec.services[0]);
-    let mut b = Bench {
+    let record = initial_record(&spec.services[0]);
+    let mut bench = Bench {
         spec,
         platform,
         reports: BTreeMap::new(),
-        l: RolloutLoop::new(0),
-        r,
+        rollout_loop: RolloutLoop::new(0),
+        record,
         now: 0,
     };
-    b.load("a-1", &["v1"]);
-    b.load("a-2", &["v1"]);
-    b
+    bench.load("a-1", &["v1"]);
+    bench.load("a-2", &["v1"]);
+    bench
 }
 
 impl Bench {
@@ -55,6 +55,26 @@
         self.reports
             .insert(id.into(), (serde_json::from_value(r).unwrap(), self.now));
     }
+    /// Has a replica carry an order out at once.
+    fn obey(&mut self, order: &Order) {
+        let Order::Replica {
+            id,
+            action,
+            version,
+            ..
+        } = order
+        else {
+            return;
+        };
+        let loaded = self.reports[id].0.loaded.iter();
+        let mut versions: Vec<String> = loaded.map(|loaded| loaded.version.clone()).collect();
+        versions.retain(|loaded| loaded != version);
+        if *action == OrderAction::Load {
+            versions.push(version.clone());
+        }
+        let versions: Vec<&str> = versions.iter().map(String::as_str).collect();
+        self.load(id, &versions);
+    }
     /// Passes of the loop until `ms` have gone by; replicas obey at once if `obey`. Gives all orders.
     fn run(&mut self, ms: Ms, plan: Option<&ReleasePlan>, obey: bool) -> Vec<Order> {
         let (mut all, until) = (vec![], self.now + ms);
@@ -77,35 +97,18 @@
                 now: self.now,
                 wall_clock_s: self.now / 1_000,
             };
-            let RolloutStep { record: r, orders } = self.l.step(&self.r, &i);
-            self.r = r;
+            let RolloutStep { record, orders } = self.rollout_loop.step(&self.record, &i);
+            self.record = record;
             let serving = |r: &RolloutRecord| {
                 r.groups
                     .iter()
                     .filter(|g| g.share_percent > 0)
                     .any(|g| !g.replicas.is_empty())
             };
-            assert!(serving(&self.r), "nobody serves: {:?}", self.r);
-            for o in &orders {
-                if let (
-                    Order::Replica {
-                        id,
-                        action,
-                        version,
-                        ..
-                    },
-                    true,
-                ) = (o, obey)
-                {
-                    let mut v: Vec<String> = self.reports[id]
-                        .0
-                        .loaded
-                        .iter()
-                        .map(|l| l.version.clone())
-                        .collect();
-                    v.retain(|x| x != version);
-                    v.extend((*action == OrderAction::Load).then(|| version.clone()));
-                    self.load(id, &v.iter().map(|s| s.as_str()).collect::<Vec<_>>());
+            assert!(serving(&self.record), "nobody serves: {:?}", self.record);
+            if obey {
+                for order in &orders {
+                    self.obey(order);
                 }
             }
             all.extend(orders);
@@ -126,10 +129,10 @@
 /// A region with two replicas: the whole way, load before retire, never both retired at once before the new is warm.
 #[gtest]
 fn a_plan_is_carried_through_in_a_zone_of_two() {
-    let mut b = bench("reconcile");
-    let orders = b.run(120_000, Some(&plan(600)), true);
+    let mut bench = new_bench("reconcile");
+    let orders = bench.run(120_000, Some(&plan(600)), true);
     expect_that!(
-        (b.r.phase, b.r.stable.as_str()),
+        (bench.record.phase, bench.record.stable.as_str()),
         eq((RolloutPhase::Steady, "v2"))
     );
     let of = |a: OrderAction| {
@@ -145,34 +148,40 @@
             .position(|o| matches!(o, Order::Replica { action, .. } if *action == a))
     };
     expect_that!(first(OrderAction::Load), lt(first(OrderAction::Unload)));
-    expect_that!(b.r.alerts, is_empty());
+    expect_that!(bench.record.alerts, is_empty());
 }
 
 #[gtest]
 fn modes_do_what_they_say_and_alerts_are_raised() {
     for mode in ["ignore", "read_only"] {
-        let mut b = bench(mode);
-        let mut r = b.r.clone();
+        let mut bench = new_bench(mode);
+        let mut r = bench.record.clone();
         r.groups = vec![group(GroupRole::Stable, "v1", 100, vec!["a-1".into()])];
-        b.r = r.clone();
-        expect_that!(b.run(10_000, Some(&plan(600)), true), is_empty());
-        expect_that!(b.r, eq(&r));
+        bench.record = r.clone();
+        expect_that!(bench.run(10_000, Some(&plan(600)), true), is_empty());
+        expect_that!(bench.record, eq(&r));
     }
     // Half a minute is not enough: that is told at the start, long before it has passed.
-    let mut b = bench("reconcile");
-    b.run(2_000, Some(&plan(30)), true);
-    expect_that!(b.r.alerts, container_eq(["plan_at_risk".to_string()]));
-    expect_that!(b.r.forecast, gt(30));
+    let mut bench = new_bench("reconcile");
+    bench.run(2_000, Some(&plan(30)), true);
+    expect_that!(
+        bench.record.alerts,
+        container_eq(["plan_at_risk".to_string()])
+    );
+    expect_that!(bench.record.forecast, gt(30));
     // Replicas never load the new version: the loop is stuck, and the plan's time passes.
-    let mut b = bench("reconcile");
-    b.run(70_000, Some(&plan(30)), false);
+    let mut bench = new_bench("reconcile");
+    bench.run(70_000, Some(&plan(30)), false);
     expect_that!(
-        b.r.alerts,
+        bench.record.alerts,
         container_eq(["stuck".to_string(), "plan_late".to_string()])
     );
     // A version nobody asked for waits for a flag: it is told, not unloaded.
-    let mut b = bench("reconcile");
-    b.load("a-1", &["v0", "v1"]);
-    expect_that!(b.run(5_000, None, true), is_empty());
-    expect_that!(b.r.alerts, container_eq(["unload_waits".to_string()]));
+    let mut bench = new_bench("reconcile");
+    bench.load("a-1", &["v0", "v1"]);
+    expect_that!(bench.run(5_000, None, true), is_empty());
+    expect_that!(
+        bench.record.alerts,
+        container_eq(["unload_waits".to_string()])
+    );
 }
--- a/coordination/src/rollout/unloading.rs
+++ b/coordination/src/rollout/unloading.rs
@@ -48,18 +48,14 @@
         };
         let stable = record.stable.clone();
         record.retiring.clear();
-        let loaded: Vec<String> = view
-            .usable
-            .iter()
-            .filter(|replica| view.has_loaded(&replica.id, &unwanted))
-            .map(|replica| replica.id.clone())
-            .collect();
+        let loaded = view.loaded_replicas(&unwanted);
         let phase_age = now.saturating_sub(self.phase_since);
         for id in &loaded {
-            let has_ended =
-                view.open_streams(id, &unwanted) == 0 && phase_age > ORDER_REPEAT_INTERVAL;
+            let is_drained = phase_age > ORDER_REPEAT_INTERVAL
+                && view.open_streams(id, &unwanted) == 0
+                || phase_age > view.drain_limit();
             // Nothing is unloaded where the stable version is not ready, or streams have time left.
-            if (has_ended || phase_age > view.drain_limit()) && view.is_ready(id, &stable) {
+            if is_drained && view.is_ready(id, &stable) {
                 self.order_replica(view, id, OrderAction::Unload, &unwanted, orders);
             }
         }
--- a/coordination/src/rollout/view.rs
+++ b/coordination/src/rollout/view.rs
@@ -75,6 +75,15 @@
             .collect()
     }
 
+    /// Usable replicas that have a version loaded or loading.
+    pub(super) fn loaded_replicas(&self, version: &str) -> Vec<String> {
+        self.usable
+            .iter()
+            .filter(|replica| self.has_loaded(&replica.id, version))
+            .map(|replica| replica.id.clone())
+            .collect()
+    }
+
     /// How long streams on what retires may still run: the longest lane's time limit and a margin.
     pub(super) fn drain_limit(&self) -> Ms {
         let lanes = self.inputs.service.lanes.iter();
--- a/coordination/src/version_health/windows.rs
+++ b/coordination/src/version_health/windows.rs
@@ -276,6 +276,14 @@
         bursts.max().unwrap_or(0)
     }
 
+    fn pick_keys(&self, picks: impl Fn(&CounterKey) -> bool) -> BTreeSet<KeyIndex> {
+        self.keys
+            .iter()
+            .filter(|(key, _)| picks(key))
+            .map(|(_, index)| *index)
+            .collect()
+    }
+
     /// Failures from the window's beginning to the end of each remembered window in it, and to now.
     fn cumulative_failures(
         &self,
@@ -283,12 +291,7 @@
         window: Ms,
         picks: impl Fn(&CounterKey) -> bool,
     ) -> Vec<FailuresUntil> {
-        let picked: BTreeSet<KeyIndex> = self
-            .keys
-            .iter()
-            .filter(|(key, _)| picks(key))
-            .map(|(_, index)| *index)
-            .collect();
+        let picked = self.pick_keys(picks);
         let failed = |key: &KeyIndex, counts: &OutcomeCounts| {
             if picked.contains(key) {
                 counts.failed
--- a/coordination/tests/rollout_placed.rs
+++ b/coordination/tests/rollout_placed.rs
@@ -23,14 +23,14 @@
 struct Bench {
     spec: Spec,
     list: Vec<PlatformReplica>,
-    listed: Ms,
-    leaving: BTreeSet<String>,
-    l: RolloutLoop,
-    r: RolloutRecord,
+    listed_at: Ms,
+    draining: BTreeSet<String>,
+    rollout_loop: RolloutLoop,
+    record: RolloutRecord,
     now: Ms,
-    written: usize,
+    record_version: usize,
     /// s. How far the wall's clock of who holds the duty is ahead of the operator's; below nought if behind.
-    ahead: i64,
+    wall_clock_ahead_s: i64,
 }
 
 fn replica(id: &str, version: &str) -> PlatformReplica {
@@ -41,7 +41,7 @@
     .unwrap()
 }
 
-fn bench(n: usize) -> Bench {
+fn new_bench(n: usize) -> Bench {
     let spec: Spec = serde_json::from_value(
         json!({"zones": [], "tiers": [], "canary_percent": 8, "bake_ms": 0,
         "services": [{"name": "s", "version": "", "mode": "placed", "zones": [],
@@ -49,20 +49,20 @@
             "engine": {"slots": 8, "cold_ms": 3000, "cold_rate": 26.0}}]}),
     )
     .unwrap();
-    let r = initial_record(&spec.services[0]);
+    let record = initial_record(&spec.services[0]);
     let list = (0..n)
         .map(|i| replica(&format!("{}-{i}", ["a", "b", "c"][i % 3]), "v1"))
         .collect();
     Bench {
         spec,
         list,
-        listed: 0,
-        leaving: BTreeSet::new(),
-        l: RolloutLoop::new(0),
-        r,
+        listed_at: 0,
+        draining: BTreeSet::new(),
+        rollout_loop: RolloutLoop::new(0),
+        record,
         now: 0,
-        written: 0,
-        ahead: 0,
+        record_version: 0,
+        wall_clock_ahead_s: 0,
     }
 }
 
@@ -72,15 +72,15 @@
 
 impl Bench {
     fn wall(&self) -> u64 {
-        (self.now / 1_000).saturating_add_signed(self.ahead)
+        (self.now / 1_000).saturating_add_signed(self.wall_clock_ahead_s)
     }
     fn pass(&mut self, plan: Option<VersionedPlan>) {
         self.now += PASS;
-        self.listed = self.now;
+        self.listed_at = self.now;
         self.step(plan);
     }
     fn step(&mut self, plan: Option<VersionedPlan>) {
-        self.look(plan, &BTreeMap::new(), self.written as u64);
+        self.look(plan, &BTreeMap::new(), self.record_version as u64);
     }
     /// A pass by what edges tell: streams on replicas, and the newest record that all have seen.
     fn look(&mut self, plan: Option<VersionedPlan>, opens: &BTreeMap<String, u64>, seen: u64) {
@@ -93,58 +93,67 @@
             plan,
             replica_list: &self.list,
             reports: &reports,
-            draining: &self.leaving,
-            list_requested_at: self.listed,
+            draining: &self.draining,
+            list_requested_at: self.listed_at,
             open_streams: &open,
-            record_version: self.written as u64,
+            record_version: self.record_version as u64,
             oldest_seen_record: &|| seen,
             bounds: &Bounds::default(),
             now: self.now,
             wall_clock_s: self.wall(),
         };
-        let RolloutStep { record: r, orders } = self.l.step(&self.r, &i);
+        let RolloutStep { record, orders } = self.rollout_loop.step(&self.record, &i);
         assert_that!(orders, is_empty());
-        self.written += usize::from(r != self.r);
-        self.r = r;
+        self.record_version += usize::from(record != self.record);
+        self.record = record;
     }
     fn cold(&self, id: &str) -> bool {
-        self.r.replicas.iter().find(|r| r.id == id).unwrap().cold
+        self.record
+            .replicas
+            .iter()
+            .find(|r| r.id == id)
+            .unwrap()
+            .cold
     }
 }
 
 #[gtest]
-fn without_a_plan_all_that_stay_are_one_stable_group_whatever_their_version() {
-    let mut b = bench(3);
-    b.list.push(replica("a-9", "v1.1"));
-    b.list.push(PlatformReplica {
+fn without_a_plan_all_usable_replicas_are_one_stable_group_whatever_their_version() {
+    let mut bench = new_bench(3);
+    bench.list.push(replica("a-9", "v1.1"));
+    bench.list.push(PlatformReplica {
         state: PlatformReplicaState::Draining,
         ..replica("b-8", "v1")
     });
-    b.list.push(PlatformReplica {
+    bench.list.push(PlatformReplica {
         left_ms: 900,
         ..replica("c-8", "v1")
     });
-    b.list.push(PlatformReplica {
+    bench.list.push(PlatformReplica {
         service: "other".into(),
         ..replica("c-9", "v1")
     });
-    b.leaving.insert("b-1".into());
+    bench.draining.insert("b-1".into());
     // The first pass writes: there are no reports to wait for.
-    b.pass(None);
-    expect_that!(b.r.groups.len(), eq(1));
+    bench.pass(None);
+    expect_that!(bench.record.groups.len(), eq(1));
     expect_that!(
-        (b.r.groups[0].role, b.r.groups[0].share_percent),
+        (
+            bench.record.groups[0].role,
+            bench.record.groups[0].share_percent
+        ),
         eq((GroupRole::Stable, 100))
     );
     expect_that!(
-        b.r.groups[0].replicas,
+        bench.record.groups[0].replicas,
         eq(&["a-0", "c-2", "a-9"].map(String::from))
     );
-    let told: Vec<_> =
-        b.r.replicas
-            .iter()
-            .map(|p| (p.id.as_str(), p.version.as_str(), p.slots, p.cold))
-            .collect();
+    let told: Vec<_> = bench
+        .record
+        .replicas
+        .iter()
+        .map(|p| (p.id.as_str(), p.version.as_str(), p.slots, p.cold))
+        .collect();
     expect_that!(
         told,
         eq(&vec![
@@ -154,47 +163,47 @@
         ])
     );
     for _ in 0..50 {
-        b.pass(None);
+        bench.pass(None);
     }
-    expect_that!(b.written, eq(1));
+    expect_that!(bench.record_version, eq(1));
 }
 
 #[gtest]
-fn a_replica_that_comes_or_comes_back_during_the_day_is_cold_for_its_engines_time() {
-    let mut b = bench(3);
-    b.list[1].cold_ms = 400;
-    b.pass(None);
-    expect_that!((b.cold("a-0"), b.cold("b-1")), eq((false, true)));
-    b.list[1].cold_ms = 0;
-    b.list.push(replica("c-5", "v1"));
-    b.pass(None);
-    expect_that!((b.cold("b-1"), b.cold("c-5")), eq((false, true)));
-    let came = b.now;
-    while b.cold("c-5") {
-        b.pass(None);
+fn a_replica_that_comes_or_comes_back_during_the_lease_warms_up_for_its_engines_time() {
+    let mut bench = new_bench(3);
+    bench.list[1].cold_ms = 400;
+    bench.pass(None);
+    expect_that!((bench.cold("a-0"), bench.cold("b-1")), eq((false, true)));
+    bench.list[1].cold_ms = 0;
+    bench.list.push(replica("c-5", "v1"));
+    bench.pass(None);
+    expect_that!((bench.cold("b-1"), bench.cold("c-5")), eq((false, true)));
+    let came = bench.now;
+    while bench.cold("c-5") {
+        bench.pass(None);
     }
-    expect_that!(b.now - came, all!(ge(3_000), le(3_000 + PASS)));
-    let gone = b.list.remove(0);
-    b.pass(None);
-    b.list.insert(0, gone);
-    b.pass(None);
-    expect_that!(b.cold("a-0"), eq(true));
+    expect_that!(bench.now - came, all!(ge(3_000), le(3_000 + PASS)));
+    let gone = bench.list.remove(0);
+    bench.pass(None);
+    bench.list.insert(0, gone);
+    bench.pass(None);
+    expect_that!(bench.cold("a-0"), eq(true));
     // Another holder takes the record's word for who is warm, and begins anew with who is cold.
-    b.l = RolloutLoop::new(b.now);
-    b.pass(None);
-    expect_that!((b.cold("a-0"), b.cold("c-5")), eq((true, false)));
+    bench.rollout_loop = RolloutLoop::new(bench.now);
+    bench.pass(None);
+    expect_that!((bench.cold("a-0"), bench.cold("c-5")), eq((true, false)));
 }
 
 #[gtest]
-fn a_holder_decides_nothing_by_a_list_from_before_its_duty() {
-    let mut b = bench(3);
-    b.pass(None);
-    let r = b.r.clone();
-    b.now += 5_000;
-    b.l = RolloutLoop::new(b.now);
-    b.list.clear();
-    b.step(None);
-    expect_that!(b.r, eq(&r));
+fn a_lease_holder_decides_nothing_by_a_list_from_before_its_lease() {
+    let mut bench = new_bench(3);
+    bench.pass(None);
+    let r = bench.record.clone();
+    bench.now += 5_000;
+    bench.rollout_loop = RolloutLoop::new(bench.now);
+    bench.list.clear();
+    bench.step(None);
+    expect_that!(bench.record, eq(&r));
 }
 
 /// ms. A tick of the fleet below; how late edges see a record, and how late the loop hears of them.
@@ -234,13 +243,13 @@
 /// A fleet in small: edges that follow records late, streams, counts that come late, and a platform that starts
 /// new replicas at an order and stops the old ones at "completed".
 struct Fleet {
-    b: Bench,
+    bench: Bench,
     rng: fastrand::Rng,
     per_s: f64,
-    owed: f64,
+    owed_requests: f64,
     bad: Option<Bad>,
     plan: Option<(u64, ReleasePlan)>,
-    ordered: Ms,
+    ordered_at: Ms,
     /// Records with the times that they were written.
     records: Vec<(Ms, RolloutRecord)>,
     /// The platform starts new replicas so long after the order, and they report so long after that.
@@ -248,48 +257,48 @@
     load: Ms,
     streams: Vec<Stream>,
     tallies: BTreeMap<(String, &'static str), OutcomeCounters>,
-    told: VecDeque<(Ms, Vec<OutcomeCounters>, BTreeMap<String, u64>)>,
-    opens: BTreeMap<String, u64>,
+    reports_in_flight: VecDeque<(Ms, Vec<OutcomeCounters>, BTreeMap<String, u64>)>,
+    open_streams: BTreeMap<String, u64>,
     withdrawn: BTreeMap<String, Ms>,
     /// What the loop did wrong, and what it did.
-    broken: Vec<String>,
+    violations: Vec<String>,
     phases: Vec<(Ms, RolloutPhase, u32)>,
-    done: Option<(Ms, RolloutStatus)>,
+    outcome: Option<(Ms, RolloutStatus)>,
     /// Sent since the order: all, and to the new version; those after the fiftieth bad answer and its bound.
     sent: (u64, u64),
     bad_answers: u64,
-    fiftieth: Option<Ms>,
-    guard: bool,
+    fiftieth_bad_at: Option<Ms>,
+    is_guarded: bool,
     /// Edges are not heard at all.
-    mute: bool,
+    is_unheard: bool,
     /// Another daemon, which hears the same and does not hold the duty; times at which the two change places.
     other: RolloutLoop,
-    changes: Vec<Ms>,
+    holder_changes: Vec<Ms>,
     /// Percent of all answers that fail whatever the version, and when a replica of the canary crashes.
-    noise: u32,
-    crash: Option<Ms>,
+    noise_percent: u32,
+    crash_at: Option<Ms>,
     /// How late edges see a record, and percent of the requests on the rare lane.
-    lag: Ms,
-    rare: u32,
+    record_lag: Ms,
+    rare_lane_percent: u32,
     /// Percent of streams that last so many times as long.
-    long: (u32, u64),
+    long_streams: (u32, u64),
     /// One in so many new replicas reports its version later, by this.
     stragglers: (usize, Ms),
     /// Alerts that were ever raised.
     alerts: BTreeSet<String>,
     /// Percent of the requests that go on to the old side, by edges that suspect the target wrongly, until they see a
     /// flag; and ms before the present up to which the loop hears of what edges have seen, if one of them hears late.
-    suspects: u32,
-    seen_lag: Ms,
+    suspecting_percent: u32,
+    seen_record_lag: Ms,
     /// Times at which whoever holds the duty dies, and a process that has just started takes it.
     restarts: Vec<Ms>,
     /// What was counted up to earlier times, from which edges tell what is recent.
     counted: VecDeque<(Ms, Vec<OutcomeCounters>)>,
 }
 
-fn fleet(n: usize, per_s: f64, seconds: u64, bad: Option<Bad>, seed: u64) -> Fleet {
-    let mut b = bench(n);
-    b.list.iter_mut().for_each(|r| r.slots = 64);
+fn new_fleet(n: usize, per_s: f64, seconds: u64, bad: Option<Bad>, seed: u64) -> Fleet {
+    let mut bench = new_bench(n);
+    bench.list.iter_mut().for_each(|r| r.slots = 64);
     let plan = ReleasePlan {
         service: "s".into(),
         target: "v2".into(),
@@ -297,40 +306,40 @@
         within_s: Some(seconds),
     };
     Fleet {
-        b,
+        bench,
         rng: fastrand::Rng::with_seed(seed),
         per_s,
-        owed: 0.0,
+        owed_requests: 0.0,
         bad,
         plan: Some((1, plan)),
-        ordered: 10_000,
+        ordered_at: 10_000,
         records: vec![],
         start: 1_000,
         load: 500,
         streams: vec![],
         tallies: BTreeMap::new(),
-        told: VecDeque::new(),
-        opens: BTreeMap::new(),
+        reports_in_flight: VecDeque::new(),
+        open_streams: BTreeMap::new(),
         withdrawn: BTreeMap::new(),
-        broken: vec![],
+        violations: vec![],
         phases: vec![],
-        done: None,
+        outcome: None,
         sent: (0, 0),
         bad_answers: 0,
-        fiftieth: None,
-        guard: true,
-        mute: false,
+        fiftieth_bad_at: None,
+        is_guarded: true,
+        is_unheard: false,
         other: RolloutLoop::new(0),
-        changes: vec![],
-        noise: 0,
-        crash: None,
-        lag: 250,
-        rare: 8,
-        long: (0, 1),
+        holder_changes: vec![],
+        noise_percent: 0,
+        crash_at: None,
+        record_lag: 250,
+        rare_lane_percent: 8,
+        long_streams: (0, 1),
         stragglers: (usize::MAX, 0),
         alerts: BTreeSet::new(),
-        suspects: 0,
-        seen_lag: 0,
+        suspecting_percent: 0,
+        seen_record_lag: 0,
         restarts: vec![],
         counted: VecDeque::new(),
     }
@@ -338,14 +347,14 @@
 
 impl Fleet {
     fn now(&self) -> Ms {
-        self.b.now
+        self.bench.now
     }
     fn term(&self) -> Ms {
         self.plan.as_ref().map_or(0, |p| p.1.complete_by * 1_000)
     }
     /// The record that edges follow.
     fn followed(&self) -> Option<&RolloutRecord> {
-        let at = self.now().saturating_sub(self.lag);
+        let at = self.now().saturating_sub(self.record_lag);
         self.records
             .iter()
             .rev()
@@ -355,7 +364,7 @@
     fn followed_version(&self) -> u64 {
         let at = self
             .now()
-            .saturating_sub(self.lag + HEARD_AFTER + self.seen_lag);
+            .saturating_sub(self.record_lag + HEARD_AFTER + self.seen_record_lag);
         self.records.iter().filter(|(t, _)| *t <= at).count() as u64
     }
 
@@ -363,7 +372,7 @@
         let Some(r) = self.followed().cloned() else {
             return;
         };
-        let lane = if self.rng.u32(..100) < self.rare {
+        let lane = if self.rng.u32(..100) < self.rare_lane_percent {
             "rare"
         } else {
             "often"
@@ -375,7 +384,8 @@
             .collect();
         let total: u32 = groups.iter().map(|g| g.share_percent).sum();
         if total == 0 {
-            self.broken.push(format!("{}: nobody serves", self.now()));
+            self.violations
+                .push(format!("{}: nobody serves", self.now()));
             return;
         }
         let mut x = self.rng.u32(..total);
@@ -384,7 +394,7 @@
             x = x.saturating_sub(g.share_percent);
             hit
         });
-        let falls = self.suspects > 0 && self.rng.u32(..100) < self.suspects;
+        let falls = self.suspecting_percent > 0 && self.rng.u32(..100) < self.suspecting_percent;
         let back = r
             .groups
             .iter()
@@ -393,18 +403,18 @@
             .filter(|_| falls && r.phase == RolloutPhase::Baking)
             .unwrap_or(g.unwrap());
         let id = g.replicas[self.rng.usize(..g.replicas.len())].clone();
-        let Some(p) = self.b.list.iter().find(|p| p.id == id) else {
+        let Some(p) = self.bench.list.iter().find(|p| p.id == id) else {
             // It was stopped or crashed; edges find nobody there.
-            if self.crash.is_none()
-                && self.b.list.iter().all(|p| p.id != id)
+            if self.crash_at.is_none()
+                && self.bench.list.iter().all(|p| p.id != id)
                 && id.ends_with("-new")
             {
                 return;
             }
-            if self.done.is_none_or(|d| d.1 != RolloutStatus::Completed)
+            if self.outcome.is_none_or(|d| d.1 != RolloutStatus::Completed)
                 || r.phase != RolloutPhase::Unloading
             {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{}: {id} is gone and still has a share",
                     self.now()
                 ));
@@ -414,22 +424,23 @@
         let new = p.version == "v2";
         let now = self.now();
         let busy = self.streams.iter().filter(|s| s.replica == id).count() as u64;
-        let hit = self.bad.filter(|b| {
-            new && now >= b.from
-                && b.lane.is_none_or(|l| l == lane)
-                && busy >= b.load
-                && self.rng.u32(..100) < b.percent
+        let hit = self.bad.filter(|bad| {
+            new && now >= bad.from
+                && bad.lane.is_none_or(|bad_lane| bad_lane == lane)
+                && busy >= bad.load
+                && self.rng.u32(..100) < bad.percent
         });
-        if now >= self.ordered && now < self.term() {
+        if now >= self.ordered_at && now < self.term() {
             self.sent.0 += 1;
             self.sent.1 += u64::from(new);
         }
-        if new && self.fiftieth.is_some_and(|t| now > t + 5_000) {
-            self.broken
+        if new && self.fiftieth_bad_at.is_some_and(|t| now > t + 5_000) {
+            self.violations
                 .push(format!("{now}: still sent to the bad version"));
         }
-        let took = self.rng.u64(40..160) * hit.map_or(1, |b| b.slow);
-        let fails = hit.is_some_and(|b| b.slow == 1) || self.rng.u32(..100) < self.noise;
+        let took = self.rng.u64(40..160) * hit.map_or(1, |bad| bad.slow);
+        let fails =
+            hit.is_some_and(|bad| bad.slow == 1) || self.rng.u32(..100) < self.noise_percent;
         let k = (p.version.clone(), lane);
         let t = self
             .tallies
@@ -445,8 +456,8 @@
             t.first_chunks += 1;
             t.first_chunk_log_sum += log_ms(took);
         }
-        let lasts = if self.rng.u32(..100) < self.long.0 {
-            STREAM * self.long.1
+        let lasts = if self.rng.u32(..100) < self.long_streams.0 {
+            STREAM * self.long_streams.1
         } else {
             STREAM
         };
@@ -461,9 +472,9 @@
 
     fn platform(&mut self) {
         let now = self.now();
-        if self.plan.is_some() && now == self.ordered + self.start {
+        if self.plan.is_some() && now == self.ordered_at + self.start {
             let old: Vec<PlatformReplica> = self
-                .b
+                .bench
                 .list
                 .iter()
                 .filter(|p| p.version == "v1")
@@ -471,7 +482,7 @@
                 .collect();
             for p in old {
                 let id = format!("{}-new", p.id);
-                self.b.list.push(PlatformReplica {
+                self.bench.list.push(PlatformReplica {
                     id,
                     version: "v2".into(),
                     loaded: false,
@@ -480,10 +491,10 @@
                 });
             }
         }
-        let loaded = now >= self.ordered + self.start + self.load;
-        let late = loaded && now >= self.ordered + self.start + self.load + self.stragglers.1;
+        let loaded = now >= self.ordered_at + self.start + self.load;
+        let late = loaded && now >= self.ordered_at + self.start + self.load + self.stragglers.1;
         for (i, p) in self
-            .b
+            .bench
             .list
             .iter_mut()
             .filter(|p| p.version == "v2")
@@ -500,24 +511,24 @@
 
     /// What the loop may not do, whatever comes.
     fn check(&mut self, old: &RolloutRecord) {
-        let (r, now) = (&self.b.r, self.now());
+        let (r, now) = (&self.bench.record, self.now());
         let mut broken = vec![];
         let of = |r: &RolloutRecord, role| r.groups.iter().find(|g| g.role == role).cloned();
         let (canary, base) = (of(r, GroupRole::Canary), of(r, GroupRole::Baseline));
         if canary.is_some() != base.is_some() {
             broken.push("a canary without its baseline".to_string());
         }
-        if let (Some(c), Some(b)) = (&canary, &base)
-            && (c.replicas.len() != b.replicas.len() || c.share_percent > 8)
+        if let (Some(canary), Some(baseline)) = (&canary, &base)
+            && (canary.replicas.len() != baseline.replicas.len() || canary.share_percent > 8)
         {
-            broken.push(format!("canary {c:?}, baseline {b:?}"));
+            broken.push(format!("canary {canary:?}, baseline {baseline:?}"));
         }
         for g in r
             .groups
             .iter()
             .filter(|g| g.version == "v2" && g.share_percent > 0)
         {
-            let late = |id: &&String| self.b.list.iter().any(|p| p.id == **id && !p.loaded);
+            let late = |id: &&String| self.bench.list.iter().any(|p| p.id == **id && !p.loaded);
             if let Some(id) = g.replicas.iter().find(late) {
                 broken.push(format!("{id} has a share and has not reported its version"));
             }
@@ -527,10 +538,12 @@
             .iter()
             .filter(|id| !old.retiring.contains(id))
             .collect();
-        if fresh.len() > 3.max(self.b.list.iter().filter(|p| p.version == "v1").count() * 5 / 100) {
+        if fresh.len()
+            > 3.max(self.bench.list.iter().filter(|p| p.version == "v1").count() * 5 / 100)
+        {
             broken.push(format!("a step of {}", fresh.len()));
         }
-        let waits = |id: &&String| self.opens.get(*id).is_some_and(|n| *n > 0);
+        let waits = |id: &&String| self.open_streams.get(*id).is_some_and(|n| *n > 0);
         for id in &r.retiring {
             self.withdrawn.entry(id.clone()).or_insert(now);
         }
@@ -555,13 +568,13 @@
             .sum();
         if !fresh.is_empty()
             && r.retiring.len() * 100
-                > share as usize * self.b.list.iter().filter(|p| p.version == "v1").count()
+                > share as usize * self.bench.list.iter().filter(|p| p.version == "v1").count()
         {
             broken.push("withdrawn before the share moved".into());
         }
         let plan = self.plan.as_ref().map(|(n, p)| versioned(*n, p));
         let at = rollout_status(Some(r), plan);
-        if at != RolloutStatus::InService && self.done.is_none() {
+        if at != RolloutStatus::InService && self.outcome.is_none() {
             let gone = if at == RolloutStatus::Completed {
                 "v1"
             } else {
@@ -578,7 +591,7 @@
                 .streams
                 .iter()
                 .filter(|s| {
-                    self.b
+                    self.bench
                         .list
                         .iter()
                         .any(|p| p.id == s.replica && p.version == gone)
@@ -587,11 +600,11 @@
             if left > 0 {
                 broken.push(format!("{at:?} with {left} streams on {gone}"));
             }
-            self.done = Some((now, at));
+            self.outcome = Some((now, at));
             // The platform stops the old replicas at once, or takes the new ones away.
-            self.b.list.retain(|p| p.version != gone);
+            self.bench.list.retain(|p| p.version != gone);
         }
-        self.broken
+        self.violations
             .extend(broken.into_iter().map(|w| format!("{now}: {w}")));
     }
 
@@ -623,8 +636,8 @@
     }
 
     fn share(&self) -> u32 {
-        self.b
-            .r
+        self.bench
+            .record
             .groups
             .iter()
             .filter(|g| g.version == "v2")
@@ -633,12 +646,12 @@
     }
 
     fn tick(&mut self) {
-        self.b.now += TICK;
+        self.bench.now += TICK;
         let now = self.now();
         self.platform();
-        self.owed += self.per_s * TICK as f64 / 1_000.0;
-        while self.owed >= 1.0 {
-            self.owed -= 1.0;
+        self.owed_requests += self.per_s * TICK as f64 / 1_000.0;
+        while self.owed_requests >= 1.0 {
+            self.owed_requests -= 1.0;
             self.request();
         }
         let (over, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.streams)
@@ -655,7 +668,7 @@
             }
             self.bad_answers += u64::from(s.bad);
             if self.bad_answers >= 50 {
-                self.fiftieth.get_or_insert(now);
+                self.fiftieth_bad_at.get_or_insert(now);
             }
         }
         let mut open: BTreeMap<String, u64> = BTreeMap::new();
@@ -663,47 +676,55 @@
             .iter()
             .for_each(|s| *open.entry(s.replica.clone()).or_default() += 1);
         let tallies = self.tell();
-        self.told.push_back((now, tallies, open));
-        while self.told.front().is_some_and(|t| t.0 + HEARD_AFTER <= now) {
-            let (_, tallies, opens) = self.told.pop_front().unwrap();
-            self.opens = opens;
+        self.reports_in_flight.push_back((now, tallies, open));
+        while self
+            .reports_in_flight
+            .front()
+            .is_some_and(|t| t.0 + HEARD_AFTER <= now)
+        {
+            let (_, tallies, opens) = self.reports_in_flight.pop_front().unwrap();
+            self.open_streams = opens;
             if self.restarts.first().is_some_and(|t| *t <= now) {
                 self.restarts.remove(0);
-                (self.b.l, self.other) = (RolloutLoop::new(now), RolloutLoop::new(now));
+                (self.bench.rollout_loop, self.other) =
+                    (RolloutLoop::new(now), RolloutLoop::new(now));
             }
             // With the guard off edges are heard, and tell of nothing.
-            let tallies = if self.guard { tallies } else { vec![] };
-            if !self.mute {
-                self.b.l.health.add_counters(&"e".into(), 1, &tallies);
+            let tallies = if self.is_guarded { tallies } else { vec![] };
+            if !self.is_unheard {
+                self.bench
+                    .rollout_loop
+                    .health
+                    .add_counters(&"e".into(), 1, &tallies);
                 self.other.health.add_counters(&"e".into(), 1, &tallies);
             }
         }
         if now.is_multiple_of(PASS) {
-            self.b.listed = now;
-            let plan = self.plan.clone().filter(|_| now >= self.ordered);
-            let (old, seen) = (self.b.r.clone(), self.followed_version());
+            self.bench.listed_at = now;
+            let plan = self.plan.clone().filter(|_| now >= self.ordered_at);
+            let (old, seen) = (self.bench.record.clone(), self.followed_version());
             self.other.health.tick(now);
             self.other.observe_plan(
                 plan.as_ref().map(|(n, p)| versioned(*n, p)),
                 now,
-                self.b.wall(),
+                self.bench.wall(),
             );
             self.other.on_lease_lost(now);
-            if self.changes.first().is_some_and(|t| *t <= now) {
-                self.changes.remove(0);
-                std::mem::swap(&mut self.b.l, &mut self.other);
+            if self.holder_changes.first().is_some_and(|t| *t <= now) {
+                self.holder_changes.remove(0);
+                std::mem::swap(&mut self.bench.rollout_loop, &mut self.other);
             }
-            self.b.look(
+            self.bench.look(
                 plan.as_ref().map(|(n, p)| versioned(*n, p)),
-                &self.opens.clone(),
+                &self.open_streams.clone(),
                 seen,
             );
-            if self.b.r != old {
-                self.records.push((now, self.b.r.clone()));
+            if self.bench.record != old {
+                self.records.push((now, self.bench.record.clone()));
             }
             let share = self
-                .b
-                .r
+                .bench
+                .record
                 .groups
                 .iter()
                 .filter(|g| g.version == "v2")
@@ -712,23 +733,23 @@
             if self
                 .phases
                 .last()
-                .is_none_or(|l| (l.1, l.2) != (self.b.r.phase, share))
+                .is_none_or(|l| (l.1, l.2) != (self.bench.record.phase, share))
             {
-                self.phases.push((now, self.b.r.phase, share));
+                self.phases.push((now, self.bench.record.phase, share));
             }
-            self.alerts.extend(self.b.r.alerts.iter().cloned());
+            self.alerts.extend(self.bench.record.alerts.iter().cloned());
             self.check(&old);
         }
-        if self.crash.is_some_and(|t| t <= now) {
+        if self.crash_at.is_some_and(|t| t <= now) {
             let canary = self
-                .b
-                .r
+                .bench
+                .record
                 .groups
                 .iter()
                 .find(|g| g.role == GroupRole::Canary && g.share_percent > 0);
             if let Some(id) = canary.and_then(|g| g.replicas.first().cloned()) {
-                self.crash = None;
-                self.b.list.retain(|p| p.id != id);
+                self.crash_at = None;
+                self.bench.list.retain(|p| p.id != id);
                 self.streams
                     .iter_mut()
                     .filter(|s| s.replica == id)
@@ -738,7 +759,7 @@
     }
 
     fn run(&mut self, until: Ms) -> &mut Self {
-        while self.now() < until && self.done.is_none() {
+        while self.now() < until && self.outcome.is_none() {
             self.tick();
         }
         self
@@ -750,14 +771,14 @@
 }
 
 /// What edges and operators see of one rollout; a few words for a test that fails.
-fn told(f: &Fleet) -> String {
+fn describe(fleet: &Fleet) -> String {
     format!(
         "{:?}, term {}, sent {:?}, alerts {:?}, {:?}",
-        f.done,
-        f.term(),
-        f.sent,
-        f.alerts,
-        f.phases
+        fleet.outcome,
+        fleet.term(),
+        fleet.sent,
+        fleet.alerts,
+        fleet.phases
     )
 }
 
@@ -774,18 +795,21 @@
     ];
     for (n, per_s, seconds, late) in cases {
         for seed in 1..=4 {
-            let mut f = fleet(n, per_s, seconds, None, seed);
-            f.run(200_000);
-            let words = told(&f);
-            expect_that!(f.broken, is_empty(), "{words}");
+            let mut fleet = new_fleet(n, per_s, seconds, None, seed);
+            fleet.run(200_000);
+            let words = describe(&fleet);
+            expect_that!(fleet.violations, is_empty(), "{words}");
             expect_that!(
-                f.done,
-                some((le(f.term() + late * 1_000), eq(RolloutStatus::Completed))),
+                fleet.outcome,
+                some((
+                    le(fleet.term() + late * 1_000),
+                    eq(RolloutStatus::Completed)
+                )),
                 "{words}"
             );
             // Bad or not, nobody could know until its time: it had no more than a bad one may have.
-            expect_false!(f.over(), "{words}");
-            let order: Vec<_> = f.phases.iter().map(|p| p.1).collect();
+            expect_false!(fleet.over(), "{words}");
+            let order: Vec<_> = fleet.phases.iter().map(|p| p.1).collect();
             let mut once = order.clone();
             once.dedup();
             use RolloutPhase::{Baking, Canary, Shifting, Steady, Unloading};
@@ -857,16 +881,16 @@
     for (way, bad) in bad_ways() {
         for (n, per_s) in [(18, 200.0), (9, 100.0)] {
             for seed in 1..=6 {
-                let mut f = fleet(n, per_s, 12, Some(bad), seed);
-                f.run(120_000);
-                let words = format!("{way}, {n} replicas, seed {seed}: {}", told(&f));
-                expect_that!(f.broken, is_empty(), "{words}");
+                let mut fleet = new_fleet(n, per_s, 12, Some(bad), seed);
+                fleet.run(120_000);
+                let words = format!("{way}, {n} replicas, seed {seed}: {}", describe(&fleet));
+                expect_that!(fleet.violations, is_empty(), "{words}");
                 expect_that!(
-                    f.done.map(|d| d.1),
+                    fleet.outcome.map(|d| d.1),
                     some(eq(RolloutStatus::Reverted)),
                     "{words}"
                 );
-                expect_false!(f.over(), "{words}");
+                expect_false!(fleet.over(), "{words}");
             }
         }
     }
@@ -878,12 +902,12 @@
 fn a_version_that_turns_bad_just_before_its_completion_is_not_completed() {
     for (n, per_s) in [(18, 200.0), (9, 100.0), (9, 12.0)] {
         for seed in 1..=4 {
-            let mut good = fleet(n, per_s, 12, None, seed);
+            let mut good = new_fleet(n, per_s, 12, None, seed);
             good.run(200_000);
-            let Some((at, RolloutStatus::Completed)) = good.done else {
-                panic!("{}", told(&good))
+            let Some((at, RolloutStatus::Completed)) = good.outcome else {
+                panic!("{}", describe(&good))
             };
-            let mut f = fleet(
+            let mut fleet = new_fleet(
                 n,
                 per_s,
                 12,
@@ -893,13 +917,13 @@
                 }),
                 seed,
             );
-            f.run(120_000);
+            fleet.run(120_000);
             let words = format!(
                 "{n} replicas, seed {seed}, completed at {at} if good: {}",
-                told(&f)
+                describe(&fleet)
             );
             expect_that!(
-                f.done,
+                fleet.outcome,
                 some((anything(), eq(RolloutStatus::Reverted))),
                 "{words}"
             );
@@ -909,54 +933,63 @@
 
 #[gtest]
 fn with_the_guard_off_a_bad_version_is_seen_to_pass_its_bounds() {
-    let mut f = fleet(18, 200.0, 12, Some(FAILS), 1);
-    f.guard = false;
-    f.run(120_000);
+    let mut fleet = new_fleet(18, 200.0, 12, Some(FAILS), 1);
+    fleet.is_guarded = false;
+    fleet.run(120_000);
     expect_that!(
-        f.done.map(|d| d.1),
+        fleet.outcome.map(|d| d.1),
         some(eq(RolloutStatus::Completed)),
         "{}",
-        told(&f)
+        describe(&fleet)
+    );
+    expect_true!(
+        fleet.over() || !fleet.violations.is_empty(),
+        "{}",
+        describe(&fleet)
     );
-    expect_true!(f.over() || !f.broken.is_empty(), "{}", told(&f));
 }
 
 #[gtest]
 fn what_befalls_both_versions_or_one_replica_is_no_versions_fault() {
     for seed in 1..=20 {
-        let mut f = fleet(18, 200.0, 12, None, seed);
-        (f.noise, f.crash) = (3, Some(12_000 + seed * 200));
-        f.run(120_000);
+        let mut fleet = new_fleet(18, 200.0, 12, None, seed);
+        (fleet.noise_percent, fleet.crash_at) = (3, Some(12_000 + seed * 200));
+        fleet.run(120_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Completed)),
             "seed {seed}: {}",
-            told(&f)
+            describe(&fleet)
         );
-        expect_that!(f.broken, is_empty());
+        expect_that!(fleet.violations, is_empty());
     }
 }
 
 #[gtest]
 fn replicas_that_report_late_are_waited_for_and_told_of() {
-    let mut f = fleet(18, 200.0, 12, None, 1);
-    f.load = 30_000;
-    f.run(120_000);
+    let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+    fleet.load = 30_000;
+    fleet.run(120_000);
     expect_that!(
-        f.done.map(|d| d.1),
+        fleet.outcome.map(|d| d.1),
         some(eq(RolloutStatus::Completed)),
         "{}",
-        told(&f)
+        describe(&fleet)
     );
-    expect_that!(f.broken, is_empty());
-    expect_that!(f.alerts, contains(eq("plan_late")));
-    let mut f = fleet(18, 200.0, 12, None, 1);
-    f.load = 1_000_000;
-    f.run(100_000);
-    expect_that!(f.done, none());
-    expect_that!((f.sent.1, f.alerts.contains("stuck")), eq((0, true)));
+    expect_that!(fleet.violations, is_empty());
+    expect_that!(fleet.alerts, contains(eq("plan_late")));
+    let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+    fleet.load = 1_000_000;
+    fleet.run(100_000);
+    expect_that!(fleet.outcome, none());
     expect_that!(
-        f.b.r
+        (fleet.sent.1, fleet.alerts.contains("stuck")),
+        eq((0, true))
+    );
+    expect_that!(
+        fleet
+            .bench
+            .record
             .groups
             .iter()
             .map(|g| g.share_percent)
@@ -974,18 +1007,23 @@
             22_000 + seed * 700,
             30_500 + seed * 100,
         ];
-        let mut f = fleet(18, 200.0, 12, None, seed);
-        f.changes = changes.clone();
-        f.run(150_000);
+        let mut fleet = new_fleet(18, 200.0, 12, None, seed);
+        fleet.holder_changes = changes.clone();
+        fleet.run(150_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Completed)),
             "seed {seed}: {}",
-            told(&f)
+            describe(&fleet)
+        );
+        expect_that!(
+            fleet.violations,
+            is_empty(),
+            "seed {seed}: {}",
+            describe(&fleet)
         );
-        expect_that!(f.broken, is_empty(), "seed {seed}: {}", told(&f));
-        expect_false!(f.over());
-        let mut f = fleet(
+        expect_false!(fleet.over());
+        let mut fleet = new_fleet(
             18,
             200.0,
             12,
@@ -995,43 +1033,52 @@
             }),
             seed,
         );
-        f.changes = changes;
-        f.run(150_000);
+        fleet.holder_changes = changes;
+        fleet.run(150_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Reverted)),
             "seed {seed}: {}",
-            told(&f)
+            describe(&fleet)
         );
-        expect_that!(f.broken, is_empty(), "seed {seed}: {}", told(&f));
-        expect_false!(f.over());
+        expect_that!(
+            fleet.violations,
+            is_empty(),
+            "seed {seed}: {}",
+            describe(&fleet)
+        );
+        expect_false!(fleet.over());
     }
 }
 
 #[gtest]
 fn a_holder_that_has_just_started_raises_no_share_before_it_has_heard_counts() {
     for at in [13_500, 18_900, 24_300, 28_200] {
-        let mut f = fleet(18, 200.0, 12, None, 1);
-        f.run(at);
-        let (had, phase) = (f.share(), f.b.r.phase);
-        (f.b.l, f.mute) = (RolloutLoop::new(at), true);
-        f.run(at + 9_000);
-        let words = told(&f);
+        let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+        fleet.run(at);
+        let (had, phase) = (fleet.share(), fleet.bench.record.phase);
+        (fleet.bench.rollout_loop, fleet.is_unheard) = (RolloutLoop::new(at), true);
+        fleet.run(at + 9_000);
+        let words = describe(&fleet);
         expect_that!(
-            f.phases.iter().filter(|p| p.0 > at && p.2 > had).count(),
+            fleet
+                .phases
+                .iter()
+                .filter(|p| p.0 > at && p.2 > had)
+                .count(),
             eq(0),
             "{at}: {words}"
         );
-        expect_that!(f.b.r.phase, eq(phase), "{at}: {words}");
-        f.mute = false;
-        f.run(150_000);
+        expect_that!(fleet.bench.record.phase, eq(phase), "{at}: {words}");
+        fleet.is_unheard = false;
+        fleet.run(150_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Completed)),
             "{at}: {}",
-            told(&f)
+            describe(&fleet)
         );
-        expect_that!(f.broken, is_empty(), "{at}: {}", told(&f));
+        expect_that!(fleet.violations, is_empty(), "{at}: {}", describe(&fleet));
     }
 }
 
@@ -1041,21 +1088,21 @@
 #[gtest]
 fn a_new_holder_takes_the_time_of_its_duty_for_its_last_step() {
     for at in (20_100..28_000).step_by(300) {
-        let mut f = fleet(18, 200.0, 12, None, 1);
-        f.changes = vec![at];
-        f.run(at - 1);
-        let had = f.share();
-        f.run(at + HOLDS - TICK);
-        expect_that!(f.share(), le(had), "{at}: {}", told(&f));
+        let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+        fleet.holder_changes = vec![at];
+        fleet.run(at - 1);
+        let had = fleet.share();
+        fleet.run(at + HOLDS - TICK);
+        expect_that!(fleet.share(), le(had), "{at}: {}", describe(&fleet));
     }
 }
 
 #[gtest]
 fn a_holder_that_has_just_started_judges_by_what_edges_tell_of_the_last_half_minute() {
     for at in [13_500, 24_300, 28_200] {
-        let mut f = fleet(18, 200.0, 12, None, 1);
-        f.run(at);
-        (f.b.l, f.mute) = (RolloutLoop::new(at), true);
+        let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+        fleet.run(at);
+        (fleet.bench.rollout_loop, fleet.is_unheard) = (RolloutLoop::new(at), true);
         let tally = |version: &str, failed: u64, failed_on: u64| OutcomeCounters {
             service: "s".into(),
             version: version.into(),
@@ -1069,17 +1116,17 @@
             ..OutcomeCounters::default()
         };
         // On several replicas: what comes in one word is no crash for that.
-        f.b.l.health.add_counters(
+        fleet.bench.rollout_loop.health.add_counters(
             &"e".into(),
             1,
             &[tally("v1", 0, 0), tally("v2", 40, 0b1011)],
         );
-        f.run(at + 2 * PASS);
+        fleet.run(at + 2 * PASS);
         expect_that!(
-            f.b.r.phase,
+            fleet.bench.record.phase,
             eq(RolloutPhase::Reverting),
             "{at}: {}",
-            told(&f)
+            describe(&fleet)
         );
     }
 }
@@ -1094,7 +1141,7 @@
         (9_000, 30.0),
     ] {
         for seed in 1..=8 {
-            let mut f = fleet(
+            let mut fleet = new_fleet(
                 18,
                 per_s,
                 12,
@@ -1105,16 +1152,19 @@
                 }),
                 seed,
             );
-            f.restarts = (0..40).map(|i| 12_000 + seed * 130 + i * every).collect();
-            f.run(200_000);
-            let words = format!("every {every}, {per_s} a second, seed {seed}: {}", told(&f));
-            expect_that!(f.broken, is_empty(), "{words}");
+            fleet.restarts = (0..40).map(|i| 12_000 + seed * 130 + i * every).collect();
+            fleet.run(200_000);
+            let words = format!(
+                "every {every}, {per_s} a second, seed {seed}: {}",
+                describe(&fleet)
+            );
+            expect_that!(fleet.violations, is_empty(), "{words}");
             expect_that!(
-                f.done.map(|d| d.1),
+                fleet.outcome.map(|d| d.1),
                 some(eq(RolloutStatus::Reverted)),
                 "{words}"
             );
-            expect_false!(f.over(), "{words}");
+            expect_false!(fleet.over(), "{words}");
         }
     }
 }
@@ -1122,22 +1172,23 @@
 #[gtest]
 fn an_order_for_another_version_takes_the_first_back_before_it_begins() {
     for at in [10_900, 13_000, 18_600, 23_400, 27_000] {
-        let mut f = fleet(18, 200.0, 12, None, 1);
-        f.run(at);
+        let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+        fleet.run(at);
         // The platform starts replicas of the third version beside all others.
-        let more: Vec<_> =
-            f.b.list
-                .iter()
-                .filter(|p| p.version == "v1")
-                .cloned()
-                .collect();
+        let more: Vec<_> = fleet
+            .bench
+            .list
+            .iter()
+            .filter(|p| p.version == "v1")
+            .cloned()
+            .collect();
         let third = |p: PlatformReplica| PlatformReplica {
             id: format!("{}-third", p.id),
             version: "v3".into(),
             ..p
         };
-        f.b.list.extend(more.into_iter().map(third));
-        f.plan = Some((
+        fleet.bench.list.extend(more.into_iter().map(third));
+        fleet.plan = Some((
             2,
             ReleasePlan {
                 service: "s".into(),
@@ -1147,10 +1198,12 @@
             },
         ));
         let mut had_third = false;
-        while f.now() < 150_000 && f.done.is_none() {
-            f.tick();
+        while fleet.now() < 150_000 && fleet.outcome.is_none() {
+            fleet.tick();
             let share = |v: &str| -> u32 {
-                f.b.r
+                fleet
+                    .bench
+                    .record
                     .groups
                     .iter()
                     .filter(|g| g.version == v)
@@ -1158,72 +1211,78 @@
                     .sum()
             };
             had_third |= share("v3") > 0;
-            if f.now() > at + 3 * PASS {
-                expect_that!(share("v2"), eq(0), "{at}: {}", told(&f));
+            if fleet.now() > at + 3 * PASS {
+                expect_that!(share("v2"), eq(0), "{at}: {}", describe(&fleet));
             }
         }
         expect_true!(had_third, "{at}");
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Completed)),
             "{at}: {}",
-            told(&f)
+            describe(&fleet)
         );
-        expect_that!(f.b.r.stable, eq("v3"));
-        expect_that!(f.broken, is_empty(), "{at}: {}", told(&f));
+        expect_that!(fleet.bench.record.stable, eq("v3"));
+        expect_that!(fleet.violations, is_empty(), "{at}: {}", describe(&fleet));
     }
 }
 
 #[gtest]
 fn what_was_withdrawn_comes_back_when_the_new_side_is_lost_or_bad() {
-    let mut f = fleet(18, 200.0, 12, None, 1);
-    f.run(28_000);
-    expect_that!(f.b.r.retiring.len(), ge(6));
-    f.b.list.retain(|p| p.version == "v1");
-    f.tick();
-    f.run(28_800);
-    let serving =
-        f.b.r
-            .groups
-            .iter()
-            .find(|g| g.share_percent == 100)
-            .unwrap();
+    let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+    fleet.run(28_000);
+    expect_that!(fleet.bench.record.retiring.len(), ge(6));
+    fleet.bench.list.retain(|p| p.version == "v1");
+    fleet.tick();
+    fleet.run(28_800);
+    let serving = fleet
+        .bench
+        .record
+        .groups
+        .iter()
+        .find(|g| g.share_percent == 100)
+        .unwrap();
     expect_that!(
         (
             serving.version.as_str(),
             serving.replicas.len(),
-            f.b.r.retiring.len()
+            fleet.bench.record.retiring.len()
         ),
         eq(("v1", 18, 0))
     );
     // A part of the new side is lost: its share falls to what the rest carries.
-    let mut f = fleet(18, 200.0, 12, None, 1);
-    f.b.list.iter_mut().for_each(|p| p.slots = 5);
-    f.run(28_000);
-    let share = |f: &Fleet| -> u32 {
-        f.b.r
+    let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+    fleet.bench.list.iter_mut().for_each(|p| p.slots = 5);
+    fleet.run(28_000);
+    let share = |fleet: &Fleet| -> u32 {
+        fleet
+            .bench
+            .record
             .groups
             .iter()
             .filter(|g| g.version == "v2")
             .map(|g| g.share_percent)
             .sum()
     };
-    let (had, mut n) = (share(&f), 0);
-    f.b.list.retain(|p| {
+    let (had, mut n) = (share(&fleet), 0);
+    fleet.bench.list.retain(|p| {
         n += usize::from(p.version == "v2");
         p.version == "v1" || n % 3 == 0
     });
-    f.run(28_800);
-    expect_that!(share(&f), lt(had));
-    expect_that!(f.b.r.retiring.len() * 100, le(18 * share(&f) as usize));
+    fleet.run(28_800);
+    expect_that!(share(&fleet), lt(had));
+    expect_that!(
+        fleet.bench.record.retiring.len() * 100,
+        le(18 * share(&fleet) as usize)
+    );
 }
 
 #[gtest]
-fn nothing_is_told_of_an_order_by_a_record_of_another() {
-    let mut f = fleet(9, 100.0, 12, Some(FAILS), 1);
-    f.run(60_000);
-    let plan = f.plan.clone().unwrap().1;
-    let of = |n: u64| rollout_status(Some(&f.b.r), Some(versioned(n, &plan)));
+fn a_record_of_another_plan_gives_no_status() {
+    let mut fleet = new_fleet(9, 100.0, 12, Some(FAILS), 1);
+    fleet.run(60_000);
+    let plan = fleet.plan.clone().unwrap().1;
+    let of = |n: u64| rollout_status(Some(&fleet.bench.record), Some(versioned(n, &plan)));
     expect_that!(
         (of(1), of(2)),
         eq((RolloutStatus::Reverted, RolloutStatus::InService))
@@ -1232,24 +1291,24 @@
         rollout_status(None, Some(versioned(1, &plan))),
         eq(RolloutStatus::InService)
     );
-    (0..10).for_each(|_| f.b.pass(Some(versioned(1, &plan))));
+    (0..10).for_each(|_| fleet.bench.pass(Some(versioned(1, &plan))));
     expect_that!(
-        (f.b.r.phase, f.b.r.groups.len()),
+        (fleet.bench.record.phase, fleet.bench.record.groups.len()),
         eq((RolloutPhase::Steady, 1))
     );
     // A failed version stays out, whatever starts it.
-    f.b.list.push(replica("a-late", "v2"));
-    f.b.pass(Some(versioned(1, &plan)));
-    expect_false!(f.b.r.replicas.iter().any(|p| p.id == "a-late"));
+    fleet.bench.list.push(replica("a-late", "v2"));
+    fleet.bench.pass(Some(versioned(1, &plan)));
+    expect_false!(fleet.bench.record.replicas.iter().any(|p| p.id == "a-late"));
     // An order for what serves already is completed at once.
     let same = ReleasePlan {
         target: "v1".into(),
         ..plan.clone()
     };
-    f.b.list.retain(|p| p.version == "v1");
-    f.b.pass(Some(versioned(2, &same)));
+    fleet.bench.list.retain(|p| p.version == "v1");
+    fleet.bench.pass(Some(versioned(2, &same)));
     expect_that!(
-        rollout_status(Some(&f.b.r), Some(versioned(2, &same))),
+        rollout_status(Some(&fleet.bench.record), Some(versioned(2, &same))),
         eq(RolloutStatus::Completed)
     );
 }
@@ -1257,17 +1316,17 @@
 #[gtest]
 fn edges_that_see_late_and_streams_that_last_are_waited_for() {
     for seed in 1..=4 {
-        let mut f = fleet(18, 200.0, 12, None, seed);
-        (f.lag, f.long) = (1_800, (3, 8));
-        f.run(300_000);
+        let mut fleet = new_fleet(18, 200.0, 12, None, seed);
+        (fleet.record_lag, fleet.long_streams) = (1_800, (3, 8));
+        fleet.run(300_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Completed)),
             "{}",
-            told(&f)
+            describe(&fleet)
         );
-        expect_that!(f.broken, is_empty(), "{}", told(&f));
-        let mut f = fleet(
+        expect_that!(fleet.violations, is_empty(), "{}", describe(&fleet));
+        let mut fleet = new_fleet(
             18,
             200.0,
             12,
@@ -1277,15 +1336,15 @@
             }),
             seed,
         );
-        (f.lag, f.long) = (1_800, (3, 8));
-        f.run(300_000);
+        (fleet.record_lag, fleet.long_streams) = (1_800, (3, 8));
+        fleet.run(300_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Reverted)),
             "{}",
-            told(&f)
+            describe(&fleet)
         );
-        expect_that!(f.broken, is_empty(), "{}", told(&f));
+        expect_that!(fleet.violations, is_empty(), "{}", describe(&fleet));
     }
 }
 
@@ -1293,48 +1352,53 @@
 fn edges_that_wrongly_suspect_the_target_are_waited_for_until_they_have_seen_the_flag() {
     for (lag, seen_lag) in [(250, 0), (1_800, 0), (250, 4_000)] {
         for seed in 1..=4 {
-            let mut f = fleet(18, 200.0, 12, None, seed);
-            (f.lag, f.seen_lag, f.suspects, f.long) = (lag, seen_lag, 6, (5, 6));
-            f.run(300_000);
+            let mut fleet = new_fleet(18, 200.0, 12, None, seed);
+            (
+                fleet.record_lag,
+                fleet.seen_record_lag,
+                fleet.suspecting_percent,
+                fleet.long_streams,
+            ) = (lag, seen_lag, 6, (5, 6));
+            fleet.run(300_000);
             expect_that!(
-                f.done.map(|d| d.1),
+                fleet.outcome.map(|d| d.1),
                 some(eq(RolloutStatus::Completed)),
                 "{}",
-                told(&f)
+                describe(&fleet)
             );
-            expect_that!(f.broken, is_empty(), "{}", told(&f));
+            expect_that!(fleet.violations, is_empty(), "{}", describe(&fleet));
             // The longest time of a lane was waited for the old side, and not twice more.
-            let baking = f
+            let baking = fleet
                 .phases
                 .iter()
                 .find(|p| p.1 == RolloutPhase::Baking)
                 .unwrap()
                 .0;
             expect_that!(
-                f.done.unwrap().0 - baking,
+                fleet.outcome.unwrap().0 - baking,
                 all!(ge(12_000), le(24_000)),
                 "{}",
-                told(&f)
+                describe(&fleet)
             );
         }
     }
 }
 
 #[gtest]
-fn an_edge_that_never_tells_does_not_hold_a_completion_for_ever() {
-    let mut f = fleet(18, 200.0, 12, None, 1);
-    while f.b.r.phase != RolloutPhase::Baking {
-        f.tick();
+fn an_edge_that_never_reports_does_not_delay_a_completion_for_ever() {
+    let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+    while fleet.bench.record.phase != RolloutPhase::Baking {
+        fleet.tick();
     }
     // It is in touch, and goes by the record of now for good.
-    let baking = f.now();
-    (f.lag, f.suspects) = (1_000_000, 6);
-    f.records.clear();
-    f.records.push((0, f.b.r.clone()));
-    f.run(300_000);
-    let words = told(&f);
+    let baking = fleet.now();
+    (fleet.record_lag, fleet.suspecting_percent) = (1_000_000, 6);
+    fleet.records.clear();
+    fleet.records.push((0, fleet.bench.record.clone()));
+    fleet.run(300_000);
+    let words = describe(&fleet);
     expect_that!(
-        f.done,
+        fleet.outcome,
         some((
             all!(ge(baking + 24_000), le(baking + 26_000)),
             eq(RolloutStatus::Completed)
@@ -1345,22 +1409,22 @@
 
 #[gtest]
 fn share_moves_only_to_those_that_reported_though_others_have() {
-    let mut f = fleet(18, 200.0, 12, None, 1);
-    f.stragglers = (3, 16_000);
-    f.run(120_000);
+    let mut fleet = new_fleet(18, 200.0, 12, None, 1);
+    fleet.stragglers = (3, 16_000);
+    fleet.run(120_000);
     expect_that!(
-        f.done.map(|d| d.1),
+        fleet.outcome.map(|d| d.1),
         some(eq(RolloutStatus::Completed)),
         "{}",
-        told(&f)
+        describe(&fleet)
     );
-    expect_that!(f.broken, is_empty(), "{}", told(&f));
+    expect_that!(fleet.violations, is_empty(), "{}", describe(&fleet));
 }
 
 #[gtest]
 fn a_lane_that_few_requests_take_condemns_a_version_alone() {
     for seed in 1..=6 {
-        let mut f = fleet(
+        let mut fleet = new_fleet(
             18,
             200.0,
             12,
@@ -1371,23 +1435,28 @@
             }),
             seed,
         );
-        f.rare = 2;
-        f.run(120_000);
+        fleet.rare_lane_percent = 2;
+        fleet.run(120_000);
         expect_that!(
-            f.done.map(|d| d.1),
+            fleet.outcome.map(|d| d.1),
             some(eq(RolloutStatus::Reverted)),
             "{}",
-            told(&f)
+            describe(&fleet)
+        );
+        expect_that!(
+            (fleet.violations.len(), fleet.over()),
+            eq((0, false)),
+            "{}",
+            describe(&fleet)
         );
-        expect_that!((f.broken.len(), f.over()), eq((0, false)), "{}", told(&f));
     }
 }
 
 #[gtest]
-fn the_next_holder_counts_from_the_order_too() {
+fn the_next_lease_holder_counts_from_the_plan_too() {
     // The change comes when the canary has had most of what it may: a count from nought would let it have that again.
     for seed in 1..=6 {
-        let mut f = fleet(
+        let mut fleet = new_fleet(
             18,
             200.0,
             40,
@@ -1397,14 +1466,19 @@
             }),
             seed,
         );
-        f.changes = (1..40).map(|i| 12_000 + i * 900).collect();
-        f.run(120_000);
-        expect_that!((f.broken.len(), f.over()), eq((0, false)), "{}", told(&f));
+        fleet.holder_changes = (1..40).map(|i| 12_000 + i * 900).collect();
+        fleet.run(120_000);
+        expect_that!(
+            (fleet.violations.len(), fleet.over()),
+            eq((0, false)),
+            "{}",
+            describe(&fleet)
+        );
     }
 }
 
 #[gtest]
-fn a_wall_clock_that_is_wrong_where_the_duty_is_held_costs_no_bound() {
+fn a_wrong_wall_clock_at_the_lease_holder_costs_no_bound() {
     for ahead in [-20, -2, 2, 20] {
         for (from, n, per_s) in [
             (14_000, 18, 200.0),
@@ -1413,37 +1487,44 @@
             (23_000, 18, 200.0),
         ] {
             for seed in 1..=4 {
-                let mut f = fleet(n, per_s, 12, Some(Bad { from, ..FAILS }), seed);
-                f.b.ahead = ahead;
-                f.run(120_000);
+                let mut fleet = new_fleet(n, per_s, 12, Some(Bad { from, ..FAILS }), seed);
+                fleet.bench.wall_clock_ahead_s = ahead;
+                fleet.run(120_000);
                 let words = format!(
                     "{ahead} s ahead, bad from {from}, seed {seed}: {}",
-                    told(&f)
+                    describe(&fleet)
                 );
-                expect_that!(f.broken, is_empty(), "{words}");
+                expect_that!(fleet.violations, is_empty(), "{words}");
                 expect_that!(
-                    f.done.map(|d| d.1),
+                    fleet.outcome.map(|d| d.1),
                     some(eq(RolloutStatus::Reverted)),
                     "{words}"
                 );
-                expect_false!(f.over(), "{words}");
+                expect_false!(fleet.over(), "{words}");
             }
         }
     }
 }
 
 #[gtest]
-fn an_order_that_is_sent_again_is_the_same_one_until_it_has_ended() {
-    let mut f = fleet(9, 100.0, 12, Some(FAILS), 1);
-    let order = f.plan.clone().unwrap().1;
+fn a_plan_that_is_sent_again_is_the_same_one_until_it_has_ended() {
+    let mut fleet = new_fleet(9, 100.0, 12, Some(FAILS), 1);
+    let order = fleet.plan.clone().unwrap().1;
     let again = ReleasePlan {
         complete_by: 100,
         ..order.clone()
     };
-    let same = |f: &Fleet, wall| is_repeated_plan(Some(&f.b.r), versioned(1, &order), &again, wall);
+    let same = |fleet: &Fleet, wall| {
+        is_repeated_plan(
+            Some(&fleet.bench.record),
+            versioned(1, &order),
+            &again,
+            wall,
+        )
+    };
     // The daemon that is asked may have a clock that is far ahead.
-    f.run(10_500);
-    expect_that!((same(&f, 12), same(&f, 40)), eq((true, true)));
+    fleet.run(10_500);
+    expect_that!((same(&fleet, 12), same(&fleet, 40)), eq((true, true)));
     expect_that!(
         is_repeated_plan(None, versioned(1, &order), &again, 40),
         eq(true)
@@ -1453,10 +1534,10 @@
         ..again.clone()
     };
     expect_that!(
-        is_repeated_plan(Some(&f.b.r), versioned(1, &order), &other, 12),
+        is_repeated_plan(Some(&fleet.bench.record), versioned(1, &order), &other, 12),
         eq(false)
     );
-    f.run(60_000);
+    fleet.run(60_000);
     // Reverted: until its time it is a repetition, afterwards another try.
-    expect_that!((same(&f, 22), same(&f, 23)), eq((true, false)));
+    expect_that!((same(&fleet, 22), same(&fleet, 23)), eq((true, false)));
 }
