--- a/control-daemon/src/actor/polling.rs
+++ b/control-daemon/src/actor/polling.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Asks for a list that tells everything; a request that fails changes nothing.
+    /// Asks for the complete list; a request that fails changes nothing.
     fn request_list(
         &mut self,
         call: ListCall,
--- a/control-daemon/src/disk/opening.rs
+++ b/control-daemon/src/disk/opening.rs
@@ -81,7 +81,7 @@
 }
 
 /// After a sync that failed, files read as if it had not: the machine holds those bytes for written and no later sync
-/// sees to them. What is read here is told to others, so it must be on the disk. Companions first: a torn database
+/// sees to them. What is read here is sent to others, so it must be on the disk. Companions first: a torn database
 /// is repaired from them.
 fn rewrite_files(storage: Storage, folder: &Path) -> DiskResult<()> {
     for suffix in COMPANION_SUFFIXES.into_iter().chain([""]) {
@@ -119,7 +119,7 @@
     Ok(found)
 }
 
-/// Has the database keep a write-ahead log. SQLite tells the mode before it has written it, so the statement is run to
+/// Has the database keep a write-ahead log. SQLite answers with the mode before it has written it, so the statement is run to
 /// its end: with a fault behind its answer the database would go on with a journal whose removal nobody syncs, and which
 /// may come back after a loss of power and undo what was confirmed.
 fn set_journal_mode(connection: &Connection) -> DiskResult<()> {
--- a/control-daemon/src/http/spec_lookup.rs
+++ b/control-daemon/src/http/spec_lookup.rs
@@ -20,7 +20,7 @@
 /// Looks a name up in the newest spec. A daemon that may have missed the newest says no to nobody.
 ///
 /// # Errors
-/// If the name is not known here and no majority tells the newest spec.
+/// If the name is not known here and no majority answers with the newest spec.
 pub async fn look_up_in_spec(
     handle: &ControlHandle,
     name: &str,
--- a/control-daemon/src/platform_adapter.rs
+++ b/control-daemon/src/platform_adapter.rs
@@ -49,7 +49,7 @@
 pub enum ReplicaSource {
     /// The platform takes the product's own calls, replicas answer reports and take orders.
     Polled,
-    /// The list tells everything, and replicas take no orders.
+    /// The list is complete, and replicas take no orders.
     Listed {
         /// How the list is asked for.
         call: ListCall,
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -61,7 +61,7 @@
     },
     /// A local caller's write ended.
     WriteFinished {
-        /// The write, as the caller was told.
+        /// The token that the write got when it was submitted.
         token: u64,
         /// What became of it.
         outcome: WriteOutcome,
--- a/coordination/src/rollout/placed.rs
+++ b/coordination/src/rollout/placed.rs
@@ -40,7 +40,7 @@
         if inputs.list_requested_at < self.lease_since {
             return RolloutStep::without_orders(previous.clone());
         }
-        // The list alone tells all there is to hear.
+        // The list is all that this loop waits for.
         self.has_all_reports = true;
         let listed: Vec<&PlatformReplica> = inputs
             .replica_list
--- a/coordination/src/rollout/placed/adoption.rs
+++ b/coordination/src/rollout/placed/adoption.rs
@@ -26,7 +26,7 @@
         if accepted.is_some_and(|accepted| accepted.version == plan.version) {
             return;
         }
-        // A process that has just started was told of the last half minute, which is of the plan's own replicas.
+        // A process that has just started got the counts of the last half minute, which are of the plan's own replicas.
         if is_fresh && accepted.is_none_or(|accepted| accepted.target != plan.plan.target) {
             self.health.restart(now);
         }
--- a/coordination/src/rollout/placed/reverting.rs
+++ b/coordination/src/rollout/placed/reverting.rs
@@ -9,7 +9,7 @@
 };
 
 impl RolloutLoop {
-    /// The old side has everything again, withdrawn replicas too. The flag that allows the target's unload tells that
+    /// The old side has everything again, withdrawn replicas too. The flag that allows the target's unload means that
     /// it has neither share nor stream.
     pub(super) fn step_placed_reverting(&mut self, record: &mut RolloutRecord, sides: &Sides) {
         let now = sides.inputs.now;
--- a/coordination/src/rollout/tests.rs
+++ b/coordination/src/rollout/tests.rs
@@ -161,7 +161,7 @@
         expect_that!(bench.run(10_000, Some(&plan(600)), true), is_empty());
         expect_that!(bench.record, eq(&r));
     }
-    // Half a minute is not enough: that is told at the start, long before it has passed.
+    // Half a minute is not enough: an alert is raised at the start, long before it has passed.
     let mut bench = new_bench("reconcile");
     bench.run(2_000, Some(&plan(30)), true);
     expect_that!(
@@ -176,7 +176,7 @@
         bench.record.alerts,
         container_eq(["stuck".to_string(), "plan_late".to_string()])
     );
-    // A version nobody asked for waits for a flag: it is told, not unloaded.
+    // A version nobody asked for waits for a flag: an alert is raised, and it is not unloaded.
     let mut bench = new_bench("reconcile");
     bench.load("a-1", &["v0", "v1"]);
     expect_that!(bench.run(5_000, None, true), is_empty());
--- a/coordination/src/rollout_status.rs
+++ b/coordination/src/rollout_status.rs
@@ -1,10 +1,10 @@
-//! Where the newest release plan of a service stands, as its operator is told.
+//! The status of the newest release plan of a service, as operators see it.
 
 use remote_calls::{ReleasePlan, RolloutPhase, RolloutRecord};
 
 use crate::rollout::VersionedPlan;
 
-/// Where a release plan stands.
+/// The status of a release plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutStatus {
     /// Nothing was planned, or what was is in progress.
@@ -28,7 +28,7 @@
             || rollout_status(record, Some(current)) == RolloutStatus::InService)
 }
 
-/// Where the newest plan of a service stands by its rollout record.
+/// The status of the newest plan of a service by its rollout record.
 pub fn rollout_status(
     record: Option<&RolloutRecord>,
     plan: Option<VersionedPlan>,
--- a/coordination/src/version_health/counts.rs
+++ b/coordination/src/version_health/counts.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// The bit of a replica that failed. Replicas are told apart only as far as it takes to see whether there is
+/// The bit of a replica that failed. Replicas are distinguished only as far as it takes to see whether there is
 /// more than one.
 pub fn replica_bit(replica: &str) -> u64 {
     1 << (xxh3_64(replica.as_bytes()) % 64)
