--- a/coordination/src/control/counters.rs
+++ b/coordination/src/control/counters.rs
@@ -124,8 +124,9 @@
 
     /// Requests sent that this daemon has counted: of a service, and of one of its versions.
     pub fn requests_counted(&self, service: &str, version: &str) -> (u64, u64) {
-        self.rollouts
-            .get(service)
-            .map_or((0, 0), |rollout| rollout.health.sent(version))
+        self.rollouts.get(service).map_or((0, 0), |rollout| {
+            let sent = rollout.health.sent(version);
+            (sent.all, sent.version)
+        })
     }
 }
--- a/coordination/src/control/parsed_state.rs
+++ b/coordination/src/control/parsed_state.rs
@@ -7,11 +7,13 @@
 use wire_messages::Change;
 
 use super::PLAN_PREFIX;
-use crate::{compressed, register::ROLLOUT_PREFIX, state_table::SpecParser};
+use crate::{
+    compressed, register::ROLLOUT_PREFIX, rollout::VersionedPlan, state_table::SpecParser,
+};
 
-/// A release plan and the version of its key.
+/// A release plan as it is stored, and the version of its key.
 #[derive(Clone, Debug)]
-struct VersionedPlan {
+struct StoredPlan {
     version: u64,
     plan: ReleasePlan,
 }
@@ -22,7 +24,7 @@
     spec_parser: SpecParser,
     spec: Option<Arc<Spec>>,
     records: BTreeMap<String, Arc<RolloutRecord>>,
-    plans: BTreeMap<String, VersionedPlan>,
+    plans: BTreeMap<String, StoredPlan>,
 }
 
 impl ParsedState {
@@ -44,10 +46,11 @@
     }
 
     /// A service's release plan and its version.
-    pub(super) fn plan(&self, service: &str) -> Option<(u64, &ReleasePlan)> {
-        self.plans
-            .get(service)
-            .map(|stored| (stored.version, &stored.plan))
+    pub(super) fn plan(&self, service: &str) -> Option<VersionedPlan<'_>> {
+        self.plans.get(service).map(|stored| VersionedPlan {
+            version: stored.version,
+            plan: &stored.plan,
+        })
     }
 
     /// Parses the operator's document. It may be long, so this is done once for all changes of it that come together.
@@ -69,7 +72,7 @@
             if let Ok(plan) = serde_json::from_slice(&change.value.0) {
                 let version = change.version;
                 self.plans
-                    .insert(service.to_string(), VersionedPlan { version, plan });
+                    .insert(service.to_string(), StoredPlan { version, plan });
             }
         }
     }
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -232,7 +232,10 @@
             return;
         }
         let current = self.current_record(service, &key);
-        let (next, orders) = self.step_rollout(service, &key, &current, pass, out);
+        let RolloutStep {
+            record: next,
+            orders,
+        } = self.step_rollout(service, &key, &current, pass, out);
         self.rollouts.record_run(name, now);
         log_changes(name, &current.record, &next, out);
         self.write_record(name, &key, &current, &next, now, out);
--- a/coordination/src/proxy/version_guard.rs
+++ b/coordination/src/proxy/version_guard.rs
@@ -57,11 +57,11 @@
         let Some(health) = self.health_by_service.get(service) else {
             return RecentOutcomes::default();
         };
-        let (ended, failed, slow) = health.recent(version, lane, cached, now);
+        let counts = health.recent(version, lane, cached, now);
         RecentOutcomes {
-            ended,
-            failed,
-            slow,
+            ended: counts.ended,
+            failed: counts.failed,
+            slow: counts.slow,
         }
     }
 
