--- a/coordination/examples/nominate.rs
+++ b/coordination/examples/nominate.rs
@@ -10,7 +10,7 @@
 
 use coordination::{
     bounds::Bounds,
-    pass::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals},
     placement::{Placement, PlacementRequest},
 };
 use remote_calls::{EngineSpec, PathSpec, PlacedReplica};
--- a/coordination/src/placement/events.rs
+++ b/coordination/src/placement/events.rs
@@ -7,7 +7,7 @@
 use super::{Candidate, Placement, selection::cacheable_blocks, shared_prefix};
 use crate::{
     Ms,
-    pass::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals},
     policy::Mechanism,
 };
 
--- a/coordination/src/placement/prompt.rs
+++ b/coordination/src/placement/prompt.rs
@@ -1,7 +1,7 @@
 //! A prompt's prefix blocks and what it costs to prefill or carry them.
 
 use crate::{
-    pass::{PrefixBlock, RequestHead},
+    exchange::{PrefixBlock, RequestHead},
     rendezvous::combine_hashes,
 };
 
--- a/coordination/src/placement/replica_view.rs
+++ b/coordination/src/placement/replica_view.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::{ServiceAverages, TokenBucket, suspicion::Suspicion};
-use crate::{Ms, pass::ResponseSignals};
+use crate::{Ms, exchange::ResponseSignals};
 
 /// A replica on which attempts wait for their first chunk and which sends nothing for longer is unresponsive: new
 /// requests go elsewhere.
--- a/coordination/src/placement/selection.rs
+++ b/coordination/src/placement/selection.rs
@@ -7,7 +7,7 @@
 use super::{Placement, PrefixCache, ReplicaEntry};
 use crate::{
     Ms,
-    pass::{PrefixBlock, RequestHead},
+    exchange::{PrefixBlock, RequestHead},
     policy::Mechanism,
 };
 
--- a/coordination/src/policy.rs
+++ b/coordination/src/policy.rs
@@ -53,10 +53,13 @@
 pub struct UnknownMechanism(pub String);
 
 impl fmt::Display for UnknownMechanism {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let known: Vec<&str> = Mechanism::ALL.iter().map(|m| m.name()).collect();
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let known: Vec<&str> = Mechanism::ALL
+            .iter()
+            .map(|mechanism| mechanism.name())
+            .collect();
         write!(
-            f,
+            formatter,
             "{:?} is no mechanism; they are {}",
             self.0,
             known.join(", ")
@@ -68,14 +71,16 @@
 impl FromStr for Mechanism {
     type Err = UnknownMechanism;
     fn from_str(name: &str) -> Result<Self, UnknownMechanism> {
-        let found = Mechanism::ALL.iter().find(|m| m.name() == name);
+        let found = Mechanism::ALL
+            .iter()
+            .find(|mechanism| mechanism.name() == name);
         found.copied().ok_or_else(|| UnknownMechanism(name.into()))
     }
 }
 
 impl<'de> Deserialize<'de> for Mechanism {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let name = String::deserialize(d)?;
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let name = String::deserialize(deserializer)?;
         name.parse().map_err(serde::de::Error::custom)
     }
 }
@@ -83,17 +88,22 @@
 /// Which mechanisms are in force; by default all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
-    left_out: u32,
+    disabled_bits: u32,
 }
 
 impl Policy {
-    pub fn without(left_out: impl IntoIterator<Item = Mechanism>) -> Self {
+    /// A policy with all mechanisms but these.
+    pub fn without(disabled: impl IntoIterator<Item = Mechanism>) -> Self {
         Policy {
-            left_out: left_out.into_iter().fold(0, |bits, m| bits | 1 << m as u32),
+            disabled_bits: disabled
+                .into_iter()
+                .fold(0, |bits, mechanism| bits | 1 << mechanism as u32),
         }
     }
-    pub fn is_enabled(self, m: Mechanism) -> bool {
-        self.left_out & (1 << m as u32) == 0
+
+    /// Whether a mechanism is in force.
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
+        self.disabled_bits & (1 << mechanism as u32) == 0
     }
 }
 
@@ -101,13 +111,15 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[derive(Default)]
-struct Spelled {
+struct PolicySetting {
     without: BTreeSet<Mechanism>,
 }
 
 impl<'de> Deserialize<'de> for Policy {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        Ok(Policy::without(Spelled::deserialize(d)?.without))
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        Ok(Policy::without(
+            PolicySetting::deserialize(deserializer)?.without,
+        ))
     }
 }
 
--- a/coordination/src/policy/tests.rs
+++ b/coordination/src/policy/tests.rs
@@ -1,32 +1,35 @@
 use googletest::prelude::*;
 
-use super::*;
+use super::{Mechanism, Policy};
 
 #[gtest]
 fn nothing_is_left_out_by_default_and_each_mechanism_alone_can_be() {
     let all = Policy::default();
-    for m in Mechanism::ALL {
-        expect_true!(all.is_enabled(*m));
-        let p = Policy::without([*m]);
-        let others = Mechanism::ALL.iter().filter(|o| *o != m);
+    for mechanism in Mechanism::ALL {
+        expect_true!(all.is_enabled(*mechanism));
+        let policy = Policy::without([*mechanism]);
+        let others = Mechanism::ALL.iter().filter(|other| *other != mechanism);
         expect_that!(
-            (p.is_enabled(*m), others.clone().all(|o| p.is_enabled(*o))),
+            (
+                policy.is_enabled(*mechanism),
+                others.clone().all(|other| policy.is_enabled(*other))
+            ),
             eq((false, true)),
             "{}",
-            m.name()
+            mechanism.name()
         );
-        expect_that!(m.name().parse::<Mechanism>(), ok(eq(m)));
+        expect_that!(mechanism.name().parse::<Mechanism>(), ok(eq(mechanism)));
     }
 }
 
 #[gtest]
 fn a_name_that_is_none_is_refused_with_its_line_and_all_names() {
     let text = "{\n  \"without\": [\n    \"doubt\",\n    \"luck\"]\n}";
-    let e = serde_json::from_str::<Policy>(text)
+    let error = serde_json::from_str::<Policy>(text)
         .unwrap_err()
         .to_string();
     expect_that!(
-        e,
+        error,
         all!(
             contains_substring("\"luck\""),
             contains_substring("line 4"),
@@ -37,6 +40,9 @@
         serde_json::from_str::<Policy>("{\"with\": []}"),
         err(anything())
     );
-    let p: Policy = serde_json::from_str("{\"without\": [\"doubt\", \"lag\"]}").unwrap();
-    expect_that!(p, eq(Policy::without([Mechanism::Doubt, Mechanism::Lag])));
+    let policy: Policy = serde_json::from_str("{\"without\": [\"doubt\", \"lag\"]}").unwrap();
+    expect_that!(
+        policy,
+        eq(Policy::without([Mechanism::Doubt, Mechanism::Lag]))
+    );
 }
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -41,7 +41,7 @@
     bounds::Bounds,
     control::SPEC_KEY,
     edge_agent::{REJECT_ALL, STABLE_ONLY},
-    pass::LaneIndex,
+    exchange::LaneIndex,
     placement::{Placement, RetryBudget},
     policy::{Mechanism, Policy},
     rendezvous::rendezvous_weight,
--- a/coordination/src/proxy/by_path.rs
+++ b/coordination/src/proxy/by_path.rs
@@ -11,7 +11,7 @@
 };
 use crate::{
     Ms,
-    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    exchange::{AttemptOutcome, RequestHead, ResponseSignals},
     placement::{Candidate, PlacementRequest, prefill_ms},
     policy::Mechanism,
     version_health::log_ms,
--- a/coordination/src/proxy/context_demand.rs
+++ b/coordination/src/proxy/context_demand.rs
@@ -9,7 +9,7 @@
 use crate::{
     Ms,
     context::{LocalDemand, PromptChain, homes_digest, name_digest},
-    pass::RequestHead,
+    exchange::RequestHead,
     placement::{Candidate, prefix_chain, shared_prefix, token_count},
     register::CONTEXT_PREFIX,
     state_table::{VersionStamp, version_stamp},
--- a/coordination/src/proxy/table_updates.rs
+++ b/coordination/src/proxy/table_updates.rs
@@ -13,7 +13,7 @@
 use crate::{
     Ms,
     control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
-    pass::LaneIndex,
+    exchange::LaneIndex,
     placement::HomeBoundDemand,
     register::ROLLOUT_PREFIX,
     state_table::{VersionStamp, version_stamp},
--- a/coordination/src/request.rs
+++ b/coordination/src/request.rs
@@ -1,5 +1,5 @@
-//! One request's way through a proxy: checked, claimed, placed, called, and an outcome that stays true.
-//! The shell does what each step says and tells what came of it.
+//! The way of a request that names a service through a proxy: checked, claimed, assigned, called, with an outcome that
+//! stays true. The runtime does what each step says and reports the result.
 
 use remote_calls::{Fault, Outcome, RunRequest};
 
@@ -8,37 +8,38 @@
     proxy::{Assignment, OutcomeClass},
 };
 
-/// Why a round was not begun.
+/// Why an attempt did not start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptError {
     /// The replica said that it runs nothing of it, or no connection was opened: certainly not run.
     NotRun(Fault),
     /// A byte may have reached the replica.
     Unknown(Fault),
-    /// The process slept between choosing the place and calling it: what it chose by may have lapsed.
+    /// The process was suspended between the assignment and the call: what the assignment was based on may have lapsed.
     StaleAssignment,
 }
 
 impl std::fmt::Display for AttemptError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            AttemptError::NotRun(x) | AttemptError::Unknown(x) => x.fmt(f),
-            AttemptError::StaleAssignment => f.write_str("the place was stale"),
+            AttemptError::NotRun(fault) | AttemptError::Unknown(fault) => fault.fmt(formatter),
+            AttemptError::StaleAssignment => formatter.write_str("the place was stale"),
         }
     }
 }
 
 impl AttemptError {
+    /// How the attempt is counted.
     pub fn outcome_class(&self) -> OutcomeClass {
         match self {
-            AttemptError::NotRun(f) if f.code == "busy" => OutcomeClass::NotRun,
+            AttemptError::NotRun(fault) if fault.code == "busy" => OutcomeClass::NotRun,
             AttemptError::NotRun(_) | AttemptError::StaleAssignment => OutcomeClass::ClientGone,
             AttemptError::Unknown(_) => OutcomeClass::Failed,
         }
     }
 }
 
-/// What the shell does next.
+/// What the runtime does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Check,
@@ -47,157 +48,172 @@
     },
     Assign,
     Call(Assignment),
-    /// Ask the budget for a second round.
+    /// Draw a retry on the budget.
     DrawRetry,
-    /// The round has begun: pass its lines on.
+    /// The attempt has started: forward its lines.
     Stream(Assignment),
     /// The final answer, at once.
     Reply(Fault),
 }
 
-/// What came of a step.
+/// The result of a step.
 #[derive(Clone, Debug)]
 pub enum StepResult {
+    /// The rank of the request's tier.
     Checked(Result<u32, Fault>),
     Claimed(u8),
     Assigned(Result<Assignment, Fault>),
     Started(Result<(), AttemptError>),
-    /// The budget's word; without one, the rejection to give.
+    /// Whether there was a retry; if not, the rejection to give.
     RetryDrawn(Result<(), Fault>),
 }
 
+/// The state machine of one request.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub run_request: RunRequest,
-    /// Tells this try of the request from every other.
+    /// Tells this call of the request from every other.
     pub attempt_seed: u64,
     pub rank: u32,
+    /// Replicas that failed it.
     pub tried: Vec<String>,
-    placed: Option<Assignment>,
-    /// A rejection that waits for its void.
-    pending: Option<Fault>,
-    /// A round was tried of which nobody knows whether it ran.
-    perhaps: bool,
+    assignment: Option<Assignment>,
+    /// A rejection that waits for the request to be voided.
+    pending_rejection: Option<Fault>,
+    /// An attempt may have run.
+    may_have_run: bool,
 }
 
 impl Request {
-    pub fn new(q: RunRequest, round: u64) -> Self {
+    /// A request that has just come.
+    pub fn new(run_request: RunRequest, attempt_seed: u64) -> Self {
         Request {
-            run_request: q,
-            attempt_seed: round,
+            run_request,
+            attempt_seed,
             rank: 0,
             tried: vec![],
-            placed: None,
-            pending: None,
-            perhaps: false,
+            assignment: None,
+            pending_rejection: None,
+            may_have_run: false,
         }
     }
 
-    /// What a claim is made on, and how long ago it was first used: the caller's own key, or the id.
+    /// What a claim is made on, and ms since it was first used: the caller's own key, or the id.
     pub fn claimed_name(&self) -> (String, u64) {
         match &self.run_request.key {
-            Some(k) => (
-                format!("{}{}", claims::CALLER_KEY_PREFIX, k.value.as_str()),
-                k.first_used_ms_ago,
+            Some(key) => (
+                format!("{}{}", claims::CALLER_KEY_PREFIX, key.value.as_str()),
+                key.first_used_ms_ago,
             ),
             None => (self.run_request.request.clone(), 0),
         }
     }
 
-    fn claims(&self) -> bool {
-        // A resume reads on in a run that was claimed when it began.
-        self.run_request.run_once && self.run_request.resume.is_none()
+    fn is_resumed(&self) -> bool {
+        self.run_request.resume.is_some()
     }
 
-    /// "Not run" must stay true: a majority voids a run-once id before it is said.
-    fn give_up(&mut self, mut f: Fault) -> Step {
-        if self.perhaps || self.run_request.resume.is_some() || f.outcome == Some(Outcome::Unknown)
-        {
-            f.outcome = Some(Outcome::Unknown);
-            return Step::Reply(f);
-        }
-        f.outcome = Some(Outcome::NotRun);
-        if !self.claims()
-            || (self.run_request.key.is_none()
-                && claims::holders(&self.run_request.request).is_none())
-        {
-            return Step::Reply(f);
-        }
-        self.pending = Some(f);
-        Step::Claim { void: true }
+    /// A resumed run was claimed when it began.
+    fn needs_claim(&self) -> bool {
+        self.run_request.run_once && !self.is_resumed()
     }
 
-    pub fn next(&mut self, got: StepResult) -> Step {
-        match got {
+    /// Takes the result of the last step and gives the next one.
+    pub fn next(&mut self, result: StepResult) -> Step {
+        match result {
             StepResult::Checked(Ok(rank)) => {
                 self.rank = rank;
-                if self.claims() {
+                if self.needs_claim() {
                     Step::Claim { void: false }
                 } else {
                     Step::Assign
                 }
             }
-            StepResult::Checked(Err(f)) => self.give_up(f),
-            StepResult::Claimed(state) => self.claimed(state),
-            StepResult::Assigned(Ok(p)) => {
-                self.placed = Some(p.clone());
-                Step::Call(p)
+            StepResult::Claimed(state) => self.on_claimed(state),
+            StepResult::Assigned(Ok(assignment)) => {
+                self.assignment = Some(assignment.clone());
+                Step::Call(assignment)
             }
-            StepResult::Assigned(Err(f)) => self.give_up(f),
-            StepResult::Started(Ok(())) => match self.placed.clone() {
-                Some(p) => Step::Stream(p),
+            StepResult::Started(Ok(())) => match self.assignment.clone() {
+                Some(assignment) => Step::Stream(assignment),
                 None => Step::Assign,
             },
-            StepResult::Started(Err(AttemptError::Unknown(f))) => {
-                self.perhaps = true;
+            StepResult::Started(Err(error)) => self.on_attempt_error(error),
+            StepResult::RetryDrawn(Ok(())) => Step::Assign,
+            StepResult::Checked(Err(fault))
+            | StepResult::Assigned(Err(fault))
+            | StepResult::RetryDrawn(Err(fault)) => self.reject(fault),
+        }
+    }
+
+    fn on_attempt_error(&mut self, error: AttemptError) -> Step {
+        match error {
+            AttemptError::StaleAssignment => Step::Assign,
+            AttemptError::Unknown(fault) => {
+                self.may_have_run = true;
                 // What may run only once is never tried again after a byte may have reached a replica.
-                if self.run_request.run_once || self.run_request.resume.is_some() {
-                    return Step::Reply(f.outcome(Outcome::Unknown));
+                if self.run_request.run_once || self.is_resumed() {
+                    return Step::Reply(fault.outcome(Outcome::Unknown));
                 }
-                self.again()
+                self.retry()
             }
-            StepResult::Started(Err(AttemptError::StaleAssignment)) => Step::Assign,
-            StepResult::Started(Err(AttemptError::NotRun(f)))
-                if self.run_request.resume.is_some() =>
-            {
-                Step::Reply(f.outcome(Outcome::Unknown))
+            AttemptError::NotRun(fault) if self.is_resumed() => {
+                Step::Reply(fault.outcome(Outcome::Unknown))
             }
-            StepResult::Started(Err(AttemptError::NotRun(_))) => self.again(),
-            StepResult::RetryDrawn(Ok(())) => Step::Assign,
-            StepResult::RetryDrawn(Err(f)) => self.give_up(f),
+            AttemptError::NotRun(_) => self.retry(),
         }
     }
 
-    fn again(&mut self) -> Step {
-        self.tried.extend(self.placed.take().map(|p| p.replica));
+    fn retry(&mut self) -> Step {
+        let failed = self.assignment.take();
+        self.tried
+            .extend(failed.map(|assignment| assignment.replica));
         Step::DrawRetry
     }
 
-    fn claimed(&mut self, state: u8) -> Step {
-        if let Some(f) = self.pending.take() {
-            let known = state == GRANTED || state == VOIDED;
-            return Step::Reply(f.outcome(if known {
+    /// "Not run" must stay true: a majority voids a run-once id before it is said.
+    fn reject(&mut self, mut fault: Fault) -> Step {
+        if self.may_have_run || self.is_resumed() || fault.outcome == Some(Outcome::Unknown) {
+            fault.outcome = Some(Outcome::Unknown);
+            return Step::Reply(fault);
+        }
+        fault.outcome = Some(Outcome::NotRun);
+        let has_claimable_name =
+            self.run_request.key.is_some() || claims::holders(&self.run_request.request).is_some();
+        if !self.needs_claim() || !has_claimable_name {
+            return Step::Reply(fault);
+        }
+        self.pending_rejection = Some(fault);
+        Step::Claim { void: true }
+    }
+
+    fn on_claimed(&mut self, state: u8) -> Step {
+        if let Some(fault) = self.pending_rejection.take() {
+            let is_voided = state == GRANTED || state == VOIDED;
+            return Step::Reply(fault.outcome(if is_voided {
                 Outcome::NotRun
             } else {
                 Outcome::Unknown
             }));
         }
-        let f = |code: &str, m: &str| Fault::new(code, "claim", m);
+        let fault = |code: &str, message: &str| Fault::new(code, "claim", message);
         match state {
             GRANTED => Step::Assign,
             VOIDED => Step::Reply(
-                f("voided", "the request was given up before and never runs")
+                fault("voided", "the request was given up before and never runs")
                     .outcome(Outcome::NotRun),
             ),
             HELD_BY_OTHER => Step::Reply(
-                f(
+                fault(
                     "claimed",
                     "another round of this request may have run or may be running",
                 )
                 .outcome(Outcome::Unknown),
             ),
-            _ => self
-                .give_up(f("no_claim", "no majority of the claim's holders answered").retry(1_000)),
+            _ => {
+                let message = "no majority of the claim's holders answered";
+                self.reject(fault("no_claim", message).retry(1_000))
+            }
         }
     }
 }
--- a/coordination/src/request/tests.rs
+++ b/coordination/src/request/tests.rs
@@ -1,16 +1,21 @@
 use googletest::prelude::*;
+use remote_calls::{Fault, Outcome};
 
-use super::*;
+use super::{AttemptError, Request, Step, StepResult};
+use crate::{
+    claims::{GRANTED, HELD_BY_OTHER, VOIDED},
+    proxy::Assignment,
+};
 
-fn request(run_once: bool) -> Request {
-    let q = serde_json::json!({"request": "0123456789abcdef~e1.1~e2.1~e3.1", "service": "s", "lane": "l", "tier": "t",
+fn request_of(run_once: bool) -> Request {
+    let run_request = serde_json::json!({"request": "0123456789abcdef~e1.1~e2.1~e3.1", "service": "s", "lane": "l", "tier": "t",
         "homes": ["z"], "time_left_ms": 100, "run_once": run_once, "prompt": ""});
-    Request::new(serde_json::from_value(q).unwrap(), 1)
+    Request::new(serde_json::from_value(run_request).unwrap(), 1)
 }
 fn fault() -> Fault {
     Fault::new("lost", "x", "x")
 }
-fn placed() -> Assignment {
+fn assignment() -> Assignment {
     Assignment {
         service: "s".into(),
         lane: "l".into(),
@@ -23,31 +28,33 @@
         attempt: 0,
     }
 }
-fn outcome(s: Step) -> Option<Outcome> {
-    let Step::Reply(f) = s else { return None };
-    f.outcome
+fn outcome(step: Step) -> Option<Outcome> {
+    let Step::Reply(fault) = step else {
+        return None;
+    };
+    fault.outcome
 }
 
 #[gtest]
 fn run_once_is_never_called_again_after_a_byte_may_have_left() {
-    let mut r = request(true);
-    r.next(StepResult::Checked(Ok(0)));
-    r.next(StepResult::Claimed(GRANTED));
-    r.next(StepResult::Assigned(Ok(placed())));
+    let mut request = request_of(true);
+    request.next(StepResult::Checked(Ok(0)));
+    request.next(StepResult::Claimed(GRANTED));
+    request.next(StepResult::Assigned(Ok(assignment())));
     expect_that!(
-        outcome(r.next(StepResult::Started(Err(AttemptError::Unknown(fault()))))),
+        outcome(request.next(StepResult::Started(Err(AttemptError::Unknown(fault()))))),
         eq(Some(Outcome::Unknown))
     );
     // The same for what may run often ends in a second round, but never in "not run".
-    let mut r = request(false);
-    r.next(StepResult::Checked(Ok(0)));
-    r.next(StepResult::Assigned(Ok(placed())));
+    let mut request = request_of(false);
+    request.next(StepResult::Checked(Ok(0)));
+    request.next(StepResult::Assigned(Ok(assignment())));
     expect_that!(
-        r.next(StepResult::Started(Err(AttemptError::Unknown(fault())))),
+        request.next(StepResult::Started(Err(AttemptError::Unknown(fault())))),
         eq(&Step::DrawRetry)
     );
     expect_that!(
-        outcome(r.next(StepResult::RetryDrawn(Err(fault())))),
+        outcome(request.next(StepResult::RetryDrawn(Err(fault())))),
         eq(Some(Outcome::Unknown))
     );
 }
@@ -60,11 +67,14 @@
         (HELD_BY_OTHER, Outcome::Unknown),
         (3, Outcome::Unknown),
     ] {
-        let mut r = request(true);
+        let mut request = request_of(true);
         expect_that!(
-            r.next(StepResult::Checked(Err(fault()))),
+            request.next(StepResult::Checked(Err(fault()))),
             eq(&Step::Claim { void: true })
         );
-        expect_that!(outcome(r.next(StepResult::Claimed(state))), eq(Some(said)));
+        expect_that!(
+            outcome(request.next(StepResult::Claimed(state))),
+            eq(Some(said))
+        );
     }
 }
--- a/coordination/src/stream.rs
+++ b/coordination/src/stream.rs
@@ -1,66 +1,65 @@
-//! Checks a replica's stream line by line, before anything is passed on: its own request, the very next
-//! number, an end that counts what came.
+//! Checks a replica's stream line by line before anything is forwarded: it answers the very request, each chunk has the
+//! very next number, and the end counts what came.
 
-use remote_calls::{Fault, Outcome, ResumePoint, StreamEnd, StreamLine};
+use remote_calls::{Fault, Outcome, ResumePoint, StreamEnd, StreamLine, StreamPiece, StreamStart};
 
 use crate::rendezvous::text_digest;
 
 /// What a line means for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CheckedLine {
-    /// Pass it on.
+    /// Forward it.
     Forward(StreamLine),
-    /// The end mark, whole: pass it on, the round is over.
+    /// The end mark of a complete response: forward it, the attempt is over.
     End(StreamLine),
-    /// No whole answer will come; the line that tells the caller so.
+    /// No complete response will come; the line that tells the caller so.
     Broken(StreamLine),
 }
 
+/// The state of one stream.
 #[derive(Clone, Debug)]
 pub struct LineChecker {
     request: String,
     replica: String,
     /// The run that is read: a resume's own, else the one that the first line names.
     run: Option<String>,
-    begun: bool,
-    /// All that came, if it came from the first piece on.
+    has_started: bool,
+    /// The whole text, if it came from the first chunk on.
     text: Option<String>,
-    next: u64,
-    over: bool,
+    next_chunk: u64,
+    is_over: bool,
 }
 
 impl LineChecker {
-    /// `resume`: the run that the caller goes on with, and the last piece that it already has.
+    /// `resume`: the run that the caller resumes, and the last chunk that it already has.
     pub fn new(request: &str, replica: &str, resume: Option<&ResumePoint>) -> Self {
-        let (run, after) = (resume.map(|r| r.run.clone()), resume.map_or(0, |r| r.after));
+        let last_chunk = resume.map_or(0, |resume| resume.after);
         LineChecker {
             request: request.into(),
             replica: replica.into(),
-            run,
-            begun: false,
-            text: (after == 0).then(String::new),
-            next: after + 1,
-            over: false,
+            run: resume.map(|resume| resume.run.clone()),
+            has_started: false,
+            text: (last_chunk == 0).then(String::new),
+            next_chunk: last_chunk + 1,
+            is_over: false,
         }
     }
 
-    pub fn broken(&mut self, code: &str, m: impl Into<String>) -> CheckedLine {
-        self.over = true;
-        let f = Fault::new(code, "read_stream", m)
+    /// Ends the stream as broken: whether the request ran to its end is unknown.
+    pub fn broken(&mut self, code: &str, message: impl Into<String>) -> CheckedLine {
+        self.is_over = true;
+        let fault = Fault::new(code, "read_stream", message)
             .peer(self.replica.clone())
             .outcome(Outcome::Unknown);
-        self.unknown(f)
+        self.unknown(fault)
     }
-    /// Whether the replica's digest tells of another text. Of a resumed stream only the caller has all.
-    fn differs(&self, e: &StreamEnd) -> bool {
-        matches!((&self.text, &e.digest), (Some(t), Some(d)) if *d != text_digest(t))
-    }
-    fn unknown(&self, f: Fault) -> CheckedLine {
+
+    fn unknown(&self, fault: Fault) -> CheckedLine {
         let end = StreamEnd {
             outcome: Outcome::Unknown,
-            pieces: self.next - 1,
+            pieces: self.next_chunk - 1,
             digest: None,
-            fault: Some(f),
+            fault: Some(fault),
         };
         CheckedLine::Broken(StreamLine {
             start: None,
@@ -69,56 +68,81 @@
         })
     }
 
-    pub fn check(&mut self, l: StreamLine) -> CheckedLine {
-        match (&l.start, &l.piece, &l.end) {
-            _ if self.over => self.broken("over", "the round has ended"),
-            (Some(_), None, None) if self.begun => {
-                self.broken("bad_stream", "another answer began within this one")
-            }
-            (Some(s), None, None) if s.request != self.request || s.replica != self.replica => {
-                self.broken("bad_stream", "the answer is to another request")
-            }
-            // Pieces of two runs never make one answer, whatever their numbers.
-            (Some(s), None, None) if self.run.as_ref().is_some_and(|r| *r != s.run) => {
-                self.broken("bad_stream", "the replica went on with another run")
-            }
-            (Some(_), None, None) => {
-                self.begun = true;
-                CheckedLine::Forward(l)
-            }
-            _ if !self.begun => self.broken("bad_stream", "nothing told whose answer this is"),
-            (None, Some(p), None) if p.n == self.next => {
-                self.next += 1;
-                if let Some(t) = &mut self.text {
-                    t.push_str(&p.text);
-                }
-                CheckedLine::Forward(l)
-            }
-            (None, Some(p), None) => {
-                let m = format!("piece {} came where {} was due", p.n, self.next);
-                self.broken("bad_stream", m)
-            }
-            (None, None, Some(e)) if e.outcome == Outcome::Answered && self.differs(e) => self
-                .broken(
-                    "bad_stream",
-                    "what came is not what the replica says it sent",
-                ),
-            (None, None, Some(e))
-                if e.outcome == Outcome::Answered && e.pieces + 1 == self.next =>
-            {
-                self.over = true;
-                CheckedLine::End(l)
-            }
-            (None, None, Some(e)) if e.outcome != Outcome::Answered => {
-                self.over = true;
-                let f = e.fault.clone().unwrap_or_else(|| {
-                    Fault::new("replica_failed", "read_stream", "the replica gave up")
-                });
-                self.unknown(f.peer(self.replica.clone()).outcome(Outcome::Unknown))
+    /// Whether the replica's digest is of another text. Of a resumed stream only the caller has the whole text.
+    fn has_other_digest(&self, end: &StreamEnd) -> bool {
+        matches!((&self.text, &end.digest), (Some(text), Some(digest)) if *digest != text_digest(text))
+    }
+
+    /// Checks the next line.
+    pub fn check(&mut self, line: StreamLine) -> CheckedLine {
+        if self.is_over {
+            return self.broken("over", "the round has ended");
+        }
+        match (&line.start, &line.piece, &line.end) {
+            (Some(start), None, None) => self
+                .reject_start(start)
+                .unwrap_or(CheckedLine::Forward(line)),
+            _ if !self.has_started => {
+                self.broken("bad_stream", "nothing told whose answer this is")
             }
+            (None, Some(chunk), None) => self
+                .reject_chunk(chunk)
+                .unwrap_or(CheckedLine::Forward(line)),
+            (None, None, Some(end)) => self.reject_end(end).unwrap_or(CheckedLine::End(line)),
             _ => self.broken("bad_stream", "the end mark does not count what came"),
         }
     }
+
+    /// Takes the line that says whose response this is, or gives the line that ends the stream.
+    fn reject_start(&mut self, start: &StreamStart) -> Option<CheckedLine> {
+        let message = if self.has_started {
+            "another answer began within this one"
+        } else if start.request != self.request || start.replica != self.replica {
+            "the answer is to another request"
+        } else if self.run.as_ref().is_some_and(|run| *run != start.run) {
+            // Chunks of two runs never make one response, whatever their numbers.
+            "the replica went on with another run"
+        } else {
+            self.has_started = true;
+            return None;
+        };
+        Some(self.broken("bad_stream", message))
+    }
+
+    /// Takes a chunk, or gives the line that ends the stream.
+    fn reject_chunk(&mut self, chunk: &StreamPiece) -> Option<CheckedLine> {
+        if chunk.n != self.next_chunk {
+            let message = format!("piece {} came where {} was due", chunk.n, self.next_chunk);
+            return Some(self.broken("bad_stream", message));
+        }
+        self.next_chunk += 1;
+        if let Some(text) = &mut self.text {
+            text.push_str(&chunk.text);
+        }
+        None
+    }
+
+    /// Takes the end mark of a complete response, or gives the line that ends the stream.
+    fn reject_end(&mut self, end: &StreamEnd) -> Option<CheckedLine> {
+        if end.outcome != Outcome::Answered {
+            self.is_over = true;
+            let fault = end.fault.clone().unwrap_or_else(|| {
+                Fault::new("replica_failed", "read_stream", "the replica gave up")
+            });
+            let fault = fault.peer(self.replica.clone()).outcome(Outcome::Unknown);
+            return Some(self.unknown(fault));
+        }
+        if self.has_other_digest(end) {
+            let message = "what came is not what the replica says it sent";
+            return Some(self.broken("bad_stream", message));
+        }
+        if end.pieces + 1 != self.next_chunk {
+            let message = "the end mark does not count what came";
+            return Some(self.broken("bad_stream", message));
+        }
+        self.is_over = true;
+        None
+    }
 }
 
 #[cfg(test)]
--- a/coordination/src/stream/tests.rs
+++ b/coordination/src/stream/tests.rs
@@ -1,13 +1,14 @@
 use googletest::prelude::*;
-use remote_calls::{StreamPiece, StreamStart};
+use remote_calls::{Outcome, ResumePoint, StreamEnd, StreamLine, StreamPiece, StreamStart};
 
-use super::*;
+use super::{CheckedLine, LineChecker};
+use crate::rendezvous::text_digest;
 
 fn start(request: &str) -> StreamLine {
     start_of(request, "u")
 }
 fn start_of(request: &str, run: &str) -> StreamLine {
-    let s = StreamStart {
+    let start = StreamStart {
         request: request.into(),
         run: run.into(),
         replica: "r".into(),
@@ -15,75 +16,84 @@
         warm: true,
     };
     StreamLine {
-        start: Some(s),
+        start: Some(start),
         piece: None,
         end: None,
     }
 }
-fn piece(n: u64) -> StreamLine {
+fn chunk(number: u64) -> StreamLine {
     StreamLine {
         start: None,
         piece: Some(StreamPiece {
-            n,
+            n: number,
             text: "x".into(),
         }),
         end: None,
     }
 }
-fn end(pieces: u64) -> StreamLine {
+fn end(chunks: u64) -> StreamLine {
     StreamLine {
         start: None,
         piece: None,
         end: Some(StreamEnd {
             outcome: Outcome::Answered,
-            pieces,
+            pieces: chunks,
             digest: None,
             fault: None,
         }),
     }
 }
-/// Whether a stream is passed on as a whole answer.
-fn whole(after: u64, lines: Vec<StreamLine>) -> bool {
-    let at = ResumePoint {
+/// Whether a stream is forwarded as a complete response.
+fn is_complete(after: u64, lines: Vec<StreamLine>) -> bool {
+    let resume = ResumePoint {
         run: "u".into(),
         replica: "r".into(),
         after,
     };
-    let mut l = LineChecker::new("q", "r", (after > 0).then_some(&at));
-    let mut ok = false;
-    for x in lines {
-        match l.check(x) {
+    let mut checker = LineChecker::new("q", "r", (after > 0).then_some(&resume));
+    let mut has_ended = false;
+    for line in lines {
+        match checker.check(line) {
             CheckedLine::Forward(_) => {}
-            CheckedLine::End(_) => ok = true,
+            CheckedLine::End(_) => has_ended = true,
             CheckedLine::Broken(_) => return false,
         }
     }
-    ok
+    has_ended
 }
 
 #[gtest]
-fn only_a_whole_answer_to_the_very_request_counts() {
-    expect_true!(whole(0, vec![start("q"), piece(1), piece(2), end(2)]));
-    expect_true!(whole(2, vec![start("q"), piece(3), end(3)]));
+fn only_a_complete_response_to_the_very_request_counts() {
+    expect_true!(is_complete(0, vec![start("q"), chunk(1), chunk(2), end(2)]));
+    expect_true!(is_complete(2, vec![start("q"), chunk(3), end(3)]));
     let bad = [
-        vec![start("other"), piece(1), end(1)],
-        vec![start("q"), piece(1), piece(3), end(2)],
-        vec![start("q"), piece(1), piece(1), end(2)],
-        vec![start("q"), piece(1), end(2)],
-        vec![start("q"), piece(1), piece(2)],
-        vec![start("q"), piece(1), end(1), piece(2)],
-        vec![piece(1), end(1)],
-        vec![start("q"), piece(1), start("q"), piece(2), end(2)],
+        vec![start("other"), chunk(1), end(1)],
+        vec![start("q"), chunk(1), chunk(3), end(2)],
+        vec![start("q"), chunk(1), chunk(1), end(2)],
+        vec![start("q"), chunk(1), end(2)],
+        vec![start("q"), chunk(1), chunk(2)],
+        vec![start("q"), chunk(1), end(1), chunk(2)],
+        vec![chunk(1), end(1)],
+        vec![start("q"), chunk(1), start("q"), chunk(2), end(2)],
     ];
-    for b in bad {
-        expect_false!(whole(0, b));
+    for lines in bad {
+        expect_false!(is_complete(0, lines));
     }
-    let told = |text: &str| {
-        let mut e = end(1);
-        e.end.as_mut().unwrap().digest = Some(text_digest(text));
-        e
+    let end_with_digest_of = |text: &str| {
+        let mut line = end(1);
+        line.end.as_mut().unwrap().digest = Some(text_digest(text));
+        line
     };
-    expect_true!(whole(0, vec![start("q"), piece(1), told("x")]));
-    expect_false!(whole(0, vec![start("q"), piece(1), told("another")]));
-    expect_false!(whole(2, vec![start_of("q", "other"), piece(3), end(3)]));
+    expect_true!(is_complete(
+        0,
+        vec![start("q"), chunk(1), end_with_digest_of("x")]
+    ));
+    expect_false!(is_complete(
+        0,
+        vec![start("q"), chunk(1), end_with_digest_of("another")]
+    ));
+    expect_false!(is_complete(
+        2,
+        vec![start_of("q", "other"), chunk(3), end(3)]
+    ));
 }
--- a/coordination/tests/counts.rs
+++ b/coordination/tests/counts.rs
@@ -7,7 +7,7 @@
     Effect, Effects, Ms, Row,
     control::{Control, ControlConfig, SPEC_KEY},
     edge_agent::EdgeAgent,
-    pass::{AttemptOutcome, RequestHead},
+    exchange::{AttemptOutcome, RequestHead},
     proxy::{Admission, Assignment, Proxy},
     register::Expect,
     timing::TICK_INTERVAL,
--- a/coordination/tests/engines/mod.rs
+++ b/coordination/tests/engines/mod.rs
@@ -9,7 +9,7 @@
     context::{self, DEMAND_REPORT_MAX_AGE, FleetDemand},
     control::CONTEXT_WRITE_INTERVAL,
     edge_agent::SERVE_ALL,
-    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    exchange::{AttemptOutcome, RequestHead, ResponseSignals},
     proxy::{Admission, Assignment, Proxy},
     rendezvous::rendezvous_weight_of,
     wire::{Blob, Change, List, Node, TableUpdate},
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use coordination::{
     bounds::Bounds,
-    pass::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals},
     placement::{HomeBoundDemand, Placement, PlacementRequest, RetryBudget},
     wire::Prefill,
 };
--- a/coordination/tests/suspect.rs
+++ b/coordination/tests/suspect.rs
@@ -3,7 +3,7 @@
 use coordination::{
     Ms,
     edge_agent::SERVE_ALL,
-    pass::{AttemptOutcome, RequestHead},
+    exchange::{AttemptOutcome, RequestHead},
     proxy::{Admission, Assignment, Proxy},
 };
 use googletest::prelude::*;
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -20,7 +20,7 @@
 use tokio::sync::oneshot;
 use wire_messages::{ClaimRequest, Message, Name};
 
-use crate::shared::{Shared, hold};
+use crate::shared::{SharedProxy, lock};
 
 /// A request that waits for a place.
 struct Waiter {
@@ -33,7 +33,7 @@
     pub name: String,
     pub listen: String,
     pub agent: Name,
-    pub brain: Shared,
+    pub brain: SharedProxy,
     ch: Option<Channels>,
     client: Client,
     claims: HashMap<u64, oneshot::Sender<u8>>,
@@ -45,7 +45,7 @@
 }
 
 impl ProxyActor {
-    pub fn new(name: &str, listen: &str, agent: &str, brain: Shared) -> Self {
+    pub fn new(name: &str, listen: &str, agent: &str, brain: SharedProxy) -> Self {
         ProxyActor {
             name: name.into(),
             listen: listen.into(),
@@ -65,7 +65,7 @@
     /// Gives places that came free to those who wait, best tier first.
     fn wake(&mut self) {
         let now = clock::now();
-        let (tokens, late) = hold(&self.brain).poll_queue(now);
+        let (tokens, late) = lock(&self.brain).poll_queue(now);
         if tokens.is_empty() && late.is_empty() {
             return;
         }
@@ -76,19 +76,19 @@
             let Some(w) = self.waiting.get(&t) else {
                 continue;
             };
-            let admit = hold(&self.brain).assign_named(&w.q, &w.tried, now);
+            let admit = lock(&self.brain).assign_named(&w.q, &w.tried, now);
             let r = match admit {
                 Admission::Assigned(p) => Ok(p),
                 Admission::Rejected(f) => Err(f),
                 Admission::NoFreeSlot => continue,
             };
-            hold(&self.brain).dequeue(t);
+            lock(&self.brain).dequeue(t);
             let Some(w) = self.waiting.remove(&t) else {
                 continue;
             };
             // A caller that left while waiting gives its place back.
             if let Err(Ok(p)) = w.to.send(r) {
-                hold(&self.brain).record_outcome(&p, OutcomeClass::ClientGone, now);
+                lock(&self.brain).record_outcome(&p, OutcomeClass::ClientGone, now);
             }
         }
     }
@@ -97,7 +97,7 @@
         let Some(w) = self.waiting.remove(&token) else {
             return;
         };
-        let f = hold(&self.brain).reject("full", "wait", "no place came free soon enough");
+        let f = lock(&self.brain).reject("full", "wait", "no place came free soon enough");
         let _ = w.to.send(Err(f));
     }
 
@@ -106,7 +106,7 @@
             return;
         }
         self.next_report = now + REPORT_INTERVAL;
-        let all = hold(&self.brain).replicas_to_poll();
+        let all = lock(&self.brain).replicas_to_poll();
         for (_, addr) in all {
             let c = self.client.clone();
             let f = async move {
@@ -114,7 +114,7 @@
             };
             ctx.spawn(f.into_actor(self).map(move |r, me, _| {
                 if let Ok(r) = r {
-                    hold(&me.brain).on_report(r, now);
+                    lock(&me.brain).on_report(r, now);
                     me.wake();
                 }
             }));
@@ -132,7 +132,7 @@
             return;
         }
         self.next_hello = now + HELLO_EVERY;
-        let mut m = hold(&self.brain).changed_report(now);
+        let mut m = lock(&self.brain).changed_report(now);
         // A proxy that stops is no longer nominated.
         if self.stopping {
             m.http_addr = Name::default();
@@ -146,14 +146,14 @@
 impl ProxyActor {
     /// Tells the holders of duties, by way of the agent, which shared context is often asked for.
     fn tell_demands(&mut self, now: Ms) {
-        let all = hold(&self.brain).context_demands(now);
+        let all = lock(&self.brain).context_demands(now);
         if let Some(ch) = &mut self.ch {
             all.into_iter().for_each(|m| ch.send(&self.agent, m.into()));
         }
     }
     /// Tells other proxies, by way of the agents, which long prompts went where.
     fn tell_readings(&mut self, now: Ms) {
-        let all: Vec<_> = hold(&self.brain).take_prefill_reports(now).collect();
+        let all: Vec<_> = lock(&self.brain).take_prefill_reports(now).collect();
         let Some(ch) = &mut self.ch else { return };
         all.into_iter().for_each(|m| ch.send(&self.agent, m.into()));
     }
@@ -191,8 +191,8 @@
             );
         }
         match m.0.msg {
-            Message::PrefillReport(r) => hold(&self.brain).on_prefill_report(r, clock::now()),
-            Message::TableUpdate(b) => hold(&self.brain).on_table_update(b, clock::now()),
+            Message::PrefillReport(r) => lock(&self.brain).on_prefill_report(r, clock::now()),
+            Message::TableUpdate(b) => lock(&self.brain).on_table_update(b, clock::now()),
             Message::ClaimResult(t) => {
                 if let Some(s) = self.claims.remove(&t.token) {
                     let _ = s.send(t.state);
@@ -213,16 +213,16 @@
 /// Claims a request for a round, or voids it.
 #[derive(Message)]
 #[rtype(result = "u8")]
-pub struct AskClaim {
+pub struct ClaimRun {
     pub request: String,
     pub round: u64,
     pub void: bool,
     /// ms since a caller's key was first used.
     pub age: u64,
 }
-impl Handler<AskClaim> for ProxyActor {
+impl Handler<ClaimRun> for ProxyActor {
     type Result = ResponseFuture<u8>;
-    fn handle(&mut self, m: AskClaim, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, m: ClaimRun, _: &mut Self::Context) -> Self::Result {
         self.token += 1;
         let (s, r) = oneshot::channel();
         self.claims.insert(self.token, s);
@@ -250,17 +250,17 @@
 /// Finds a place, waiting in the buffer if all are taken.
 #[derive(Message)]
 #[rtype(result = "Result<Assignment, Fault>")]
-pub struct FindPlace {
+pub struct AssignReplica {
     pub q: RunRequest,
     pub rank: u32,
     pub time_left: Ms,
     pub tried: Vec<String>,
 }
-impl Handler<FindPlace> for ProxyActor {
+impl Handler<AssignReplica> for ProxyActor {
     type Result = ResponseFuture<Result<Assignment, Fault>>;
-    fn handle(&mut self, m: FindPlace, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, m: AssignReplica, _: &mut Self::Context) -> Self::Result {
         let now = clock::now();
-        let admit = hold(&self.brain).assign_named(&m.q, &m.tried, now);
+        let admit = lock(&self.brain).assign_named(&m.q, &m.tried, now);
         match admit {
             Admission::Assigned(p) => return Box::pin(async { Ok(p) }),
             Admission::Rejected(f) => return Box::pin(async { Err(f) }),
@@ -277,7 +277,7 @@
                 to,
             },
         );
-        let worst = hold(&self.brain).enqueue(t, m.rank, m.time_left, now);
+        let worst = lock(&self.brain).enqueue(t, m.rank, m.time_left, now);
         for worst in worst {
             self.give_up(worst);
         }
@@ -292,11 +292,11 @@
 /// A round ended.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Done(pub Assignment, pub OutcomeClass);
-impl Handler<Done> for ProxyActor {
+pub struct AttemptEnded(pub Assignment, pub OutcomeClass);
+impl Handler<AttemptEnded> for ProxyActor {
     type Result = ();
-    fn handle(&mut self, m: Done, _: &mut Self::Context) {
-        let suspect = hold(&self.brain).record_outcome(&m.0, m.1, clock::now());
+    fn handle(&mut self, m: AttemptEnded, _: &mut Self::Context) {
+        let suspect = lock(&self.brain).record_outcome(&m.0, m.1, clock::now());
         if let Some(v) = suspect {
             event(coordination::events::VERSION_SUSPECTED, &m.0.replica, &v);
         }
--- a/edge-proxy/src/downstream.rs
+++ b/edge-proxy/src/downstream.rs
@@ -22,7 +22,7 @@
 use remote_calls::DownstreamLimits;
 use socket2::{SockRef, Socket};
 
-use crate::shared::{Shared, hold};
+use crate::shared::{SharedProxy, lock};
 
 /// What a channel does, since or until when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
 }
 
 /// A downstream has opened a channel.
-pub fn connected(brain: &Shared, io: &dyn Any, ext: &mut Extensions) {
+pub fn connected(brain: &SharedProxy, io: &dyn Any, ext: &mut Extensions) {
     let Some(s) = io.downcast_ref::<TcpStream>() else {
         return;
     };
@@ -155,12 +155,12 @@
 }
 
 /// Looks channels over for as long as there are any.
-async fn look(w: Rc<Watch>, brain: Shared) {
+async fn look(w: Rc<Watch>, brain: SharedProxy) {
     let mut looks = Looks::new(clock::now());
     while !w.all.borrow().is_empty() {
         tokio::time::sleep(Duration::from_millis(DOWNSTREAM_LOOK)).await;
         looks.at(clock::now());
-        let limits = hold(&brain).client_limits().cloned().unwrap_or_default();
+        let limits = lock(&brain).client_limits().cloned().unwrap_or_default();
         w.all.borrow_mut().retain(|d| {
             let Some(d) = d.upgrade() else { return false };
             d.state.set(looks.state(d.state.get()));
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -29,12 +29,12 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    actor::{AskClaim, Done, FindPlace, ProxyActor},
-    front::{self, Front},
-    pass::Passage,
-    round::{self, Round},
-    shared::hold,
-    stopping::{Open, Stopping, refusal},
+    actor::{AssignReplica, AttemptEnded, ClaimRun, ProxyActor},
+    listener::{self, Listener},
+    rejection::abandoned,
+    replica_stream::{self, ReplicaStream},
+    shared::lock,
+    shutdown::{OpenRequest, ShutdownGate, shutdown_rejection},
 };
 
 type Brain = web::Data<Addr<ProxyActor>>;
@@ -68,7 +68,7 @@
 
 async fn nominate(b: Brain, q: web::Json<NominateRequest>) -> Reply {
     let q = q.into_inner();
-    let mut r = look(&b, move |a, now| hold(&a.brain).nominate(&q, now)).await?;
+    let mut r = look(&b, move |a, now| lock(&a.brain).nominate(&q, now)).await?;
     if let Err(f) = &mut r {
         // Nothing was nominated: there is no request yet that could run or not.
         f.outcome = None;
@@ -78,24 +78,28 @@
 }
 
 /// Does the steps of one request until it streams or its final answer is known.
-async fn steps(b: &Brain, r: &mut Request, until: Ms) -> Result<(Assignment, Round), Fault> {
+async fn steps(
+    b: &Brain,
+    r: &mut Request,
+    until: Ms,
+) -> Result<(Assignment, ReplicaStream), Fault> {
     let mut step = Step::Check;
     let mut begun = None;
     loop {
         let got = match step {
             Step::Check => {
                 let q = r.run_request.clone();
-                let checked = look(b, move |a, now| hold(&a.brain).check_request(&q, now))
+                let checked = look(b, move |a, now| lock(&a.brain).check_request(&q, now))
                     .await
                     .map_err(|a| a.1)?;
                 if checked.is_ok() {
-                    let _ = look(b, |a, _| hold(&a.brain).count_first_attempt()).await;
+                    let _ = look(b, |a, _| lock(&a.brain).count_first_attempt()).await;
                 }
                 StepResult::Checked(checked)
             }
             Step::Claim { void } => {
                 let (request, age) = r.claimed_name();
-                let ask = AskClaim {
+                let ask = ClaimRun {
                     request,
                     round: r.attempt_seed,
                     void,
@@ -105,14 +109,14 @@
             }
             Step::Assign => StepResult::Assigned(place(b, r, until).await),
             Step::Call(p) if p.is_stale(clock::now()) => {
-                let _ = b.send(Done(p, OutcomeClass::ClientGone)).await;
+                let _ = b.send(AttemptEnded(p, OutcomeClass::ClientGone)).await;
                 StepResult::Started(Err(AttemptError::StaleAssignment))
             }
             Step::Call(p) => {
-                let x = round::begin(&client(), &r.run_request, &p, until).await;
+                let x = replica_stream::call_replica(&client(), &r.run_request, &p, until).await;
                 if let Err(e) = &x {
                     event(events::ATTEMPT_FAILED, &p.replica, &e.to_string());
-                    let _ = b.send(Done(p, e.outcome_class())).await;
+                    let _ = b.send(AttemptEnded(p, e.outcome_class())).await;
                 }
                 StepResult::Started(x.map(|round| begun = Some(round)))
             }
@@ -135,7 +139,7 @@
 async fn place(b: &Brain, r: &Request, until: Ms) -> Result<Assignment, Fault> {
     if let Some(at) = &r.run_request.resume {
         let (q, id) = (r.run_request.clone(), at.replica.clone());
-        let found = look(b, move |a, now| hold(&a.brain).assign_resumed(&q, &id, now))
+        let found = look(b, move |a, now| lock(&a.brain).assign_resumed(&q, &id, now))
             .await
             .map_err(|a| a.1)?;
         return found.ok_or_else(|| {
@@ -143,7 +147,7 @@
         });
     }
     let time_left = until.saturating_sub(clock::now());
-    let m = FindPlace {
+    let m = AssignReplica {
         q: r.run_request.clone(),
         rank: r.rank,
         time_left,
@@ -154,7 +158,7 @@
 
 async fn budget(b: &Brain, rank: u32, request: &str) -> Result<(), Fault> {
     let r = look(b, move |a, now| {
-        let mut b = hold(&a.brain);
+        let mut b = lock(&a.brain);
         if b.try_draw_named_retry(rank, now) {
             return Ok(());
         }
@@ -175,9 +179,9 @@
 }
 
 /// Passes a begun round on until its end; whatever is not the end mark ends as unknown.
-async fn pass_on(b: Brain, q: RunRequest, p: Assignment, mut r: Round, out: Lines) {
+async fn pass_on(b: Brain, q: RunRequest, p: Assignment, mut r: ReplicaStream, out: Lines) {
     let expected = look(&b, move |a, _| {
-        hold(&a.brain).expected_ms(&q.service, &q.lane)
+        lock(&a.brain).expected_ms(&q.service, &q.lane)
     })
     .await
     .unwrap_or(0);
@@ -216,19 +220,19 @@
             break e;
         }
     };
-    let _ = b.send(Done(p, ended)).await;
+    let _ = b.send(AttemptEnded(p, ended)).await;
 }
 
 async fn run(
     b: Brain,
-    stopping: web::Data<Stopping>,
+    stopping: web::Data<ShutdownGate>,
     r: HttpRequest,
     q: web::Json<RunRequest>,
 ) -> Reply {
     let q = q.into_inner();
-    let open = Open::new(&stopping, &r);
-    if !stopping.take() {
-        let mut refused = Answer::from(refusal()).error_response();
+    let open = OpenRequest::new(&stopping, &r);
+    if !stopping.try_accept() {
+        let mut refused = Answer::from(shutdown_rejection()).error_response();
         refused
             .head_mut()
             .set_connection_type(ConnectionType::Close);
@@ -239,7 +243,7 @@
     let begun = tokio::select! {
         biased;
         begun = steps(&b, &mut r, until) => begun,
-        () = stopping.over() => Err(Passage::abandoned().1),
+        () = stopping.grace_over() => Err(abandoned().1),
     };
     let (p, round) = match begun {
         Ok(x) => x,
@@ -263,7 +267,7 @@
 
 async fn health(b: Brain) -> Reply {
     let (name, ok) = look(&b, |a, now| {
-        (a.name.clone(), hold(&a.brain).is_ready(now) && !a.stopping)
+        (a.name.clone(), lock(&a.brain).is_ready(now) && !a.stopping)
     })
     .await?;
     let detail = if ok { "serves" } else { "may not serve now" }.into();
@@ -281,7 +285,7 @@
 
 async fn counters(b: Brain) -> Reply {
     let (process, v) = look(&b, |a, now| {
-        let b = hold(&a.brain);
+        let b = lock(&a.brain);
         let mut v: Vec<(String, u64)> = b
             .counters
             .iter()
@@ -329,8 +333,8 @@
 }
 
 /// The product's own calls where no lane takes their path, and requests by host and path.
-pub fn routes_and_lanes(c: &mut web::ServiceConfig, f: Front) {
-    let brain = f.brain.clone();
+pub fn routes_and_lanes(c: &mut web::ServiceConfig, f: Listener) {
+    let brain = f.proxy.clone();
     let free = move |g: &GuardContext| {
         let path = g.head().uri.path();
         let ours = [calls::NOMINATE, calls::RUN, calls::HEALTH, calls::COUNTERS]
@@ -342,10 +346,10 @@
             .get("host")
             .and_then(|v| v.to_str().ok())
             .unwrap_or_default();
-        ours && hold(&brain).find_lane(host, path, clock::now()).is_err()
+        ours && lock(&brain).find_lane(host, path, clock::now()).is_err()
     };
-    c.app_data(web::Data::from(f.stopping.clone()))
+    c.app_data(web::Data::from(f.shutdown.clone()))
         .app_data(web::Data::new(f))
         .service(web::scope("").guard(fn_guard(free)).configure(own))
-        .default_service(web::to(front::pass));
+        .default_service(web::to(listener::handle_request));
 }
--- a/edge-proxy/src/lib.rs
+++ b/edge-proxy/src/lib.rs
@@ -1,17 +1,20 @@
 //! The edge proxy: answers callers where to go, and passes their requests to replicas.
 
 pub mod actor;
-mod answer;
-pub mod dialect;
+mod attempt;
 pub mod downstream;
-pub mod front;
+mod exchange;
+mod headers;
 pub mod http;
-mod pass;
+pub mod listener;
 mod pool;
-pub mod round;
+pub mod protocol_adapter;
+mod rejection;
+pub mod replica_stream;
+mod request_body;
+mod response;
 pub mod shared;
-pub mod stopping;
-mod upload;
+pub mod shutdown;
 
 use std::{
     io,
@@ -36,10 +39,10 @@
 
 use crate::{
     actor::ProxyActor,
-    dialect::Dialect,
-    front::Front,
-    shared::Shared,
-    stopping::{Stopping, wind_down},
+    listener::Listener,
+    protocol_adapter::ProtocolAdapter,
+    shared::SharedProxy,
+    shutdown::{ShutdownGate, shut_down},
 };
 
 fn brain(p: &Params, reader: SpecParser) -> Proxy {
@@ -59,12 +62,12 @@
 /// Runs until the process is asked to stop. With a dialect it also passes requests by host and path.
 pub async fn run(
     p: Params,
-    dialect: Option<Arc<dyn Dialect>>,
+    dialect: Option<Arc<dyn ProtocolAdapter>>,
     reader: SpecParser,
 ) -> Result<(), Report<StartFault>> {
     let _log = logging::start(&p.log)?;
     let signals = StopSignals::listen()?;
-    let brain: Shared = Arc::new(Mutex::new(brain(&p, reader)));
+    let brain: SharedProxy = Arc::new(Mutex::new(brain(&p, reader)));
     let a = ProxyActor::new(&p.name, &p.listen, &p.agent, brain.clone()).start();
     channels::listen(&p.bind, a.clone().recipient()).await?;
     match dialect {
@@ -80,7 +83,7 @@
     a: Addr<ProxyActor>,
 ) -> Result<(), Report<StartFault>> {
     let b = web::Data::new(a.clone());
-    let stopping = Arc::new(Stopping::default());
+    let stopping = Arc::new(ShutdownGate::default());
     let s = web::Data::from(stopping.clone());
     let server = HttpServer::new(move || {
         App::new()
@@ -103,16 +106,16 @@
     p: Params,
     signals: StopSignals,
     a: Addr<ProxyActor>,
-    brain: Shared,
-    dialect: Arc<dyn Dialect>,
+    brain: SharedProxy,
+    dialect: Arc<dyn ProtocolAdapter>,
 ) -> Result<(), Report<StartFault>> {
-    let stopping = Arc::new(Stopping::default());
-    let f = Front {
-        brain,
-        dialect,
-        stopping: stopping.clone(),
-        ready: p.readiness.clone(),
-        not_yet: NOT_YET,
+    let stopping = Arc::new(ShutdownGate::default());
+    let f = Listener {
+        proxy: brain,
+        adapter: dialect,
+        shutdown: stopping.clone(),
+        readiness_addr: p.readiness.clone(),
+        startup_wait: NOT_YET,
     };
     let ports = [&p.http, &p.readiness]
         .into_iter()
@@ -133,7 +136,7 @@
     p: &Params,
     mut signals: StopSignals,
     a: &Addr<ProxyActor>,
-    stopping: &Stopping,
+    stopping: &ShutdownGate,
     server: Server,
 ) {
     let h = server.handle();
@@ -147,7 +150,7 @@
     let _ = a
         .send(Look(Box::new(|a: &mut ProxyActor, now| a.stop(now))))
         .await;
-    wind_down(stopping, &h, p.bounds.grace).await;
+    shut_down(stopping, &h, p.bounds.grace).await;
     let _ = tokio::time::timeout(STOP_LOOK, served).await;
     event(events::STOPPED, &p.name, "");
 }
@@ -162,8 +165,8 @@
 }
 
 /// The HTTP server of the product's own calls and of lanes, at ports that are bound already.
-pub fn serve(f: Front, a: Addr<ProxyActor>, ports: Vec<TcpListener>) -> io::Result<Server> {
-    let (b, brain) = (web::Data::new(a), f.brain.clone());
+pub fn serve(f: Listener, a: Addr<ProxyActor>, ports: Vec<TcpListener>) -> io::Result<Server> {
+    let (b, brain) = (web::Data::new(a), f.proxy.clone());
     let server = HttpServer::new(move || {
         let f = f.clone();
         App::new()
--- a/edge-proxy/src/pool.rs
+++ b/edge-proxy/src/pool.rs
@@ -29,28 +29,28 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpSocket, time::timeout};
 
-use crate::upload::Upload;
+use crate::request_body::RequestBody;
 
 /// Why a request got no answer's head.
-pub enum Unsent {
+pub enum SendError {
     /// Not a byte of it was written; here it is again.
-    Not(Box<Request<Upload>>),
+    NotSent(Box<Request<RequestBody>>),
     /// It may have reached the replica.
-    Perhaps(String),
+    MaybeSent(String),
 }
 
 /// Why no channel was opened.
-pub enum Unopened {
+pub enum ConnectError {
     /// As many as this proxy may hold are open.
-    Full,
-    Lost(String),
+    LimitReached,
+    Failed(String),
     /// Nothing came back at all.
-    Dark(String),
+    TimedOut(String),
 }
 
 /// One connection to a replica.
-pub struct Channel {
-    send: SendRequest<Upload>,
+pub struct Connection {
+    send: SendRequest<RequestBody>,
     io: JoinHandle<()>,
     /// Its socket, which `io` owns.
     fd: RawFd,
@@ -60,13 +60,13 @@
     /// How long the replica lets it rest.
     keep: Ms,
     /// It has carried a request before.
-    pub used: bool,
+    pub was_used: bool,
 }
 
 /// All channels to one address.
 #[derive(Default)]
 struct Peer {
-    idle: RefCell<Vec<Channel>>,
+    idle: RefCell<Vec<Connection>>,
     open: Cell<usize>,
     /// ms that opening took of late.
     took: Cell<u64>,
@@ -87,26 +87,26 @@
     }
 }
 
-impl Drop for Channel {
+impl Drop for Connection {
     fn drop(&mut self) {
         // A replica stops work when its channel closes.
         self.io.abort();
     }
 }
 
-impl Channel {
-    pub async fn send(&mut self, q: Request<Upload>) -> Result<Response<Incoming>, Unsent> {
-        self.used = true;
+impl Connection {
+    pub async fn send(&mut self, q: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
+        self.was_used = true;
         match self.send.try_send_request(q).await {
             Ok(a) => Ok(a),
             Err(mut e) => Err(match e.take_message() {
-                Some(q) => Unsent::Not(Box::new(q)),
-                None => Unsent::Perhaps(e.into_error().to_string()),
+                Some(q) => SendError::NotSent(Box::new(q)),
+                None => SendError::MaybeSent(e.into_error().to_string()),
             }),
         }
     }
     /// Heeds what the replica says of how long an idle channel stays.
-    pub fn heed(&mut self, h: &http::HeaderMap) {
+    pub fn read_keep_alive(&mut self, h: &http::HeaderMap) {
         let closes = |v: &http::HeaderValue| {
             v.to_str()
                 .is_ok_and(|v| v.split(',').any(|x| x.trim().eq_ignore_ascii_case("close")))
@@ -148,18 +148,18 @@
 }
 
 #[derive(Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     peers: RefCell<HashMap<String, Rc<Peer>>>,
     swept: Cell<Ms>,
 }
 
 thread_local! {
     /// A worker's own: channels never move between threads.
-    static POOL: Rc<Pool> = Rc::default();
+    static POOL: Rc<ConnectionPool> = Rc::default();
 }
 
-impl Pool {
-    pub fn here() -> Rc<Pool> {
+impl ConnectionPool {
+    pub fn of_this_thread() -> Rc<ConnectionPool> {
         POOL.with(Rc::clone)
     }
     fn peer(&self, addr: &str) -> Rc<Peer> {
@@ -174,7 +174,7 @@
     }
 
     /// The newest idle channel that has not rested for longer than `most`.
-    pub fn idle(&self, addr: &str, most: Ms, now: Ms) -> Option<Channel> {
+    pub fn take_idle(&self, addr: &str, most: Ms, now: Ms) -> Option<Connection> {
         let p = self.peers.borrow().get(addr)?.clone();
         let mut idle = p.idle.borrow_mut();
         idle.retain(|c| !c.send.is_closed() && c.rests(Ms::MAX, now));
@@ -185,13 +185,13 @@
     }
 
     /// Opens a channel, unless `most` are open already. `way`: ms there and back.
-    pub async fn open(
+    pub async fn connect(
         &self,
         addr: &str,
         most: usize,
         way: Ms,
         left: Ms,
-    ) -> Result<(Channel, Ms), Unopened> {
+    ) -> Result<(Connection, Ms), ConnectError> {
         let peer = self.peer(addr);
         if peer.open.get() >= most {
             // Those that rest too long for this request make room.
@@ -200,11 +200,12 @@
                 (!idle.is_empty()).then(|| idle.remove(0))
             };
             if oldest.is_none() {
-                return Err(Unopened::Full);
+                return Err(ConnectError::LimitReached);
             }
         }
-        let lost =
-            |e: &dyn std::fmt::Display| Unopened::Lost(format!("opening a channel to {addr}: {e}"));
+        let lost = |e: &dyn std::fmt::Display| {
+            ConnectError::Failed(format!("opening a channel to {addr}: {e}"))
+        };
         let to: SocketAddr = addr.parse().map_err(|e| lost(&e))?;
         let s = TcpSocket::new_v4().map_err(|e| lost(&e))?;
         let _ = s.set_nodelay(true);
@@ -222,7 +223,7 @@
             Ok(Ok(s)) => s,
             Ok(Err(e)) => return Err(lost(&e)),
             Err(_) => {
-                return Err(Unopened::Dark(format!(
+                return Err(ConnectError::TimedOut(format!(
                     "opening a channel to {addr}: nothing after {limit} ms"
                 )));
             }
@@ -241,21 +242,21 @@
             let _ = io.await;
         });
         Ok((
-            Channel {
+            Connection {
                 send,
                 io,
                 fd,
                 counted,
                 rested: at + took,
                 keep: IDLE_KEPT,
-                used: false,
+                was_used: false,
             },
             took,
         ))
     }
 
     /// Takes back a channel whose answer came whole.
-    pub fn rest(&self, mut c: Channel, now: Ms) {
+    pub fn put_back(&self, mut c: Connection, now: Ms) {
         if c.send.is_closed() || c.keep == 0 {
             return;
         }
@@ -266,7 +267,7 @@
         self.sweep(now);
     }
     /// Reads what little is left of an answer that nobody wants, and takes the channel back.
-    pub fn read_off(self: Rc<Self>, c: Channel, body: Incoming) {
+    pub fn drain(self: Rc<Self>, c: Connection, body: Incoming) {
         actix_rt::spawn(async move {
             let whole = timeout(
                 SENT_LIMIT,
@@ -274,7 +275,7 @@
             )
             .await;
             if matches!(whole, Ok(Ok(_))) {
-                self.rest(c, clock::now());
+                self.put_back(c, clock::now());
             }
         });
     }
--- a/edge-proxy/src/dialect.rs
+++ b/edge-proxy/src/protocol_adapter.rs
@@ -2,19 +2,19 @@
 
 use coordination::{
     Ms,
-    pass::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals},
     proxy::Assignment,
 };
 use http::HeaderMap;
 use remote_calls::PathSpec;
 
-pub trait Dialect: Send + Sync {
+pub trait ProtocolAdapter: Send + Sync {
     /// What a downstream's headers tell of its request.
-    fn ask(&self, host: &str, path: &str, h: &HeaderMap) -> RequestHead;
+    fn request_head(&self, host: &str, path: &str, h: &HeaderMap) -> RequestHead;
     /// Dresses a round's headers for the replica that it goes to, with the time left.
-    fn dress(&self, h: &mut HeaderMap, lane: &PathSpec, p: &Assignment, left: Ms);
+    fn set_replica_headers(&self, h: &mut HeaderMap, lane: &PathSpec, p: &Assignment, left: Ms);
     /// What the head of an answer tells of its replica.
-    fn told(&self, status: u16, h: &HeaderMap) -> ResponseSignals;
+    fn response_signals(&self, status: u16, h: &HeaderMap) -> ResponseSignals;
     /// Path at which it is asked whether this edge serves.
-    fn ready_path(&self) -> &str;
+    fn readiness_path(&self) -> &str;
 }
--- a/edge-proxy/src/round.rs
+++ b/edge-proxy/src/replica_stream.rs
@@ -20,7 +20,7 @@
 type Body = Pin<Box<dyn Stream<Item = Result<Bytes, awc::error::PayloadError>>>>;
 
 /// A begun round: lines come one at a time.
-pub struct Round {
+pub struct ReplicaStream {
     lines: LineChecker,
     body: Body,
     buffer: Vec<u8>,
@@ -28,12 +28,12 @@
 }
 
 /// Begins a round. Connecting is told apart from sending: before it nothing can have reached the replica.
-pub async fn begin(
+pub async fn call_replica(
     c: &Client,
     q: &RunRequest,
     p: &Assignment,
     until: Ms,
-) -> Result<Round, AttemptError> {
+) -> Result<ReplicaStream, AttemptError> {
     let left = until.saturating_sub(clock::now());
     let body = GenerateRequest {
         request: q.request.clone(),
@@ -80,7 +80,7 @@
         });
     }
     let lines = LineChecker::new(&q.request, &p.replica, q.resume.as_ref());
-    Ok(Round {
+    Ok(ReplicaStream {
         lines,
         body: Box::pin(a),
         buffer: vec![],
@@ -88,7 +88,7 @@
     })
 }
 
-impl Round {
+impl ReplicaStream {
     pub async fn next(&mut self) -> CheckedLine {
         loop {
             if let Some(i) = self.buffer.iter().position(|b| *b == b'\n') {
--- a/edge-proxy/src/upload.rs
+++ b/edge-proxy/src/request_body.rs
@@ -14,12 +14,12 @@
 use futures_util::{Stream, StreamExt};
 use http_body::{Body, Frame, SizeHint};
 
-pub enum Upload {
+pub enum RequestBody {
     /// All of it: small enough to be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Its beginning, and the rest as the downstream sends it; `left` of all, if its length was told, and `room` for
     /// what may still come.
-    Flow {
+    Streaming {
         head: Bytes,
         rest: Payload,
         left: Option<u64>,
@@ -30,12 +30,12 @@
 
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    Cut,
+pub enum BodyError {
+    Incomplete,
     TooLarge,
 }
 
-impl Upload {
+impl RequestBody {
     /// Reads a small body whole; of a large one only so much that it is known to be large.
     /// `most`: bytes that it may have; `over` is set once more than these come, if that is only seen while it flows.
     pub async fn read(
@@ -43,20 +43,20 @@
         length: Option<u64>,
         most: u64,
         over: Rc<Cell<bool>>,
-    ) -> Result<Self, Unread> {
+    ) -> Result<Self, BodyError> {
         if length.is_some_and(|n| n > most) {
-            return Err(Unread::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         // Memory grows with what arrives, not with what the length claims.
         let mut b = BytesMut::new();
         while let Some(x) = p.next().await {
-            let x = x.map_err(|_| Unread::Cut)?;
+            let x = x.map_err(|_| BodyError::Incomplete)?;
             b.extend_from_slice(&x);
             let Some(room) = most.checked_sub(b.len() as u64) else {
-                return Err(Unread::TooLarge);
+                return Err(BodyError::TooLarge);
             };
             if b.len() > UPLOAD_KEPT {
-                return Ok(Upload::Flow {
+                return Ok(RequestBody::Streaming {
                     head: b.freeze(),
                     rest: p,
                     left: length,
@@ -65,18 +65,18 @@
                 });
             }
         }
-        Ok(Upload::Whole(b.freeze()))
+        Ok(RequestBody::Buffered(b.freeze()))
     }
     /// The same body for a further round, if all of it is kept.
-    pub fn again(&self) -> Option<Self> {
+    pub fn clone_buffered(&self) -> Option<Self> {
         match self {
-            Upload::Whole(b) => Some(Upload::Whole(b.clone())),
-            Upload::Flow { .. } => None,
+            RequestBody::Buffered(b) => Some(RequestBody::Buffered(b.clone())),
+            RequestBody::Streaming { .. } => None,
         }
     }
 }
 
-impl Body for Upload {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -85,9 +85,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let piece = match &mut *self {
-            Upload::Whole(b) if b.is_empty() => return Poll::Ready(None),
-            Upload::Whole(b) => std::mem::take(b),
-            Upload::Flow {
+            RequestBody::Buffered(b) if b.is_empty() => return Poll::Ready(None),
+            RequestBody::Buffered(b) => std::mem::take(b),
+            RequestBody::Streaming {
                 head,
                 rest,
                 left,
@@ -118,13 +118,13 @@
         Poll::Ready(Some(Ok(Frame::data(piece))))
     }
     fn is_end_stream(&self) -> bool {
-        matches!(self, Upload::Whole(b) if b.is_empty())
+        matches!(self, RequestBody::Buffered(b) if b.is_empty())
     }
     fn size_hint(&self) -> SizeHint {
         match self {
-            Upload::Whole(b) => SizeHint::with_exact(b.len() as u64),
-            Upload::Flow { left: Some(n), .. } => SizeHint::with_exact(*n),
-            Upload::Flow { .. } => SizeHint::new(),
+            RequestBody::Buffered(b) => SizeHint::with_exact(b.len() as u64),
+            RequestBody::Streaming { left: Some(n), .. } => SizeHint::with_exact(*n),
+            RequestBody::Streaming { .. } => SizeHint::new(),
         }
     }
 }
--- a/edge-proxy/src/stopping.rs
+++ b/edge-proxy/src/shutdown.rs
@@ -19,12 +19,12 @@
 
 /// Whether this proxy stops, and what it still has open.
 #[derive(Default)]
-pub struct Stopping {
+pub struct ShutdownGate {
     state: Mutex<Shutdown>,
     over: watch::Sender<bool>,
 }
 
-impl Stopping {
+impl ShutdownGate {
     fn state(&self) -> MutexGuard<'_, Shutdown> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -35,61 +35,61 @@
     pub fn is_begun(&self) -> bool {
         self.state().is_begun()
     }
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.state().open()
     }
     /// Whether a request that has come in whole is taken.
-    pub fn take(&self) -> bool {
+    pub fn try_accept(&self) -> bool {
         self.state().take(clock::now())
     }
     /// Returns when the grace is over.
-    pub async fn over(&self) {
+    pub async fn grace_over(&self) {
         // The sender lives as long as this.
         let _ = self.over.subscribe().wait_for(|over| *over).await;
     }
 }
 
 /// What a request is told that comes too late.
-pub fn refusal() -> Fault {
+pub fn shutdown_rejection() -> Fault {
     Fault::new("stopping", "take_request", "this edge stops")
         .outcome(Outcome::NotRun)
         .retry(STOP_RETRY)
 }
 
 /// A request that is open, from its head to the end of its answer.
-pub struct Open {
-    stopping: Arc<Stopping>,
+pub struct OpenRequest {
+    stopping: Arc<ShutdownGate>,
     held: Option<Held>,
 }
 
-impl Open {
-    pub fn new(s: &Arc<Stopping>, r: &HttpRequest) -> Self {
+impl OpenRequest {
+    pub fn new(s: &Arc<ShutdownGate>, r: &HttpRequest) -> Self {
         s.state().opened();
-        Open {
+        OpenRequest {
             stopping: s.clone(),
             held: r.conn_data::<Rc<Downstream>>().map(Held::new),
         }
     }
     /// The request is held until then at the most.
-    pub fn until(&self, t: Ms) {
+    pub fn set_deadline(&self, t: Ms) {
         self.held.iter().for_each(|h| h.until(t));
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.stopping.state().closed();
     }
 }
 
 /// Goes from SIGTERM to the moment at which the process is to end.
-pub async fn wind_down(s: &Stopping, h: &ServerHandle, grace: Ms) {
+pub async fn shut_down(s: &ShutdownGate, h: &ServerHandle, grace: Ms) {
     let asked = clock::now();
     s.begin(grace, asked);
     while !s.state().is_done(clock::now()) {
         tokio::time::sleep(STOP_LOOK).await;
     }
-    let (open, taken) = (s.open(), s.state().last_taken());
+    let (open, taken) = (s.open_requests(), s.state().last_taken());
     if open > 0 {
         let text = format!(
             "open={open} last_taken_ms={} now_ms={}",
--- a/edge-proxy/tests/limits.rs
+++ b/edge-proxy/tests/limits.rs
@@ -318,7 +318,8 @@
             d.send(request("a", "q")).await;
             e.until(|_| r.count() == 1).await;
             // It reads nothing, and its replica is let go all the same.
-            e.until(|e| e.open() == 0 && e.stopping.open() == 0).await;
+            e.until(|e| e.open() == 0 && e.stopping.open_requests() == 0)
+                .await;
             drop(d);
         }
     });
--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -14,7 +14,7 @@
     clock,
     limits::{IDLE_KEPT, NOT_YET},
 };
-use edge_proxy::shared::hold;
+use edge_proxy::shared::lock;
 use googletest::prelude::*;
 use support::*;
 use tokio::sync::Notify;
@@ -242,7 +242,7 @@
         // Time enough that it is served as soon as it may be, however busy the machine is.
         let e = Edge::of(Bounds::default(), 3_600_000, Lane::of("once", 1), &[r.addr]).await;
         let rule = |e: &Edge, rule, until| {
-            hold(&e.brain).on_table_update(
+            lock(&e.brain).on_table_update(
                 TableUpdate {
                     serving_rule: rule,
                     valid_until: until,
@@ -254,7 +254,7 @@
         rule(&e, REJECT_ALL, 0);
         let mut d = Downstream::to(e.addr).await;
         d.send(request("a", "q")).await;
-        e.until(|e| e.stopping.open() == 1).await;
+        e.until(|e| e.stopping.open_requests() == 1).await;
         rule(&e, SERVE_ALL, u64::MAX);
         expect_that!(d.answer().await.status, eq(200));
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
@@ -809,7 +809,7 @@
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
         let ready = async |rule, until| {
-            hold(&e.brain).on_table_update(
+            lock(&e.brain).on_table_update(
                 TableUpdate {
                     serving_rule: rule,
                     valid_until: until,
@@ -893,13 +893,13 @@
         );
         let (stopping, handle) = (e.stopping.clone(), e.handle.clone());
         let ended = actix_rt::spawn(async move {
-            edge_proxy::stopping::wind_down(&stopping, &handle, LONG).await
+            edge_proxy::shutdown::shut_down(&stopping, &handle, LONG).await
         });
         go.notify_one();
         let a = open.answer().await;
         expect_that!((a.body, a.whole), eq(&(events(1..=2), true)));
         ended.await.unwrap();
-        expect_that!((e.stopping.open(), r.count()), eq((0, 1)));
+        expect_that!((e.stopping.open_requests(), r.count()), eq((0, 1)));
     });
 }
 
@@ -914,7 +914,7 @@
         open.send(request("a", "q")).await;
         e.until(|_| r.count() == 1).await;
         e.stopping.begin(0, clock::now());
-        edge_proxy::stopping::wind_down(&e.stopping, &e.handle, LONG).await;
+        edge_proxy::shutdown::shut_down(&e.stopping, &e.handle, LONG).await;
         let a = open.answer().await;
         // A replica is at work on it: nobody may say that it has not run.
         expect_that!(
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -14,17 +14,17 @@
     Ms,
     bounds::Bounds,
     edge_agent::SERVE_ALL,
-    pass::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals},
     proxy::{Assignment, Proxy},
     wire::{Blob, Change, TableUpdate},
 };
 use daemon_parts::{clock, limits::NOT_YET};
 use edge_proxy::{
     actor::ProxyActor,
-    dialect::Dialect,
-    front::Front,
-    shared::{Shared, hold},
-    stopping::Stopping,
+    listener::Listener,
+    protocol_adapter::ProtocolAdapter,
+    shared::{SharedProxy, lock},
+    shutdown::ShutdownGate,
 };
 use http::HeaderMap;
 use remote_calls::{DownstreamLimits, PathSpec};
@@ -43,8 +43,8 @@
 fn text(h: &HeaderMap, n: &str) -> Option<String> {
     h.get(n)?.to_str().ok().map(str::to_string)
 }
-impl Dialect for Plain {
-    fn ask(&self, host: &str, path: &str, h: &HeaderMap) -> RequestHead {
+impl ProtocolAdapter for Plain {
+    fn request_head(&self, host: &str, path: &str, h: &HeaderMap) -> RequestHead {
         let left = text(h, "left").and_then(|v| v.parse().ok());
         let round = text(h, "round").unwrap_or_default();
         RequestHead {
@@ -56,11 +56,11 @@
             ..RequestHead::default()
         }
     }
-    fn dress(&self, h: &mut HeaderMap, _: &PathSpec, p: &Assignment, left: Ms) {
+    fn set_replica_headers(&self, h: &mut HeaderMap, _: &PathSpec, p: &Assignment, left: Ms) {
         h.insert("replica", p.replica.parse().unwrap());
         h.insert("left", left.into());
     }
-    fn told(&self, status: u16, h: &HeaderMap) -> ResponseSignals {
+    fn response_signals(&self, status: u16, h: &HeaderMap) -> ResponseSignals {
         let not_run = status == 421 || h.contains_key("not-run");
         ResponseSignals {
             attempt_id: text(h, "round"),
@@ -69,7 +69,7 @@
             ..ResponseSignals::default()
         }
     }
-    fn ready_path(&self) -> &str {
+    fn readiness_path(&self) -> &str {
         "/ready"
     }
 }
@@ -361,8 +361,8 @@
 pub struct Edge {
     pub addr: SocketAddr,
     pub ready: SocketAddr,
-    pub brain: Shared,
-    pub stopping: Arc<Stopping>,
+    pub brain: SharedProxy,
+    pub stopping: Arc<ShutdownGate>,
     pub handle: ServerHandle,
 }
 
@@ -422,16 +422,16 @@
         };
         b.on_table_update(m, clock::now());
         assert!(b.is_ready(clock::now()), "the test's spec is none");
-        let brain: Shared = Arc::new(Mutex::new(b));
+        let brain: SharedProxy = Arc::new(Mutex::new(b));
         let (front, ready) = (bound(), bound());
         let (addr, ready_addr) = (front.local_addr().unwrap(), ready.local_addr().unwrap());
-        let stopping = Arc::new(Stopping::default());
-        let f = Front {
-            brain: brain.clone(),
-            dialect: Arc::new(Plain),
-            stopping: stopping.clone(),
-            ready: ready_addr.to_string(),
-            not_yet,
+        let stopping = Arc::new(ShutdownGate::default());
+        let f = Listener {
+            proxy: brain.clone(),
+            adapter: Arc::new(Plain),
+            shutdown: stopping.clone(),
+            readiness_addr: ready_addr.to_string(),
+            startup_wait: not_yet,
         };
         let agent = nowhere().to_string();
         let actor = ProxyActor::new("edge-1", "127.0.0.1:1", &agent, brain.clone()).start();
@@ -449,7 +449,7 @@
     /// The spec changes while the edge runs.
     pub fn set_spec(&self, version: u64, lane: &Lane) {
         let changes = [change("spec", version, &spec(lane))].into_iter().collect();
-        hold(&self.brain).on_table_update(
+        lock(&self.brain).on_table_update(
             TableUpdate {
                 serving_rule: SERVE_ALL,
                 valid_until: u64::MAX,
@@ -461,7 +461,7 @@
     }
     /// Rounds that the brain holds to be open.
     pub fn open(&self) -> u32 {
-        hold(&self.brain)
+        lock(&self.brain)
             .full_report(clock::now())
             .open_streams
             .0
@@ -471,14 +471,14 @@
     }
     /// Sums over the brain's tallies: sent, answered, failed.
     pub fn tallies(&self) -> (u64, u64, u64) {
-        let all = hold(&self.brain).full_report(clock::now()).counters.0;
+        let all = lock(&self.brain).full_report(clock::now()).counters.0;
         all.iter().fold((0, 0, 0), |a, t| {
             (a.0 + t.sent, a.1 + t.succeeded, a.2 + t.failed)
         })
     }
     /// Waits until nothing is open: channels to replicas rest, and the next request may take them.
     pub async fn rests(&self) {
-        self.until(|e| e.stopping.open() == 0).await;
+        self.until(|e| e.stopping.open_requests() == 0).await;
     }
     pub async fn until(&self, what: impl Fn(&Edge) -> bool) {
         let looked = async {
--- a/fleet-simulator/src/world/engine.rs
+++ b/fleet-simulator/src/world/engine.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use coordination::{
-    pass::{AttemptOutcome, RequestHead, ResponseSignals as Heard},
+    exchange::{AttemptOutcome, RequestHead, ResponseSignals as Heard},
     placement::{CONNECT_COST_MS, IDLE_CONNECTION_MAX_AGE, shared_prefix},
 };
 use remote_calls::PathSpec;
--- a/fleet-simulator/src/world/engine/model.rs
+++ b/fleet-simulator/src/world/engine/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coordination::{pass::PrefixBlock, rendezvous::combine_hashes};
+use coordination::{exchange::PrefixBlock, rendezvous::combine_hashes};
 use serde::Deserialize;
 
 /// What an engine can do.
