--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -1,4 +1,4 @@
-//! The one owner of a proxy's brain.
+//! The actor that talks to the agent, polls replicas for their reports and owns the requests that wait for a slot.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,6 +6,8 @@
 use awc::Client;
 use coordination::{
     Ms,
+    claims::{ABSTAINED, CLAIM_TIMEOUT},
+    events,
     proxy::{Admission, Assignment, OutcomeClass},
     timing::{REPORT_INTERVAL, TICK_INTERVAL},
 };
@@ -18,184 +20,213 @@
 };
 use remote_calls::{Fault, ReplicaReport, RunRequest, calls};
 use tokio::sync::oneshot;
-use wire_messages::{ClaimRequest, Message, Name};
+use wire_messages::{ClaimRequest, Message as WireMessage, Name};
 
 use crate::shared::{SharedProxy, lock};
 
-/// A request that waits for a place.
+/// A request that waits for a slot.
 struct Waiter {
-    q: RunRequest,
+    request: RunRequest,
     tried: Vec<String>,
-    to: oneshot::Sender<Result<Assignment, Fault>>,
+    reply: oneshot::Sender<Result<Assignment, Fault>>,
 }
 
+/// The proxy's side of the channel to its agent.
 pub struct ProxyActor {
     pub name: String,
-    pub listen: String,
-    pub agent: Name,
-    pub brain: SharedProxy,
-    ch: Option<Channels>,
+    pub proxy: SharedProxy,
+    /// The proxy was asked to stop.
+    pub is_stopping: bool,
+    listen_addr: String,
+    agent_addr: Name,
+    channels: Option<Channels>,
     client: Client,
     claims: HashMap<u64, oneshot::Sender<u8>>,
-    waiting: HashMap<u64, Waiter>,
-    token: u64,
-    next_report: Ms,
-    next_hello: Ms,
-    pub stopping: bool,
+    waiters: HashMap<u64, Waiter>,
+    last_token: u64,
+    next_poll_at: Ms,
+    next_report_at: Ms,
 }
 
 impl ProxyActor {
-    pub fn new(name: &str, listen: &str, agent: &str, brain: SharedProxy) -> Self {
+    /// An actor that has not connected yet.
+    pub fn new(name: &str, listen_addr: &str, agent_addr: &str, proxy: SharedProxy) -> Self {
         ProxyActor {
             name: name.into(),
-            listen: listen.into(),
-            agent: agent.into(),
-            brain,
-            ch: None,
+            proxy,
+            is_stopping: false,
+            listen_addr: listen_addr.into(),
+            agent_addr: agent_addr.into(),
+            channels: None,
             client: Client::builder().disable_timeout().finish(),
             claims: HashMap::new(),
-            waiting: HashMap::new(),
-            token: 0,
-            next_report: 0,
-            next_hello: 0,
-            stopping: false,
+            waiters: HashMap::new(),
+            last_token: 0,
+            next_poll_at: 0,
+            next_report_at: 0,
         }
     }
 
-    /// Gives places that came free to those who wait, best tier first.
-    fn wake(&mut self) {
+    fn next_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
+    }
+
+    fn send_to_agent(&mut self, message: impl Into<WireMessage>) {
+        if let Some(channels) = &mut self.channels {
+            channels.send(&self.agent_addr, message.into());
+        }
+    }
+
+    // ---- requests that wait for a slot ----
+
+    /// Gives slots that came free to requests that wait, the most urgent first.
+    fn assign_waiters(&mut self) {
         let now = clock::now();
-        let (tokens, late) = lock(&self.brain).poll_queue(now);
-        if tokens.is_empty() && late.is_empty() {
-            return;
+        let (queued, expired) = lock(&self.proxy).poll_queue(now);
+        for token in expired {
+            self.reject_waiter(token);
         }
-        for t in late {
-            self.give_up(t);
+        for token in queued {
+            self.assign_waiter(token, now);
         }
-        for t in tokens {
-            let Some(w) = self.waiting.get(&t) else {
-                continue;
-            };
-            let admit = lock(&self.brain).assign_named(&w.q, &w.tried, now);
-            let r = match admit {
-                Admission::Assigned(p) => Ok(p),
-                Admission::Rejected(f) => Err(f),
-                Admission::NoFreeSlot => continue,
-            };
-            lock(&self.brain).dequeue(t);
-            let Some(w) = self.waiting.remove(&t) else {
-                continue;
-            };
-            // A caller that left while waiting gives its place back.
-            if let Err(Ok(p)) = w.to.send(r) {
-                lock(&self.brain).record_outcome(&p, OutcomeClass::ClientGone, now);
-            }
+    }
+
+    fn assign_waiter(&mut self, token: u64, now: Ms) {
+        let Some(waiter) = self.waiters.get(&token) else {
+            return;
+        };
+        let admission = lock(&self.proxy).assign_named(&waiter.request, &waiter.tried, now);
+        let result = match admission {
+            Admission::Assigned(assignment) => Ok(assignment),
+            Admission::Rejected(fault) => Err(fault),
+            Admission::NoFreeSlot => return,
+        };
+        lock(&self.proxy).dequeue(token);
+        let Some(waiter) = self.waiters.remove(&token) else {
+            return;
+        };
+        // A caller that left while it waited gives its slot back.
+        if let Err(Ok(assignment)) = waiter.reply.send(result) {
+            lock(&self.proxy).record_outcome(&assignment, OutcomeClass::ClientGone, now);
         }
     }
 
-    fn give_up(&mut self, token: u64) {
-        let Some(w) = self.waiting.remove(&token) else {
+    fn reject_waiter(&mut self, token: u64) {
+        let Some(waiter) = self.waiters.remove(&token) else {
             return;
         };
-        let f = lock(&self.brain).reject("full", "wait", "no place came free soon enough");
-        let _ = w.to.send(Err(f));
+        let message = "no place came free soon enough";
+        let fault = lock(&self.proxy).reject("full", "wait", message);
+        let _ = waiter.reply.send(Err(fault));
     }
 
-    fn ask_replicas(&mut self, now: Ms, ctx: &mut Context<Self>) {
-        if now < self.next_report {
+    // ---- replicas ----
+
+    fn poll_replicas(&mut self, now: Ms, context: &mut Context<Self>) {
+        if now < self.next_poll_at {
             return;
         }
-        self.next_report = now + REPORT_INTERVAL;
-        let all = lock(&self.brain).replicas_to_poll();
-        for (_, addr) in all {
-            let c = self.client.clone();
-            let f = async move {
-                http::call::<(), ReplicaReport>(&c, &addr, calls::REPORT, None, CALL_LIMIT).await
+        self.next_poll_at = now + REPORT_INTERVAL;
+        let replicas = lock(&self.proxy).replicas_to_poll();
+        for (_, addr) in replicas {
+            let client = self.client.clone();
+            let call = async move {
+                http::call::<(), ReplicaReport>(&client, &addr, calls::REPORT, None, CALL_LIMIT)
+                    .await
             };
-            ctx.spawn(f.into_actor(self).map(move |r, me, _| {
-                if let Ok(r) = r {
-                    lock(&me.brain).on_report(r, now);
-                    me.wake();
+            context.spawn(call.into_actor(self).map(move |report, actor, _| {
+                if let Ok(report) = report {
+                    lock(&actor.proxy).on_report(report, now);
+                    actor.assign_waiters();
                 }
             }));
         }
     }
 
-    /// Tells the agent at once that this proxy stops: others no longer send callers to it.
+    // ---- reports to the agent ----
+
+    /// Tells the agent at once that this proxy stops: other proxies no longer send callers to it.
     pub fn stop(&mut self, now: Ms) {
-        (self.stopping, self.next_hello) = (true, 0);
-        self.say_hello(now);
+        self.is_stopping = true;
+        self.next_report_at = 0;
+        self.report_counters(now);
     }
 
-    fn say_hello(&mut self, now: Ms) {
-        if now < self.next_hello {
+    fn report_counters(&mut self, now: Ms) {
+        if now < self.next_report_at {
             return;
         }
-        self.next_hello = now + HELLO_EVERY;
-        let mut m = lock(&self.brain).changed_report(now);
+        self.next_report_at = now + HELLO_EVERY;
+        let mut report = lock(&self.proxy).changed_report(now);
         // A proxy that stops is no longer nominated.
-        if self.stopping {
-            m.http_addr = Name::default();
-        }
-        if let Some(ch) = &mut self.ch {
-            ch.send(&self.agent, m.into());
+        if self.is_stopping {
+            report.http_addr = Name::default();
         }
+        self.send_to_agent(report);
     }
-}
 
-impl ProxyActor {
-    /// Tells the holders of duties, by way of the agent, which shared context is often asked for.
-    fn tell_demands(&mut self, now: Ms) {
-        let all = lock(&self.brain).context_demands(now);
-        if let Some(ch) = &mut self.ch {
-            all.into_iter().for_each(|m| ch.send(&self.agent, m.into()));
+    /// Reports to the lease holders, by way of the agent, which shared context is often requested.
+    fn report_context_demand(&mut self, now: Ms) {
+        let demands = lock(&self.proxy).context_demands(now);
+        for demand in demands {
+            self.send_to_agent(demand);
         }
     }
-    /// Tells other proxies, by way of the agents, which long prompts went where.
-    fn tell_readings(&mut self, now: Ms) {
-        let all: Vec<_> = lock(&self.brain).take_prefill_reports(now).collect();
-        let Some(ch) = &mut self.ch else { return };
-        all.into_iter().for_each(|m| ch.send(&self.agent, m.into()));
+
+    /// Reports to other proxies, by way of the agents, which long prompts went where.
+    fn report_prefills(&mut self, now: Ms) {
+        let reports: Vec<_> = lock(&self.proxy).take_prefill_reports(now).collect();
+        for report in reports {
+            self.send_to_agent(report);
+        }
     }
 }
 
 impl Actor for ProxyActor {
     type Context = Context<Self>;
-    fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
-        self.ch = Some(Channels::new(
+
+    fn started(&mut self, context: &mut Self::Context) {
+        context.set_mailbox_capacity(MAILBOX);
+        self.channels = Some(Channels::new(
             &self.name,
-            &self.listen,
-            ctx.address().recipient(),
+            &self.listen_addr,
+            context.address().recipient(),
         ));
-        ctx.run_interval(Duration::from_millis(TICK_INTERVAL), |me, ctx| {
+        let interval = Duration::from_millis(TICK_INTERVAL);
+        context.run_interval(interval, |actor, context| {
             let now = clock::now();
-            me.say_hello(now);
-            me.tell_readings(now);
-            me.tell_demands(now);
-            me.ask_replicas(now, ctx);
-            me.wake();
+            actor.report_counters(now);
+            actor.report_prefills(now);
+            actor.report_context_demand(now);
+            actor.poll_replicas(now, context);
+            actor.assign_waiters();
         });
     }
 }
 
 impl Handler<Incoming> for ProxyActor {
     type Result = ();
-    fn handle(&mut self, m: Incoming, _: &mut Self::Context) {
-        // Only the agent beside this proxy tells it anything.
-        if m.0.addr != self.agent {
+
+    fn handle(&mut self, incoming: Incoming, _: &mut Self::Context) {
+        // Only the agent beside this proxy may send it anything.
+        if incoming.0.addr != self.agent_addr {
             return event(
-                coordination::events::INVALID_FRAME,
-                &m.0.addr,
+                events::INVALID_FRAME,
+                &incoming.0.addr,
                 "is not this proxy's agent",
             );
         }
-        match m.0.msg {
-            Message::PrefillReport(r) => lock(&self.brain).on_prefill_report(r, clock::now()),
-            Message::TableUpdate(b) => lock(&self.brain).on_table_update(b, clock::now()),
-            Message::ClaimResult(t) => {
-                if let Some(s) = self.claims.remove(&t.token) {
-                    let _ = s.send(t.state);
+        match incoming.0.msg {
+            WireMessage::PrefillReport(report) => {
+                lock(&self.proxy).on_prefill_report(report, clock::now());
+            }
+            WireMessage::TableUpdate(update) => {
+                lock(&self.proxy).on_table_update(update, clock::now());
+            }
+            WireMessage::ClaimResult(result) => {
+                if let Some(reply) = self.claims.remove(&result.token) {
+                    let _ = reply.send(result.state);
                 }
             }
             _ => {}
@@ -205,101 +236,110 @@
 
 impl<T: Send + 'static> Handler<Look<Self, T>> for ProxyActor {
     type Result = Result<T, ()>;
-    fn handle(&mut self, m: Look<Self, T>, _: &mut Self::Context) -> Self::Result {
-        Ok((m.0)(self, clock::now()))
+
+    fn handle(&mut self, look: Look<Self, T>, _: &mut Self::Context) -> Self::Result {
+        Ok((look.0)(self, clock::now()))
     }
 }
 
-/// Claims a request for a round, or voids it.
+/// Claims a request for a run, or voids it.
 #[derive(Message)]
 #[rtype(result = "u8")]
 pub struct ClaimRun {
     pub request: String,
-    pub round: u64,
+    pub attempt_seed: u64,
     pub void: bool,
     /// ms since a caller's key was first used.
-    pub age: u64,
+    pub key_age_ms: u64,
 }
+
 impl Handler<ClaimRun> for ProxyActor {
     type Result = ResponseFuture<u8>;
-    fn handle(&mut self, m: ClaimRun, _: &mut Self::Context) -> Self::Result {
-        self.token += 1;
-        let (s, r) = oneshot::channel();
-        self.claims.insert(self.token, s);
-        let ask = ClaimRequest {
-            token: self.token,
-            request: m.request.into(),
-            attempt: m.round,
-            void: m.void.into(),
-            key_age_ms: m.age,
-        };
-        if let Some(ch) = &mut self.ch {
-            ch.send(&self.agent, ask.into());
-        }
+
+    fn handle(&mut self, claim: ClaimRun, _: &mut Self::Context) -> Self::Result {
+        let token = self.next_token();
+        let (reply, result) = oneshot::channel();
+        self.claims.insert(token, reply);
+        self.send_to_agent(ClaimRequest {
+            token,
+            request: claim.request.into(),
+            attempt: claim.attempt_seed,
+            void: claim.void.into(),
+            key_age_ms: claim.key_age_ms,
+        });
         // An agent that has died answers nothing: no majority was heard.
-        let limit = Duration::from_millis(2 * coordination::claims::CLAIM_TIMEOUT);
+        let limit = Duration::from_millis(2 * CLAIM_TIMEOUT);
         Box::pin(async move {
-            match tokio::time::timeout(limit, r).await {
+            match tokio::time::timeout(limit, result).await {
                 Ok(Ok(state)) => state,
-                _ => coordination::claims::ABSTAINED,
+                _ => ABSTAINED,
             }
         })
     }
 }
 
-/// Finds a place, waiting in the buffer if all are taken.
+/// Assigns a replica, waiting in the queue if no slot is free.
 #[derive(Message)]
 #[rtype(result = "Result<Assignment, Fault>")]
 pub struct AssignReplica {
-    pub q: RunRequest,
+    pub request: RunRequest,
     pub rank: u32,
     pub time_left: Ms,
     pub tried: Vec<String>,
 }
+
 impl Handler<AssignReplica> for ProxyActor {
     type Result = ResponseFuture<Result<Assignment, Fault>>;
-    fn handle(&mut self, m: AssignReplica, _: &mut Self::Context) -> Self::Result {
+
+    fn handle(&mut self, wanted: AssignReplica, _: &mut Self::Context) -> Self::Result {
         let now = clock::now();
-        let admit = lock(&self.brain).assign_named(&m.q, &m.tried, now);
-        match admit {
-            Admission::Assigned(p) => return Box::pin(async { Ok(p) }),
-            Admission::Rejected(f) => return Box::pin(async { Err(f) }),
+        let admission = lock(&self.proxy).assign_named(&wanted.request, &wanted.tried, now);
+        match admission {
+            Admission::Assigned(assignment) => return Box::pin(async { Ok(assignment) }),
+            Admission::Rejected(fault) => return Box::pin(async { Err(fault) }),
             Admission::NoFreeSlot => {}
         }
-        self.token += 1;
-        let t = self.token;
-        let (to, r) = oneshot::channel();
-        self.waiting.insert(
-            t,
-            Waiter {
-                q: m.q,
-                tried: m.tried,
-                to,
-            },
-        );
-        let worst = lock(&self.brain).enqueue(t, m.rank, m.time_left, now);
-        for worst in worst {
-            self.give_up(worst);
+        let token = self.next_token();
+        let (reply, result) = oneshot::channel();
+        let waiter = Waiter {
+            request: wanted.request,
+            tried: wanted.tried,
+            reply,
+        };
+        self.waiters.insert(token, waiter);
+        let displaced = lock(&self.proxy).enqueue(token, wanted.rank, wanted.time_left, now);
+        for token in displaced {
+            self.reject_waiter(token);
         }
         Box::pin(async move {
-            r.await.unwrap_or_else(|_| {
+            result.await.unwrap_or_else(|_| {
                 Err(Fault::new("overload", "wait", "the buffer was dropped").retry(1_000))
             })
         })
     }
 }
 
-/// A round ended.
+/// An attempt by named service is over.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct AttemptEnded(pub Assignment, pub OutcomeClass);
+pub struct AttemptEnded {
+    pub assignment: Assignment,
+    pub outcome: OutcomeClass,
+}
+
 impl Handler<AttemptEnded> for ProxyActor {
     type Result = ();
-    fn handle(&mut self, m: AttemptEnded, _: &mut Self::Context) {
-        let suspect = lock(&self.brain).record_outcome(&m.0, m.1, clock::now());
-        if let Some(v) = suspect {
-            event(coordination::events::VERSION_SUSPECTED, &m.0.replica, &v);
+
+    fn handle(&mut self, ended: AttemptEnded, _: &mut Self::Context) {
+        let capped =
+            lock(&self.proxy).record_outcome(&ended.assignment, ended.outcome, clock::now());
+        if let Some(version) = capped {
+            event(
+                events::VERSION_SUSPECTED,
+                &ended.assignment.replica,
+                &version,
+            );
         }
-        self.wake();
+        self.assign_waiters();
     }
 }
--- a/edge-proxy/src/lib.rs
+++ b/edge-proxy/src/lib.rs
@@ -1,8 +1,12 @@
-//! The edge proxy: answers callers where to go, and passes their requests to replicas.
+//! The edge proxy: answers callers where to go, and forwards their requests to replicas.
+//!
+//! A request by host and path can be followed from [`listener::handle_request`]: it is received, its `exchange` makes
+//! attempts at replicas over connections of the `pool`, and `response` forwards what one of them answers. The product's own
+//! calls are in [`http`] and `run_call`.
 
 pub mod actor;
 mod attempt;
-pub mod downstream;
+pub mod client_connections;
 mod exchange;
 mod headers;
 pub mod http;
@@ -13,6 +17,7 @@
 pub mod replica_stream;
 mod request_body;
 mod response;
+mod run_call;
 pub mod shared;
 pub mod shutdown;
 
@@ -45,146 +50,156 @@
     shutdown::{ShutdownGate, shut_down},
 };
 
-fn brain(p: &Params, reader: SpecParser) -> Proxy {
-    let mut b = Proxy::new(
-        p.name.as_str().into(),
-        p.zone.as_str().into(),
-        p.http.as_str().into(),
+fn new_proxy(params: &Params, parse_spec: SpecParser) -> Proxy {
+    let mut proxy = Proxy::new(
+        params.name.as_str().into(),
+        params.zone.as_str().into(),
+        params.http.as_str().into(),
         clock::born(),
         fastrand::u64(..),
     );
-    b.set_spec_parser(reader);
-    b.set_policy(p.policy);
-    b.set_bounds(p.bounds.clone(), p.regions.clone());
-    b
+    proxy.set_spec_parser(parse_spec);
+    proxy.set_policy(params.policy);
+    proxy.set_bounds(params.bounds.clone(), params.regions.clone());
+    proxy
 }
 
-/// Runs until the process is asked to stop. With a dialect it also passes requests by host and path.
-pub async fn run(
-    p: Params,
-    dialect: Option<Arc<dyn ProtocolAdapter>>,
-    reader: SpecParser,
-) -> Result<(), Report<StartFault>> {
-    let _log = logging::start(&p.log)?;
-    let signals = StopSignals::listen()?;
-    let brain: SharedProxy = Arc::new(Mutex::new(brain(&p, reader)));
-    let a = ProxyActor::new(&p.name, &p.listen, &p.agent, brain.clone()).start();
-    channels::listen(&p.bind, a.clone().recipient()).await?;
-    match dialect {
-        Some(d) => with_lanes(p, signals, a, brain, d).await,
-        None => own(p, signals, a).await,
-    }
-}
-
-/// The product's own calls alone.
-async fn own(
-    p: Params,
+/// What runs until the process is asked to stop.
+struct Daemon {
+    params: Params,
     signals: StopSignals,
-    a: Addr<ProxyActor>,
-) -> Result<(), Report<StartFault>> {
-    let b = web::Data::new(a.clone());
-    let stopping = Arc::new(ShutdownGate::default());
-    let s = web::Data::from(stopping.clone());
-    let server = HttpServer::new(move || {
-        App::new()
-            .app_data(b.clone())
-            .app_data(s.clone())
-            .configure(http::routes)
-    })
-    .workers(WORKERS)
-    .disable_signals()
-    .bind(&p.http)
-    .change_context(StartFault("bind the HTTP port"))
-    .attach_with(|| p.http.clone())?
-    .run();
-    run_until_stopped(&p, signals, &a, &stopping, server).await;
-    Ok(())
+    actor: Addr<ProxyActor>,
+    shutdown: Arc<ShutdownGate>,
 }
 
-/// Requests by host and path as well.
-async fn with_lanes(
-    p: Params,
-    signals: StopSignals,
-    a: Addr<ProxyActor>,
-    brain: SharedProxy,
-    dialect: Arc<dyn ProtocolAdapter>,
+/// Runs until the process is asked to stop. With an adapter it also forwards requests by host and path.
+///
+/// # Errors
+/// If a port cannot be bound or the log cannot be written.
+pub async fn run(
+    params: Params,
+    adapter: Option<Arc<dyn ProtocolAdapter>>,
+    parse_spec: SpecParser,
 ) -> Result<(), Report<StartFault>> {
-    let stopping = Arc::new(ShutdownGate::default());
-    let f = Listener {
-        proxy: brain,
-        adapter: dialect,
-        shutdown: stopping.clone(),
-        readiness_addr: p.readiness.clone(),
-        startup_wait: NOT_YET,
+    let _log = logging::start(&params.log)?;
+    let signals = StopSignals::listen()?;
+    let proxy: SharedProxy = Arc::new(Mutex::new(new_proxy(&params, parse_spec)));
+    let actor = ProxyActor::new(&params.name, &params.listen, &params.agent, proxy.clone()).start();
+    channels::listen(&params.bind, actor.clone().recipient()).await?;
+    let daemon = Daemon {
+        params,
+        signals,
+        actor,
+        shutdown: Arc::default(),
     };
-    let ports = [&p.http, &p.readiness]
-        .into_iter()
-        .filter(|a| !a.is_empty());
-    let ports = ports.map(|a| {
-        listen(a)
-            .change_context(StartFault("bind an HTTP port"))
-            .attach_with(|| a.clone())
-    });
-    let ports = ports.collect::<Result<Vec<_>, _>>()?;
-    let server = serve(f, a.clone(), ports).change_context(StartFault("serve the HTTP ports"))?;
-    run_until_stopped(&p, signals, &a, &stopping, server).await;
+    let server = match adapter {
+        Some(adapter) => daemon.serve_lanes(proxy, adapter)?,
+        None => daemon.serve_own_calls()?,
+    };
+    daemon.run_until_stopped(server).await;
     Ok(())
 }
 
-/// Serves until the process is asked to stop, and on to its end.
-async fn run_until_stopped(
-    p: &Params,
-    mut signals: StopSignals,
-    a: &Addr<ProxyActor>,
-    stopping: &ShutdownGate,
-    server: Server,
-) {
-    let h = server.handle();
-    let served = actix_rt::spawn(server);
-    event(
-        events::STARTED,
-        &p.name,
-        &format!("http {} processes {}", p.http, p.listen),
-    );
-    signals.asked(&p.name).await;
-    let _ = a
-        .send(Look(Box::new(|a: &mut ProxyActor, now| a.stop(now))))
-        .await;
-    shut_down(stopping, &h, p.bounds.grace).await;
-    let _ = tokio::time::timeout(STOP_LOOK, served).await;
-    event(events::STOPPED, &p.name, "");
+impl Daemon {
+    /// Serves the product's own calls alone.
+    fn serve_own_calls(&self) -> Result<Server, Report<StartFault>> {
+        let actor = web::Data::new(self.actor.clone());
+        let shutdown = web::Data::from(self.shutdown.clone());
+        let server = HttpServer::new(move || {
+            App::new()
+                .app_data(actor.clone())
+                .app_data(shutdown.clone())
+                .configure(http::routes)
+        });
+        let server = server
+            .workers(WORKERS)
+            .disable_signals()
+            .bind(&self.params.http)
+            .change_context(StartFault("bind the HTTP port"))
+            .attach_with(|| self.params.http.clone())?;
+        Ok(server.run())
+    }
+
+    /// Serves requests by host and path as well.
+    fn serve_lanes(
+        &self,
+        proxy: SharedProxy,
+        adapter: Arc<dyn ProtocolAdapter>,
+    ) -> Result<Server, Report<StartFault>> {
+        let listener = Listener {
+            proxy,
+            adapter,
+            shutdown: self.shutdown.clone(),
+            readiness_addr: self.params.readiness.clone(),
+            startup_wait: NOT_YET,
+        };
+        let ports = [&self.params.http, &self.params.readiness]
+            .into_iter()
+            .filter(|addr| !addr.is_empty())
+            .map(|addr| {
+                listen(addr)
+                    .change_context(StartFault("bind an HTTP port"))
+                    .attach_with(|| addr.clone())
+            })
+            .collect::<Result<Vec<_>, _>>()?;
+        serve(listener, self.actor.clone(), ports)
+            .change_context(StartFault("serve the HTTP ports"))
+    }
+
+    /// Serves until the process is asked to stop, and on to its end.
+    async fn run_until_stopped(mut self, server: Server) {
+        let handle = server.handle();
+        let served = actix_rt::spawn(server);
+        let params = &self.params;
+        let text = format!("http {} processes {}", params.http, params.listen);
+        event(events::STARTED, &params.name, &text);
+        self.signals.asked(&params.name).await;
+        let stop = Look(Box::new(|actor: &mut ProxyActor, now| actor.stop(now)));
+        let _ = self.actor.send(stop).await;
+        shut_down(&self.shutdown, &handle, params.bounds.grace).await;
+        let _ = tokio::time::timeout(STOP_LOOK, served).await;
+        event(events::STOPPED, &params.name, "");
+    }
 }
 
 fn listen(addr: &str) -> io::Result<TcpListener> {
-    let to: SocketAddr = addr.parse().map_err(io::Error::other)?;
-    let s = Socket::new(Domain::for_address(to), Type::STREAM, None)?;
-    s.set_reuse_address(true)?;
-    s.bind(&to.into())?;
-    s.listen(BACKLOG)?;
-    Ok(s.into())
+    let addr: SocketAddr = addr.parse().map_err(io::Error::other)?;
+    let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
+    socket.set_reuse_address(true)?;
+    socket.bind(&addr.into())?;
+    socket.listen(BACKLOG)?;
+    Ok(socket.into())
 }
 
 /// The HTTP server of the product's own calls and of lanes, at ports that are bound already.
-pub fn serve(f: Listener, a: Addr<ProxyActor>, ports: Vec<TcpListener>) -> io::Result<Server> {
-    let (b, brain) = (web::Data::new(a), f.proxy.clone());
+///
+/// # Errors
+/// If a port cannot be listened on.
+pub fn serve(
+    listener: Listener,
+    actor: Addr<ProxyActor>,
+    ports: Vec<TcpListener>,
+) -> io::Result<Server> {
+    let actor = web::Data::new(actor);
+    let proxy = listener.proxy.clone();
     let server = HttpServer::new(move || {
-        let f = f.clone();
+        let listener = listener.clone();
         App::new()
-            .app_data(b.clone())
-            .configure(|c| http::routes_and_lanes(c, f))
+            .app_data(actor.clone())
+            .configure(|config| http::routes_and_lanes(config, listener))
     })
-    // One thread: channels to replicas are shared by all requests, and the brain is under one lock anyway.
+    // One thread: connections to replicas are shared by all requests, and the state machine is under one lock anyway.
     .workers(1)
     .disable_signals()
     .tcp_nodelay(true)
-    // A downstream that closes has left: its replica stops work.
+    // A client that closes has left: its replica stops work.
     .h1_allow_half_closed(false)
-    // How long downstreams may take and rest is the spec's to say, which changes while this runs.
+    // How long clients may take and be idle is the spec's to say, which changes while this runs.
     .keep_alive(KeepAlive::Os)
     .client_request_timeout(Duration::ZERO)
-    .on_connect(move |io, ext| downstream::connected(&brain, io, ext));
+    .on_connect(move |io, extensions| client_connections::on_connected(&proxy, io, extensions));
     Ok(ports
         .into_iter()
-        .try_fold(server, |s, p| s.listen(p))?
+        .try_fold(server, |server, port| server.listen(port))?
         .run())
 }
--- a/edge-proxy/src/main.rs
+++ b/edge-proxy/src/main.rs
@@ -1,17 +1,19 @@
-//! The edge proxy: answers callers where to go, and passes their requests to replicas.
+//! The program of the edge proxy, without a platform's adapter.
 
 use daemon_parts::params::{self, EXIT_FAILED};
 
 #[actix_web::main]
 async fn main() {
-    let needs = ["name", "zone", "listen", "http", "agent"];
-    let p = params::read_or_exit(
+    let required = ["name", "zone", "listen", "http", "agent"];
+    let params = params::read_or_exit(
         params::command("edge-proxy", "Takes callers' requests to replicas")
             .arg(params::without_flag()),
-        &needs,
+        &required,
     );
-    if let Err(e) = edge_proxy::run(p, None, coordination::state_table::parse_own_spec).await {
-        eprintln!("{e:?}");
+    if let Err(error) =
+        edge_proxy::run(params, None, coordination::state_table::parse_own_spec).await
+    {
+        eprintln!("{error:?}");
         std::process::exit(EXIT_FAILED);
     }
 }
--- a/edge-proxy/src/pool.rs
+++ b/edge-proxy/src/pool.rs
@@ -1,9 +1,11 @@
-//! Channels to replicas: HTTP/1.1 connections, one request at a time each, reused newest first. A channel that
-//! misbehaved is closed: dropping it is enough.
+//! Connections to replicas: HTTP/1.1, one request at a time each, reused newest first. A connection that misbehaved is
+//! closed: dropping it is enough.
 
 use std::{
     cell::{Cell, RefCell},
     collections::HashMap,
+    fmt::Display,
+    io,
     net::SocketAddr,
     os::fd::{AsRawFd, RawFd},
     rc::Rc,
@@ -19,7 +21,7 @@
         PROBE_EVERY, REJECTION_MAX, SENT_LIMIT,
     },
 };
-use http::{Request, Response};
+use http::{HeaderMap, HeaderValue, Request, Response};
 use http_body_util::{BodyExt, Limited};
 use hyper::{
     body::Incoming,
@@ -27,11 +29,14 @@
 };
 use hyper_util::rt::TokioIo;
 use socket2::{SockRef, TcpKeepalive};
-use tokio::{net::TcpSocket, time::timeout};
+use tokio::{
+    net::{TcpSocket, TcpStream},
+    time::timeout,
+};
 
 use crate::request_body::RequestBody;
 
-/// Why a request got no answer's head.
+/// Why a request got no response's head.
 pub enum SendError {
     /// Not a byte of it was written; here it is again.
     NotSent(Box<Request<RequestBody>>),
@@ -39,132 +44,187 @@
     MaybeSent(String),
 }
 
-/// Why no channel was opened.
+/// Why no connection was opened.
 pub enum ConnectError {
-    /// As many as this proxy may hold are open.
+    /// As many as this proxy may open are open.
     LimitReached,
     Failed(String),
     /// Nothing came back at all.
     TimedOut(String),
 }
 
+impl ConnectError {
+    fn failed(addr: &str, error: impl Display) -> Self {
+        ConnectError::Failed(format!("opening a channel to {addr}: {error}"))
+    }
+}
+
 /// One connection to a replica.
 pub struct Connection {
-    send: SendRequest<RequestBody>,
-    io: JoinHandle<()>,
-    /// Its socket, which `io` owns.
+    sender: SendRequest<RequestBody>,
+    io_task: JoinHandle<()>,
+    /// Its socket, which the task owns.
     fd: RawFd,
-    counted: Counted,
-    /// When its last answer ended.
-    rested: Ms,
-    /// How long the replica lets it rest.
-    keep: Ms,
+    counted: CountedConnection,
+    /// When its last response ended.
+    idle_since: Ms,
+    /// How long the replica lets it be idle.
+    keep_alive: Ms,
     /// It has carried a request before.
     pub was_used: bool,
 }
 
-/// All channels to one address.
+/// All connections to one address.
 #[derive(Default)]
 struct Peer {
     idle: RefCell<Vec<Connection>>,
-    open: Cell<usize>,
-    /// ms that opening took of late.
-    took: Cell<u64>,
+    open_count: Cell<usize>,
+    /// ms that connecting took of late.
+    connect_ms: Cell<u64>,
+}
+
+impl Peer {
+    fn record_connect_time(&self, took: Ms) {
+        let average = (self.connect_ms.get() * (100 - OPEN_WEIGHT) + took * OPEN_WEIGHT) / 100;
+        self.connect_ms.set(average);
+    }
+
+    /// Makes room for one more connection: one that was idle too long for this request is closed if need be.
+    fn make_room(&self, connections_max: usize) -> Result<(), ConnectError> {
+        if self.open_count.get() < connections_max {
+            return Ok(());
+        }
+        let oldest = {
+            let mut idle = self.idle.borrow_mut();
+            (!idle.is_empty()).then(|| idle.remove(0))
+        };
+        oldest.map(drop).ok_or(ConnectError::LimitReached)
+    }
+
+    fn close_expired(&self, now: Ms) {
+        self.idle.borrow_mut().retain(|connection| {
+            !connection.sender.is_closed() && connection.may_be_reused(Ms::MAX, now)
+        });
+    }
 }
 
-/// Counts a channel from its opening to its end.
-struct Counted(Rc<Peer>);
+/// Counts a connection from its opening to its end.
+struct CountedConnection(Rc<Peer>);
 
-impl Counted {
-    fn new(p: Rc<Peer>) -> Self {
-        p.open.set(p.open.get() + 1);
-        Counted(p)
+impl CountedConnection {
+    fn new(peer: Rc<Peer>) -> Self {
+        peer.open_count.set(peer.open_count.get() + 1);
+        CountedConnection(peer)
     }
 }
-impl Drop for Counted {
+
+impl Drop for CountedConnection {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get().saturating_sub(1));
+        let open_count = &self.0.open_count;
+        open_count.set(open_count.get().saturating_sub(1));
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // A replica stops work when its channel closes.
-        self.io.abort();
+        // A replica stops work when its connection closes.
+        self.io_task.abort();
     }
 }
 
+/// ms for which a replica says that an idle connection stays open.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Ms> {
+    let value = headers.get("keep-alive")?.to_str().ok()?;
+    let seconds = value.split([',', ';']).find_map(|parameter| {
+        let seconds = parameter.trim().strip_prefix("timeout=")?;
+        seconds.trim().parse::<u64>().ok()
+    })?;
+    Some(seconds.saturating_mul(1_000))
+}
+
+fn closes_connection(headers: &HeaderMap) -> bool {
+    let says_close = |value: &HeaderValue| {
+        value.to_str().is_ok_and(|value| {
+            value
+                .split(',')
+                .any(|option| option.trim().eq_ignore_ascii_case("close"))
+        })
+    };
+    headers
+        .get_all(http::header::CONNECTION)
+        .iter()
+        .any(says_close)
+}
+
 impl Connection {
-    pub async fn send(&mut self, q: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
+    /// Sends a request and waits for the head of its response.
+    ///
+    /// # Errors
+    /// Whether the request was certainly not sent, or may have been.
+    pub async fn send(
+        &mut self,
+        request: Request<RequestBody>,
+    ) -> Result<Response<Incoming>, SendError> {
         self.was_used = true;
-        match self.send.try_send_request(q).await {
-            Ok(a) => Ok(a),
-            Err(mut e) => Err(match e.take_message() {
-                Some(q) => SendError::NotSent(Box::new(q)),
-                None => SendError::MaybeSent(e.into_error().to_string()),
+        match self.sender.try_send_request(request).await {
+            Ok(response) => Ok(response),
+            Err(mut error) => Err(match error.take_message() {
+                Some(request) => SendError::NotSent(Box::new(request)),
+                None => SendError::MaybeSent(error.into_error().to_string()),
             }),
         }
     }
-    /// Heeds what the replica says of how long an idle channel stays.
-    pub fn read_keep_alive(&mut self, h: &http::HeaderMap) {
-        let closes = |v: &http::HeaderValue| {
-            v.to_str()
-                .is_ok_and(|v| v.split(',').any(|x| x.trim().eq_ignore_ascii_case("close")))
-        };
-        if h.get_all(http::header::CONNECTION).iter().any(closes) {
-            self.keep = 0;
-            return;
-        }
-        let told = h.get("keep-alive").and_then(|v| v.to_str().ok());
-        let told = told.and_then(|v| {
-            v.split([',', ';']).find_map(|x| {
-                x.trim()
-                    .strip_prefix("timeout=")?
-                    .trim()
-                    .parse::<u64>()
-                    .ok()
+
+    /// Takes what the replica says of how long an idle connection stays open.
+    pub fn read_keep_alive(&mut self, headers: &HeaderMap) {
+        self.keep_alive = if closes_connection(headers) {
+            0
+        } else {
+            keep_alive_timeout(headers).map_or(IDLE_KEPT, |timeout| {
+                timeout.saturating_sub(IDLE_MARGIN).min(IDLE_KEPT)
             })
-        });
-        self.keep = told.map_or(IDLE_KEPT, |s| {
-            s.saturating_mul(1_000)
-                .saturating_sub(IDLE_MARGIN)
-                .min(IDLE_KEPT)
-        });
+        };
     }
-    /// Whether all that was sent has arrived. A replica may answer before it reads a body: what is sent behind that waits
-    /// until it is read, and is lost if it never is.
-    fn arrived(&self) -> bool {
-        if self.send.is_closed() {
+
+    /// Whether the peer has acknowledged all that was sent. A replica may respond before it reads a body: what is sent
+    /// behind that waits until it is read, and is lost if it never is.
+    fn is_all_acknowledged(&self) -> bool {
+        if self.sender.is_closed() {
             return false;
         }
-        let mut n: libc::c_int = 0;
-        // SAFETY: the call only fills `n`. The socket is still open: its task runs on this thread, and has not ended.
-        let told = unsafe { libc::ioctl(self.fd, libc::TIOCOUTQ, &raw mut n) };
-        told == 0 && n == 0
+        let mut unsent_bytes: libc::c_int = 0;
+        // SAFETY: the call only fills `unsent_bytes`. The socket is still open: its task runs on this thread, and has not
+        // ended.
+        let result = unsafe { libc::ioctl(self.fd, libc::TIOCOUTQ, &raw mut unsent_bytes) };
+        result == 0 && unsent_bytes == 0
     }
-    fn rests(&self, most: Ms, now: Ms) -> bool {
-        now.saturating_sub(self.rested) < self.keep.min(most)
+
+    fn may_be_reused(&self, idle_max: Ms, now: Ms) -> bool {
+        now.saturating_sub(self.idle_since) < self.keep_alive.min(idle_max)
     }
 }
 
+/// The idle connections of one thread.
 #[derive(Default)]
 pub struct ConnectionPool {
     peers: RefCell<HashMap<String, Rc<Peer>>>,
-    swept: Cell<Ms>,
+    swept_at: Cell<Ms>,
 }
 
 thread_local! {
-    /// A worker's own: channels never move between threads.
+    /// A worker's own: connections never move between threads.
     static POOL: Rc<ConnectionPool> = Rc::default();
 }
 
 impl ConnectionPool {
+    /// The pool of the thread that calls.
     pub fn of_this_thread() -> Rc<ConnectionPool> {
         POOL.with(Rc::clone)
     }
+
     fn peer(&self, addr: &str) -> Rc<Peer> {
-        if let Some(p) = self.peers.borrow().get(addr) {
-            return p.clone();
+        if let Some(peer) = self.peers.borrow().get(addr) {
+            return peer.clone();
         }
         self.peers
             .borrow_mut()
@@ -173,123 +233,122 @@
             .clone()
     }
 
-    /// The newest idle channel that has not rested for longer than `most`.
-    pub fn take_idle(&self, addr: &str, most: Ms, now: Ms) -> Option<Connection> {
-        let p = self.peers.borrow().get(addr)?.clone();
-        let mut idle = p.idle.borrow_mut();
-        idle.retain(|c| !c.send.is_closed() && c.rests(Ms::MAX, now));
-        let i = idle
-            .iter()
-            .rposition(|c| c.send.is_ready() && c.rests(most, now) && c.arrived())?;
-        Some(idle.remove(i))
+    /// The newest idle connection that has not been idle for longer than `idle_max`.
+    pub fn take_idle(&self, addr: &str, idle_max: Ms, now: Ms) -> Option<Connection> {
+        let peer = self.peers.borrow().get(addr)?.clone();
+        peer.close_expired(now);
+        let mut idle = peer.idle.borrow_mut();
+        let index = idle.iter().rposition(|connection| {
+            connection.sender.is_ready()
+                && connection.may_be_reused(idle_max, now)
+                && connection.is_all_acknowledged()
+        })?;
+        Some(idle.remove(index))
     }
 
-    /// Opens a channel, unless `most` are open already. `way`: ms there and back.
+    /// Opens a connection, unless `connections_max` are open already. Gives the ms that it took, too.
+    ///
+    /// # Errors
+    /// Why there is none.
     pub async fn connect(
         &self,
         addr: &str,
-        most: usize,
-        way: Ms,
-        left: Ms,
+        connections_max: usize,
+        round_trip_ms: Ms,
+        time_left: Ms,
     ) -> Result<(Connection, Ms), ConnectError> {
         let peer = self.peer(addr);
-        if peer.open.get() >= most {
-            // Those that rest too long for this request make room.
-            let oldest = {
-                let mut idle = peer.idle.borrow_mut();
-                (!idle.is_empty()).then(|| idle.remove(0))
-            };
-            if oldest.is_none() {
-                return Err(ConnectError::LimitReached);
-            }
-        }
-        let lost = |e: &dyn std::fmt::Display| {
-            ConnectError::Failed(format!("opening a channel to {addr}: {e}"))
-        };
-        let to: SocketAddr = addr.parse().map_err(|e| lost(&e))?;
-        let s = TcpSocket::new_v4().map_err(|e| lost(&e))?;
-        let _ = s.set_nodelay(true);
-        let raw = SockRef::from(&s);
-        let _ = raw.set_tcp_user_timeout(Some(SENT_LIMIT));
-        let _ = raw.set_tcp_keepalive(
-            &TcpKeepalive::new()
-                .with_time(PROBE_EVERY)
-                .with_interval(PROBE_EVERY),
-        );
-        let limit = (OPEN_BASE + OPEN_FACTOR * peer.took.get().max(way)).min(left);
-        let at = clock::now();
-        let counted = Counted::new(peer.clone());
-        let s = match timeout(Duration::from_millis(limit), s.connect(to)).await {
-            Ok(Ok(s)) => s,
-            Ok(Err(e)) => return Err(lost(&e)),
-            Err(_) => {
-                return Err(ConnectError::TimedOut(format!(
-                    "opening a channel to {addr}: nothing after {limit} ms"
-                )));
-            }
+        peer.make_room(connections_max)?;
+        let target: SocketAddr = addr
+            .parse()
+            .map_err(|error| ConnectError::failed(addr, error))?;
+        let socket = new_socket().map_err(|error| ConnectError::failed(addr, error))?;
+        let expected_ms = peer.connect_ms.get().max(round_trip_ms);
+        let limit = (OPEN_BASE + OPEN_FACTOR * expected_ms).min(time_left);
+        let begun_at = clock::now();
+        let counted = CountedConnection::new(peer.clone());
+        let connected = timeout(Duration::from_millis(limit), socket.connect(target)).await;
+        let Ok(connected) = connected else {
+            let message = format!("opening a channel to {addr}: nothing after {limit} ms");
+            return Err(ConnectError::TimedOut(message));
         };
-        let took = clock::now().saturating_sub(at);
-        peer.took
-            .set((peer.took.get() * (100 - OPEN_WEIGHT) + took * OPEN_WEIGHT) / 100);
-        let fd = s.as_raw_fd();
-        let made = Builder::new()
-            .max_buf_size(CHANNEL_BYTES)
-            .handshake(TokioIo::new(s))
-            .await;
-        let (send, io) = made.map_err(|e| lost(&e))?;
-        let io = actix_rt::spawn(async move {
-            // What goes wrong shows at the request that it goes wrong for.
-            let _ = io.await;
-        });
-        Ok((
-            Connection {
-                send,
-                io,
-                fd,
-                counted,
-                rested: at + took,
-                keep: IDLE_KEPT,
-                was_used: false,
-            },
-            took,
-        ))
+        let stream = connected.map_err(|error| ConnectError::failed(addr, error))?;
+        let took = clock::now().saturating_sub(begun_at);
+        peer.record_connect_time(took);
+        let connection = start_http(stream, counted, begun_at + took)
+            .await
+            .map_err(|error| ConnectError::failed(addr, error))?;
+        Ok((connection, took))
     }
 
-    /// Takes back a channel whose answer came whole.
-    pub fn put_back(&self, mut c: Connection, now: Ms) {
-        if c.send.is_closed() || c.keep == 0 {
+    /// Takes back a connection whose response is complete.
+    pub fn put_back(&self, mut connection: Connection, now: Ms) {
+        if connection.sender.is_closed() || connection.keep_alive == 0 {
             return;
         }
-        // One that has carried nothing yet may wait just as long.
-        c.rested = now;
-        let peer = c.counted.0.clone();
-        peer.idle.borrow_mut().push(c);
+        // One that has carried nothing yet may be idle just as long.
+        connection.idle_since = now;
+        let peer = connection.counted.0.clone();
+        peer.idle.borrow_mut().push(connection);
         self.sweep(now);
     }
-    /// Reads what little is left of an answer that nobody wants, and takes the channel back.
-    pub fn drain(self: Rc<Self>, c: Connection, body: Incoming) {
+
+    /// Reads what little is left of a response that is not wanted, and takes the connection back.
+    pub fn drain(self: Rc<Self>, connection: Connection, body: Incoming) {
         actix_rt::spawn(async move {
-            let whole = timeout(
-                SENT_LIMIT,
-                Limited::new(body, REJECTION_MAX as usize).collect(),
-            )
-            .await;
-            if matches!(whole, Ok(Ok(_))) {
-                self.put_back(c, clock::now());
+            let rest = Limited::new(body, REJECTION_MAX as usize).collect();
+            if matches!(timeout(SENT_LIMIT, rest).await, Ok(Ok(_))) {
+                self.put_back(connection, clock::now());
             }
         });
     }
-    /// Replicas come and go: what rests too long at any of them is closed.
+
+    /// Replicas come and go: what is idle too long at any of them is closed.
     fn sweep(&self, now: Ms) {
-        if now.saturating_sub(self.swept.get()) < IDLE_SWEEP {
+        if now.saturating_sub(self.swept_at.get()) < IDLE_SWEEP {
             return;
         }
-        self.swept.set(now);
-        self.peers.borrow_mut().retain(|_, p| {
-            p.idle
-                .borrow_mut()
-                .retain(|c| !c.send.is_closed() && c.rests(Ms::MAX, now));
-            p.open.get() > 0
+        self.swept_at.set(now);
+        self.peers.borrow_mut().retain(|_, peer| {
+            peer.close_expired(now);
+            peer.open_count.get() > 0
         });
     }
 }
+
+fn new_socket() -> io::Result<TcpSocket> {
+    let socket = TcpSocket::new_v4()?;
+    let _ = socket.set_nodelay(true);
+    let options = SockRef::from(&socket);
+    let _ = options.set_tcp_user_timeout(Some(SENT_LIMIT));
+    let keepalive = TcpKeepalive::new()
+        .with_time(PROBE_EVERY)
+        .with_interval(PROBE_EVERY);
+    let _ = options.set_tcp_keepalive(&keepalive);
+    Ok(socket)
+}
+
+async fn start_http(
+    stream: TcpStream,
+    counted: CountedConnection,
+    now: Ms,
+) -> hyper::Result<Connection> {
+    let fd = stream.as_raw_fd();
+    let (sender, io) = Builder::new()
+        .max_buf_size(CHANNEL_BYTES)
+        .handshake(TokioIo::new(stream))
+        .await?;
+    let io_task = actix_rt::spawn(async move {
+        // What goes wrong shows at the request that it goes wrong for.
+        let _ = io.await;
+    });
+    Ok(Connection {
+        sender,
+        io_task,
+        fd,
+        counted,
+        idle_since: now,
+        keep_alive: IDLE_KEPT,
+        was_used: false,
+    })
+}
--- a/edge-proxy/src/protocol_adapter.rs
+++ b/edge-proxy/src/protocol_adapter.rs
@@ -1,4 +1,4 @@
-//! How requests by host and path are spelled on a wire. The product decides; a dialect only translates.
+//! How requests by host and path are spelled on a wire. The proxy decides; an adapter only translates.
 
 use coordination::{
     Ms,
@@ -8,13 +8,23 @@
 use http::HeaderMap;
 use remote_calls::PathSpec;
 
+/// The headers of one platform.
 pub trait ProtocolAdapter: Send + Sync {
-    /// What a downstream's headers tell of its request.
-    fn request_head(&self, host: &str, path: &str, h: &HeaderMap) -> RequestHead;
-    /// Dresses a round's headers for the replica that it goes to, with the time left.
-    fn set_replica_headers(&self, h: &mut HeaderMap, lane: &PathSpec, p: &Assignment, left: Ms);
-    /// What the head of an answer tells of its replica.
-    fn response_signals(&self, status: u16, h: &HeaderMap) -> ResponseSignals;
-    /// Path at which it is asked whether this edge serves.
+    /// What a client's headers say of its request.
+    fn request_head(&self, host: &str, path: &str, headers: &HeaderMap) -> RequestHead;
+
+    /// Sets the headers of an attempt for the replica that it goes to, with the ms that are left.
+    fn set_replica_headers(
+        &self,
+        headers: &mut HeaderMap,
+        lane: &PathSpec,
+        assignment: &Assignment,
+        time_left: Ms,
+    );
+
+    /// What the head of a response says of its replica.
+    fn response_signals(&self, status: u16, headers: &HeaderMap) -> ResponseSignals;
+
+    /// Path of the readiness check.
     fn readiness_path(&self) -> &str;
 }
--- a/edge-proxy/src/replica_stream.rs
+++ b/edge-proxy/src/replica_stream.rs
@@ -1,6 +1,6 @@
-//! One round's transport: a request's call to a replica and the lines that come back.
+//! The transport of an attempt by named service: the call to a replica and the lines that come back.
 
-use std::{pin::Pin, time::Duration};
+use std::{fmt::Display, pin::Pin, time::Duration};
 
 use actix_web::web::Bytes;
 use awc::Client;
@@ -16,102 +16,128 @@
 };
 use futures_util::{Stream, StreamExt};
 use remote_calls::{Fault, GenerateRequest, Outcome, RunRequest, StreamLine, calls};
+use tokio::{net::TcpStream, time::timeout};
 
 type Body = Pin<Box<dyn Stream<Item = Result<Bytes, awc::error::PayloadError>>>>;
 
-/// A begun round: lines come one at a time.
+/// A response that has started: lines come one at a time.
 pub struct ReplicaStream {
-    lines: LineChecker,
+    checker: LineChecker,
     body: Body,
     buffer: Vec<u8>,
-    until: Ms,
+    deadline: Ms,
 }
 
-/// Begins a round. Connecting is told apart from sending: before it nothing can have reached the replica.
+fn replica_fault(assignment: &Assignment, code: &str, message: impl Display) -> Fault {
+    Fault::new(code, "call_replica", message.to_string()).peer(assignment.replica.clone())
+}
+
+/// Connecting on its own keeps "nothing was sent" provable for the commonest failure, a dead replica.
+async fn check_connects(assignment: &Assignment, time_left: Ms) -> Result<(), AttemptError> {
+    let connect_limit = Duration::from_millis(OPEN_LIMIT.min(time_left));
+    match timeout(connect_limit, TcpStream::connect(&*assignment.addr)).await {
+        Ok(Ok(_)) => Ok(()),
+        _ => Err(AttemptError::NotRun(replica_fault(
+            assignment,
+            "replica_gone",
+            "no connection",
+        ))),
+    }
+}
+
+/// What a response that is no success means. Only the replica's own word that it did not run counts; after any other
+/// failure it may have run.
+fn response_error(assignment: &Assignment, status: impl Display, body: &[u8]) -> AttemptError {
+    match serde_json::from_slice::<Fault>(body) {
+        Ok(fault) if fault.outcome == Some(Outcome::NotRun) => {
+            AttemptError::NotRun(fault.peer(assignment.replica.clone()))
+        }
+        Ok(fault) => AttemptError::Unknown(fault.peer(assignment.replica.clone())),
+        Err(_) => {
+            let message = format!("status {status}");
+            AttemptError::Unknown(replica_fault(assignment, "replica_failed", message))
+        }
+    }
+}
+
+/// Calls a replica until its response starts.
+///
+/// # Errors
+/// Whether it certainly did not run the request, or may have.
 pub async fn call_replica(
-    c: &Client,
-    q: &RunRequest,
-    p: &Assignment,
-    until: Ms,
+    client: &Client,
+    request: &RunRequest,
+    assignment: &Assignment,
+    deadline: Ms,
 ) -> Result<ReplicaStream, AttemptError> {
-    let left = until.saturating_sub(clock::now());
-    let body = GenerateRequest {
-        request: q.request.clone(),
-        service: q.service.clone(),
-        lane: q.lane.clone(),
-        version: p.version.clone(),
-        home: q.homes.clone(),
-        prefixes: q.prefixes.clone(),
-        prompt: q.prompt.clone(),
-        time_left_ms: left,
-        resume: q.resume.clone(),
+    let time_left = deadline.saturating_sub(clock::now());
+    let generate = GenerateRequest {
+        request: request.request.clone(),
+        service: request.service.clone(),
+        lane: request.lane.clone(),
+        version: assignment.version.clone(),
+        home: request.homes.clone(),
+        prefixes: request.prefixes.clone(),
+        prompt: request.prompt.clone(),
+        time_left_ms: time_left,
+        resume: request.resume.clone(),
     };
-    // A probe of the connection keeps "nothing was sent" provable for the commonest failure, a dead replica.
-    let open = tokio::time::timeout(
-        Duration::from_millis(OPEN_LIMIT.min(left)),
-        tokio::net::TcpStream::connect(&*p.addr),
-    )
-    .await;
-    let fault = |code: &str, m: String| Fault::new(code, "call_replica", m).peer(p.replica.clone());
-    if !matches!(open, Ok(Ok(_))) {
-        return Err(AttemptError::NotRun(fault(
-            "replica_gone",
-            "no connection".into(),
-        )));
-    }
-    let r = c
-        .post(format!("http://{}{}", p.addr, calls::GENERATE.1))
-        .timeout(Duration::from_millis(left.max(1)));
-    let mut a = r
-        .send_json(&body)
+    check_connects(assignment, time_left).await?;
+    let url = format!("http://{}{}", assignment.addr, calls::GENERATE.1);
+    let mut response = client
+        .post(url)
+        .timeout(Duration::from_millis(time_left.max(1)))
+        .send_json(&generate)
         .await
-        .map_err(|e| AttemptError::Unknown(fault("replica_lost", e.to_string())))?;
-    if !a.status().is_success() {
-        let b = a.body().limit(LINE_MAX).await.unwrap_or_default();
-        // Only the replica's own word that it did not run counts; any other failure may have run.
-        return Err(match serde_json::from_slice::<Fault>(&b) {
-            Ok(f) if f.outcome == Some(Outcome::NotRun) => {
-                AttemptError::NotRun(f.peer(p.replica.clone()))
-            }
-            Ok(f) => AttemptError::Unknown(f.peer(p.replica.clone())),
-            Err(_) => {
-                AttemptError::Unknown(fault("replica_failed", format!("status {}", a.status())))
-            }
-        });
+        .map_err(|error| AttemptError::Unknown(replica_fault(assignment, "replica_lost", error)))?;
+    if !response.status().is_success() {
+        let body = response.body().limit(LINE_MAX).await.unwrap_or_default();
+        return Err(response_error(assignment, response.status(), &body));
     }
-    let lines = LineChecker::new(&q.request, &p.replica, q.resume.as_ref());
     Ok(ReplicaStream {
-        lines,
-        body: Box::pin(a),
+        checker: LineChecker::new(
+            &request.request,
+            &assignment.replica,
+            request.resume.as_ref(),
+        ),
+        body: Box::pin(response),
         buffer: vec![],
-        until,
+        deadline,
     })
 }
 
 impl ReplicaStream {
+    /// The next line, checked.
     pub async fn next(&mut self) -> CheckedLine {
         loop {
-            if let Some(i) = self.buffer.iter().position(|b| *b == b'\n') {
-                let line: Vec<u8> = self.buffer.drain(..=i).collect();
+            if let Some(line) = self.take_buffered_line() {
                 return match serde_json::from_slice::<StreamLine>(&line) {
-                    Ok(l) => self.lines.check(l),
-                    Err(_) => self.lines.broken("bad_stream", "a line is no stream line"),
+                    Ok(line) => self.checker.check(line),
+                    Err(_) => self
+                        .checker
+                        .broken("bad_stream", "a line is no stream line"),
                 };
             }
             if self.buffer.len() > LINE_MAX {
-                return self.lines.broken("bad_stream", "a line is too long");
+                return self.checker.broken("bad_stream", "a line is too long");
             }
-            let left = Duration::from_millis(self.until.saturating_sub(clock::now()));
-            match tokio::time::timeout(left, self.body.next()).await {
-                Ok(Some(Ok(b))) => self.buffer.extend_from_slice(&b),
-                Ok(Some(Err(e))) => return self.lines.broken("replica_lost", e.to_string()),
+            let time_left = Duration::from_millis(self.deadline.saturating_sub(clock::now()));
+            match timeout(time_left, self.body.next()).await {
+                Ok(Some(Ok(bytes))) => self.buffer.extend_from_slice(&bytes),
+                Ok(Some(Err(error))) => {
+                    return self.checker.broken("replica_lost", error.to_string());
+                }
                 Ok(None) => {
-                    return self
-                        .lines
-                        .broken("no_end_mark", "the stream ended without its end mark");
+                    let message = "the stream ended without its end mark";
+                    return self.checker.broken("no_end_mark", message);
                 }
-                Err(_) => return self.lines.broken("no_time", "the time left ran out"),
+                Err(_) => return self.checker.broken("no_time", "the time left ran out"),
             }
         }
     }
+
+    fn take_buffered_line(&mut self) -> Option<Vec<u8>> {
+        let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
+        Some(self.buffer.drain(..=end).collect())
+    }
 }
--- a/edge-proxy/src/shutdown.rs
+++ b/edge-proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The proxy's own stop: counts what is open and carries out what the state machine of a shutdown decides.
+//! The proxy's own shutdown: counts the requests that are open and carries out what the shutdown's state machine decides.
 
 use std::{
     rc::Rc,
@@ -15,92 +15,107 @@
 use remote_calls::{Fault, Outcome};
 use tokio::sync::watch;
 
-use crate::downstream::{Downstream, Held};
+use crate::client_connections::{BusyConnection, ClientConnection};
 
-/// Whether this proxy stops, and what it still has open.
+/// Whether this proxy shuts down, and how many requests it still has open.
 #[derive(Default)]
 pub struct ShutdownGate {
     state: Mutex<Shutdown>,
-    over: watch::Sender<bool>,
+    is_grace_over: watch::Sender<bool>,
 }
 
 impl ShutdownGate {
     fn state(&self) -> MutexGuard<'_, Shutdown> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
+
     /// The proxy was asked to stop and is killed after the grace.
     pub fn begin(&self, grace: Ms, now: Ms) {
         self.state().begin(grace, now);
     }
+
+    /// Whether the proxy was asked to stop.
     pub fn is_begun(&self) -> bool {
         self.state().is_begun()
     }
+
+    /// Requests whose response has not ended.
     pub fn open_requests(&self) -> usize {
         self.state().open()
     }
-    /// Whether a request that has come in whole is taken.
+
+    /// Whether a request that was received to its end is accepted.
     pub fn try_accept(&self) -> bool {
         self.state().take(clock::now())
     }
+
     /// Returns when the grace is over.
     pub async fn grace_over(&self) {
         // The sender lives as long as this.
-        let _ = self.over.subscribe().wait_for(|over| *over).await;
+        let mut receiver = self.is_grace_over.subscribe();
+        let _ = receiver.wait_for(|is_over| *is_over).await;
     }
 }
 
-/// What a request is told that comes too late.
+/// The answer to a request that comes too late.
 pub fn shutdown_rejection() -> Fault {
     Fault::new("stopping", "take_request", "this edge stops")
         .outcome(Outcome::NotRun)
         .retry(STOP_RETRY)
 }
 
-/// A request that is open, from its head to the end of its answer.
+/// A request that is open, from its head to the end of its response.
 pub struct OpenRequest {
-    stopping: Arc<ShutdownGate>,
-    held: Option<Held>,
+    gate: Arc<ShutdownGate>,
+    busy_connection: Option<BusyConnection>,
 }
 
 impl OpenRequest {
-    pub fn new(s: &Arc<ShutdownGate>, r: &HttpRequest) -> Self {
-        s.state().opened();
+    /// Counts the request, and marks its connection as carrying one.
+    pub fn new(gate: &Arc<ShutdownGate>, request: &HttpRequest) -> Self {
+        gate.state().opened();
         OpenRequest {
-            stopping: s.clone(),
-            held: r.conn_data::<Rc<Downstream>>().map(Held::new),
+            gate: gate.clone(),
+            busy_connection: request
+                .conn_data::<Rc<ClientConnection>>()
+                .map(BusyConnection::new),
         }
     }
-    /// The request is held until then at the most.
-    pub fn set_deadline(&self, t: Ms) {
-        self.held.iter().for_each(|h| h.until(t));
+
+    /// The request holds its connection until then at the most.
+    pub fn set_deadline(&self, deadline: Ms) {
+        if let Some(busy) = &self.busy_connection {
+            busy.set_deadline(deadline);
+        }
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.stopping.state().closed();
+        self.gate.state().closed();
     }
 }
 
 /// Goes from SIGTERM to the moment at which the process is to end.
-pub async fn shut_down(s: &ShutdownGate, h: &ServerHandle, grace: Ms) {
-    let asked = clock::now();
-    s.begin(grace, asked);
-    while !s.state().is_done(clock::now()) {
+pub async fn shut_down(gate: &ShutdownGate, server: &ServerHandle, grace: Ms) {
+    let begun_at = clock::now();
+    gate.begin(grace, begun_at);
+    while !gate.state().is_done(clock::now()) {
         tokio::time::sleep(STOP_LOOK).await;
     }
-    let (open, taken) = (s.open_requests(), s.state().last_taken());
-    if open > 0 {
+    let open_requests = gate.open_requests();
+    let last_accepted_at = gate.state().last_taken();
+    if open_requests > 0 {
         let text = format!(
-            "open={open} last_taken_ms={} now_ms={}",
-            taken.saturating_sub(asked),
-            clock::now() - asked
+            "open={open_requests} last_taken_ms={} now_ms={}",
+            last_accepted_at.saturating_sub(begun_at),
+            clock::now() - begun_at
         );
         event(events::REQUESTS_ABORTED, "", &text);
     }
-    s.over.send_replace(true);
-    h.pause().await;
-    // A stop of the HTTP server would wait for streams and for connections that rest; both end with the process.
+    gate.is_grace_over.send_replace(true);
+    server.pause().await;
+    // A stop of the HTTP server would wait for streams and for idle connections; both end with the process.
     tokio::time::sleep(STOP_FLUSH).await;
-    drop(h.stop(false));
+    drop(server.stop(false));
 }
--- a/edge-proxy/tests/limits.rs
+++ b/edge-proxy/tests/limits.rs
@@ -10,7 +10,7 @@
     DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT,
     LATE_SLACK, UNREACHED_MOST, UPLOAD_KEPT,
 };
-use edge_proxy::downstream::{Looks, State};
+use edge_proxy::client_connections::{CheckClock, CheckResult, ConnectionState};
 use googletest::prelude::*;
 use remote_calls::DownstreamLimits;
 use support::*;
@@ -172,7 +172,7 @@
         let idle = if idle > 0 { idle } else { DOWNSTREAM_IDLE };
         let head = if head > 0 { head } else { DOWNSTREAM_HEAD };
         // A head that begins after four fifths of the rest comes whole; and the rest ends.
-        let ends = State::Rests(1_000).ends(&l);
+        let ends = ConnectionState::Idle(1_000).closes_at(&l);
         expect_that!(
             ends,
             all!(
@@ -181,73 +181,90 @@
                 le(1_000 + idle + head)
             )
         );
-        expect_that!(State::New(1_000).ends(&l), eq(1_000 + head));
-        expect_that!(State::Carries(1_000).ends(&l), eq(1_000 + LATE_SLACK));
+        expect_that!(ConnectionState::New(1_000).closes_at(&l), eq(1_000 + head));
+        expect_that!(
+            ConnectionState::Busy(1_000).closes_at(&l),
+            eq(1_000 + LATE_SLACK)
+        );
     }
     // What was sent while the process slept is still to be read.
-    for s in [State::New(1_000), State::Rests(1_000)] {
-        expect_that!(s.woke(500_000).ends(&limits(0, 0, 100, 100)), gt(500_000));
+    for s in [ConnectionState::New(1_000), ConnectionState::Idle(1_000)] {
+        expect_that!(
+            s.resumed(500_000).closes_at(&limits(0, 0, 100, 100)),
+            gt(500_000)
+        );
     }
     expect_that!(
-        State::Carries(1_000).woke(500_000),
-        eq(State::Carries(1_000))
+        ConnectionState::Busy(1_000).resumed(500_000),
+        eq(ConnectionState::Busy(1_000))
     );
 }
 
+/// What a check finds of a connection.
+fn checked(is_expired: bool, closes: bool) -> CheckResult {
+    CheckResult { is_expired, closes }
+}
+
 #[gtest]
 fn a_process_that_was_kept_from_running_tells_an_end_before_it_closes() {
     let l = limits(0, 0, 100, 100);
     const ENDS: Ms = 1_000 + LATE_SLACK;
     // A look at this time, so long after the one before.
-    let look = |at: Ms, gone: Ms| {
-        let mut looks = Looks::new(at - gone);
-        looks.at(at);
-        looks
+    let check_after = |at: Ms, elapsed: Ms| {
+        let mut check_clock = CheckClock::new(at - elapsed);
+        check_clock.on_check(at);
+        check_clock
     };
-    let carries = State::Carries(1_000);
+    let busy = ConnectionState::Busy(1_000);
     // Looks in time: closed once its time and the slack are over, and not before.
     expect_that!(
-        look(ENDS - 1, DOWNSTREAM_LOOK).over(carries, &l, false),
-        eq((false, false))
+        check_after(ENDS - 1, DOWNSTREAM_LOOK).check_connection(busy, &l, false),
+        eq(checked(false, false))
     );
     expect_that!(
-        look(ENDS, DOWNSTREAM_LOOK).over(carries, &l, false),
-        eq((true, true))
+        check_after(ENDS, DOWNSTREAM_LOOK).check_connection(busy, &l, false),
+        eq(checked(true, true))
     );
     // Its time and the slack may have ended in one pause: whoever answers it has had no turn yet, but has one before
     // the next look, however late that comes.
-    for gone in [
+    for elapsed in [
         DOWNSTREAM_LATE + 1,
         2 * DOWNSTREAM_LOOK,
         DOWNSTREAM_SLEPT + 1,
         60_000,
     ] {
-        let late = look(ENDS + gone, gone);
+        let late = check_after(ENDS + elapsed, elapsed);
         expect_that!(
-            late.over(late.state(carries), &l, false),
-            eq((true, false)),
-            "{gone}"
+            late.check_connection(late.current_state(busy), &l, false),
+            eq(checked(true, false)),
+            "{elapsed}"
         );
         expect_that!(
-            late.over(late.state(carries), &l, true),
-            eq((true, true)),
-            "{gone}"
+            late.check_connection(late.current_state(busy), &l, true),
+            eq(checked(true, true)),
+            "{elapsed}"
         );
     }
     // Nor does what rests stay for ever where each look comes after a sleep.
-    let mut looks = look(10_000, DOWNSTREAM_SLEPT + 1);
-    expect_that!(looks.state(State::Rests(0)), eq(State::Rests(10_000)));
-    looks.at(10_000 + DOWNSTREAM_SLEPT + 1);
-    expect_that!(looks.state(State::Rests(10_000)), eq(State::Rests(10_000)));
+    let mut check_clock = check_after(10_000, DOWNSTREAM_SLEPT + 1);
+    expect_that!(
+        check_clock.current_state(ConnectionState::Idle(0)),
+        eq(ConnectionState::Idle(10_000))
+    );
+    check_clock.on_check(10_000 + DOWNSTREAM_SLEPT + 1);
+    expect_that!(
+        check_clock.current_state(ConnectionState::Idle(10_000)),
+        eq(ConnectionState::Idle(10_000))
+    );
     expect_that!(
-        looks.over(State::Rests(10_000), &l, false),
-        eq((true, true))
+        check_clock.check_connection(ConnectionState::Idle(10_000), &l, false),
+        eq(checked(true, true))
     );
     // Who rests or has begun nothing is closed by the look itself: nobody else would answer.
-    for s in [State::New(0), State::Rests(0)] {
+    for state in [ConnectionState::New(0), ConnectionState::Idle(0)] {
         expect_that!(
-            look(1_000, 2 * DOWNSTREAM_LOOK).over(s, &l, false),
-            eq((true, true))
+            check_after(1_000, 2 * DOWNSTREAM_LOOK).check_connection(state, &l, false),
+            eq(checked(true, true))
         );
     }
 }
