--- a/coordination/src/placement/replica_view.rs
+++ b/coordination/src/placement/replica_view.rs
@@ -71,7 +71,7 @@
     failing_since: Option<Ms>,
     /// Since when some attempt waits without a sign of life, and when the replica last gave one.
     waiting_since: Option<Ms>,
-    heard_at: Ms,
+    last_response_at: Ms,
     slow_start_until: Ms,
     slow_start_bucket: Option<TokenBucket>,
 }
@@ -178,7 +178,7 @@
     // ---- responses ----
 
     fn record_sign_of_life(&mut self, now: Ms) {
-        self.heard_at = now;
+        self.last_response_at = now;
         self.waiting_since = (self.awaiting_first_chunk > 0).then_some(now);
     }
 
@@ -248,9 +248,9 @@
 
     /// Whether it may be tried: it responds, it is not in backoff, and after a failure one attempt goes at a time.
     pub fn is_available(&self, now: Ms) -> bool {
-        let is_unresponsive = self
-            .waiting_since
-            .is_some_and(|since| now.saturating_sub(since.max(self.heard_at)) > UNRESPONSIVE_AFTER);
+        let is_unresponsive = self.waiting_since.is_some_and(|since| {
+            now.saturating_sub(since.max(self.last_response_at)) > UNRESPONSIVE_AFTER
+        });
         now >= self.backoff_until
             && !is_unresponsive
             && (self.failures == 0 || self.awaiting_first_chunk == 0)
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -6,7 +6,7 @@
 //! path (`by_path`) go to the replica with the least expected cost, see [`crate::placement`].
 
 mod assignment;
-mod attempt_ledger;
+mod attempt_counters;
 mod by_name;
 mod by_path;
 mod canary_credits;
@@ -47,7 +47,7 @@
     rendezvous::rendezvous_weight,
     state_table::{SpecParser, StateTable, VersionStamp, parse_own_spec},
 };
-use attempt_ledger::AttemptLedger;
+use attempt_counters::AttemptCounters;
 use by_path::OpenAttempt;
 use canary_credits::CanaryCredits;
 use context_demand::ContextDemands;
@@ -115,7 +115,7 @@
     context_demands: ContextDemands,
 
     // Outcomes of both.
-    ledger: AttemptLedger,
+    attempt_counters: AttemptCounters,
     canary_credits: CanaryCredits,
     version_guard: VersionGuard,
 }
@@ -152,7 +152,7 @@
             open_attempts: BTreeMap::new(),
             last_attempt: 0,
             context_demands: ContextDemands::default(),
-            ledger: AttemptLedger::default(),
+            attempt_counters: AttemptCounters::default(),
             canary_credits: CanaryCredits::default(),
             version_guard: VersionGuard::default(),
             name,
--- a/coordination/src/proxy/attempt_ledger.rs
+++ b/coordination/src/proxy/attempt_counters.rs
@@ -69,7 +69,7 @@
 
 /// All counts. Each change has a number, so that the agent can acknowledge what it has.
 #[derive(Clone, Debug)]
-pub(super) struct AttemptLedger {
+pub(super) struct AttemptCounters {
     counts: BTreeMap<CounterKey, AttemptCounts>,
     open: BTreeMap<StreamKey, u32>,
     last_change: u64,
@@ -82,9 +82,9 @@
     unjudged: BTreeMap<String, BTreeSet<CounterKey>>,
 }
 
-impl Default for AttemptLedger {
+impl Default for AttemptCounters {
     fn default() -> Self {
-        AttemptLedger {
+        AttemptCounters {
             counts: BTreeMap::new(),
             open: BTreeMap::new(),
             // 0 means that nothing is acknowledged.
@@ -97,7 +97,7 @@
     }
 }
 
-impl AttemptLedger {
+impl AttemptCounters {
     /// Changes the counts of the attempt's cell.
     pub fn count(&mut self, assignment: &Assignment, change: impl FnOnce(&mut AttemptCounts)) {
         let key = CounterKey::new(assignment);
--- a/coordination/src/proxy/by_path.rs
+++ b/coordination/src/proxy/by_path.rs
@@ -218,9 +218,9 @@
         if let Some(missed) = missed {
             self.count_context_miss(assignment, &missed, now);
         }
-        self.ledger
+        self.attempt_counters
             .count(assignment, |counts| counts.first_chunks += 1);
-        self.ledger.count(assignment, |counts| {
+        self.attempt_counters.count(assignment, |counts| {
             counts.first_chunk_log_sum += log_ms(took);
         });
     }
--- a/coordination/src/proxy/groups.rs
+++ b/coordination/src/proxy/groups.rs
@@ -1,8 +1,9 @@
 //! Which groups of a service's replicas may be used, and in which order they are tried.
 
 use remote_calls::{GroupRecord, GroupRole};
+use wire_messages::ProxyLease;
 
-use super::Proxy;
+use super::{Proxy, RolloutEntry};
 use crate::{Ms, edge_agent::SERVE_ALL};
 
 /// Replicas that run one version of a service.
@@ -40,13 +41,7 @@
             .leases
             .get(service)
             .filter(|lease| lease.expires_at > now && self.permission.rule == SERVE_ALL);
-        // The canary's lease must be for this very record or a later one of the same holder.
-        let canary_share = lease
-            .filter(|lease| {
-                lease.lease.epoch >= rollout.epoch && lease.lease.record_version >= rollout.version
-            })
-            .map_or(0, |lease| lease.lease.canary_share_percent);
-        let canary_is_due = canary_share > 0 && self.canary_credits.has_request(service);
+        let canary_is_due = self.is_canary_due(service, rollout, lease);
         // A version that is not the stable one needs a lease at all times, and gets only its share.
         let is_barred = |version: &str| {
             version != record.stable
@@ -78,6 +73,22 @@
             })
             .collect()
     }
+
+    /// Whether the canary has a share and may take the next request. Its lease must be for this very record or a later one
+    /// of the same holder.
+    fn is_canary_due(
+        &self,
+        service: &str,
+        rollout: &RolloutEntry,
+        lease: Option<&ProxyLease>,
+    ) -> bool {
+        let has_share = lease.is_some_and(|lease| {
+            lease.lease.epoch >= rollout.epoch
+                && lease.lease.record_version >= rollout.version
+                && lease.lease.canary_share_percent > 0
+        });
+        has_share && self.canary_credits.has_request(service)
+    }
 }
 
 /// Moves one group to the front, drawn by the groups' shares.
--- a/coordination/src/proxy/outcomes.rs
+++ b/coordination/src/proxy/outcomes.rs
@@ -6,18 +6,21 @@
 use wire_messages::{List, OutcomeCounters};
 
 use super::{
-    Assignment, OutcomeClass, Proxy, attempt_ledger::CounterKey, version_guard::JudgedVersion,
+    Assignment, OutcomeClass, Proxy,
+    attempt_counters::{AttemptCounts, CounterKey},
+    version_guard::{JudgedVersion, RecentOutcomes},
 };
 use crate::{Ms, version_health::replica_bit};
 
 impl Proxy {
     /// An attempt begins at its replica.
     pub(super) fn record_sent(&mut self, assignment: &Assignment) {
-        self.ledger.open(assignment);
+        self.attempt_counters.open(assignment);
         let share_percent = self.canary_share_percent(&assignment.service);
         self.canary_credits
             .count(&assignment.service, assignment.role, share_percent);
-        self.ledger.count(assignment, |counts| counts.sent += 1);
+        self.attempt_counters
+            .count(assignment, |counts| counts.sent += 1);
     }
 
     /// Percent of a service's requests that its canary may take; 0 where there is no canary.
@@ -41,7 +44,7 @@
         outcome: OutcomeClass,
         now: Ms,
     ) -> Option<String> {
-        self.ledger.close(assignment);
+        self.attempt_counters.close(assignment);
         self.reported_replicas.on_attempt_ended(&assignment.replica);
         // Attempts that came by host and path have told placement already.
         if assignment.attempt == 0 {
@@ -65,14 +68,15 @@
     fn count_outcome(&mut self, assignment: &Assignment, outcome: OutcomeClass) {
         match outcome {
             OutcomeClass::Succeeded => self
-                .ledger
+                .attempt_counters
                 .count(assignment, |counts| counts.succeeded += 1),
             OutcomeClass::Slow => {
-                self.ledger
+                self.attempt_counters
                     .count(assignment, |counts| counts.succeeded += 1);
-                self.ledger.count(assignment, |counts| counts.slow += 1);
+                self.attempt_counters
+                    .count(assignment, |counts| counts.slow += 1);
             }
-            OutcomeClass::Failed => self.ledger.count(assignment, |counts| {
+            OutcomeClass::Failed => self.attempt_counters.count(assignment, |counts| {
                 counts.failed += 1;
                 counts.failed_replicas |= replica_bit(&assignment.replica);
             }),
@@ -84,7 +88,7 @@
     fn judge_version(&mut self, assignment: &Assignment, now: Ms) -> Option<String> {
         let service = &assignment.service;
         let stable = self.rollouts.get(service)?.record.stable.clone();
-        let changed = self.ledger.take_unjudged(service);
+        let changed = self.attempt_counters.take_unjudged(service);
         let counters = self.outcome_counters(changed.iter(), now);
         self.version_guard
             .add_counters(service, &self.name, self.incarnation, &counters.0, now);
@@ -114,7 +118,7 @@
         now: Ms,
     ) -> List<OutcomeCounters> {
         let mut reported_cells = BTreeSet::new();
-        keys.filter_map(|key| Some((key, self.ledger.counts(key)?)))
+        keys.filter_map(|key| Some((key, self.attempt_counters.counts(key)?)))
             .map(|(key, counts)| {
                 // Recent outcomes are kept over all groups, so they go with the first of a cell's groups only.
                 let is_first_group =
@@ -128,26 +132,35 @@
                         now,
                     )
                 } else {
-                    Default::default()
+                    RecentOutcomes::default()
                 };
-                OutcomeCounters {
-                    service: key.service.as_str().into(),
-                    version: key.version.as_str().into(),
-                    lane: key.lane.as_str().into(),
-                    cached: key.cached.into(),
-                    group: key.role as u8,
-                    sent: counts.sent,
-                    succeeded: counts.succeeded,
-                    failed: counts.failed,
-                    slow: counts.slow,
-                    recent_ended: recent.ended,
-                    recent_failed: recent.failed,
-                    recent_slow: recent.slow,
-                    first_chunks: counts.first_chunks,
-                    first_chunk_log_sum: counts.first_chunk_log_sum,
-                    failed_replicas: counts.failed_replicas,
-                }
+                wire_counters(key, counts, &recent)
             })
             .collect()
     }
 }
+
+/// Counters of one cell, as they go on the wire.
+fn wire_counters(
+    key: &CounterKey,
+    counts: &AttemptCounts,
+    recent: &RecentOutcomes,
+) -> OutcomeCounters {
+    OutcomeCounters {
+        service: key.service.as_str().into(),
+        version: key.version.as_str().into(),
+        lane: key.lane.as_str().into(),
+        cached: key.cached.into(),
+        group: key.role as u8,
+        sent: counts.sent,
+        succeeded: counts.succeeded,
+        failed: counts.failed,
+        slow: counts.slow,
+        recent_ended: recent.ended,
+        recent_failed: recent.failed,
+        recent_slow: recent.slow,
+        first_chunks: counts.first_chunks,
+        first_chunk_log_sum: counts.first_chunk_log_sum,
+        failed_replicas: counts.failed_replicas,
+    }
+}
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -8,18 +8,18 @@
 impl Proxy {
     /// Everything that is counted and open.
     pub fn full_report(&self, now: Ms) -> ProxyReport {
-        let counters = self.outcome_counters(self.ledger.keys(), now);
-        self.report(0, counters, self.ledger.open_streams().collect())
+        let counters = self.outcome_counters(self.attempt_counters.keys(), now);
+        self.report(0, counters, self.attempt_counters.open_streams().collect())
     }
 
     /// What the agent does not have yet: cells are many, and most do not change.
     pub fn changed_report(&self, now: Ms) -> ProxyReport {
-        let after_change = self.ledger.acknowledged_change();
+        let after_change = self.attempt_counters.acknowledged_change();
         if after_change == 0 {
             return self.full_report(now);
         }
-        let counters = self.outcome_counters(self.ledger.changed_keys(), now);
-        let open_streams = self.ledger.changed_open_streams().collect();
+        let counters = self.outcome_counters(self.attempt_counters.changed_keys(), now);
+        let open_streams = self.attempt_counters.changed_open_streams().collect();
         self.report(after_change, counters, open_streams)
     }
 
@@ -33,7 +33,7 @@
             incarnation: self.incarnation,
             http_addr: self.http_addr.clone(),
             after_change,
-            through_change: self.ledger.last_change(),
+            through_change: self.attempt_counters.last_change(),
             counters,
             open_streams,
         }
--- a/coordination/src/proxy/table_updates.rs
+++ b/coordination/src/proxy/table_updates.rs
@@ -38,7 +38,7 @@
         self.permission.valid_until = update.valid_until;
         self.permission.has_snapshot |= update.is_snapshot != 0;
         self.edges = update.nodes.0;
-        self.ledger
+        self.attempt_counters
             .acknowledge(if update.proxy_incarnation == self.incarnation {
                 update.counters_through
             } else {
--- a/edge-proxy/src/exchange.rs
+++ b/edge-proxy/src/exchange.rs
@@ -63,6 +63,15 @@
     last_refusal: Option<Refusal>,
 }
 
+impl AttemptHistory {
+    /// A byte of an attempt may have left.
+    fn on_sent(&mut self) {
+        self.sent += 1;
+        self.any_sent = true;
+        self.is_retry_drawn = false;
+    }
+}
+
 /// A client's request and its attempts.
 pub struct Exchange {
     pub proxy: SharedProxy,
@@ -198,12 +207,9 @@
         };
         let mut idle = self.take_idle(&attempt);
         loop {
-            let mut connection = match idle.take() {
-                Some(connection) => connection,
-                None => match self.connect(&attempt).await {
-                    Ok(connection) => connection,
-                    Err(error) => return self.on_unreached(attempt, error),
-                },
+            let mut connection = match self.reuse_or_connect(&attempt, idle.take()).await {
+                Ok(connection) => connection,
+                Err(error) => return self.on_unreached(attempt, error),
             };
             let now = clock::now();
             // The process was suspended since: what the assignment was based on may have lapsed.
@@ -227,9 +233,7 @@
                 }
                 continue;
             }
-            self.history.sent += 1;
-            self.history.any_sent = true;
-            self.history.is_retry_drawn = false;
+            self.history.on_sent();
             return match sent {
                 Ok(Ok(response)) => self.on_response(attempt, connection, response),
                 Ok(Err(SendError::MaybeSent(reason))) => self.on_lost(attempt, &reason),
@@ -267,6 +271,17 @@
             .take_idle(&attempt.assignment.addr, idle_max, clock::now())
     }
 
+    async fn reuse_or_connect(
+        &self,
+        attempt: &Attempt,
+        idle: Option<Connection>,
+    ) -> Result<Connection, ConnectError> {
+        match idle {
+            Some(connection) => Ok(connection),
+            None => self.connect(attempt).await,
+        }
+    }
+
     async fn connect(&self, attempt: &Attempt) -> Result<Connection, ConnectError> {
         let assignment = &attempt.assignment;
         let (connections_max, round_trip_ms) = {
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -180,12 +180,7 @@
         arrived_at: Ms,
     ) -> Result<ReceivedHead, RejectedRequest> {
         let received_at = clock::now();
-        let host = request
-            .headers()
-            .get("host")
-            .and_then(|value| value.to_str().ok())
-            .or_else(|| request.uri().host())
-            .unwrap_or_default();
+        let host = host_of(request);
         let path = request.uri().path();
         let (lane, limits) = {
             let mut proxy = lock(&self.proxy);
@@ -193,14 +188,7 @@
             (lane, proxy.client_limits().cloned().unwrap_or_default())
         };
         let headers = end_to_end_headers(request);
-        if limits.header_bytes > 0 && head_bytes(request) > limits.header_bytes {
-            let message = "its head is larger than the configuration allows";
-            let fault = Fault::new("too_large", "read_head", message).outcome(Outcome::NotRun);
-            return Err(RejectedRequest {
-                rejection: (StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, fault),
-                closes_connection: true,
-            });
-        }
+        check_head_size(request, &limits)?;
         let head = self.adapter.request_head(host, path, &headers);
         let time_limit = lane
             .as_ref()
@@ -219,6 +207,30 @@
     }
 }
 
+fn check_head_size(
+    request: &HttpRequest,
+    limits: &DownstreamLimits,
+) -> Result<(), RejectedRequest> {
+    if limits.header_bytes == 0 || head_bytes(request) <= limits.header_bytes {
+        return Ok(());
+    }
+    let message = "its head is larger than the configuration allows";
+    let fault = Fault::new("too_large", "read_head", message).outcome(Outcome::NotRun);
+    Err(RejectedRequest {
+        rejection: (StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, fault),
+        closes_connection: true,
+    })
+}
+
+fn host_of(request: &HttpRequest) -> &str {
+    request
+        .headers()
+        .get("host")
+        .and_then(|value| value.to_str().ok())
+        .or_else(|| request.uri().host())
+        .unwrap_or_default()
+}
+
 /// Reads a request's body, or the beginning of a large one.
 async fn read_body(
     payload: Payload,
@@ -249,18 +261,8 @@
             });
         }
         Ok(Err(BodyError::TooLarge)) => body_too_large(),
-        Ok(Err(BodyError::Incomplete)) => {
-            let message = "its body did not come whole";
-            let fault = Fault::new("bad_request", "read_body", message).outcome(Outcome::NotRun);
-            (StatusCode::BAD_REQUEST, fault)
-        }
-        Err(_) => {
-            let message = "its body did not come in its time left";
-            let fault = Fault::new("no_time", "read_body", message)
-                .outcome(Outcome::NotRun)
-                .retry(STOP_RETRY);
-            (StatusCode::REQUEST_TIMEOUT, fault)
-        }
+        Ok(Err(BodyError::Incomplete)) => body_incomplete(),
+        Err(_) => body_timed_out(),
     };
     Err(RejectedRequest {
         rejection,
@@ -316,6 +318,20 @@
 
 // ---- rejections ----
 
+fn body_incomplete() -> Rejection {
+    let message = "its body did not come whole";
+    let fault = Fault::new("bad_request", "read_body", message).outcome(Outcome::NotRun);
+    (StatusCode::BAD_REQUEST, fault)
+}
+
+fn body_timed_out() -> Rejection {
+    let message = "its body did not come in its time left";
+    let fault = Fault::new("no_time", "read_body", message)
+        .outcome(Outcome::NotRun)
+        .retry(STOP_RETRY);
+    (StatusCode::REQUEST_TIMEOUT, fault)
+}
+
 fn lane_rejection(fault: Fault) -> Rejection {
     let status = daemon_parts::http::status(&fault).as_u16();
     (StatusCode::from_u16(status).unwrap_or_default(), fault)
--- a/edge-proxy/src/replica_stream.rs
+++ b/edge-proxy/src/replica_stream.rs
@@ -60,18 +60,12 @@
     }
 }
 
-/// Calls a replica until its response starts.
-///
-/// # Errors
-/// Whether it certainly did not run the request, or may have.
-pub async fn call_replica(
-    client: &Client,
+fn generate_request(
     request: &RunRequest,
     assignment: &Assignment,
-    deadline: Ms,
-) -> Result<ReplicaStream, AttemptError> {
-    let time_left = deadline.saturating_sub(clock::now());
-    let generate = GenerateRequest {
+    time_left: Ms,
+) -> GenerateRequest {
+    GenerateRequest {
         request: request.request.clone(),
         service: request.service.clone(),
         lane: request.lane.clone(),
@@ -81,7 +75,21 @@
         prompt: request.prompt.clone(),
         time_left_ms: time_left,
         resume: request.resume.clone(),
-    };
+    }
+}
+
+/// Calls a replica until its response starts.
+///
+/// # Errors
+/// Whether it certainly did not run the request, or may have.
+pub async fn call_replica(
+    client: &Client,
+    request: &RunRequest,
+    assignment: &Assignment,
+    deadline: Ms,
+) -> Result<ReplicaStream, AttemptError> {
+    let time_left = deadline.saturating_sub(clock::now());
+    let generate = generate_request(request, assignment, time_left);
     check_connects(assignment, time_left).await?;
     let url = format!("http://{}{}", assignment.addr, calls::GENERATE.1);
     let mut response = client
--- a/edge-proxy/src/response.rs
+++ b/edge-proxy/src/response.rs
@@ -81,7 +81,7 @@
         // Nothing can follow this attempt: what it was sent need not be buffered while it streams.
         exchange.drop_body();
     }
-    let time_left = exchange.deadline.saturating_sub(clock::now()) + LATE_SLACK;
+    let deadline = Box::pin(deadline_timer(&exchange));
     let mut relay = ResponseRelay {
         exchange,
         attempt,
@@ -90,7 +90,7 @@
         status: head.status,
         length,
         events,
-        deadline: Box::pin(tokio::time::sleep(Duration::from_millis(time_left))),
+        deadline,
         is_over: false,
         _open_request: open_request,
     };
@@ -105,6 +105,12 @@
     }
 }
 
+/// Ends when the response's time is over.
+fn deadline_timer(exchange: &Exchange) -> Sleep {
+    let time_left = exchange.deadline.saturating_sub(clock::now()) + LATE_SLACK;
+    tokio::time::sleep(Duration::from_millis(time_left))
+}
+
 /// The head of the response, with those of the replica's headers that are forwarded.
 fn response_builder(head: &Parts, closes_connection: bool) -> HttpResponseBuilder {
     let status = actix_web::http::StatusCode::from_u16(head.status.as_u16()).unwrap_or_default();
--- a/edge-proxy/src/run_call.rs
+++ b/edge-proxy/src/run_call.rs
@@ -78,17 +78,25 @@
     };
     let (sender, lines) = mpsc::channel(LINES);
     actix_rt::spawn(forward(actor, request.run_request, started, sender));
-    // The request is open until its caller has the last line.
+    Ok(line_response(lines, open_request, gate.is_begun()))
+}
+
+/// The response that streams the lines. The request is open until its caller has the last one.
+fn line_response(
+    lines: mpsc::Receiver<Result<Bytes, Infallible>>,
+    open_request: OpenRequest,
+    closes_connection: bool,
+) -> HttpResponse {
     let body = stream::unfold((lines, open_request), async |(mut lines, open_request)| {
         Some((lines.recv().await?, (lines, open_request)))
     });
     let mut response = HttpResponse::Ok();
-    if gate.is_begun() {
+    if closes_connection {
         response.force_close();
     }
-    Ok(response
+    response
         .content_type("application/x-ndjson")
-        .streaming(body))
+        .streaming(body)
 }
 
 /// An attempt whose response has started.
