--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -6,8 +6,8 @@
 
 use super::Control;
 use crate::{
-    Effect, Effects, Ms, effect::log_event, events, membership::NodeRole, pass::host_name, regions,
-    rendezvous::rendezvous_order, timing::NODE_TIMEOUT,
+    Effect, Effects, Ms, effect::log_event, events, exchange::host_name, membership::NodeRole,
+    regions, rendezvous::rendezvous_order, timing::NODE_TIMEOUT,
 };
 
 /// ms. A control daemon names edges to callers only when every agent had time for three polls: a short list would send
--- a/coordination/src/proxy/by_path.rs
+++ b/coordination/src/proxy/by_path.rs
@@ -11,7 +11,7 @@
 };
 use crate::{
     Ms,
-    pass::{AttemptOutcome, RequestHead, ResponseSignals},
+    exchange::{AttemptOutcome, RequestHead, ResponseSignals},
     placement::{Candidate, PlacementRequest, prefill_ms},
     policy::Mechanism,
     version_health::log_ms,
@@ -218,9 +218,9 @@
         if let Some(missed) = missed {
             self.count_context_miss(assignment, &missed, now);
         }
-        self.ledger
+        self.attempt_counters
             .count(assignment, |counts| counts.first_chunks += 1);
-        self.ledger.count(assignment, |counts| {
+        self.attempt_counters.count(assignment, |counts| {
             counts.first_chunk_log_sum += log_ms(took);
         });
     }
--- a/coordination/src/proxy/table_updates.rs
+++ b/coordination/src/proxy/table_updates.rs
@@ -13,7 +13,7 @@
 use crate::{
     Ms,
     control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
-    pass::LaneIndex,
+    exchange::LaneIndex,
     placement::HomeBoundDemand,
     register::ROLLOUT_PREFIX,
     state_table::{VersionStamp, version_stamp},
@@ -38,7 +38,7 @@
         self.permission.valid_until = update.valid_until;
         self.permission.has_snapshot |= update.is_snapshot != 0;
         self.edges = update.nodes.0;
-        self.ledger
+        self.attempt_counters
             .acknowledge(if update.proxy_incarnation == self.incarnation {
                 update.counters_through
             } else {
