--- a/check.sh
+++ b/check.sh
@@ -7,7 +7,11 @@
 export CARGO_INCREMENTAL=0
 .ci/known-red-test
 cargo fmt --all --check
-cargo clippy --workspace --all-targets --locked -- -D warnings
+cargo clippy --workspace --lib --bins --locked -- -D warnings
+# Tests may use preludes, messages by value, and one-letter names in closures of a line.
+cargo clippy --workspace --all-targets --locked -- -D warnings -A clippy::wildcard_imports \
+  -A clippy::needless_pass_by_value -A clippy::min_ident_chars \
+  -A clippy::many_single_char_names -A clippy::too_many_lines
 RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 cargo build --workspace --bins --locked
 known=KNOWN-RED.txt
--- a/control-daemon/src/disk/storage.rs
+++ b/control-daemon/src/disk/storage.rs
@@ -49,7 +49,7 @@
 
 fn rewrite_file(path: &Path) -> io::Result<()> {
     let file = match fs::OpenOptions::new().read(true).write(true).open(path) {
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
         opened => opened?,
     };
     let mut buffer = vec![0; REWRITE_BYTES];
--- a/control-daemon/src/disk/worker.rs
+++ b/control-daemon/src/disk/worker.rs
@@ -81,7 +81,9 @@
 
     fn sync(&mut self, batch: Batch) {
         let synced = match self.connection.as_mut() {
-            Some(connection) => write_rows(connection, &batch.rows).map_err(|e| format!("{e:?}")),
+            Some(connection) => {
+                write_rows(connection, &batch.rows).map_err(|error| format!("{error:?}"))
+            }
             None => Err("not open".into()),
         };
         if synced.is_err() {
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -35,7 +35,7 @@
     value: &impl Serialize,
 ) -> HandlerResult {
     let value = serde_json::to_vec(value)
-        .map_err(|e| Fault::new("bad_json", "write_value", e.to_string()))?;
+        .map_err(|error| Fault::new("bad_json", "write_value", error.to_string()))?;
     let version = write_value(handle, &key, expect_version.into(), value).await?;
     Ok(HttpResponse::Ok().json(Accepted { version }))
 }
--- a/coordination/src/claims/claimer.rs
+++ b/coordination/src/claims/claimer.rs
@@ -138,6 +138,10 @@
     }
 
     /// Counts a holder's reply; gives the claim if that decided it.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub fn on_reply(&mut self, from: &Name, reply: ClaimReply) -> Option<ClaimEnded> {
         let claim = self.pending.get_mut(&reply.token)?;
         if claim.holders.contains(from) {
--- a/coordination/src/claims/grants.rs
+++ b/coordination/src/claims/grants.rs
@@ -49,6 +49,10 @@
     }
 
     /// Replies to a claim; `me` is this edge in its present incarnation.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub fn on_claim(
         &mut self,
         me: &Node,
--- a/coordination/src/context/mod.rs
+++ b/coordination/src/context/mod.rs
@@ -22,7 +22,9 @@
     pub version: u64,
     /// Digest of the homes, see [`homes_digest`].
     pub homes: u64,
+    /// Digest of the chain's blocks.
     pub chain: u64,
+    /// Tokens of all its blocks.
     pub tokens: u32,
 }
 
--- a/coordination/src/context/placed_context.rs
+++ b/coordination/src/context/placed_context.rs
@@ -18,7 +18,9 @@
 /// Replicas that keep a chain ready for one version of weights.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainCopies<'a> {
+    /// Version of the weights that the copies belong to.
     pub version: &'a str,
+    /// Numbers of the incarnations of the replicas that keep a copy.
     pub replica_numbers: &'a [u64],
 }
 
--- a/coordination/src/context/planner.rs
+++ b/coordination/src/context/planner.rs
@@ -33,12 +33,15 @@
 /// How often a region requests a chain, decaying, and how often the chain was assumed to be cached there and was not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandCount {
+    /// Requests for the chain in the window.
     pub requests: f64,
+    /// Of these, those that found it missing where a copy was expected.
     pub cache_misses: f64,
 }
 
 /// What the decision goes by.
 pub struct PlacementInputs<'a> {
+    /// The service's settings of shared context.
     pub spec: &'a ContextSpec,
     /// Tokens that a replica's cache can hold.
     pub cache_tokens: u64,
@@ -46,9 +49,11 @@
     pub version: &'a str,
     /// Replicas that may be used: none that drains or is in an evacuated zone.
     pub replicas: &'a [PlacedReplica],
+    /// Region of a zone.
     pub region: &'a dyn Fn(&str) -> String,
     /// Regions by the digest of a lane's homes; a digest that is not there gets no copies.
     pub homes: &'a BTreeMap<u64, Vec<String>>,
+    /// Demand by region and chain.
     pub demand: &'a BTreeMap<(String, PromptChain), DemandCount>,
     /// A lease holder that took over lately has not heard all edges: missing demand does not mean that there is none.
     pub is_incomplete: bool,
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -44,9 +44,14 @@
     /// its copies of shared context where they are on.
     pub(super) fn wanted_roles(&self) -> Vec<Name> {
         let mut keys = vec![];
-        for service in self.parsed.spec().into_iter().flat_map(|s| &s.services) {
+        for service in self
+            .parsed
+            .spec()
+            .into_iter()
+            .flat_map(|spec| &spec.services)
+        {
             keys.push(Name(format!("{ROLLOUT_PREFIX}{}", service.name)));
-            if service.context.as_ref().is_some_and(|c| c.on) {
+            if service.context.as_ref().is_some_and(|context| context.on) {
                 keys.push(Name(format!("{CONTEXT_PREFIX}{}", service.name)));
             }
         }
@@ -104,7 +109,10 @@
 
     /// Clears the record of copies of a service that has them switched off.
     fn disable_context(&mut self, service: &ServiceSpec, key: &Name, now: Ms, out: &mut Effects) {
-        let committed = self.state_table.get(key).filter(|c| !c.value.0.is_empty());
+        let committed = self
+            .state_table
+            .get(key)
+            .filter(|change| !change.value.0.is_empty());
         if let Some(committed) = committed
             && !self.registers.has_pending_writes(key)
         {
@@ -195,7 +203,10 @@
             .collect();
         let inputs = context::PlacementInputs {
             spec: decision.context_spec,
-            cache_tokens: service.engine.as_ref().map_or(0, |e| e.cache_tokens),
+            cache_tokens: service
+                .engine
+                .as_ref()
+                .map_or(0, |engine| engine.cache_tokens),
             version: &rollout.stable,
             replicas: &replicas,
             region: &region_of,
@@ -213,7 +224,11 @@
 
     /// Replicas that may keep copies: in use, not draining, and in no evacuated zone.
     fn context_replicas(&self, rollout: &RolloutRecord) -> Vec<PlacedReplica> {
-        let in_use: BTreeSet<&String> = rollout.groups.iter().flat_map(|g| &g.replicas).collect();
+        let in_use: BTreeSet<&String> = rollout
+            .groups
+            .iter()
+            .flat_map(|group| &group.replicas)
+            .collect();
         let is_draining = |id: &str| {
             let key = format!("{DRAINING_PREFIX}{id}");
             let change = self.state_table.get(&key);
--- a/coordination/src/control/counters.rs
+++ b/coordination/src/control/counters.rs
@@ -87,8 +87,8 @@
             .members
             .voters
             .iter()
-            .filter(|v| v.name != *own_name && live(&v.name))
-            .filter(|v| rendezvous_weight(key, &v.name) > own_weight);
+            .filter(|voter| voter.name != *own_name && live(&voter.name))
+            .filter(|voter| rendezvous_weight(key, &voter.name) > own_weight);
         before.count() < COUNTER_SUBSCRIBERS
     }
 
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -321,7 +321,7 @@
             return Err(Unresolved::Starting);
         }
         let (edges, reach) = self.select_edges(caller, self.serving_edges(now));
-        let edges: Vec<ServingEdge> = rendezvous_order(caller.host, edges, |e| &e.node.name)
+        let edges: Vec<ServingEdge> = rendezvous_order(caller.host, edges, |edge| &edge.node.name)
             .into_iter()
             .take(MAX_ADDRESSES)
             .collect();
--- a/coordination/src/control/forwarding.rs
+++ b/coordination/src/control/forwarding.rs
@@ -308,6 +308,10 @@
     }
 
     /// Takes the outcome of a request that was forwarded from here.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub(super) fn on_forward_reply(&mut self, reply: ForwardReply, now: Ms, out: &mut Effects) {
         let Some(mut pending) = self.writes.forwarding.outgoing.remove(&reply.token) else {
             return;
--- a/coordination/src/control/heartbeats.rs
+++ b/coordination/src/control/heartbeats.rs
@@ -63,7 +63,9 @@
     /// Offers the first voters again to a member that was named among them but has not stored them.
     fn offer_first_voters(&self, addr: &Name, disk_id: u64, out: &mut Effects) {
         let voters = &self.registers.members.voters;
-        if self.registers.members.member_epoch == 1 && voters.iter().any(|v| v.disk_id == disk_id) {
+        if self.registers.members.member_epoch == 1
+            && voters.iter().any(|voter| voter.disk_id == disk_id)
+        {
             let voters = List(voters.clone());
             out.push(send(addr, Bootstrap { voters }));
         }
@@ -94,7 +96,7 @@
                 .members
                 .voters
                 .iter()
-                .any(|v| v.name == *name)
+                .any(|voter| voter.name == *name)
         };
         let followers = self
             .peers
@@ -131,7 +133,8 @@
 
     fn heartbeat_receivers(&self, now: Ms) -> BTreeSet<Name> {
         let voters = self.registers.members.voters.iter();
-        let mut receivers: BTreeSet<Name> = voters.map(|v| self.registers.addr(v)).collect();
+        let mut receivers: BTreeSet<Name> =
+            voters.map(|voter| self.registers.addr(voter)).collect();
         // Learners have nothing to report to each other.
         if self.registers.members.voting || self.registers.members.member_epoch == 0 {
             let live = self.membership.live(NodeRole::Control);
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -99,7 +99,11 @@
     }
 
     fn is_placed(&self, replica: &PlatformReplica) -> bool {
-        let mut services = self.parsed.spec().into_iter().flat_map(|s| &s.services);
+        let mut services = self
+            .parsed
+            .spec()
+            .into_iter()
+            .flat_map(|spec| &spec.services);
         services
             .any(|service| service.name == replica.service && service.mode == ServiceMode::Placed)
     }
@@ -108,7 +112,11 @@
     pub fn holds_any_role(&self, now: Ms) -> bool {
         let is_held = |key: &str| self.registers.held_until(key, now).is_some();
         let mut records = self.state_table.with_prefix(ROLLOUT_PREFIX);
-        let mut services = self.parsed.spec().into_iter().flat_map(|s| &s.services);
+        let mut services = self
+            .parsed
+            .spec()
+            .into_iter()
+            .flat_map(|spec| &spec.services);
         records.any(|(_, record)| is_held(&record.key))
             || services.any(|service| is_held(&format!("{ROLLOUT_PREFIX}{}", service.name)))
     }
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -152,7 +152,11 @@
         let text = format!("{:?} to {:?}", old.phase, next.phase);
         out.push(log_event(events::ROLLOUT_PHASE, service, text));
     }
-    for alert in next.alerts.iter().filter(|a| !old.alerts.contains(a)) {
+    for alert in next
+        .alerts
+        .iter()
+        .filter(|alert| !old.alerts.contains(alert))
+    {
         out.push(log_event(alert_event(alert), service, alert.clone()));
     }
 }
@@ -326,7 +330,12 @@
 
     /// Keys of drained replicas that are gone and that this daemon owns: it clears them.
     fn drained_and_removed(&self, pass: &RolloutPass) -> Vec<Name> {
-        let is_listed = |id: &String| pass.platform.replicas.iter().any(|p| p.id == *id);
+        let is_listed = |id: &String| {
+            pass.platform
+                .replicas
+                .iter()
+                .any(|replica| replica.id == *id)
+        };
         let removed = pass.draining.iter().filter(|id| !is_listed(id));
         removed
             .map(|id| Name(format!("{DRAINING_PREFIX}{id}")))
@@ -346,7 +355,7 @@
         for service in &spec.services {
             let key = format!("{ROLLOUT_PREFIX}{}", service.name);
             let owner = self.registers.preferred_owner(&key, live);
-            if owner.is_none_or(|v| v.name != self.config.name) {
+            if owner.is_none_or(|voter| voter.name != self.config.name) {
                 self.rollouts.forget_run(&service.name);
             } else if let Some(idle) = self.rollouts.newly_stalled_for(&service.name, now) {
                 let text = format!("{idle} ms");
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -33,7 +33,9 @@
             disk_ok: self.disk_healthy,
             members: self.member_statuses(&is_live, now),
             keys: self.key_statuses(&is_live, now),
-            edges: followers.map(|f| edge_status(f, now)).collect(),
+            edges: followers
+                .map(|follower| edge_status(follower, now))
+                .collect(),
             rollouts: self.decoded(ROLLOUT_PREFIX).collect(),
             contexts: self.decoded(CONTEXT_PREFIX).collect(),
             streams: self.zone_streams(zones.iter().map(|z| z.name.as_str()), now),
@@ -111,7 +113,10 @@
             .map(|replica| (replica.id, replica.zone))
             .collect();
         let mut by_zone: BTreeMap<&str, u64> = BTreeMap::new();
-        let open_streams = self.followers.live(now).flat_map(|f| &f.open_streams);
+        let open_streams = self
+            .followers
+            .live(now)
+            .flat_map(|follower| &follower.open_streams);
         for ((replica, _), streams) in open_streams {
             if let Some(zone) = zone_by_replica.get(&**replica) {
                 *by_zone.entry(zone).or_default() += u64::from(*streams);
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -63,7 +63,7 @@
     }
 
     fn is_among(&self, voters: &[Voter]) -> bool {
-        voters.iter().any(|v| v.disk_id == self.disk_id)
+        voters.iter().any(|voter| voter.disk_id == self.disk_id)
     }
 
     /// Begins anew with voters that were adopted at `now`.
@@ -115,6 +115,10 @@
 
     /// Answers with this daemon's slots once all its votes are on its disk: an earlier member epoch must not come back
     /// here after a new voter has relied on its end.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub(super) fn on_slots_request(
         &mut self,
         addr: &Name,
@@ -256,7 +260,7 @@
         let disk_id = self.voter_membership.disk_id;
         let keeps_place = voters
             .iter()
-            .any(|v| v.disk_id == disk_id && v.since_epoch <= current_epoch);
+            .any(|voter| voter.disk_id == disk_id && voter.since_epoch <= current_epoch);
         let is_retired =
             !keeps_place && self.registers.members.voting && member_epoch == current_epoch + 1;
         self.registers
@@ -288,7 +292,7 @@
         let Some(next) = self.next_voters(now, live) else {
             return;
         };
-        let names: Vec<&str> = next.iter().map(|v| &*v.name).collect();
+        let names: Vec<&str> = next.iter().map(|voter| &*voter.name).collect();
         let text = names.join(" ");
         out.push(log_event(events::VOTERS_CHANGED, &self.config.name, text));
         // The first voters are member epoch 1 and under no key, so that a key's version is one below its epoch.
@@ -302,7 +306,7 @@
         let is_owner = self
             .registers
             .preferred_owner(MEMBERS_KEY, live)
-            .is_some_and(|v| v.name == self.config.name);
+            .is_some_and(|voter| voter.name == self.config.name);
         // One that has just started has not heard the others yet.
         let has_heard_others = now.saturating_sub(self.started_at) >= 2 * PEER_TIMEOUT;
         is_owner && has_heard_others && !self.registers.has_pending_writes(MEMBERS_KEY)
@@ -313,16 +317,15 @@
         let changed_at = self.voter_membership.voters_changed_at;
         let is_new_voter = |peer: &Peer| {
             let mut voters = self.registers.members.voters.iter();
-            voters.any(|v| {
-                v.disk_id == peer.heartbeat.disk_id
-                    && v.since_epoch == self.registers.members.member_epoch
+            voters.any(|voter| {
+                voter.disk_id == peer.heartbeat.disk_id
+                    && voter.since_epoch == self.registers.members.member_epoch
             })
         };
         now.saturating_sub(changed_at) < CATCH_UP_TIMEOUT
-            && self
-                .peers
-                .heard_within(PEER_TIMEOUT, now)
-                .any(|(_, p)| p.heartbeat.state == PeerState::CatchingUp && is_new_voter(p))
+            && self.peers.heard_within(PEER_TIMEOUT, now).any(|(_, peer)| {
+                peer.heartbeat.state == PeerState::CatchingUp && is_new_voter(peer)
+            })
     }
 
     /// The voters that should follow the present ones, where they should change.
@@ -355,7 +358,7 @@
                     | PeerState::Learner
             );
             let mut voters = self.registers.members.voters.iter();
-            is_waiting && !voters.any(|v| v.disk_id == peer.heartbeat.disk_id)
+            is_waiting && !voters.any(|voter| voter.disk_id == peer.heartbeat.disk_id)
         };
         let since_epoch = self.registers.members.member_epoch + 1;
         self.peers
@@ -390,7 +393,7 @@
     fn slots_request_receivers(&self, now: Ms) -> BTreeMap<Name, Name> {
         let voters = self.registers.members.voters.iter();
         let mut receivers: BTreeMap<Name, Name> = voters
-            .map(|v| (v.name.clone(), self.registers.addr(v)))
+            .map(|voter| (voter.name.clone(), self.registers.addr(voter)))
             .collect();
         let heard = self.peers.heard_within(PEER_TIMEOUT, now);
         receivers.extend(heard.map(|(name, peer)| (name.clone(), peer.addr.clone())));
@@ -438,7 +441,7 @@
                     .members
                     .voters
                     .iter()
-                    .map(|v| &v.addr)
+                    .map(|voter| &voter.addr)
                     .collect(),
                 own: &config.addr,
                 are_names: false,
--- a/coordination/src/exchange.rs
+++ b/coordination/src/exchange.rs
@@ -13,7 +13,9 @@
 /// What a request's head says of the request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
+    /// Host that the client named.
     pub host: String,
+    /// Path of the request, without its query.
     pub path: String,
     /// The caller's name for this attempt of its own; it comes to one edge only.
     pub attempt_id: String,
@@ -21,6 +23,7 @@
     pub time_left_ms: Option<Ms>,
     /// Id of the last event that the caller already has, if it resumes.
     pub last_event_id: Option<String>,
+    /// Model that the client asks for.
     pub model: String,
     /// Tokens of the prompt, and most output tokens.
     pub tokens: (u32, u32),
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -164,6 +164,10 @@
 
     /// Takes a message of an exchange from the node at `addr`, and responds if the exchange goes
     /// on.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub fn on_shuffle(&mut self, addr: &Name, message: Shuffle, now: Ms, out: &mut Effects) {
         for node in message.nodes.iter() {
             self.known.merge_description(node, now, out);
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -82,8 +82,11 @@
     reachability: Reachability,
     edges: EdgeSet,
     peer_reports: PeerReports,
+    /// Round trips to zones, as far as they are known.
     pub latency: NetworkLatency,
+    /// Bounds that placement keeps to.
     pub bounds: Bounds,
+    /// Mechanisms that are in force.
     pub policy: Policy,
     /// Regions that home-bound requests depend on.
     pub home_bound: HomeBoundDemand,
--- a/coordination/src/placement/reachability.rs
+++ b/coordination/src/placement/reachability.rs
@@ -74,7 +74,11 @@
 
     /// An attempt goes to a zone whose backoff is over: other requests wait for its outcome.
     pub fn on_sent_to_zone(&mut self, zone: &str, now: Ms) {
-        if let Some(failures) = self.zones.get_mut(zone).filter(|f| f.is_unreachable()) {
+        if let Some(failures) = self
+            .zones
+            .get_mut(zone)
+            .filter(|zone_failures| zone_failures.is_unreachable())
+        {
             failures.latest_at = now;
         }
     }
--- a/coordination/src/placement/replica_view.rs
+++ b/coordination/src/placement/replica_view.rs
@@ -46,8 +46,11 @@
 pub struct ReplicaView {
     /// Number of this incarnation, for tables keyed by it.
     pub number: u64,
+    /// Zone that the replica runs in.
     pub zone: String,
+    /// Requests that it runs at once.
     pub slots: u32,
+    /// How far its failures are known.
     pub suspicion: Suspicion,
     /// Attempts of this proxy that are open there, and those of them that wait for their first chunk.
     open_attempts: u32,
--- a/coordination/src/placement/selection.rs
+++ b/coordination/src/placement/selection.rs
@@ -21,8 +21,11 @@
 /// The replica that was chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
+    /// Id of the replica.
     pub id: String,
+    /// IP:port of the replica.
     pub addr: String,
+    /// Version that it serves.
     pub version: String,
     /// The prompt's shared prefix is assumed to be in the replica's cache.
     pub cached: bool,
@@ -34,10 +37,13 @@
 
 /// What a replica is chosen for.
 pub struct PlacementRequest<'a> {
+    /// Lane of the request.
     pub lane: &'a PathSpec,
+    /// What the request tells.
     pub head: &'a RequestHead,
     /// Replicas that the request went to before.
     pub tried: &'a [String],
+    /// Zones that operators have evacuated.
     pub evacuated_zones: &'a BTreeSet<String>,
 }
 
--- a/coordination/src/proxy/assignment.rs
+++ b/coordination/src/proxy/assignment.rs
@@ -10,14 +10,21 @@
 /// The replica to which an attempt goes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
+    /// Service of the request.
     pub service: String,
+    /// Lane of the request.
     pub lane: String,
+    /// Version that the replica serves.
     pub version: String,
+    /// Id of the replica.
     pub replica: String,
+    /// IP:port of the replica.
     pub addr: String,
+    /// Role of the replica's group in the rollout.
     pub role: GroupRole,
     /// The prompt's prefix is assumed to be in the replica's cache.
     pub cached: bool,
+    /// When it was made.
     pub assigned_at: Ms,
     /// Number of an attempt that came by host and path; 0 for others.
     pub attempt: u64,
@@ -33,6 +40,7 @@
 /// The class in which an attempt is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeClass {
+    /// It succeeded in time.
     Succeeded,
     /// Slower than the lane's expected time by far.
     Slow,
@@ -47,8 +55,10 @@
 /// The answer to a request that wants to be assigned.
 #[derive(Clone, Debug)]
 pub enum Admission {
+    /// A replica is assigned.
     Assigned(Assignment),
     /// Every slot is taken; the request may wait for one if the queue has room.
     NoFreeSlot,
+    /// It is rejected at once, with this fault.
     Rejected(Fault),
 }
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -68,6 +68,10 @@
     }
 
     /// What another proxy sent, and what failed it.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub fn on_prefill_report(&mut self, report: PrefillReport, now: Ms) {
         for prefill in report.prefills.iter() {
             self.placement.on_peer_prefill(prefill, now);
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -65,6 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct Registers {
     name: Name,
+    /// Who votes, under which member epoch.
     pub members: MemberConfig,
     /// Addresses of control daemons that do not vote: commits are sent to them too.
     pub followers: Vec<Name>,
--- a/coordination/src/register/acquisition.rs
+++ b/coordination/src/register/acquisition.rs
@@ -57,6 +57,10 @@
     }
 
     /// Counts a voter's promise; with a majority of them the key is owned.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub fn on_promise(&mut self, voter: &Name, promise: Promise, now: Ms, out: &mut Effects) {
         self.epochs.observe(promise.slot.promised_epoch);
         let key = promise.slot.key.clone();
@@ -96,6 +100,10 @@
     }
 
     /// A majority has promised; `newest` is the newest value that any of it has accepted.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "the slot is consumed by the write that it becomes"
+    )]
     fn begin_to_own(&mut self, key: &Name, newest: Slot, now: Ms, out: &mut Effects) {
         let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
--- a/coordination/src/register/member_config.rs
+++ b/coordination/src/register/member_config.rs
@@ -10,6 +10,7 @@
 pub struct MemberConfig {
     /// Rises with each change of voters; 0: none are known yet.
     pub member_epoch: u32,
+    /// The voters.
     pub voters: Vec<Voter>,
     /// How many voters the member epoch before had; 0: not known.
     pub previous_voter_count: u32,
--- a/coordination/src/register/ownership.rs
+++ b/coordination/src/register/ownership.rs
@@ -50,6 +50,10 @@
 
 impl InFlightWrite {
     /// A pending write as the key's next version.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "a request is consumed by the write that it becomes"
+    )]
     pub(super) fn new(
         request: PendingRequest,
         value: Blob,
@@ -119,9 +123,13 @@
 /// A write, or a read where there is no value, whose key is no longer owned here.
 #[derive(Clone, Debug)]
 pub struct DisplacedRequest {
+    /// Matches the outcome to the request.
     pub token: u64,
+    /// The key.
     pub key: Name,
+    /// What must hold for it to be written.
     pub expect: Expect,
+    /// The value to write; none for a read.
     pub value: Option<Blob>,
     /// ms. When it was received here.
     pub received_at: Ms,
--- a/coordination/src/register/proposer.rs
+++ b/coordination/src/register/proposer.rs
@@ -180,6 +180,10 @@
 
     /// Counts a voter's acceptance; with a majority of them the write is committed. A refusal for a higher epoch ends
     /// the ownership.
+    #[allow(
+        clippy::needless_pass_by_value,
+        reason = "handlers take the message that they were sent"
+    )]
     pub fn on_accepted(&mut self, voter: &Name, reply: Accepted, now: Ms, out: &mut Effects) {
         self.epochs.observe(reply.promised_epoch);
         let counts =
--- a/coordination/src/request.rs
+++ b/coordination/src/request.rs
@@ -42,11 +42,16 @@
 /// What the runtime does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
+    /// Check the request.
     Check,
+    /// Claim its single run.
     Claim {
+        /// Void the id instead, so that it never runs.
         void: bool,
     },
+    /// Assign a replica.
     Assign,
+    /// Call the replica.
     Call(Assignment),
     /// Draw a retry on the budget.
     DrawRetry,
@@ -61,8 +66,11 @@
 pub enum StepResult {
     /// The rank of the request's tier.
     Checked(Result<u32, Fault>),
+    /// State of the claim, as on the wire.
     Claimed(u8),
+    /// The assignment, or the rejection to give.
     Assigned(Result<Assignment, Fault>),
+    /// Whether the attempt has started.
     Started(Result<(), AttemptError>),
     /// Whether there was a retry; if not, the rejection to give.
     RetryDrawn(Result<(), Fault>),
@@ -71,9 +79,11 @@
 /// The state machine of one request.
 #[derive(Clone, Debug)]
 pub struct Request {
+    /// The request.
     pub run_request: RunRequest,
     /// Tells this call of the request from every other.
     pub attempt_seed: u64,
+    /// Rank of its tier.
     pub rank: u32,
     /// Replicas that failed it.
     pub tried: Vec<String>,
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -152,7 +152,11 @@
             return RolloutStep::without_orders(record);
         }
         self.has_all_reports = true;
-        record.replicas = view.usable.iter().map(|p| placed_replica(p)).collect();
+        record.replicas = view
+            .usable
+            .iter()
+            .map(|replica| placed_replica(replica))
+            .collect();
         record.alerts.clear();
 
         let plan = inputs
@@ -192,7 +196,10 @@
     /// those for lost.
     fn awaits_reports(&self, view: &RolloutView) -> bool {
         view.inputs.now.saturating_sub(self.lease_since) < REPORT_COLLECTION_TIME
-            && view.usable.iter().any(|p| view.report(&p.id).is_none())
+            && view
+                .usable
+                .iter()
+                .any(|replica| view.report(&replica.id).is_none())
     }
 
     /// Takes the share from a bad version at once. What the edges counted is known before replicas report.
--- a/coordination/src/voter_placement.rs
+++ b/coordination/src/voter_placement.rs
@@ -51,11 +51,15 @@
 
 /// What a change of voters is decided from.
 pub struct VoterChange<'a> {
+    /// The present voters.
     pub voters: &'a [Voter],
     /// ms. For how long nothing was heard of a voter's disk.
     pub unheard_for: &'a dyn Fn(&Voter) -> Ms,
+    /// Daemons that could become voters.
     pub candidates: Vec<Candidate>,
+    /// Region of each zone.
     pub regions: &'a Regions,
+    /// Losses that are to be survived.
     pub bounds: &'a Bounds,
     /// Whether a voter was heard from lately, and votes.
     pub is_live: &'a dyn Fn(&Voter) -> bool,
--- a/coordination/src/voter_placement/stored.rs
+++ b/coordination/src/voter_placement/stored.rs
@@ -9,6 +9,7 @@
 pub struct StoredVoters {
     /// 0: not known.
     pub previous_voter_count: u32,
+    /// The voters.
     pub voters: Vec<Voter>,
 }
 
--- a/daemon-parts/src/limits.rs
+++ b/daemon-parts/src/limits.rs
@@ -13,9 +13,11 @@
 /// A channel that carried nothing for so long is closed by its writer, and by its reader some time after: nothing is
 /// under way then, and no message is lost on it.
 pub const WRITER_IDLE: Duration = Duration::from_secs(30);
+/// A channel that carried nothing for so long is closed by its reader.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(60);
 /// A writer that was quiet for so long is probed, every `PROBE_EVERY`, and after so many probes it is gone.
 pub const PEER_QUIET: Duration = Duration::from_secs(5);
+/// Probes without an answer after which a quiet writer is gone.
 pub const PEER_PROBES: u32 = 3;
 /// Channels a process accepts at once: twice the processes of a fleet of 400, as after a cut each opens another before
 /// the old one ends.
@@ -35,6 +37,7 @@
 /// A daemon that asked for a key's newest version looks for it on its own board this often, so many times: two of
 /// the mendings between control daemons.
 pub const NEWS_EVERY: Duration = Duration::from_millis(25);
+/// So many times.
 pub const NEWS_TURNS: u32 = 32;
 /// Open calls are let end for so long when a control daemon stops; the longest write takes so long.
 pub const CONTROL_STOP: Duration = Duration::from_secs(3);
@@ -81,6 +84,7 @@
 /// ms. Opening a channel may take this and so many times the way there and back, or what it took of late if that is
 /// more: a replica that is up answers at once, and who waits for one that is gone is late.
 pub const OPEN_BASE: Ms = 150;
+/// So many round trips in addition to `OPEN_BASE`.
 pub const OPEN_FACTOR: u64 = 2;
 /// Weight of a new opening time against all before, in percent.
 pub const OPEN_WEIGHT: u64 = 25;
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -33,7 +33,9 @@
 
 /// The proxy's side of the channel to its agent.
 pub struct ProxyActor {
+    /// Name of this process.
     pub name: String,
+    /// The proxy's state machine.
     pub proxy: SharedProxy,
     /// The proxy was asked to stop.
     pub is_stopping: bool,
@@ -246,8 +248,11 @@
 #[derive(Message)]
 #[rtype(result = "u8")]
 pub struct ClaimRun {
+    /// Id of the request, or the caller's key.
     pub request: String,
+    /// Tells this attempt from every other.
     pub attempt_seed: u64,
+    /// Void the id instead, so that it never runs.
     pub void: bool,
     /// ms since a caller's key was first used.
     pub key_age_ms: u64,
@@ -282,9 +287,13 @@
 #[derive(Message)]
 #[rtype(result = "Result<Assignment, Fault>")]
 pub struct AssignReplica {
+    /// The request.
     pub request: RunRequest,
+    /// Rank of its tier.
     pub rank: u32,
+    /// How long its caller still waits, in ms.
     pub time_left: Ms,
+    /// Replicas that it was sent to before.
     pub tried: Vec<String>,
 }
 
@@ -323,7 +332,9 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct AttemptEnded {
+    /// The attempt.
     pub assignment: Assignment,
+    /// How it ended.
     pub outcome: OutcomeClass,
 }
 
--- a/edge-proxy/src/client_connections.rs
+++ b/edge-proxy/src/client_connections.rs
@@ -30,6 +30,7 @@
 pub enum ConnectionState {
     /// It has carried nothing yet.
     New(Ms),
+    /// No request is on it since this time.
     Idle(Ms),
     /// It carries a request until then at the most.
     Busy(Ms),
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -29,8 +29,11 @@
 /// What the listener needs of the proxy.
 #[derive(Clone)]
 pub struct Listener {
+    /// The proxy's state machine.
     pub proxy: SharedProxy,
+    /// Reads and writes the platform's headers.
     pub adapter: Arc<dyn ProtocolAdapter>,
+    /// Whether this proxy stops.
     pub shutdown: Arc<ShutdownGate>,
     /// Address of the readiness check.
     pub readiness_addr: String,
