--- a/coordination/src/control/parsed_state.rs
+++ b/coordination/src/control/parsed_state.rs
@@ -56,7 +56,12 @@
     /// Parses the operator's document. It may be long, so this is done once for all changes of it that come together.
     pub(super) fn parse_spec(&mut self, document: &Change) {
         if !document.value.0.is_empty() {
-            self.spec = (self.spec_parser)(&document.value.0).map(Arc::new);
+            let mut spec = (self.spec_parser)(&document.value.0);
+            // Tenants' keys are for the proxies.
+            if let Some(spec) = &mut spec {
+                spec.access = None;
+            }
+            self.spec = spec.map(Arc::new);
         }
     }
 
--- a/coordination/src/exchange.rs
+++ b/coordination/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use std::{cmp::Reverse, collections::BTreeMap, sync::Arc};
 
-use remote_calls::PathSpec;
+use remote_calls::{AccessKey, PathSpec};
 
 use crate::Ms;
 
@@ -29,6 +29,21 @@
     pub tokens: (u32, u32),
     /// The blocks of its prompt in order; the last is its own or its session's.
     pub prefix_blocks: Vec<PrefixBlock>,
+    /// Key of a tenant that it bears, if it bears one.
+    pub access_key: Option<AccessKey>,
+    /// Tenant that sent it; empty where the spec knows no tenants.
+    pub tenant: String,
+}
+
+/// Whose request it is, by the spec in force.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Sender {
+    /// The spec knows no tenants.
+    Untenanted,
+    /// It bears no tenant's key, and its lane asks for none.
+    Anonymous,
+    /// The tenant whose key it bears.
+    Tenant(Arc<str>),
 }
 
 /// What a response's head says of its replica.
--- a/daemon-parts/src/http.rs
+++ b/daemon-parts/src/http.rs
@@ -67,8 +67,18 @@
         .error_handler(|error, _: &HttpRequest| Answer::from(body_fault(&error)).into())
 }
 
+/// An error of serde's without the text that it quotes, which may be a tenant's key.
+fn without_quoted_text(message: &str) -> String {
+    match (message.find('"'), message.rfind('"')) {
+        (Some(first), Some(last)) if first < last => {
+            format!("{}...{}", &message[..=first], &message[last..])
+        }
+        _ => message.to_string(),
+    }
+}
+
 fn body_fault(error: &JsonPayloadError) -> Fault {
-    let message = error.to_string();
+    let message = without_quoted_text(&error.to_string());
     match error {
         JsonPayloadError::OverflowKnownLength { .. } | JsonPayloadError::Overflow { .. } => {
             Fault::new("too_large", "read_body", message)
--- a/remote-calls/build.rs
+++ b/remote-calls/build.rs
@@ -25,7 +25,13 @@
     let definitions = document["components"]["schemas"]
         .as_object()
         .expect("components.schemas");
-    let mut space = TypeSpace::new(TypeSpaceSettings::default().with_derive("PartialEq".into()));
+    let mut settings = TypeSpaceSettings::default();
+    settings.with_derive("PartialEq".into()).with_replacement(
+        "AccessKey",
+        "crate::AccessKey",
+        [].into_iter(),
+    );
+    let mut space = TypeSpace::new(&settings);
     let schemas = definitions.iter().map(|(name, definition)| {
         let schema: Schema = serde_json::from_value(definition.clone()).expect("a JSON schema");
         (name.clone(), schema)
--- a/remote-calls/src/lib.rs
+++ b/remote-calls/src/lib.rs
@@ -6,9 +6,11 @@
 
 #![deny(missing_docs)]
 
+mod access_key;
 mod fault;
 pub mod spec_check;
 
+pub use access_key::AccessKey;
 pub use types::*;
 
 #[allow(
--- a/remote-calls/src/spec_check/document.rs
+++ b/remote-calls/src/spec_check/document.rs
@@ -168,6 +168,7 @@
     rank: u32,
     rounds: u32,
     affinity: bool,
+    open: bool,
     homes: Vec<String>,
     #[setting(nested, validate = not_empty)]
     pub(super) split: Vec<ShareDocument>,
@@ -181,6 +182,21 @@
     idle_ms: u64,
 }
 
+/// Keys are checked apart from this document: its errors quote what they find.
+#[derive(Config)]
+pub(super) struct TenantDocument {
+    #[setting(validate = name)]
+    name: String,
+    rank: Option<u32>,
+    homes: Vec<String>,
+}
+
+#[derive(Config)]
+pub(super) struct AccessDocument {
+    #[setting(nested)]
+    tenants: Vec<TenantDocument>,
+}
+
 #[derive(Config)]
 pub(super) struct ServiceDocument {
     #[setting(validate = name)]
@@ -215,5 +231,7 @@
     #[setting(nested)]
     pub(super) paths: Vec<PathDocument>,
     #[setting(nested)]
+    access: Option<AccessDocument>,
+    #[setting(nested)]
     limits: Option<LimitsDocument>,
 }
--- a/remote-calls/src/spec_check/tests.rs
+++ b/remote-calls/src/spec_check/tests.rs
@@ -95,3 +95,33 @@
         expect_that!(fault.field.as_deref(), eq(Some(field)));
     }
 }
+
+/// Guards against a spec that leaves open whose request it is, and against an error that shows a key.
+#[gtest]
+fn tenants_are_told_apart_by_their_keys_and_errors_show_none() {
+    let with_tenants = |tenants: serde_json::Value| {
+        spec(|document| document["access"] = serde_json::json!({"tenants": tenants}))
+    };
+    let tenant = |name: &str, keys: &[&str]| serde_json::json!({"name": name, "keys": keys, "rank": 1, "homes": []});
+    let good = with_tenants(serde_json::json!([
+        tenant("one", &["secret-1", "secret-2", "secret-1"]),
+        tenant("two", &["secret-3"])
+    ]));
+    expect_that!(check(&good), ok(anything()));
+    expect_that!(format!("{good:?}"), not(contains_substring("secret")));
+    let shared = with_tenants(serde_json::json!([
+        tenant("one", &["secret-1", "secret-2"]),
+        tenant("two", &["secret-3", "secret-2"])
+    ]));
+    let fault = check(&shared).unwrap_err();
+    expect_that!(fault.field, some(eq("access.tenants[1].keys[1]")));
+    expect_that!(fault.message, eq("two has a key of one"));
+    for bad in [
+        serde_json::json!([tenant("one", &["secret-1"]), tenant("one", &["secret-2"])]),
+        serde_json::json!([tenant("a b", &["secret-1"])]),
+    ] {
+        let fault = check(&with_tenants(bad)).unwrap_err();
+        expect_that!(fault.field, some(starts_with("access.tenants[")));
+        expect_that!(fault.to_string(), not(contains_substring("secret")));
+    }
+}
