--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -22,11 +22,13 @@
 mod reports;
 mod request_checks;
 mod table_updates;
+mod tenants;
 mod tier_pressure;
 mod version_guard;
 
 pub use assignment::{Admission, Assignment, OutcomeClass};
 pub use by_path::SLOW_FACTOR;
+pub use tenants::{AdmittedRequest, TenantIndex};
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -96,6 +98,8 @@
     spec_stamp: VersionStamp,
     spec: Option<Arc<Spec>>,
     lanes: LaneIndex,
+    /// None where the spec knows no tenants.
+    tenants: Option<TenantIndex>,
     rollouts: BTreeMap<String, RolloutEntry>,
     draining: BTreeSet<String>,
     evacuated: BTreeSet<String>,
@@ -139,6 +143,7 @@
             spec_stamp: (0, 0),
             spec: None,
             lanes: LaneIndex::default(),
+            tenants: None,
             rollouts: BTreeMap::new(),
             draining: BTreeSet::new(),
             evacuated: BTreeSet::new(),
--- a/coordination/src/proxy/table_updates.rs
+++ b/coordination/src/proxy/table_updates.rs
@@ -9,7 +9,7 @@
 use remote_calls::RolloutRecord;
 use wire_messages::{ProxyLease, TableUpdate};
 
-use super::{Proxy, RolloutEntry};
+use super::{Proxy, RolloutEntry, TenantIndex};
 use crate::{
     Ms,
     control::{DRAINING_PREFIX, SPEC_KEY, evacuated},
@@ -105,6 +105,9 @@
             .map_or(vec![], |spec| mem::take(&mut spec.paths));
         self.placement.home_bound = HomeBoundDemand::new(&lanes);
         self.lanes = LaneIndex::new(lanes);
+        // The index alone has the tenants, and no key in plain text.
+        let access = spec.as_mut().and_then(|spec| spec.access.take());
+        self.tenants = access.map(|access| TenantIndex::new(&access.tenants));
         for service in spec.iter().flat_map(|spec| &spec.services) {
             if let Some(engine) = &service.engine {
                 self.placement.set_engine(&service.name, engine);
--- /dev/null
+++ b/coordination/src/proxy/tenants.rs
@@ -0,0 +1,137 @@
+//! Tenants: whose request it is, by the key that it bears, and what that changes of its lane.
+
+use std::{
+    collections::HashMap,
+    hash::{BuildHasher, RandomState},
+    sync::Arc,
+};
+
+use remote_calls::{AccessKey, Fault, PathSpec, TenantSpec};
+
+use super::Proxy;
+use crate::{
+    Ms,
+    exchange::{RequestHead, Sender},
+};
+
+/// A request that may be sent to replicas.
+#[derive(Clone, Debug)]
+pub struct AdmittedRequest {
+    /// Its lane, with what its tenant changes of it.
+    pub lane: Arc<PathSpec>,
+    /// Whose request it is.
+    pub sender: Sender,
+}
+
+/// A tenant, without its keys.
+#[derive(Clone, Debug)]
+struct Tenant {
+    name: Arc<str>,
+    rank: Option<u32>,
+    home_regions: Vec<String>,
+}
+
+/// Keyed digest of an access key.
+type KeyDigest = u128;
+
+/// Tenants by digests of their keys. The digests are keyed anew for each index, so that neither a copy of the index nor
+/// the time of a look-up tells anything of a key.
+#[derive(Clone, Debug, Default)]
+pub struct TenantIndex {
+    hashers: [RandomState; 2],
+    tenants: Vec<Tenant>,
+    tenant_by_key: HashMap<KeyDigest, u32>,
+}
+
+impl TenantIndex {
+    /// Indexes all tenants of a spec.
+    pub fn new(tenants: &[TenantSpec]) -> Self {
+        let mut index = TenantIndex::default();
+        let key_count = tenants.iter().map(|tenant| tenant.keys.len()).sum();
+        index.tenant_by_key.reserve(key_count);
+        for (number, tenant) in (0..).zip(tenants) {
+            for key in &tenant.keys {
+                let digest = index.digest(key);
+                index.tenant_by_key.insert(digest, number);
+            }
+            index.tenants.push(Tenant {
+                name: tenant.name.as_str().into(),
+                rank: tenant.rank,
+                home_regions: tenant.homes.clone(),
+            });
+        }
+        index
+    }
+
+    fn digest(&self, key: &AccessKey) -> KeyDigest {
+        let [high, low] = &self.hashers;
+        let high = u128::from(high.hash_one(key.expose()));
+        let low = u128::from(low.hash_one(key.expose()));
+        (high << u64::BITS) | low
+    }
+
+    fn find(&self, key: &AccessKey) -> Option<&Tenant> {
+        let number = self.tenant_by_key.get(&self.digest(key))?;
+        self.tenants.get(*number as usize)
+    }
+
+    /// Name of the tenant that has a key.
+    pub fn find_name(&self, key: &AccessKey) -> Option<&str> {
+        self.find(key).map(|tenant| &*tenant.name)
+    }
+}
+
+/// Home regions that satisfy both a lane and a tenant; none at all where no region does. An empty list allows all.
+fn common_homes(lane: &[String], tenant: &[String]) -> Option<Vec<String>> {
+    if lane.is_empty() || tenant.is_empty() {
+        return Some([lane, tenant].concat());
+    }
+    let common: Vec<String> = lane
+        .iter()
+        .filter(|home| tenant.contains(home))
+        .cloned()
+        .collect();
+    (!common.is_empty()).then_some(common)
+}
+
+/// A lane as it is for a tenant's requests; none where no region may serve them.
+fn lane_of_tenant(lane: Arc<PathSpec>, tenant: &Tenant) -> Option<Arc<PathSpec>> {
+    let rank = tenant.rank.unwrap_or(lane.rank);
+    if rank == lane.rank && tenant.home_regions.is_empty() {
+        return Some(lane);
+    }
+    let homes = common_homes(&lane.homes, &tenant.home_regions)?;
+    Some(Arc::new(PathSpec {
+        rank,
+        homes,
+        ..PathSpec::clone(&lane)
+    }))
+}
+
+impl Proxy {
+    /// Finds a request's lane and whose request it is.
+    ///
+    /// # Errors
+    /// A rejection if this edge may not serve or no region may serve the request, or a fault if no lane has this host and
+    /// path.
+    pub fn admit(&mut self, head: &RequestHead, now: Ms) -> Result<AdmittedRequest, Fault> {
+        let lane = self.find_lane(&head.host, &head.path, now)?;
+        let Some(tenants) = &self.tenants else {
+            let sender = Sender::Untenanted;
+            return Ok(AdmittedRequest { lane, sender });
+        };
+        let tenant = head.access_key.as_ref().and_then(|key| tenants.find(key));
+        let Some(tenant) = tenant else {
+            let sender = Sender::Anonymous;
+            return Ok(AdmittedRequest { lane, sender });
+        };
+        let sender = Sender::Tenant(tenant.name.clone());
+        match lane_of_tenant(lane, tenant) {
+            Some(lane) => Ok(AdmittedRequest { lane, sender }),
+            None => {
+                let message = "no region is a home of both its lane and its tenant";
+                Err(self.reject("no_home", "find_tenant", message))
+            }
+        }
+    }
+}
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -6,14 +6,18 @@
     HttpRequest, HttpResponse,
     web::{self, Payload},
 };
-use coordination::{Ms, events, exchange::RequestHead};
+use coordination::{
+    Ms, events,
+    exchange::{RequestHead, Sender},
+    proxy::AdmittedRequest,
+};
 use daemon_parts::{
     clock,
     limits::{NO_LANE_LIMIT, NOT_YET_LOOK, STOP_RETRY},
     logging::event,
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, Uri, header};
-use remote_calls::{DownstreamLimits, Fault, Outcome, PathSpec};
+use remote_calls::{DownstreamLimits, Fault, Outcome};
 
 use crate::{
     exchange::{ClientRequest, Exchange},
@@ -50,7 +54,7 @@
 
 /// The head of a request, and what follows from it.
 struct ReceivedHead {
-    lane: Result<Arc<PathSpec>, Fault>,
+    admitted: Result<AdmittedRequest, Fault>,
     limits: DownstreamLimits,
     headers: HeaderMap,
     head: RequestHead,
@@ -81,7 +85,7 @@
         .await
     {
         Ok(exchange) => exchange,
-        Err(rejected) => return rejection_response(rejected),
+        Err(rejected) => return listener.rejection_response(rejected),
     };
     let started = tokio::select! {
         biased;
@@ -91,7 +95,7 @@
     let closes_connection = listener.shutdown.is_begun();
     match started {
         Ok(started) => response::forward(exchange, started, open_request, closes_connection),
-        Err(rejection) => rejection_response(RejectedRequest {
+        Err(rejection) => listener.rejection_response(RejectedRequest {
             rejection,
             closes_connection,
         }),
@@ -139,9 +143,9 @@
         open_request.set_deadline(received.deadline);
         // Read before anything is answered, so that the connection can carry the next request whatever becomes of this.
         let body = read_body(payload, &received).await?;
-        let lane = received
-            .lane
-            .map_err(|fault| self.rejected(lane_rejection(fault)))?;
+        let AdmittedRequest { lane, sender } = received
+            .admitted
+            .map_err(|fault| self.rejected(admission_rejection(fault)))?;
         if !self.shutdown.try_accept() {
             return Err(RejectedRequest {
                 rejection: (StatusCode::SERVICE_UNAVAILABLE, shutdown_rejection()),
@@ -155,13 +159,18 @@
             let fault = Fault::new("bad_request", "read_head", message).outcome(Outcome::NotRun);
             return Err(self.rejected((StatusCode::BAD_REQUEST, fault)));
         };
+        let mut headers = received.headers;
+        self.adapter.set_sender(&mut headers, &sender);
         let client_request = ClientRequest {
             lane,
             deadline: received.deadline,
-            head: received.head,
+            head: RequestHead {
+                tenant: tenant_name(&sender),
+                ..received.head
+            },
             method,
             uri,
-            headers: received.headers,
+            headers,
             body: body.body,
             is_body_over_limit: body.is_over_limit,
         };
@@ -169,6 +178,23 @@
         Ok(Exchange::new(proxy, adapter, client_request))
     }
 
+    fn rejection_response(&self, rejected: RejectedRequest) -> HttpResponse {
+        let (status, fault) = rejected.rejection;
+        event(events::REJECTED, "caller", &fault.to_string());
+        let status = actix_web::http::StatusCode::from_u16(status.as_u16())
+            .unwrap_or(actix_web::http::StatusCode::BAD_GATEWAY);
+        let mut response = HttpResponse::build(status);
+        if let Some(ms) = fault.retry_after_ms {
+            // Clients by host and path read fractions of a second.
+            let seconds = format!("{}.{:03}", ms / 1_000, ms % 1_000);
+            response.insert_header(("Retry-After", seconds));
+        }
+        if rejected.closes_connection {
+            response.force_close();
+        }
+        response.json(fault)
+    }
+
     /// A rejection of a request that was read to its end.
     fn rejected(&self, rejection: Rejection) -> RejectedRequest {
         RejectedRequest {
@@ -185,22 +211,22 @@
         let received_at = clock::now();
         let host = host_of(request);
         let path = request.uri().path();
-        let (lane, limits) = {
+        let headers = end_to_end_headers(request);
+        let head = self.adapter.request_head(host, path, &headers);
+        let (admitted, limits) = {
             let mut proxy = lock(&self.proxy);
-            let lane = proxy.find_lane(host, path, received_at);
-            (lane, proxy.client_limits().cloned().unwrap_or_default())
+            let admitted = proxy.admit(&head, received_at);
+            (admitted, proxy.client_limits().cloned().unwrap_or_default())
         };
-        let headers = end_to_end_headers(request);
         check_head_size(request, &limits)?;
-        let head = self.adapter.request_head(host, path, &headers);
-        let time_limit = lane
+        let time_limit = admitted
             .as_ref()
-            .map_or(NO_LANE_LIMIT, |lane| lane.time_limit_ms);
+            .map_or(NO_LANE_LIMIT, |admitted| admitted.lane.time_limit_ms);
         let time_left = head
             .time_left_ms
             .map_or(time_limit, |time_left| time_left.min(time_limit));
         Ok(ReceivedHead {
-            lane,
+            admitted,
             limits,
             headers,
             head,
@@ -210,6 +236,14 @@
     }
 }
 
+/// The name under which a sender's requests are counted.
+fn tenant_name(sender: &Sender) -> String {
+    match sender {
+        Sender::Tenant(name) => name.to_string(),
+        Sender::Untenanted | Sender::Anonymous => String::new(),
+    }
+}
+
 fn check_head_size(
     request: &HttpRequest,
     limits: &DownstreamLimits,
@@ -335,24 +369,7 @@
     (StatusCode::REQUEST_TIMEOUT, fault)
 }
 
-fn lane_rejection(fault: Fault) -> Rejection {
+fn admission_rejection(fault: Fault) -> Rejection {
     let status = daemon_parts::http::status(&fault).as_u16();
     (StatusCode::from_u16(status).unwrap_or_default(), fault)
 }
-
-fn rejection_response(rejected: RejectedRequest) -> HttpResponse {
-    let (status, fault) = rejected.rejection;
-    event(events::REJECTED, "caller", &fault.to_string());
-    let status = actix_web::http::StatusCode::from_u16(status.as_u16())
-        .unwrap_or(actix_web::http::StatusCode::BAD_GATEWAY);
-    let mut response = HttpResponse::build(status);
-    if let Some(ms) = fault.retry_after_ms {
-        // Clients by host and path read fractions of a second.
-        let seconds = format!("{}.{:03}", ms / 1_000, ms % 1_000);
-        response.insert_header(("Retry-After", seconds));
-    }
-    if rejected.closes_connection {
-        response.force_close();
-    }
-    response.json(fault)
-}
--- a/edge-proxy/src/protocol_adapter.rs
+++ b/edge-proxy/src/protocol_adapter.rs
@@ -2,7 +2,7 @@
 
 use coordination::{
     Ms,
-    exchange::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals, Sender},
     proxy::Assignment,
 };
 use http::HeaderMap;
@@ -13,6 +13,9 @@
     /// What a client's headers say of its request.
     fn request_head(&self, host: &str, path: &str, headers: &HeaderMap) -> RequestHead;
 
+    /// Withholds a tenant's key from replicas, and names the tenant to them.
+    fn set_sender(&self, _headers: &mut HeaderMap, _sender: &Sender) {}
+
     /// Sets the headers of an attempt for the replica that it goes to, with the ms that are left.
     fn set_replica_headers(
         &self,
