--- a/coordination/src/proxy/tenants.rs
+++ b/coordination/src/proxy/tenants.rs
@@ -6,7 +6,7 @@
     sync::Arc,
 };
 
-use remote_calls::{AccessKey, Fault, PathSpec, TenantSpec};
+use remote_calls::{AccessKey, Fault, Outcome, PathSpec, TenantSpec};
 
 use super::Proxy;
 use crate::{
@@ -112,8 +112,8 @@
     /// Finds a request's lane and whose request it is.
     ///
     /// # Errors
-    /// A rejection if this edge may not serve or no region may serve the request, or a fault if no lane has this host and
-    /// path.
+    /// A rejection if this edge may not serve, or a fault if no lane has this host and path, if the request bears no key
+    /// of a tenant where one is asked for, or if no region may serve it.
     pub fn admit(&mut self, head: &RequestHead, now: Ms) -> Result<AdmittedRequest, Fault> {
         let lane = self.find_lane(&head.host, &head.path, now)?;
         let Some(tenants) = &self.tenants else {
@@ -122,8 +122,7 @@
         };
         let tenant = head.access_key.as_ref().and_then(|key| tenants.find(key));
         let Some(tenant) = tenant else {
-            let sender = Sender::Anonymous;
-            return Ok(AdmittedRequest { lane, sender });
+            return admit_anonymous(lane);
         };
         let sender = Sender::Tenant(tenant.name.clone());
         match lane_of_tenant(lane, tenant) {
@@ -135,3 +134,13 @@
         }
     }
 }
+
+/// A request without a tenant's key runs only on a lane that asks for none.
+fn admit_anonymous(lane: Arc<PathSpec>) -> Result<AdmittedRequest, Fault> {
+    if lane.open {
+        let sender = Sender::Anonymous;
+        return Ok(AdmittedRequest { lane, sender });
+    }
+    let message = "it bears no key of a tenant";
+    Err(Fault::new("unauthorized", "find_tenant", message).outcome(Outcome::NotRun))
+}
--- a/daemon-parts/src/http.rs
+++ b/daemon-parts/src/http.rs
@@ -44,6 +44,7 @@
     match fault.code.as_str() {
         "bad_request" | "bad_spec" | "bad_json" | "bad_plan" => StatusCode::BAD_REQUEST,
         "too_large" => StatusCode::PAYLOAD_TOO_LARGE,
+        "unauthorized" => StatusCode::UNAUTHORIZED,
         "not_found" => StatusCode::NOT_FOUND,
         "wrong_zone" => StatusCode::MISDIRECTED_REQUEST,
         "conflict" | "claimed" | "voided" | "stale_epoch" => StatusCode::CONFLICT,
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -189,6 +189,11 @@
             let seconds = format!("{}.{:03}", ms / 1_000, ms % 1_000);
             response.insert_header(("Retry-After", seconds));
         }
+        if let Some(challenge) = self.adapter.challenge()
+            && status == actix_web::http::StatusCode::UNAUTHORIZED
+        {
+            response.insert_header(("WWW-Authenticate", challenge));
+        }
         if rejected.closes_connection {
             response.force_close();
         }
--- a/edge-proxy/src/protocol_adapter.rs
+++ b/edge-proxy/src/protocol_adapter.rs
@@ -16,6 +16,11 @@
     /// Withholds a tenant's key from replicas, and names the tenant to them.
     fn set_sender(&self, _headers: &mut HeaderMap, _sender: &Sender) {}
 
+    /// How a client that bears no tenant's key is asked for one.
+    fn challenge(&self) -> Option<&'static str> {
+        None
+    }
+
     /// Sets the headers of an attempt for the replica that it goes to, with the ms that are left.
     fn set_replica_headers(
         &self,
