--- a/coordination/src/control/parsed_state.rs
+++ b/coordination/src/control/parsed_state.rs
@@ -57,9 +57,10 @@
     pub(super) fn parse_spec(&mut self, document: &Change) {
         if !document.value.0.is_empty() {
             let mut spec = (self.spec_parser)(&document.value.0);
-            // Tenants' keys are for the proxies.
-            if let Some(spec) = &mut spec {
-                spec.access = None;
+            // Tenants' keys are for the proxies alone.
+            let access = spec.iter_mut().flat_map(|spec| &mut spec.access);
+            for tenant in access.flat_map(|access| &mut access.tenants) {
+                tenant.keys.clear();
             }
             self.spec = spec.map(Arc::new);
         }
--- a/coordination/src/exchange.rs
+++ b/coordination/src/exchange.rs
@@ -31,7 +31,7 @@
     pub prefix_blocks: Vec<PrefixBlock>,
     /// Key of a tenant that it bears, if it bears one.
     pub access_key: Option<AccessKey>,
-    /// Tenant that sent it; empty where the spec knows no tenants.
+    /// Tenant that sent it; empty where that is nobody's.
     pub tenant: String,
 }
 
--- a/coordination/src/proxy/tenants.rs
+++ b/coordination/src/proxy/tenants.rs
@@ -34,8 +34,7 @@
 /// Keyed digest of an access key.
 type KeyDigest = u128;
 
-/// Tenants by digests of their keys. The digests are keyed anew for each index, so that neither a copy of the index nor
-/// the time of a look-up tells anything of a key.
+/// Tenants by digests of their keys, which are keyed anew for each index: the time of a look-up tells nothing of a key.
 #[derive(Clone, Debug, Default)]
 pub struct TenantIndex {
     hashers: [RandomState; 2],
@@ -74,11 +73,6 @@
         let number = self.tenant_by_key.get(&self.digest(key))?;
         self.tenants.get(*number as usize)
     }
-
-    /// Name of the tenant that has a key.
-    pub fn find_name(&self, key: &AccessKey) -> Option<&str> {
-        self.find(key).map(|tenant| &*tenant.name)
-    }
 }
 
 /// Home regions that satisfy both a lane and a tenant; none at all where no region does. An empty list allows all.
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -166,6 +166,7 @@
             deadline: received.deadline,
             head: RequestHead {
                 tenant: tenant_name(&sender),
+                access_key: None,
                 ..received.head
             },
             method,
--- a/edge-proxy/src/protocol_adapter.rs
+++ b/edge-proxy/src/protocol_adapter.rs
@@ -14,7 +14,7 @@
     fn request_head(&self, host: &str, path: &str, headers: &HeaderMap) -> RequestHead;
 
     /// Withholds a tenant's key from replicas, and names the tenant to them.
-    fn set_sender(&self, _headers: &mut HeaderMap, _sender: &Sender) {}
+    fn set_sender(&self, headers: &mut HeaderMap, sender: &Sender);
 
     /// How a client that bears no tenant's key is asked for one.
     fn challenge(&self) -> Option<&'static str> {
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -14,7 +14,7 @@
     Ms,
     bounds::Bounds,
     edge_agent::SERVE_ALL,
-    exchange::{RequestHead, ResponseSignals},
+    exchange::{RequestHead, ResponseSignals, Sender},
     proxy::{Assignment, Proxy},
     wire::{Blob, Change, TableUpdate},
 };
@@ -56,6 +56,7 @@
             ..RequestHead::default()
         }
     }
+    fn set_sender(&self, _: &mut HeaderMap, _: &Sender) {}
     fn set_replica_headers(&self, h: &mut HeaderMap, _: &PathSpec, p: &Assignment, left: Ms) {
         h.insert("replica", p.replica.parse().unwrap());
         h.insert("left", left.into());
--- a/remote-calls/src/spec_check.rs
+++ b/remote-calls/src/spec_check.rs
@@ -66,6 +66,11 @@
             let field = format!("access.tenants[{index}].name");
             return Err(invalid(field, format!("{} stands twice", tenant.name)));
         }
+        // Keys are not read back: a spec that was read and put again would take every key away.
+        if tenant.keys.is_empty() {
+            let field = format!("access.tenants[{index}].keys");
+            return Err(invalid(field, format!("{} has no key", tenant.name)));
+        }
     }
     match tenants::find_shared_key(&access.tenants) {
         None => Ok(()),
--- a/remote-calls/src/spec_check/tests.rs
+++ b/remote-calls/src/spec_check/tests.rs
@@ -119,6 +119,8 @@
     for bad in [
         serde_json::json!([tenant("one", &["secret-1"]), tenant("one", &["secret-2"])]),
         serde_json::json!([tenant("a b", &["secret-1"])]),
+        // As it is read back, without keys: a runbook that puts it again must not lock every tenant out.
+        serde_json::json!([tenant("one", &["secret-1"]), tenant("two", &[])]),
     ] {
         let fault = check(&with_tenants(bad)).unwrap_err();
         expect_that!(fault.field, some(starts_with("access.tenants[")));
