--- a/coordination/src/bounds.rs
+++ b/coordination/src/bounds.rs
@@ -50,6 +50,10 @@
     pub lost_zones: u32,
     /// Regions that may be lost at once.
     pub lost_regions: u32,
+    /// ms. Length of the windows by which usage is counted; 0: usage is not counted.
+    pub usage_window: Ms,
+    /// ms. The usage report of a window is due so long after the window's end.
+    pub usage_delay: Ms,
 }
 
 impl Bounds {
@@ -82,6 +86,8 @@
             lost_disks: 1,
             lost_zones: 1,
             lost_regions: 1,
+            usage_window: 0,
+            usage_delay: 0,
         }
     }
 }
