--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -24,12 +24,17 @@
 mod effects;
 mod lifecycle;
 mod orders;
+mod platform_calls;
 mod polling;
 
 use lifecycle::Lifecycle;
+use platform_calls::RoleCaller;
 use polling::ReplicaPolling;
 
-use crate::{disk::Disk, platform_adapter::ReplicaSource};
+use crate::{
+    disk::Disk,
+    platform_adapter::{ReplicaSource, RoleCalls},
+};
 
 /// The one owner of a control daemon's state machine.
 pub struct ControlActor {
@@ -43,6 +48,7 @@
     client: Client,
     platform_addr: String,
     polling: ReplicaPolling,
+    role_caller: RoleCaller,
     /// Callers that wait for a write or a read, by its token.
     pending_calls: HashMap<u64, oneshot::Sender<WriteOutcome>>,
     is_stopping: bool,
@@ -76,6 +82,7 @@
         config: ControlConfig,
         platform_addr: String,
         replica_source: ReplicaSource,
+        role_calls: Option<RoleCalls>,
         disk: Disk,
     ) -> Self {
         ControlActor {
@@ -87,6 +94,7 @@
             client: Client::builder().disable_timeout().finish(),
             platform_addr,
             polling: ReplicaPolling::new(replica_source),
+            role_caller: RoleCaller::new(role_calls),
             pending_calls: HashMap::new(),
             is_stopping: false,
         }
@@ -117,6 +125,7 @@
         self.lifecycle.check_syncs(control, &self.config.name, now);
         let mut effects = control.tick(now);
         effects.extend(control.run_rollouts(now, clock::wall_s()));
+        effects.extend(control.run_platform_roles(now, clock::wall_ms()));
         self.execute(effects, ctx);
         self.poll_replicas(now, ctx);
     }
--- a/control-daemon/src/actor/effects.rs
+++ b/control-daemon/src/actor/effects.rs
@@ -31,6 +31,7 @@
                     },
                     ctx,
                 ),
+                Effect::PlatformCall(leased) => self.send_platform_call(leased, ctx),
                 Effect::Log {
                     event: logged,
                     peer,
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -40,6 +40,7 @@
         control_config(&params, &adapter),
         params.platform.clone(),
         adapter.replica_source,
+        adapter.role_calls,
         disk,
     )
     .start();
--- a/control-daemon/src/platform_adapter.rs
+++ b/control-daemon/src/platform_adapter.rs
@@ -7,6 +7,7 @@
 use awc::Client;
 use coordination::{
     placement::TokenBucket,
+    platform_call::{CallOutcome, PlatformCall},
     state_table::{SpecParser, parse_own_spec},
 };
 use daemon_parts::{
@@ -20,6 +21,47 @@
 pub type ListCall =
     fn(Client, String, Rc<CallRateLimiter>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
 
+/// A call of a singleton role, ready to be sent.
+#[derive(Clone, Debug)]
+pub struct RoleCallRequest {
+    /// The platform's address.
+    pub platform_addr: String,
+    /// The daemon that holds the role.
+    pub holder: String,
+    /// The fencing token.
+    pub epoch: u64,
+    /// What is asked.
+    pub call: PlatformCall,
+    /// The whole call ends within this: it ends before the lease does.
+    pub time_limit: Duration,
+}
+
+/// Makes a call of a singleton role once.
+pub type RoleCallFunction = fn(Client, RoleCallRequest) -> LocalBoxFuture<'static, CallOutcome>;
+
+/// Calls that one daemon at a time makes to the platform, under the lease of a singleton role.
+#[derive(Clone, Copy, Debug)]
+pub struct RoleCalls {
+    /// How such a call is made.
+    pub call: RoleCallFunction,
+    /// Whether the platform takes usage reports.
+    pub takes_usage_reports: bool,
+    /// Whether the platform takes replica counts.
+    pub takes_replica_counts: bool,
+    /// Calls a second that the platform takes from all daemons together.
+    pub rate_limit: f64,
+}
+
+impl RoleCalls {
+    /// Whether the platform takes this call at all.
+    pub fn takes(&self, call: &PlatformCall) -> bool {
+        match call {
+            PlatformCall::ReportUsage(_) => self.takes_usage_reports,
+            PlatformCall::SetReplicaCount(_) => self.takes_replica_counts,
+        }
+    }
+}
+
 /// This daemon's part of the calls that the platform allows all daemons together.
 pub struct CallRateLimiter(RefCell<TokenBucket>);
 
@@ -71,6 +113,8 @@
     pub configure_routes: fn(&mut web::ServiceConfig),
     /// Where the list of replicas comes from.
     pub replica_source: ReplicaSource,
+    /// Calls under the leases of singleton roles; none where the platform takes none.
+    pub role_calls: Option<RoleCalls>,
     /// Largest body of a call, in bytes.
     pub max_body_bytes: usize,
 }
@@ -81,6 +125,7 @@
             spec_parser: parse_own_spec,
             configure_routes: |_| (),
             replica_source: ReplicaSource::Polled,
+            role_calls: None,
             max_body_bytes: BODY_MAX,
         }
     }
--- a/coordination/examples/embed.rs
+++ b/coordination/examples/embed.rs
@@ -44,7 +44,7 @@
             }
             Effect::WriteFinished { outcome, .. } => ended = Some(outcome),
             Effect::Log { event, text, .. } => println!("{} {} {text}", event.number, event.name),
-            Effect::Order { .. } => {}
+            Effect::Order { .. } | Effect::PlatformCall(_) => {}
         }
     }
     ended
--- a/coordination/examples/slopes/world.rs
+++ b/coordination/examples/slopes/world.rs
@@ -343,7 +343,10 @@
                     self.disks[me.1].buffer.push((rows, then));
                     self.disk(me.1);
                 }
-                Effect::WriteFinished { .. } | Effect::Order { .. } | Effect::Log { .. } => {}
+                Effect::WriteFinished { .. }
+                | Effect::Order { .. }
+                | Effect::PlatformCall(_)
+                | Effect::Log { .. } => {}
             }
         }
     }
--- a/coordination/src/bounds.rs
+++ b/coordination/src/bounds.rs
@@ -44,6 +44,8 @@
     pub cold_slack: f64,
     /// s. Longest that callers may keep an answer on where to go.
     pub directory_s: u64,
+    /// ms. A new holder of a singleton role makes no call to the platform for so long.
+    pub role_pause: Ms,
     /// Daemons with a disk that may be lost at once.
     pub lost_disks: u32,
     /// Zones that may be lost at once.
@@ -83,6 +85,7 @@
             cold_over: 1.5,
             cold_slack: 5.0,
             directory_s: 5,
+            role_pause: 3_000,
             lost_disks: 1,
             lost_zones: 1,
             lost_regions: 1,
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -35,6 +35,9 @@
 mod status;
 mod suspension;
 mod unreachable_edges;
+mod usage_log;
+mod usage_reports;
+mod usage_table;
 mod voters;
 mod writes;
 
@@ -46,6 +49,9 @@
 };
 pub use forwarding::FORWARD_TIMEOUT;
 pub use replica_list::call_rate_share;
+pub use usage_log::{LATE_WINDOWS_MAX, UNACCEPTED_REPORTS_MAX, UsageLog};
+pub use usage_reports::{CLOSING_MARGIN, MAX_RETRY_PAUSE, MIN_RETRY_PAUSE};
+pub use usage_table::TenantUsage;
 
 use change_feed::ChangeFeed;
 use context_placement::ContextRole;
@@ -60,6 +66,8 @@
 use state_comparison::StateComparison;
 use suspension::SuspensionDetector;
 use unreachable_edges::UnreachableEdgeReport;
+use usage_reports::UsageReports;
+use usage_table::UsageTable;
 use voters::VoterMembership;
 use writes::PendingWrites;
 
@@ -154,6 +162,8 @@
     rollouts: Rollouts,
     /// By service whose copies of shared context are decided here.
     context_roles: BTreeMap<String, ContextRole>,
+    usage_table: UsageTable,
+    usage_reports: UsageReports,
     resolution_counts: ResolutionCounts,
     /// Graceful shutdown has begun: others take over what this daemon owns.
     pub stopping: bool,
@@ -206,6 +216,8 @@
             replica_list: ReplicaList::default(),
             rollouts: Rollouts::default(),
             context_roles: BTreeMap::new(),
+            usage_table: UsageTable::default(),
+            usage_reports: UsageReports::default(),
             resolution_counts: ResolutionCounts::default(),
             stopping: false,
             disk_healthy: true,
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -12,6 +12,7 @@
     Effects, Ms,
     effect::{log_event, send},
     events, regions,
+    register::is_sent_to_edges,
     rendezvous::rendezvous_weight,
     state_table::version_stamp,
 };
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Returns whether anything was new.
+    /// Returns whether anything was new for the agents.
     fn merge_committed(&mut self, now: Ms, out: &mut Effects) -> bool {
         let (mut is_any_new, mut is_spec_new) = (false, false);
         for change in std::mem::take(&mut self.registers.newly_committed) {
             let previous_version = self.local_version(&change.key);
-            if !self.state_table.merge(&change) {
+            if !self.state_table.merge(&change) || !is_sent_to_edges(&change.key) {
                 continue;
             }
             is_any_new = true;
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -11,7 +11,7 @@
     context::{self, DEMAND_REPORT_MAX_AGE, DemandCount, FleetDemand, PromptChain, homes_digest},
     effect::log_event,
     events, regions,
-    register::{CONTEXT_PREFIX, Expect, ROLLOUT_PREFIX},
+    register::{CONTEXT_PREFIX, Expect, ROLLOUT_PREFIX, USAGE_KEY},
 };
 
 /// ms. A record of copies is not written again before: each write is a sync and a message to every edge.
@@ -41,9 +41,12 @@
 
 impl Control {
     /// Keys of the singleton roles that this daemon wants to hold, as far as it is the one to: each service's rollout, and
-    /// its copies of shared context where they are on.
+    /// its copies of shared context where they are on; and the usage reports where usage is counted.
     pub(super) fn wanted_roles(&self) -> Vec<Name> {
         let mut keys = vec![];
+        if self.config.bounds.usage_window > 0 {
+            keys.push(USAGE_KEY.into());
+        }
         for service in self
             .parsed
             .spec()
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -132,6 +132,13 @@
         call_rate_share(rate, self.registers.members.voters.len(), roles)
     }
 
+    /// This daemon's share of the calls a second that all daemons may make under the leases of singleton roles: those of
+    /// the services and of the usage reports.
+    pub fn role_call_rate_share(&self, rate: f64) -> f64 {
+        let services = self.parsed.spec().map_or(0, |spec| spec.services.len());
+        call_rate_share(rate, self.registers.members.voters.len(), services + 1)
+    }
+
     /// Whether the platform has this replica, as far as this daemon or the rollout records know.
     pub fn knows_replica(&self, id: &str) -> bool {
         let mut records = self.decoded::<RolloutRecord>(ROLLOUT_PREFIX);
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -170,7 +170,7 @@
                     None => (ForwardOutcome::NotOwner, 0),
                 };
                 out.push(caller.reply(outcome, version, ""));
-            } else if token == NO_CALLER || self.rollouts.is_record_write(token) {
+            } else if token == NO_CALLER || self.is_role_write(token) {
                 // A record is computed anew by whoever holds its role.
                 let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::KeyMoved);
                 out.push(Effect::WriteFinished { token, outcome });
@@ -180,6 +180,11 @@
         }
     }
 
+    /// Whether a write is one of a singleton role's own record.
+    fn is_role_write(&self, token: u64) -> bool {
+        self.rollouts.is_record_write(token) || self.usage_reports.is_log_write(token)
+    }
+
     /// Has a displaced request go to the key's next owner.
     fn reroute(&mut self, displaced: DisplacedRequest, now: Ms) {
         if displaced.offered_version.is_some() {
@@ -210,6 +215,7 @@
         out: &mut Effects,
     ) {
         self.rollouts.on_write_finished(token);
+        self.usage_reports.on_write_finished(token);
         if token == NO_CALLER {
             return;
         }
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -4,7 +4,7 @@
 
 use wire_messages::{Message, Name, Slot, Voter};
 
-use crate::{events::Event, rollout::Order};
+use crate::{events::Event, platform_call::LeasedCall, rollout::Order};
 
 /// Milliseconds of a clock that also runs while the machine sleeps.
 pub type Ms = u64;
@@ -126,6 +126,10 @@
         /// What to order.
         order: Order,
     },
+    /// A call to the platform under the lease of a singleton role. Whoever carries it out checks the lease again at the
+    /// moment of sending, ends the call with the lease at the latest, and hands the outcome back: see
+    /// [`crate::control::Control::on_platform_call_finished`].
+    PlatformCall(LeasedCall),
     /// Log an event.
     Log {
         /// Which.
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod exchange;
 pub mod membership;
 pub mod placement;
+pub mod platform_call;
 pub mod policy;
 pub mod proxy;
 pub mod regions;
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -59,7 +59,8 @@
 mod timers;
 
 pub use expectation::Expect;
-pub use keys::{CONTEXT_PREFIX, MEMBERS_KEY, ROLLOUT_PREFIX};
+pub(crate) use keys::is_sent_to_edges;
+pub use keys::{CONTEXT_PREFIX, MEMBERS_KEY, ROLLOUT_PREFIX, USAGE_KEY};
 pub use member_config::MemberConfig;
 pub use ownership::DisplacedRequest;
 pub use prior_writes::REPLACED_VALUES_KEPT;
--- a/coordination/src/register/acquisition.rs
+++ b/coordination/src/register/acquisition.rs
@@ -142,6 +142,18 @@
         }
     }
 
+    /// Ends this daemon's ownership of a key under an epoch: it never acts under that epoch again. Where it comes first in
+    /// the key's order it acquires the key again, under a higher epoch and with promises of a majority.
+    pub fn end_term(&mut self, key: &Name, epoch: u64, out: &mut Effects) {
+        if self
+            .ownerships
+            .get(key)
+            .is_some_and(|ownership| ownership.epoch == epoch)
+        {
+            self.relinquish(key, out);
+        }
+    }
+
     /// Stops owning a key. What was offered and what waited is for the next owner. What was offered may be committed by
     /// then; it is displaced all the same, as the next owner may never see it and have nothing to write again.
     pub(super) fn relinquish(&mut self, key: &Name, out: &mut Effects) {
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -2,15 +2,23 @@
 //! disks that sync, hang and are lost, processes that die.
 #![allow(dead_code, reason = "each test file uses a part")]
 
+pub mod platform;
+pub mod usage_edges;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use coordination::{
     Effect, Effects, Ms, Row, WriteOutcome,
+    bounds::Bounds,
     control::{Control, ControlConfig},
+    platform_call::{CallOutcome, LeasedCall},
     timing::{DISK_SYNC_TIMEOUT, TICK_INTERVAL},
 };
+use platform::{CALL_LIMIT, Platform};
 use wire_messages::{Message, Name};
 
+/// ms. The time of day at a fleet's start, since the start of 1970.
+pub const WALL_START: u64 = 1_767_225_601_234;
 /// Between two checks of a condition that is waited for.
 const CHECK_INTERVAL: Ms = 10;
 /// How long an operator waits for a write, and how long until the next attempt.
@@ -82,7 +90,9 @@
         // As the runtime reports it.
         control.disk_healthy =
             !self.is_disk_busy || now - self.disk_busy_since <= DISK_SYNC_TIMEOUT;
-        control.tick(now)
+        let mut effects = control.tick(now);
+        effects.extend(control.run_platform_roles(now, WALL_START + now));
+        effects
     }
 }
 
@@ -98,6 +108,23 @@
         incarnation: u64,
         synced: UnsyncedRows,
     },
+    /// A daemon's call to the platform has its turn.
+    SendCall {
+        index: usize,
+        incarnation: u64,
+        leased: LeasedCall,
+    },
+    CallArrives {
+        index: usize,
+        incarnation: u64,
+        leased: LeasedCall,
+    },
+    CallFinished {
+        index: usize,
+        incarnation: u64,
+        id: u64,
+        outcome: CallOutcome,
+    },
 }
 
 /// Whether a message from one address to another is delivered.
@@ -123,6 +150,9 @@
     pub extra_latency: Ms,
     /// When a write is first confirmed at this daemon its disk is lost.
     pub wipe_after_ack: Option<usize>,
+    pub platform: Platform,
+    /// Bounds of daemons that are added.
+    pub bounds: Bounds,
 }
 
 fn row_key(row: &Row) -> String {
@@ -152,13 +182,26 @@
             max_latency: 40,
             extra_latency: 0,
             wipe_after_ack: None,
+            platform: Platform::default(),
+            bounds: Bounds::default(),
         }
     }
 
     /// A fleet of so many daemons in as many zones, of which the first three are seeds and
     /// bootstrap it.
     pub fn bootstrapped(seed: u64, daemon_count: usize, region: impl Fn(usize) -> String) -> Self {
+        Fleet::bootstrapped_with(Bounds::default(), seed, daemon_count, region)
+    }
+
+    /// The same with these bounds.
+    pub fn bootstrapped_with(
+        bounds: Bounds,
+        seed: u64,
+        daemon_count: usize,
+        region: impl Fn(usize) -> String,
+    ) -> Self {
         let mut fleet = Fleet::new(seed);
+        fleet.bounds = bounds;
         let regions: BTreeMap<String, String> = (0..daemon_count + 4)
             .map(|index| (format!("z{index}"), region(index)))
             .collect();
@@ -186,7 +229,7 @@
             bootstrap,
             regions: regions.clone(),
             spec_parser: coordination::state_table::parse_own_spec,
-            bounds: Default::default(),
+            bounds: self.bounds.clone(),
         };
         let disk_id = self.random_disk_id();
         self.daemons.push(Daemon::new(config, disk_id));
@@ -255,6 +298,16 @@
                 Effect::Log { event, .. } => {
                     self.daemons[index].logged.push((self.now, event.name));
                 }
+                Effect::PlatformCall(leased) => {
+                    self.platform.waiting += 1;
+                    let incarnation = self.daemons[index].incarnation;
+                    let event = Event::SendCall {
+                        index,
+                        incarnation,
+                        leased,
+                    };
+                    self.schedule(self.platform.pacing, event);
+                }
                 Effect::Order { .. } => {}
             }
         }
@@ -317,7 +370,10 @@
                 .daemons
                 .iter()
                 .position(|daemon| daemon.config.addr == *to),
-            Event::Synced { index, .. } => Some(*index),
+            Event::Synced { index, .. }
+            | Event::SendCall { index, .. }
+            | Event::CallFinished { index, .. } => Some(*index),
+            Event::CallArrives { .. } => None,
         };
         let suspended_until = index.map_or(0, |index| self.daemons[index].suspended_until);
         if suspended_until > self.now {
@@ -336,6 +392,76 @@
                 incarnation,
                 synced,
             } => self.finish_sync(index, incarnation, synced),
+            Event::SendCall {
+                index,
+                incarnation,
+                leased,
+            } => self.send_call(index, incarnation, leased),
+            Event::CallArrives {
+                index,
+                incarnation,
+                leased,
+            } => self.take_call(index, incarnation, leased),
+            Event::CallFinished {
+                index,
+                incarnation,
+                id,
+                outcome,
+            } => self.finish_call(index, incarnation, id, outcome),
+        }
+    }
+
+    /// Sends a call to the platform as the runtime does: only while its lease runs, and with an end to it.
+    fn send_call(&mut self, index: usize, incarnation: u64, leased: LeasedCall) {
+        self.platform.waiting -= 1;
+        if self.daemons[index].incarnation != incarnation {
+            return;
+        }
+        let time_limit = leased.until.saturating_sub(self.now).min(CALL_LIMIT);
+        let given_up = Event::CallFinished {
+            index,
+            incarnation,
+            id: leased.id,
+            outcome: CallOutcome::Failed,
+        };
+        self.schedule(time_limit, given_up);
+        if time_limit == 0 {
+            self.platform.dropped += 1;
+        } else if !self.platform.unreachable_from.contains(&index) {
+            self.platform.on_their_way += 1;
+            let event = Event::CallArrives {
+                index,
+                incarnation,
+                leased,
+            };
+            self.schedule(self.platform.latency, event);
+        }
+    }
+
+    fn take_call(&mut self, index: usize, incarnation: u64, leased: LeasedCall) {
+        self.platform.on_their_way -= 1;
+        let id = leased.id;
+        let answer = self.platform.take(index, leased, self.now);
+        if let Some(outcome) = answer.filter(|_| !self.platform.unreachable_from.contains(&index)) {
+            let event = Event::CallFinished {
+                index,
+                incarnation,
+                id,
+                outcome,
+            };
+            self.schedule(self.platform.latency, event);
+        }
+    }
+
+    fn finish_call(&mut self, index: usize, incarnation: u64, id: u64, outcome: CallOutcome) {
+        let now = self.now;
+        let daemon = &mut self.daemons[index];
+        if daemon.incarnation != incarnation {
+            return;
+        }
+        if let Some(control) = daemon.control.as_mut() {
+            let effects = control.on_platform_call_finished(id, outcome, now);
+            self.carry_out(index, effects);
         }
     }
 
--- /dev/null
+++ b/coordination/tests/fleet/usage_edges.rs
@@ -0,0 +1,123 @@
+//! Edges that count requests by tenant and report them to the daemons of a fleet, and the truth that they count.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use coordination::{Ms, control::TenantUsage};
+use wire_messages::{Name, Node, Poll};
+
+use super::{Fleet, WALL_START};
+
+/// ms. Edges poll this often.
+const POLL_INTERVAL: Ms = 500;
+/// ms. Requests begin to run this often at each edge.
+const REQUEST_INTERVAL: Ms = 50;
+pub const TENANTS: [&str; 2] = ["large", "small"];
+
+/// Requests by window and tenant.
+pub type Usage = BTreeMap<(u64, Name), u64>;
+
+struct Edge {
+    name: String,
+    counted: Usage,
+}
+
+pub struct UsageEdges {
+    window: Ms,
+    edges: Vec<Edge>,
+    /// Edges that reach no daemon, though they count on.
+    pub cut_off: BTreeSet<usize>,
+    /// What began to run everywhere.
+    pub truth: Usage,
+}
+
+/// The edge's number in gossip and messages.
+fn node(name: &str, index: usize, now: Ms) -> Node {
+    Node {
+        name: name.into(),
+        role: 2,
+        zone: format!("z{index}").as_str().into(),
+        addr: name.into(),
+        http_addr: "h".into(),
+        incarnation: 1,
+        heartbeat: now as u32,
+        heartbeat_age: 0,
+    }
+}
+
+impl UsageEdges {
+    pub fn new(count: usize, window: Ms) -> Self {
+        let edge = |index| Edge {
+            name: format!("e{index}"),
+            counted: Usage::new(),
+        };
+        UsageEdges {
+            window,
+            edges: (0..count).map(edge).collect(),
+            cut_off: BTreeSet::new(),
+            truth: Usage::new(),
+        }
+    }
+
+    /// Counts and reports what is due now.
+    pub fn step(&mut self, fleet: &mut Fleet) {
+        let now = fleet.now;
+        let window = (WALL_START + now) / self.window;
+        for (index, edge) in self.edges.iter_mut().enumerate() {
+            if now % REQUEST_INTERVAL == 0 {
+                // The large tenant has three quarters.
+                let is_small = (now / REQUEST_INTERVAL + index as Ms) % 4 == 0;
+                let cell = (window, TENANTS[usize::from(is_small)].into());
+                *edge.counted.entry(cell.clone()).or_default() += 1;
+                *self.truth.entry(cell).or_default() += 1;
+            }
+            let is_poll_due = (now + 97 * index as Ms) % POLL_INTERVAL == 0;
+            if is_poll_due && !self.cut_off.contains(&index) {
+                poll(fleet, edge, index);
+            }
+        }
+    }
+
+    /// The requests of a window by tenant.
+    pub fn truth_of(&self, window: u64) -> BTreeMap<String, u64> {
+        let cells = self
+            .truth
+            .iter()
+            .filter(|((began_in, _), _)| *began_in == window);
+        cells
+            .map(|((_, tenant), count)| (tenant.to_string(), *count))
+            .collect()
+    }
+}
+
+/// One edge polls all daemons that it reaches.
+fn poll(fleet: &mut Fleet, edge: &Edge, edge_index: usize) {
+    let now = fleet.now;
+    let name: Name = edge.name.as_str().into();
+    for index in 0..fleet.daemons.len() {
+        let daemon = &mut fleet.daemons[index];
+        let is_reached =
+            daemon.suspended_until <= now && !fleet.partitioned.contains(&daemon.config.addr);
+        let Some(control) = daemon.control.as_mut().filter(|_| is_reached) else {
+            continue;
+        };
+        let poll = Poll {
+            node: node(&edge.name, edge_index, now),
+            proxy_incarnation: 1,
+            sent_at: now,
+            counters_through: 1,
+            has_versions: 1,
+            ..Poll::default()
+        };
+        let cells = edge
+            .counted
+            .iter()
+            .map(|((window, tenant), count)| TenantUsage {
+                window: *window,
+                tenant: tenant.clone(),
+                count: *count,
+            });
+        control.record_usage(&name, 1, cells.collect());
+        let effects = control.on_message(&name, &name, poll.into(), now);
+        fleet.carry_out(index, effects);
+    }
+}
--- a/edge-agent/src/actor.rs
+++ b/edge-agent/src/actor.rs
@@ -58,7 +58,10 @@
                     text,
                 } => event(kind, &peer, &text),
                 // An agent stores nothing on disk and holds no singleton role.
-                Effect::Persist { .. } | Effect::WriteFinished { .. } | Effect::Order { .. } => {}
+                Effect::Persist { .. }
+                | Effect::WriteFinished { .. }
+                | Effect::Order { .. }
+                | Effect::PlatformCall(_) => {}
             }
         }
     }
--- a/fleet-simulator/src/effect_digest.rs
+++ b/fleet-simulator/src/effect_digest.rs
@@ -4,7 +4,11 @@
 //! with the time at which it was asked for, in the bytes that go over the wire or in a form of its own that does not
 //! depend on how the types are named in the code.
 
-use coordination::{Effect, Effects, Row, WriteOutcome, rollout::Order};
+use coordination::{
+    Effect, Effects, Row, WriteOutcome,
+    platform_call::{LeasedCall, PlatformCall},
+    rollout::Order,
+};
 use remote_calls::OrderAction;
 use wire_messages::{Envelope, List, Message, Name, Slot, SlotsReply, Voter, encode};
 use xxhash_rust::xxh3::Xxh3Default;
@@ -17,6 +21,7 @@
     pub const PERSIST: u8 = 2;
     pub const ANSWER: u8 = 3;
     pub const ORDER: u8 = 4;
+    pub const PLATFORM_CALL: u8 = 5;
 }
 
 /// A running digest of effects.
@@ -68,6 +73,7 @@
                 self.number(*until);
                 self.order(order);
             }
+            Effect::PlatformCall(leased) => self.platform_call(leased),
             Effect::Log { .. } => {}
         }
     }
@@ -158,6 +164,29 @@
         }
     }
 
+    fn platform_call(&mut self, leased: &LeasedCall) {
+        self.byte(tag::PLATFORM_CALL);
+        self.number(leased.id);
+        self.number(leased.epoch);
+        self.number(leased.until);
+        match &leased.call {
+            PlatformCall::ReportUsage(report) => {
+                self.byte(1);
+                self.number(report.window);
+                for count in &report.counts {
+                    self.text(&count.tenant);
+                    self.number(count.count);
+                }
+            }
+            PlatformCall::SetReplicaCount(replicas) => {
+                self.byte(2);
+                self.text(&replicas.service);
+                self.text(&replicas.zone);
+                self.number(replicas.count.into());
+            }
+        }
+    }
+
     fn byte(&mut self, byte: u8) {
         self.hasher.update(&[byte]);
     }
--- a/fleet-simulator/src/world/daemons.rs
+++ b/fleet-simulator/src/world/daemons.rs
@@ -219,6 +219,13 @@
                         }
                     }
                 }
+                // The simulated platform takes no such calls: to the daemon they are lost.
+                Effect::PlatformCall(leased) => {
+                    self.say(
+                        &name,
+                        &format!("calls {:?} under {}", leased.call, leased.epoch),
+                    );
+                }
                 Effect::Log { event, peer, text } => {
                     self.say(&name, &format!("{} {peer} {text}", event.name))
                 }
