--- /dev/null
+++ b/coordination/tests/usage_reports.rs
@@ -0,0 +1,619 @@
+//! Usage reports to the platform, by real control daemons over a network that is partitioned, disks that sync and are
+//! lost, and a platform that is down, answers late or not at all: one report a window, under rising fencing tokens.
+
+mod fleet;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use coordination::{
+    Ms,
+    bounds::Bounds,
+    control::{KILL_SWITCH_KEY, LATE_WINDOWS_MAX, UNACCEPTED_REPORTS_MAX, UsageLog},
+    platform_call::CallOutcome,
+    register::USAGE_KEY,
+    wire::Message,
+};
+use fleet::{
+    Fleet, WALL_START, addr,
+    platform::{Arrival, Condition},
+    usage_edges::UsageEdges,
+};
+use googletest::prelude::*;
+
+/// ms. Length of a window.
+const WINDOW: Ms = 5_000;
+/// ms. A report is due so long after its window's end.
+const DELAY: Ms = 10_000;
+const DAEMONS: usize = 5;
+
+fn bounds() -> Bounds {
+    Bounds {
+        usage_window: WINDOW,
+        usage_delay: DELAY,
+        role_pause: 3_000,
+        ..Bounds::default()
+    }
+}
+
+/// Daemons, edges that count, and a platform.
+struct UsageFleet {
+    fleet: Fleet,
+    edges: UsageEdges,
+}
+
+impl UsageFleet {
+    fn with_bounds(seed: u64, bounds: Bounds) -> Self {
+        let region = |index: usize| format!("r{}", index % 3);
+        let fleet = Fleet::bootstrapped_with(bounds, seed, DAEMONS, region);
+        let edges = UsageEdges::new(3, WINDOW);
+        UsageFleet { fleet, edges }
+    }
+
+    /// One that has reported some windows.
+    fn reporting(seed: u64) -> Self {
+        UsageFleet::reporting_with(seed, bounds())
+    }
+
+    fn reporting_with(seed: u64, bounds: Bounds) -> Self {
+        let mut usage = UsageFleet::with_bounds(seed, bounds);
+        usage.run(30_000);
+        assert!(!usage.fleet.platform.arrivals.is_empty(), "seed {seed}");
+        usage
+    }
+
+    fn run(&mut self, duration: Ms) {
+        for _ in 0..duration {
+            self.edges.step(&mut self.fleet);
+            self.fleet.run(1);
+        }
+    }
+
+    /// Runs until a condition holds, at most two minutes.
+    fn run_until(&mut self, what: &str, condition: impl Fn(&Fleet) -> bool) {
+        for _ in 0..120_000 {
+            if condition(&self.fleet) {
+                return;
+            }
+            self.run(1);
+        }
+        panic!("never seen: {what}");
+    }
+
+    fn holder(&self) -> Option<usize> {
+        holder(&self.fleet)
+    }
+
+    /// The daemon that reports, waited for.
+    fn wait_for_holder(&mut self) -> usize {
+        self.run_until("a holder", |fleet| holder(fleet).is_some());
+        self.holder().unwrap()
+    }
+
+    fn current_window(&self) -> u64 {
+        (WALL_START + self.fleet.now) / WINDOW
+    }
+
+    /// The first whole window since the system's start.
+    fn first_window() -> u64 {
+        WALL_START.div_ceil(WINDOW)
+    }
+
+    /// Windows between the first whole one and those whose reports are not due yet that have no report.
+    fn missing_windows(&self) -> Vec<u64> {
+        let reported = self.fleet.platform.reports_by_window();
+        let due_before = self.current_window() - DELAY / WINDOW;
+        (UsageFleet::first_window()..due_before)
+            .filter(|window| !reported.contains_key(window))
+            .collect()
+    }
+
+    /// Windows whose reports are off by more than `tolerance`, a part of the truth.
+    fn windows_off_by(&self, tolerance: f64) -> Vec<u64> {
+        let is_off = |(window, report): &(u64, &coordination::platform_call::UsageReport)| {
+            let counts = report.counts.iter();
+            let reported: BTreeMap<String, u64> = counts
+                .map(|count| (count.tenant.clone(), count.count))
+                .collect();
+            let truth = self.edges.truth_of(*window);
+            let is_near = |tenant: &String, count: u64| {
+                let reported = reported.get(tenant).copied().unwrap_or(0);
+                reported.abs_diff(count) as f64 <= tolerance * count as f64
+            };
+            reported.len() != truth.len() || !truth.iter().all(|(t, count)| is_near(t, *count))
+        };
+        let reports = self.fleet.platform.reports_by_window().into_iter();
+        reports.filter(is_off).map(|(window, _)| window).collect()
+    }
+
+    fn violations(&self) -> Vec<String> {
+        self.violations_within(bounds().role_pause)
+    }
+
+    /// What was seen that must never be, where holders may not alternate within `lease`.
+    fn violations_within(&self, lease: Ms) -> Vec<String> {
+        self.fleet.platform.violations(lease)
+    }
+
+    /// Nothing that must never be seen was, and every window that is due has its report.
+    fn expect_sound(&self, label: &str) {
+        expect_that!(self.violations(), is_empty(), "{label}");
+        expect_that!(self.missing_windows(), is_empty(), "{label}");
+    }
+
+    /// The usage log as a daemon knows it.
+    fn log(&self, index: usize) -> UsageLog {
+        let value = self.fleet.value(index, USAGE_KEY);
+        value
+            .and_then(|(_, value)| coordination::compressed::decode(&value))
+            .unwrap_or_default()
+    }
+}
+
+fn holder(fleet: &Fleet) -> Option<usize> {
+    (0..fleet.daemons.len()).find(|index| {
+        let is_running = fleet.daemons[*index].suspended_until <= fleet.now;
+        fleet
+            .control(*index)
+            .filter(|_| is_running)
+            .is_some_and(|control| control.registers.held_until(USAGE_KEY, fleet.now).is_some())
+    })
+}
+
+/// A moment in the life of a report.
+#[derive(Clone, Copy, Debug)]
+enum Moment {
+    /// Its write is in flight.
+    WhileItIsCommitted,
+    /// It is committed, and its call waits for its turn.
+    BeforeItIsSent,
+    /// The call is on its way to the platform.
+    WhileItIsOnItsWay,
+    /// The platform has acted and the answer is on its way.
+    BeforeItsAnswer,
+    /// The answer has arrived.
+    AfterItsAnswer,
+}
+
+const MOMENTS: [Moment; 5] = [
+    Moment::WhileItIsCommitted,
+    Moment::BeforeItIsSent,
+    Moment::WhileItIsOnItsWay,
+    Moment::BeforeItsAnswer,
+    Moment::AfterItsAnswer,
+];
+
+impl UsageFleet {
+    /// Runs to a moment of the next report, and gives the daemon whose report it is.
+    fn run_to(&mut self, moment: Moment) -> usize {
+        self.fleet.platform.pacing = 100;
+        self.fleet.platform.latency = 100;
+        let holder = self.wait_for_holder();
+        let arrived = self.fleet.platform.arrivals.len();
+        match moment {
+            Moment::WhileItIsCommitted => self.run_until("a write", |fleet| {
+                let control = fleet.control(holder);
+                control.is_some_and(|control| control.registers.has_pending_writes(USAGE_KEY))
+            }),
+            Moment::BeforeItIsSent => {
+                self.run_until("a call that waits", |fleet| fleet.platform.waiting > 0);
+            }
+            Moment::WhileItIsOnItsWay => {
+                self.run_until("a call on its way", |fleet| fleet.platform.on_their_way > 0);
+            }
+            Moment::BeforeItsAnswer | Moment::AfterItsAnswer => {
+                self.run_until("an arrival", |fleet| {
+                    fleet.platform.arrivals.len() > arrived
+                });
+            }
+        }
+        if matches!(moment, Moment::AfterItsAnswer) {
+            self.run(101);
+        }
+        holder
+    }
+}
+
+/// Guards against windows that are missed, reported twice or counted wrongly while nothing fails.
+#[gtest]
+fn each_window_is_reported_once_in_time_with_its_counts() {
+    for seed in 0..3 {
+        let mut usage = UsageFleet::with_bounds(seed, bounds());
+        usage.run(90_000);
+        usage.expect_sound(&format!("seed {seed}"));
+        expect_that!(usage.windows_off_by(0.0), is_empty(), "seed {seed}");
+        let reports = usage.fleet.platform.accepted_reports();
+        let windows: Vec<u64> = reports.iter().map(|(_, report)| report.window).collect();
+        let first = UsageFleet::first_window();
+        let expected: Vec<u64> = (first..first + windows.len() as u64).collect();
+        expect_that!(windows, eq(&expected), "seed {seed}");
+        // The first holder waits a lease, and its pause.
+        for (at, report) in reports.into_iter().filter(|(at, _)| *at > 20_000) {
+            let due = (report.window + 1) * WINDOW + DELAY - WALL_START;
+            expect_that!(at, lt(due), "seed {seed}: window {}", report.window);
+        }
+    }
+}
+
+/// Guards against two reports of a window, and a lost one, where the holder dies at any moment of a report's life.
+#[gtest]
+fn a_killed_holders_reports_are_sent_on_as_they_were_committed() {
+    for (seed, moment) in (0..).zip(MOMENTS) {
+        let mut usage = UsageFleet::reporting(seed);
+        let holder = usage.run_to(moment);
+        usage.fleet.kill(holder);
+        usage.run(8_000);
+        usage.fleet.start(holder);
+        usage.run(40_000);
+        let label = format!("{moment:?}");
+        usage.expect_sound(&label);
+        expect_that!(usage.windows_off_by(0.0), is_empty(), "{label}");
+        expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
+    }
+}
+
+/// Guards against a holder that was frozen and calls the platform when it wakes, though its lease has ended.
+#[gtest]
+fn a_frozen_holder_sends_nothing_when_it_wakes() {
+    for (seed, moment) in (10..).zip(MOMENTS) {
+        let mut usage = UsageFleet::reporting(seed);
+        let holder = usage.run_to(moment);
+        let frozen_at = usage.fleet.now;
+        usage.fleet.daemons[holder].suspended_until = frozen_at + 20_000;
+        usage.run(60_000);
+        let label = format!("{moment:?}");
+        usage.expect_sound(&label);
+        expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
+        let epoch_before = |arrival: &&Arrival| arrival.at <= frozen_at;
+        let arrivals = &usage.fleet.platform.arrivals;
+        let old_epoch = arrivals
+            .iter()
+            .rfind(epoch_before)
+            .map(|arrival| arrival.epoch);
+        let awakened = arrivals
+            .iter()
+            .filter(|arrival| arrival.at > frozen_at + 20_000 && Some(arrival.epoch) == old_epoch);
+        expect_that!(awakened.count(), eq(0), "{label}");
+    }
+}
+
+/// Guards against a holder that is cut off from the other daemons, still reaches the platform, and goes on beside the next
+/// holder; and against one that is lost to the platform only.
+#[gtest]
+fn a_holder_that_is_cut_off_stops_before_the_next_one_starts() {
+    for (seed, moment) in (20..).zip(MOMENTS) {
+        let mut usage = UsageFleet::reporting(seed);
+        let holder = usage.run_to(moment);
+        usage.fleet.partitioned.insert(addr(holder));
+        usage.run(30_000);
+        usage.fleet.partitioned.clear();
+        usage.run(30_000);
+        let label = format!("{moment:?}");
+        usage.expect_sound(&label);
+        expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
+    }
+}
+
+/// Guards against a term that outlives a partition in one direction: the others do not hear the holder, it hears them.
+#[gtest]
+fn a_holder_that_nobody_hears_stops_before_the_next_one_starts() {
+    for (seed, moment) in (30..).zip(MOMENTS) {
+        let mut usage = UsageFleet::reporting(seed);
+        let holder = usage.run_to(moment);
+        let silent = addr(holder);
+        usage.fleet.delivers = Box::new(move |from, _, _| *from != silent);
+        usage.run(30_000);
+        usage.fleet.delivers = Box::new(|_, _, _| true);
+        usage.run(30_000);
+        let label = format!("{moment:?}");
+        usage.expect_sound(&label);
+        expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
+    }
+}
+
+/// Guards against a report that is made anew, with other counts, because the answer to the first was lost.
+#[gtest]
+fn a_report_whose_answer_was_lost_is_repeated_exactly() {
+    let mut usage = UsageFleet::reporting(40);
+    usage.fleet.platform.condition = Condition::AnswersLost;
+    usage.run(15_000);
+    let holder = usage.wait_for_holder();
+    usage.fleet.kill(holder);
+    usage.run(15_000);
+    usage.fleet.platform.condition = Condition::Working;
+    usage.fleet.start(holder);
+    usage.run(40_000);
+    usage.expect_sound("answers lost");
+    let reports = usage.fleet.platform.accepted_reports();
+    let windows = usage.fleet.platform.reports_by_window();
+    expect_that!(reports.len(), gt(windows.len()));
+}
+
+/// Guards against a second report of a window after every process died between its commit and its sending.
+#[gtest]
+fn a_total_loss_between_commit_and_sending_changes_no_report() {
+    for (seed, moment) in (50..).zip(MOMENTS) {
+        let mut usage = UsageFleet::reporting(seed);
+        let holder = usage.run_to(moment);
+        let logged = usage.log(holder);
+        (0..DAEMONS).for_each(|index| usage.fleet.kill(index));
+        usage.run(800);
+        (0..DAEMONS).for_each(|index| usage.fleet.start(index));
+        usage.run(50_000);
+        let label = format!("{moment:?}");
+        usage.expect_sound(&label);
+        let reported = usage.fleet.platform.reports_by_window();
+        for report in &logged.unaccepted {
+            expect_that!(reported.get(&report.window), some(eq(&report)), "{label}");
+        }
+    }
+}
+
+/// Guards against an epoch that is made again, or a log that is forgotten, by daemons whose disks were lost.
+#[gtest]
+fn two_wiped_disks_bring_back_neither_a_fence_nor_a_report() {
+    for (seed, moment) in (60..).zip(MOMENTS) {
+        let mut usage = UsageFleet::reporting(seed);
+        let holder = usage.run_to(moment);
+        let other = (holder + 1) % DAEMONS;
+        for index in [holder, other] {
+            usage.fleet.wipe(index);
+        }
+        usage.run(2_000);
+        for index in [holder, other] {
+            usage.fleet.start(index);
+        }
+        usage.run(60_000);
+        let label = format!("{moment:?}");
+        usage.expect_sound(&label);
+        expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
+    }
+}
+
+/// ms. A platform's lease that is longer than the leases of keys, within which a role may change hands twice.
+const LONG_LEASE: Ms = 6_000;
+
+/// Again and again the holder's disk hangs just after it acted, for so long that it gives its keys up: another daemon takes
+/// the role over at once, and the former holder is back soon after.
+fn disturb_holders(role_pause: Ms, seed: u64) -> UsageFleet {
+    let bounds = Bounds {
+        role_pause,
+        ..bounds()
+    };
+    let mut usage = UsageFleet::reporting_with(seed, bounds);
+    for round in 0..6 {
+        usage.fleet.platform.condition = Condition::Working;
+        usage.run(20_000);
+        // Whoever holds the role has something to send.
+        usage.fleet.platform.condition = Condition::AnswersLost;
+        let arrived = usage.fleet.platform.arrivals.len();
+        usage.run_until("a call", |fleet| fleet.platform.arrivals.len() > arrived);
+        let holder = usage.fleet.platform.arrivals[arrived].holder;
+        let hang = if round % 2 == 0 { 1_500 } else { 8_000 };
+        usage.fleet.daemons[holder].disk_hung_until = usage.fleet.now + hang;
+        let value = format!("{round}");
+        usage.fleet.write(holder, "zone/z1", None, value.as_bytes());
+        usage.run(20_000);
+    }
+    usage
+}
+
+/// Guards against a former holder that takes the role back at once, so that holders act in the order A, B, A.
+#[gtest]
+fn holders_do_not_alternate_within_the_role_pause() {
+    for seed in 70..74 {
+        let usage = disturb_holders(LONG_LEASE, seed);
+        expect_that!(
+            usage.violations_within(LONG_LEASE),
+            is_empty(),
+            "seed {seed}"
+        );
+        let arrivals = usage.fleet.platform.arrivals.iter();
+        let holders: BTreeSet<usize> = arrivals.map(|arrival| arrival.holder).collect();
+        expect_that!(holders.len(), gt(1), "seed {seed}");
+    }
+}
+
+/// Shows that the checker sees alternating holders: without the pause there are some.
+#[gtest]
+fn holders_alternate_without_the_role_pause() {
+    let alternate = |seed| {
+        !disturb_holders(0, seed)
+            .violations_within(LONG_LEASE)
+            .is_empty()
+    };
+    expect_true!((70..74).any(alternate));
+}
+
+/// Guards against a new holder that calls before edges could tell it anything, and its predecessor's calls have ended.
+#[gtest]
+fn a_new_holder_waits_the_role_pause() {
+    let mut usage = UsageFleet::reporting(80);
+    usage.fleet.platform.condition = Condition::AnswersLost;
+    let former = usage.wait_for_holder();
+    usage.fleet.kill(former);
+    let next = usage.wait_for_holder();
+    let (acquired_at, arrived) = (usage.fleet.now, usage.fleet.platform.arrivals.len());
+    usage.run(20_000);
+    let later = &usage.fleet.platform.arrivals[arrived..];
+    let first = later.iter().find(|arrival| arrival.holder == next);
+    expect_that!(first.unwrap().at, ge(acquired_at + 3_000));
+}
+
+/// Guards against a holder that goes on under an epoch that the platform has refused, or at once under another one.
+#[gtest]
+fn a_superseded_holder_ends_its_term() {
+    let mut usage = UsageFleet::reporting(90);
+    let former_epoch = usage.fleet.platform.arrivals.last().unwrap().epoch;
+    let fences = &mut usage.fleet.platform.highest_fences;
+    fences.insert("usage".into(), former_epoch + 1);
+    usage.run(60_000);
+    let arrivals = &usage.fleet.platform.arrivals;
+    let refused: Vec<&Arrival> = arrivals
+        .iter()
+        .filter(|arrival| arrival.outcome == Some(CallOutcome::Superseded))
+        .collect();
+    expect_that!(refused.len(), eq(1));
+    let later = arrivals.iter().filter(|arrival| arrival.at > refused[0].at);
+    for arrival in later {
+        expect_that!(arrival.epoch, gt(former_epoch));
+        expect_that!(arrival.at, ge(refused[0].at + 3_000));
+    }
+    usage.expect_sound("superseded");
+}
+
+/// Guards against a platform that is down being called without end, and against reports that are lost meanwhile.
+#[gtest]
+fn a_platform_that_is_down_is_called_ever_less_often_and_then_caught_up() {
+    for condition in [Condition::Down, Condition::RateLimiting] {
+        let mut usage = UsageFleet::reporting(100);
+        usage.fleet.platform.condition = condition;
+        let arrived = usage.fleet.platform.arrivals.len();
+        usage.run(90_000);
+        let calls = usage.fleet.platform.arrivals.len() - arrived;
+        expect_that!(calls, le(16), "{condition:?}");
+        usage.fleet.platform.condition = Condition::Working;
+        usage.run(30_000);
+        usage.expect_sound(&format!("{condition:?}"));
+        let reports = usage.fleet.platform.accepted_reports();
+        let windows: Vec<u64> = reports.iter().map(|(_, report)| report.window).collect();
+        expect_true!(windows.is_sorted());
+        expect_that!(usage.windows_off_by(0.0), is_empty(), "{condition:?}");
+    }
+}
+
+/// Guards against a log that grows without end while the platform is down, and against windows that are lost once it
+/// works.
+#[gtest]
+fn a_long_outage_of_the_platform_fills_the_log_to_its_bound_only() {
+    let mut usage = UsageFleet::reporting(110);
+    usage.fleet.platform.condition = Condition::Down;
+    usage.run((UNACCEPTED_REPORTS_MAX as Ms + 8) * WINDOW);
+    let holder = usage.wait_for_holder();
+    expect_that!(
+        usage.log(holder).unaccepted.len(),
+        eq(UNACCEPTED_REPORTS_MAX)
+    );
+    usage.fleet.platform.condition = Condition::Working;
+    usage.run(40_000);
+    usage.expect_sound("after an outage");
+    expect_that!(usage.windows_off_by(0.0), is_empty());
+    expect_that!(usage.log(holder).unaccepted.len(), le(1));
+}
+
+/// Guards against windows that are never reported because no daemon ran while they ended.
+#[gtest]
+fn windows_during_which_control_was_down_are_reported_late() {
+    let mut usage = UsageFleet::reporting(120);
+    (0..DAEMONS).for_each(|index| usage.fleet.kill(index));
+    usage.run(60_000);
+    (0..DAEMONS).for_each(|index| usage.fleet.start(index));
+    usage.run(60_000);
+    usage.expect_sound("control was down");
+    expect_that!(usage.windows_off_by(0.0), is_empty());
+}
+
+/// Guards against an endless series of reports of windows that nobody asks for any more.
+#[gtest]
+fn windows_that_are_far_too_old_are_skipped() {
+    let mut usage = UsageFleet::reporting(130);
+    (0..DAEMONS).for_each(|index| usage.fleet.kill(index));
+    let stopped_in = usage.current_window();
+    // Nobody runs, and edges need not report in between.
+    usage.fleet.run((LATE_WINDOWS_MAX + 40) * WINDOW);
+    (0..DAEMONS).for_each(|index| usage.fleet.start(index));
+    let started_in = usage.current_window();
+    usage.run(60_000);
+    expect_that!(usage.violations(), is_empty());
+    let reported = usage.fleet.platform.reports_by_window();
+    let late: Vec<u64> = reported
+        .into_keys()
+        .filter(|window| (stopped_in + 1..started_in).contains(window))
+        .collect();
+    expect_that!(late.len() as u64, le(LATE_WINDOWS_MAX));
+    expect_that!(late.first(), some(ge(&(started_in - LATE_WINDOWS_MAX))));
+}
+
+/// Guards against an edge that is cut off holding the reports of all others up beyond the time at which they are due.
+#[gtest]
+fn a_window_is_closed_in_time_without_an_edge_that_is_cut_off() {
+    let mut usage = UsageFleet::reporting(140);
+    let before = usage.current_window();
+    usage.edges.cut_off.insert(0);
+    usage.run(30_000);
+    let reports = usage.fleet.platform.accepted_reports();
+    for (at, report) in reports
+        .into_iter()
+        .filter(|(_, report)| report.window > before)
+    {
+        let due = (report.window + 1) * WINDOW + DELAY - WALL_START;
+        expect_that!(at, lt(due));
+    }
+    usage.expect_sound("cut off");
+}
+
+/// Guards against calls to the platform while operators have switched all automatic action off.
+#[gtest]
+fn nothing_is_called_while_the_kill_switch_is_on() {
+    let mut usage = UsageFleet::reporting(150);
+    usage
+        .fleet
+        .write_until_accepted(KILL_SWITCH_KEY, b"true", 10_000);
+    usage.run(3_000);
+    let arrived = usage.fleet.platform.arrivals.len();
+    usage.run(30_000);
+    expect_that!(usage.fleet.platform.arrivals.len(), eq(arrived));
+    usage
+        .fleet
+        .write_until_accepted(KILL_SWITCH_KEY, b"false", 10_000);
+    usage.run(40_000);
+    usage.expect_sound("after the kill switch");
+}
+
+/// Guards against calls, and a key, where usage is not counted.
+#[gtest]
+fn nothing_is_reported_where_usage_is_not_counted() {
+    let uncounted = Bounds {
+        usage_window: 0,
+        ..bounds()
+    };
+    let mut usage = UsageFleet::with_bounds(160, uncounted);
+    usage.run(40_000);
+    expect_that!(usage.fleet.platform.arrivals.len(), eq(0));
+    let has_key = |index| usage.fleet.value(index, USAGE_KEY).is_some();
+    expect_false!((0..DAEMONS).any(has_key));
+}
+
+/// Guards against a log of usage that is sent to every edge at each change.
+#[gtest]
+fn the_usage_log_is_not_sent_to_edges() {
+    use std::{cell::RefCell, rc::Rc};
+    let mut usage = UsageFleet::reporting(170);
+    let sent = Rc::new(RefCell::new(vec![]));
+    let seen = Rc::clone(&sent);
+    usage.fleet.delivers = Box::new(move |_, _, message| {
+        if let Message::Update(update) = message {
+            let changes = update.changes.0.iter();
+            seen.borrow_mut()
+                .extend(changes.map(|change| change.key.to_string()));
+        }
+        true
+    });
+    usage.fleet.write_until_accepted("zone/z1", b"{}", 10_000);
+    usage.run(20_000);
+    expect_that!(*sent.borrow(), contains(eq("zone/z1")));
+    expect_that!(*sent.borrow(), not(contains(eq(USAGE_KEY))));
+}
+
+/// Guards against a call that a daemon decided on, and that has its turn only after the lease ended.
+#[gtest]
+fn a_call_whose_turn_comes_too_late_is_dropped() {
+    let mut usage = UsageFleet::reporting(180);
+    usage.fleet.platform.pacing = 4_000;
+    let arrived = usage.fleet.platform.arrivals.len();
+    usage.run(20_000);
+    expect_that!(usage.fleet.platform.dropped, gt(0));
+    expect_that!(usage.fleet.platform.arrivals.len(), eq(arrived));
+    usage.fleet.platform.pacing = 0;
+    usage.run(40_000);
+    usage.expect_sound("after long pacing");
+}
