--- a/coordination/src/bounds.rs
+++ b/coordination/src/bounds.rs
@@ -44,12 +44,18 @@
     pub cold_slack: f64,
     /// s. Longest that callers may keep an answer on where to go.
     pub directory_s: u64,
+    /// ms. A new holder of a singleton role makes no call to the platform for so long.
+    pub role_pause: Ms,
     /// Daemons with a disk that may be lost at once.
     pub lost_disks: u32,
     /// Zones that may be lost at once.
     pub lost_zones: u32,
     /// Regions that may be lost at once.
     pub lost_regions: u32,
+    /// ms. Length of the windows by which usage is counted; 0: usage is not counted.
+    pub usage_window: Ms,
+    /// ms. The usage report of a window is due so long after the window's end.
+    pub usage_delay: Ms,
 }
 
 impl Bounds {
@@ -79,9 +85,12 @@
             cold_over: 1.5,
             cold_slack: 5.0,
             directory_s: 5,
+            role_pause: 3_000,
             lost_disks: 1,
             lost_zones: 1,
             lost_regions: 1,
+            usage_window: 0,
+            usage_delay: 0,
         }
     }
 }
