--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -28,6 +28,7 @@
 pub mod timing;
 pub mod version_health;
 pub mod voter_placement;
+pub mod wall_clock;
 
 pub use effect::{Effect, Effects, Ms, NotAcceptedReason, Row, WriteOutcome, send};
 pub use wire_messages as wire;
--- /dev/null
+++ b/coordination/tests/wall_clock.rs
@@ -0,0 +1,70 @@
+//! The time of day as it follows from the monotonic clock.
+
+use coordination::{Ms, wall_clock::WallClock};
+use googletest::prelude::*;
+
+/// ms since 1970 at monotonic time 0.
+const WALL_START: u64 = 1_767_225_602_345;
+/// ms. Between two observations.
+const TICK: Ms = 50;
+
+/// Observes a time of day that is wrong by `step` while `stepped` says so; gives by how much the prediction is wrong at
+/// most from `judged_from` on.
+fn worst_error(end: Ms, judged_from: Ms, step: i64, stepped: impl Fn(Ms) -> bool) -> u64 {
+    let mut clock = WallClock::default();
+    let mut worst = 0;
+    for now in (0..end).step_by(TICK as usize) {
+        let observed_step = if stepped(now) { step } else { 0 };
+        clock.observe(now, (WALL_START + now).saturating_add_signed(observed_step));
+        let predicted = clock.wall_ms(now).unwrap();
+        if now >= judged_from {
+            worst = worst.max(predicted.abs_diff(WALL_START + now));
+        }
+    }
+    worst
+}
+
+/// Guards against counts that move to another window while the time of day is wrong.
+#[gtest]
+fn a_time_of_day_that_steps_and_steps_back_is_not_followed() {
+    for step in [-5_000, -500, 500, 5_000] {
+        for duration in [3_000, 5_500, 9_000] {
+            for began_at in (25_000..100_000).step_by(3_333) {
+                let stepped = |now: Ms| (began_at..began_at + duration).contains(&now);
+                let worst = worst_error(150_000, 0, step, stepped);
+                expect_that!(worst, eq(0), "{step} for {duration} from {began_at}");
+            }
+        }
+    }
+}
+
+/// Guards against a prediction that holds on to a time of day that was set right.
+#[gtest]
+fn a_time_of_day_that_was_set_right_is_followed_within_half_a_minute() {
+    let stepped = |now: Ms| now < 70_000;
+    expect_that!(worst_error(200_000, 102_000, 5_000, stepped), eq(0));
+    expect_that!(worst_error(200_000, 70_000, 5_000, stepped), eq(5_000));
+}
+
+/// Guards against a process that trusts one wrong sample after it stood still for minutes.
+#[gtest]
+fn a_process_that_stood_still_keeps_its_samples() {
+    let mut clock = WallClock::default();
+    for now in (0..30_000).step_by(TICK as usize) {
+        clock.observe(now, WALL_START + now);
+    }
+    let resumed_at = 600_000;
+    for now in (resumed_at..resumed_at + 9_000).step_by(TICK as usize) {
+        clock.observe(now, WALL_START + now + 4_000);
+        expect_that!(clock.wall_ms(now), some(eq(WALL_START + now)));
+    }
+}
+
+/// Guards against counts in window 0 before the time of day is known.
+#[gtest]
+fn nothing_is_predicted_before_the_first_observation() {
+    let mut clock = WallClock::default();
+    expect_that!(clock.wall_ms(1_000), none());
+    clock.observe(1_000, WALL_START + 1_000);
+    expect_that!(clock.wall_ms(400), some(eq(WALL_START + 400)));
+}
