--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -114,6 +114,7 @@
             return self.reopen(ctx);
         };
         control.stopping = self.is_stopping;
+        control.observe_wall_clock(now, clock::wall_ms());
         self.lifecycle.check_syncs(control, &self.config.name, now);
         let mut effects = control.tick(now);
         effects.extend(control.run_rollouts(now, clock::wall_s()));
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -16,6 +16,7 @@
     membership::{Membership, NodeRole},
     register::Registers,
     state_table::{SpecParser, StateTable},
+    wall_clock::WallClock,
 };
 
 mod change_feed;
@@ -35,6 +36,7 @@
 mod status;
 mod suspension;
 mod unreachable_edges;
+mod usage_table;
 mod voters;
 mod writes;
 
@@ -46,6 +48,7 @@
 };
 pub use forwarding::FORWARD_TIMEOUT;
 pub use replica_list::call_rate_share;
+pub use usage_table::{USAGE_LATENCY, UsageTable};
 
 use change_feed::ChangeFeed;
 use context_placement::ContextRole;
@@ -150,6 +153,8 @@
     change_feed: ChangeFeed,
     followers: Followers,
     counters: CounterSelection,
+    usage: UsageTable,
+    wall_clock: WallClock,
     replica_list: ReplicaList,
     rollouts: Rollouts,
     /// By service whose copies of shared context are decided here.
@@ -203,6 +208,8 @@
             change_feed: ChangeFeed::default(),
             followers: Followers::default(),
             counters: CounterSelection::default(),
+            usage: UsageTable::default(),
+            wall_clock: WallClock::default(),
             replica_list: ReplicaList::default(),
             rollouts: Rollouts::default(),
             context_roles: BTreeMap::new(),
@@ -304,7 +311,7 @@
         let is_live = self.live_voters(now);
         let wanted_roles = self.wanted_roles();
         self.registers.tick(now, &is_live, &wanted_roles, &mut out);
-        self.select_services(now, &is_live);
+        self.select_counters(now, &is_live);
         self.change_voters(now, &is_live, &mut out);
         self.detect_stalled_loops(now, &is_live, &mut out);
         self.writes.expire(now);
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -234,6 +234,7 @@
             counters_through: follower.counters_through,
             selection: self.counters.selection(),
             selected_services: self.counters.services().cloned().collect(),
+            wants_usage: self.counters.keeps_usage().into(),
             is_snapshot: is_snapshot.into(),
             is_settled: self.is_settled.into(),
             voter_count: self.registers.members.voters.len() as u64,
--- a/coordination/src/control/counters.rs
+++ b/coordination/src/control/counters.rs
@@ -1,22 +1,24 @@
-//! Outcome counters: for which services this daemon keeps them, and handing them to those services' rollout loops.
+//! Counters of the edges: which of them this daemon keeps, and handing outcome counters to their services' rollout loops.
 
 use std::collections::BTreeMap;
 
 use wire_messages::{Name, OutcomeCounters};
 
-use super::Control;
-use crate::{Ms, register::ROLLOUT_PREFIX, rendezvous::rendezvous_weight};
+use super::{Control, UsageTable};
+use crate::{Ms, register::ROLLOUT_PREFIX, rendezvous::rendezvous_weight, usage::USAGE_KEY};
 
-/// Daemons that keep a service's counters: the lease holder of its singleton role, and the daemon next in order for it.
+/// Daemons that keep the counters of a singleton role: its lease holder, and the daemon next in order for it.
 const COUNTER_SUBSCRIBERS: usize = 2;
 /// ms. A daemon that is neither any more keeps them for so long: voters come and go for a moment.
 pub const COUNTER_RETENTION: Ms = 10_000;
 
-/// The services whose counters this daemon keeps.
+/// The counters that this daemon keeps.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CounterSelection {
     /// By service when its counters were last wanted here.
     wanted_at: BTreeMap<Name, Ms>,
+    /// When usage was last wanted here; none where it is not kept.
+    usage_wanted_at: Option<Ms>,
     /// How often the selection changed.
     selection: u64,
 }
@@ -31,6 +33,10 @@
         self.wanted_at.keys()
     }
 
+    pub(super) fn keeps_usage(&self) -> bool {
+        self.usage_wanted_at.is_some()
+    }
+
     /// Notes that a service's counters are wanted; returns whether they were not kept before.
     fn want(&mut self, service: &str, now: Ms) -> bool {
         self.wanted_at.insert(service.into(), now).is_none()
@@ -41,7 +47,7 @@
         let expired: Vec<Name> = self
             .wanted_at
             .iter()
-            .filter(|(_, wanted_at)| now.saturating_sub(**wanted_at) >= COUNTER_RETENTION)
+            .filter(|(_, wanted_at)| is_expired(**wanted_at, now))
             .map(|(service, _)| service.clone())
             .collect();
         for service in &expired {
@@ -51,12 +57,46 @@
     }
 }
 
+/// Whether counters that were last wanted then are not kept any more.
+fn is_expired(wanted_at: Ms, now: Ms) -> bool {
+    now.saturating_sub(wanted_at) >= COUNTER_RETENTION
+}
+
 impl Control {
-    /// Selects the services whose counters are kept: those whose singleton role this daemon holds or is next to acquire.
+    /// Selects the counters that are kept: those of the singleton roles that this daemon holds or is next to acquire.
     /// Whoever takes a role over so judges by evidence at once, and all others need not receive every edge's every
     /// counter.
-    pub(super) fn select_services(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) {
-        let Some(spec) = self.spec() else { return };
+    pub(super) fn select_counters(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) {
+        let is_usage_changed = self.select_usage(now, live);
+        let are_services_changed = self.select_services(now, live);
+        if is_usage_changed || are_services_changed {
+            self.counters.selection += 1;
+            self.followers.restart_counters();
+        }
+    }
+
+    /// Selects usage; returns whether that changed the selection.
+    fn select_usage(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) -> bool {
+        let is_wanted = self.config.bounds.usage_window > 0
+            && (self.is_counter_subscriber(USAGE_KEY, live)
+                || self.registers.held_until(USAGE_KEY, now).is_some());
+        if is_wanted {
+            return self.counters.usage_wanted_at.replace(now).is_none();
+        }
+        let wanted_at = self.counters.usage_wanted_at;
+        let is_dropped = wanted_at.is_some_and(|wanted_at| is_expired(wanted_at, now));
+        if is_dropped {
+            self.counters.usage_wanted_at = None;
+            self.usage = UsageTable::default();
+        }
+        is_dropped
+    }
+
+    /// Selects services; returns whether that changed the selection.
+    fn select_services(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) -> bool {
+        let Some(spec) = self.spec() else {
+            return false;
+        };
         let mut is_changed = false;
         for service in &spec.services {
             let key = format!("{ROLLOUT_PREFIX}{}", service.name);
@@ -72,10 +112,7 @@
             self.rollouts.reset_health(&service);
             is_changed = true;
         }
-        if is_changed {
-            self.counters.selection += 1;
-            self.followers.restart_counters();
-        }
+        is_changed
     }
 
     fn is_counter_subscriber(&self, key: &str, live: &dyn Fn(&str) -> bool) -> bool {
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -5,7 +5,7 @@
 use wire_messages::{Change, Name, Node, OpenStreams, Poll};
 
 use super::Control;
-use crate::{Effects, Ms};
+use crate::{Effects, Ms, usage::MAX_COUNTS_PER_MESSAGE};
 
 /// ms. Agents that polled within this are counted as followers.
 const FOLLOWER_TIMEOUT: Ms = 3_000;
@@ -36,6 +36,8 @@
     pub(super) after_position: u64,
     /// Its outcome counters have arrived up to this one.
     pub(super) counters_through: u64,
+    /// Up to when its counters are here; none since the selection of counters changed.
+    pub(super) counters_heard_until: Option<Ms>,
     pub(super) open_streams: OpenStreamCounts,
     versions: Vec<Change>,
     pub(super) in_flight: InFlight,
@@ -54,6 +56,7 @@
             poll_sent_at: poll.sent_at,
             after_position: poll.after_position,
             counters_through: 0,
+            counters_heard_until: None,
             open_streams: OpenStreamCounts::new(),
             versions: std::mem::take(&mut poll.versions.0),
             in_flight: InFlight::default(),
@@ -71,6 +74,7 @@
             follower.was_delayed =
                 poll.sent_at.saturating_sub(previous.poll_sent_at) > 2 * since_last_poll;
             follower.counters_through = previous.counters_through;
+            follower.counters_heard_until = previous.counters_heard_until;
             follower.in_flight = previous.in_flight;
             if poll.has_versions == 0 {
                 follower.versions = previous.versions;
@@ -140,10 +144,11 @@
             .filter(move |follower| now.saturating_sub(follower.polled_at) <= window)
     }
 
-    /// Has every follower send all its counters again, as the services whose counters are kept have changed.
+    /// Has every follower send all its counters again, as the selection of counters that are kept has changed.
     pub(super) fn restart_counters(&mut self) {
         for follower in self.0.values_mut() {
             follower.counters_through = 0;
+            follower.counters_heard_until = None;
         }
     }
 }
@@ -169,6 +174,9 @@
     /// of this daemon had, which is not enough to know anything by; nor does an agent's word count before its proxy has
     /// reported.
     fn accept_poll_counters(&mut self, follower: &mut Follower, poll: &mut Poll, now: Ms) {
+        let usage = std::mem::take(&mut poll.usage.0);
+        let usage_count: usize = usage.iter().map(|report| report.usage.len()).sum();
+        self.accept_usage(&follower.node.name, usage, now);
         let known = follower.counters_through;
         let is_complete = poll.proxy_incarnation > 0
             && poll.source_incarnation == self.incarnation
@@ -186,6 +194,10 @@
         }
         follower.update_open_streams(std::mem::take(&mut poll.open_streams.0));
         follower.counters_through = poll.counters_through;
+        // A message that is full need not be the last one.
+        if usage_count < MAX_COUNTS_PER_MESSAGE {
+            follower.counters_heard_until = Some(now.saturating_sub(poll.report_age_ms));
+        }
     }
 
     /// Sends a follower what it lacks. What takes long to arrive is not sent again behind itself: an edge that polls more
--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -9,6 +9,7 @@
 mod local_proxy;
 mod repair;
 mod serving_rule;
+mod usage;
 
 use wire_messages::{
     Change, ClaimRequest, ContextDemand, List, Message, Name, Node, PrefillReport, Repair, Update,
--- a/coordination/src/edge_agent/control_sources.rs
+++ b/coordination/src/edge_agent/control_sources.rs
@@ -6,7 +6,7 @@
 use wire_messages::{Change, List, Name, Node, Poll, UnreachableEdges, Update};
 
 use super::{
-    local_proxy::{CountersSince, ProxyLink},
+    local_proxy::{CountersSince, ProxyLink, SelectedCounters},
     serving_rule::RULE_DURATION,
     without_value,
 };
@@ -66,9 +66,8 @@
     acknowledged_poll_sent_at: Ms,
     /// The agent's report up to which it has the proxy's counters, by its newest response.
     counters_through: u64,
-    /// The services whose counters it keeps, by its newest response, and the number of that
-    /// selection.
-    selected_services: Vec<Name>,
+    /// The counters that it keeps, by its newest response, and the number of that selection.
+    selected: SelectedCounters,
     selection: u64,
     /// The edges that it does not hear from, by its newest report.
     unreachable_edges: UnreachableEdges,
@@ -97,7 +96,10 @@
             self.acknowledged_poll_sent_at = update.poll_sent_at;
             self.counters_through = update.counters_through;
             self.selection = update.selection;
-            self.selected_services = update.selected_services.0.clone();
+            self.selected = SelectedCounters {
+                services: update.selected_services.0.clone(),
+                wants_usage: update.wants_usage != 0,
+            };
         }
         // Only a settled voter counts towards a majority: others may lack what a majority has
         // accepted.
@@ -304,8 +306,9 @@
         .proxy
         .report_to_resume_after(source.counters_through);
     let reported = if source.is_responding(now) {
-        let services = &source.selected_services;
-        context.proxy.counters_since(counters_since, services, now)
+        context
+            .proxy
+            .counters_since(counters_since, &source.selected, now)
     } else {
         None
     };
@@ -325,6 +328,8 @@
         unreachable_edges_version: source.unreachable_edges.version,
         counters: reported.counters,
         open_streams: reported.open_streams,
+        report_age_ms: reported.report_age,
+        usage: reported.usage,
         ..Poll::default()
     }
 }
--- a/coordination/src/edge_agent/local_proxy.rs
+++ b/coordination/src/edge_agent/local_proxy.rs
@@ -4,11 +4,18 @@
 use std::collections::BTreeMap;
 
 use wire_messages::{
-    Change, List, Name, Node, OpenStreams, OutcomeCounters, ProxyLease, ProxyReport, TableUpdate,
+    Change, List, Name, Node, OpenStreams, OutcomeCounters, ProxyLease, ProxyReport, ProxyUsage,
+    TableUpdate,
 };
 
-use super::serving_rule::{Decision, RULE_DURATION};
-use crate::{Effects, Ms, effect::send, state_table::StateTable, version_health::HEALTH_WINDOWS};
+use super::{
+    serving_rule::{Decision, RULE_DURATION},
+    usage::{ReportedUsage, UnsentUsage},
+};
+use crate::{
+    Effects, Ms, effect::send, state_table::StateTable, usage::MAX_COUNTS_PER_MESSAGE,
+    version_health::HEALTH_WINDOWS,
+};
 
 /// Streams that have ended are remembered for so long: control daemons are back sooner, after most
 /// partitions.
@@ -106,6 +113,8 @@
     last_report_at: Ms,
     /// Up to which of the proxy's changes this agent has its counters and streams.
     counters_through: u64,
+    /// When the newest report came by which it has all of them.
+    complete_at: Option<Ms>,
     counters: BTreeMap<CountersKey, ReportedCounters>,
     open_streams: BTreeMap<StreamsKey, ReportedStreams>,
     /// Whether it has had the complete state table.
@@ -120,6 +129,7 @@
     /// Takes a report: a snapshot or what changed. After a gap it takes nothing; the proxy reports
     /// everything again when the next update acknowledges nothing.
     fn take_report(&mut self, message: ProxyReport, report: u64, now: Ms) {
+        let usage_follows = message.usage.len() >= MAX_COUNTS_PER_MESSAGE;
         // What a late report brings was reported again since.
         if message.through_change < self.counters_through {
             return;
@@ -132,6 +142,9 @@
             self.end_open_streams(report, now);
         }
         self.counters_through = message.through_change;
+        if !usage_follows {
+            self.complete_at = Some(now);
+        }
         for counters in message.counters.0 {
             let reported = ReportedCounters {
                 report,
@@ -187,8 +200,20 @@
     pub proxy_incarnation: u64,
     /// The report up to which the daemon has everything once it has these.
     pub through_report: u64,
+    /// ms since the newest report came by which the agent has all counters.
+    pub report_age: Ms,
     pub counters: List<OutcomeCounters>,
     pub open_streams: List<OpenStreams>,
+    pub usage: List<ProxyUsage>,
+}
+
+/// The counters that a control daemon keeps.
+#[derive(Clone, Debug, Default)]
+pub(super) struct SelectedCounters {
+    /// Services whose outcome counters it keeps.
+    pub services: Vec<Name>,
+    /// Whether it keeps usage.
+    pub wants_usage: bool,
 }
 
 /// What an update hands to the proxy besides changed values.
@@ -202,8 +227,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProxyLink {
     proxy: Option<LocalProxy>,
-    /// How many reports have come, from any incarnation of the proxy.
-    report_count: u64,
+    /// Number of the newest report, or of the newest change of usage, from any incarnation of the proxy.
+    last_report: u64,
+    usage: ReportedUsage,
     /// The newest report that brought the end of a stream which is forgotten here.
     forgotten_through: u64,
     next_update: Ms,
@@ -235,8 +261,11 @@
     pub fn on_report(&mut self, addr: &Name, message: ProxyReport, now: Ms) {
         let mut proxy = self.reporting_proxy(addr, message.incarnation, now);
         proxy.last_report_at = now;
-        self.report_count += 1;
-        proxy.take_report(message, self.report_count, now);
+        self.usage.forget_before(message.oldest_usage_window);
+        self.usage
+            .merge(message.incarnation, &message.usage, &mut self.last_report);
+        self.last_report += 1;
+        proxy.take_report(message, self.last_report, now);
         // A control daemon that did not hear in time that these streams have ended is sent
         // everything again.
         if let Some(report) = proxy.forget_ended_streams(now) {
@@ -278,15 +307,21 @@
         }
     }
 
-    /// Counters of some services and open streams that changed after a report; all of them after 0,
-    /// without streams that have ended.
-    pub fn counters_since(&self, report: u64, services: &[Name], now: Ms) -> Option<CountersSince> {
+    /// Selected counters and open streams that changed after a report; all of them after 0, without
+    /// streams that have ended. Where more usage changed than one message takes, the rest is left
+    /// to the next one.
+    pub fn counters_since(
+        &self,
+        report: u64,
+        selected: &SelectedCounters,
+        now: Ms,
+    ) -> Option<CountersSince> {
         let proxy = self.proxy.as_ref()?;
         let counters = proxy
             .counters
             .values()
             .filter(|reported| {
-                reported.report > report && services.contains(&reported.counters.service)
+                reported.report > report && selected.services.contains(&reported.counters.service)
             })
             .map(|reported| reported.current(now))
             .collect();
@@ -296,11 +331,18 @@
             .filter(|reported| reported.report > report && (report > 0 || reported.are_open()))
             .map(|reported| reported.streams.clone())
             .collect();
+        let unsent = if selected.wants_usage {
+            self.usage.changed_after(report)
+        } else {
+            UnsentUsage::default()
+        };
         Some(CountersSince {
             proxy_incarnation: proxy.incarnation,
-            through_report: self.report_count,
+            through_report: unsent.through_change.unwrap_or(self.last_report),
+            report_age: now.saturating_sub(proxy.complete_at.unwrap_or(0)),
             counters,
             open_streams,
+            usage: unsent.usage,
         })
     }
 
--- a/coordination/src/exchange.rs
+++ b/coordination/src/exchange.rs
@@ -17,6 +17,8 @@
     pub host: String,
     /// Path of the request, without its query.
     pub path: String,
+    /// Tenant that sent it; empty where the spec knows no tenants.
+    pub tenant: String,
     /// The caller's name for this attempt of its own; it comes to one edge only.
     pub attempt_id: String,
     /// ms that the caller will wait, if it says so.
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -23,6 +23,7 @@
 mod request_checks;
 mod table_updates;
 mod tier_pressure;
+mod usage;
 mod version_guard;
 
 pub use assignment::{Admission, Assignment, OutcomeClass};
@@ -46,6 +47,7 @@
     policy::{Mechanism, Policy},
     rendezvous::rendezvous_weight,
     state_table::{SpecParser, StateTable, VersionStamp, parse_own_spec},
+    wall_clock::WallClock,
 };
 use attempt_counters::AttemptCounters;
 use by_path::OpenAttempt;
@@ -118,6 +120,8 @@
     attempt_counters: AttemptCounters,
     canary_credits: CanaryCredits,
     version_guard: VersionGuard,
+
+    wall_clock: WallClock,
 }
 
 impl Proxy {
@@ -155,6 +159,7 @@
             attempt_counters: AttemptCounters::default(),
             canary_credits: CanaryCredits::default(),
             version_guard: VersionGuard::default(),
+            wall_clock: WallClock::default(),
             name,
             zone,
             http_addr,
--- a/coordination/src/proxy/attempt_counters.rs
+++ b/coordination/src/proxy/attempt_counters.rs
@@ -5,7 +5,10 @@
 use remote_calls::GroupRole;
 use wire_messages::OpenStreams;
 
-use super::Assignment;
+use super::{
+    Assignment,
+    usage::{UsageCell, UsageCounters},
+};
 
 /// The cell in which an attempt is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,6 +83,8 @@
     changed_open: BTreeMap<StreamKey, u64>,
     /// Cells that changed since the versions of their service were last judged.
     unjudged: BTreeMap<String, BTreeSet<CounterKey>>,
+    /// Requests that began to run, by tenant.
+    pub usage: UsageCounters,
 }
 
 impl Default for AttemptCounters {
@@ -93,6 +98,7 @@
             changed_counts: BTreeMap::new(),
             changed_open: BTreeMap::new(),
             unjudged: BTreeMap::new(),
+            usage: UsageCounters::default(),
         }
     }
 }
@@ -110,6 +116,12 @@
         change(self.counts.entry(key).or_default());
     }
 
+    /// Counts a request that began to run.
+    pub fn count_usage(&mut self, cell: UsageCell) {
+        self.last_change += 1;
+        self.usage.count(cell, self.last_change);
+    }
+
     /// An attempt begins.
     pub fn open(&mut self, assignment: &Assignment) {
         let key = StreamKey::new(assignment);
--- a/coordination/src/proxy/by_path.rs
+++ b/coordination/src/proxy/by_path.rs
@@ -1,8 +1,9 @@
 //! Requests that come by host and path: which replica each attempt goes to, and what becomes of it.
 
-use std::sync::Arc;
+use std::{mem, sync::Arc};
 
 use remote_calls::{DownstreamLimits, Fault, Outcome, PathSpec};
+use wire_messages::Name;
 
 use super::{
     Admission, Assignment, OutcomeClass, Proxy,
@@ -25,6 +26,8 @@
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct OpenAttempt {
+    /// Tenant of the request, until its first chunk has come.
+    tenant: Name,
     /// ms of prefill, until its first chunk has come.
     unfinished_prefill_ms: Option<f64>,
     expected_ms: f64,
@@ -132,6 +135,7 @@
         self.open_attempts.insert(
             self.last_attempt,
             OpenAttempt {
+                tenant: head.tenant.as_str().into(),
                 unfinished_prefill_ms: Some(candidate.prefill_ms),
                 expected_ms: candidate.expected_ms,
                 sent_at: now,
@@ -203,6 +207,7 @@
         let Some(prefill) = attempt.unfinished_prefill_ms.take() else {
             return;
         };
+        let tenant = mem::take(&mut attempt.tenant);
         let took = now.saturating_sub(attempt.sent_at);
         attempt.is_slow = took as f64 > attempt.slow_after_ms;
         let late_ms = (took as f64 - attempt.expected_ms).max(0.0);
@@ -223,6 +228,7 @@
         self.attempt_counters.count(assignment, |counts| {
             counts.first_chunk_log_sum += log_ms(took);
         });
+        self.count_usage(tenant, now);
     }
 
     /// An attempt is over; reported once for each. Gives the version that this proxy begins to cap, if it does.
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -9,7 +9,8 @@
     /// Everything that is counted and open.
     pub fn full_report(&self, now: Ms) -> ProxyReport {
         let counters = self.outcome_counters(self.attempt_counters.keys(), now);
-        self.report(0, counters, self.attempt_counters.open_streams().collect())
+        let open_streams = self.attempt_counters.open_streams().collect();
+        self.report(0, counters, open_streams, now)
     }
 
     /// What the agent does not have yet: cells are many, and most do not change.
@@ -20,7 +21,7 @@
         }
         let counters = self.outcome_counters(self.attempt_counters.changed_keys(), now);
         let open_streams = self.attempt_counters.changed_open_streams().collect();
-        self.report(after_change, counters, open_streams)
+        self.report(after_change, counters, open_streams, now)
     }
 
     fn report(
@@ -28,14 +29,21 @@
         after_change: u64,
         counters: List<OutcomeCounters>,
         open_streams: List<OpenStreams>,
+        now: Ms,
     ) -> ProxyReport {
+        let unreported = self.attempt_counters.usage.changed_after(after_change);
+        let through_change = unreported
+            .through_change
+            .unwrap_or(self.attempt_counters.last_change());
         ProxyReport {
             incarnation: self.incarnation,
             http_addr: self.http_addr.clone(),
             after_change,
-            through_change: self.attempt_counters.last_change(),
+            through_change,
             counters,
             open_streams,
+            oldest_usage_window: self.oldest_usage_window(now),
+            usage: unreported.usage,
         }
     }
 
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -130,6 +130,8 @@
                     versions: List::default(),
                     selection: 0,
                     unreachable_edges_version: 0,
+                    report_age_ms: 0,
+                    usage: List::default(),
                 };
                 self.deliver(i, &name, poll.into());
             }
--- a/coordination/tests/support/mod.rs
+++ b/coordination/tests/support/mod.rs
@@ -1,7 +1,8 @@
 //! What several test files share: nodes that gossip over a lossy network, messages to and from edge
-//! agents, and a control daemon that is the only voter.
+//! agents, a control daemon that is the only voter, and that daemon with an edge.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod agents;
+pub mod edge_bench;
 pub mod gossip;
 pub mod lone_control;
--- a/daemon-parts/src/clock.rs
+++ b/daemon-parts/src/clock.rs
@@ -27,7 +27,12 @@
     since_epoch().as_secs()
 }
 
-/// ms since 1970: the incarnation of a process that starts now.
-pub fn born() -> u64 {
+/// ms since 1970, by a time of day that may step.
+pub fn wall_ms() -> u64 {
     since_epoch().as_millis() as u64
 }
+
+/// The incarnation of a process that starts now.
+pub fn born() -> u64 {
+    wall_ms()
+}
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -198,6 +198,7 @@
         let interval = Duration::from_millis(TICK_INTERVAL);
         context.run_interval(interval, |actor, context| {
             let now = clock::now();
+            lock(&actor.proxy).observe_wall_clock(now, clock::wall_ms());
             actor.report_counters(now);
             actor.report_prefills(now);
             actor.report_context_demand(now);
--- a/wire-messages/src/messages.rs
+++ b/wire-messages/src/messages.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     Blob, ChainDemand, Change, ForwardOutcome, Lease, List, Name, Node, NodeHeartbeat, OpenStreams,
-    OutcomeCounters, OwnedKey, PeerState, Precondition, Prefill, ProxyLease, RangeDigest,
-    ReplacedValue, Slot, UnreachableEdges, Varint, Voter, parts::parts,
+    OutcomeCounters, OwnedKey, PeerState, Precondition, Prefill, ProxyLease, ProxyUsage,
+    RangeDigest, ReplacedValue, Slot, TenantUsage, UnreachableEdges, Varint, Voter, parts::parts,
 };
 
 /// Declares messages: structures as `parts!` makes them, and [`Message`] over them, each behind a tag of one byte.
@@ -229,6 +229,10 @@
         versions: List<Change>,
         /// Version of the newest [`UnreachableEdges`] that the agent has from that incarnation; 0: none.
         unreachable_edges_version: u64 as Varint,
+        /// ms since the agent received the newest report by which it has all counters of its proxy.
+        report_age_ms: u64 as Varint,
+        /// Usage that changed, where the daemon wants it.
+        usage: List<ProxyUsage>,
     }
 
     /// A control daemon's answer to [`Poll`], or a push of what was just committed.
@@ -257,6 +261,8 @@
         leases: List<Lease>,
         /// The edges that the sender does not hear from; empty where the agent has the newest report already.
         unreachable_edges: List<UnreachableEdges>,
+        /// 1: the sender keeps usage.
+        wants_usage: u8,
     }
 
     /// Gossip of membership between neighbours. One exchange has up to four messages, two in each direction.
@@ -328,6 +334,10 @@
         counters: List<OutcomeCounters>,
         /// Open streams that changed.
         open_streams: List<OpenStreams>,
+        /// The oldest window whose usage is kept.
+        oldest_usage_window: u64 as Varint,
+        /// Usage that changed.
+        usage: List<TenantUsage>,
     }
 
     /// An agent updates the proxy beside it.
--- a/wire-messages/src/parts.rs
+++ b/wire-messages/src/parts.rs
@@ -179,6 +179,24 @@
         streams: u32,
     }
 
+    /// Cumulative usage of one tenant in one window, as one incarnation of a proxy counts it.
+    TenantUsage {
+        /// Number of the window: the time of day in ms since 1970, divided by the windows' length.
+        window: u64 as Varint,
+        /// The tenant.
+        tenant: Name,
+        /// Requests that began to run.
+        count: u64 as Varint,
+    }
+
+    /// Usage that one incarnation of a proxy counted.
+    ProxyUsage {
+        /// Incarnation of the proxy.
+        proxy_incarnation: u64,
+        /// What it counted.
+        usage: List<TenantUsage>,
+    }
+
     /// A voter.
     Voter {
         /// Lasting name of the daemon.
