--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -122,10 +122,13 @@
             return self.reopen(ctx);
         };
         control.stopping = self.is_stopping;
+        control.observe_wall_clock(now, clock::wall_ms());
         self.lifecycle.check_syncs(control, &self.config.name, now);
         let mut effects = control.tick(now);
         effects.extend(control.run_rollouts(now, clock::wall_s()));
-        effects.extend(control.run_platform_roles(now, clock::wall_ms()));
+        if let Some(wall_ms) = control.wall_ms(now) {
+            effects.extend(control.run_platform_roles(now, wall_ms));
+        }
         self.execute(effects, ctx);
         self.poll_replicas(now, ctx);
     }
--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -16,6 +16,7 @@
     membership::{Membership, NodeRole},
     register::Registers,
     state_table::{SpecParser, StateTable},
+    wall_clock::WallClock,
 };
 
 mod change_feed;
@@ -51,7 +52,7 @@
 pub use replica_list::call_rate_share;
 pub use usage_log::{LATE_WINDOWS_MAX, UNACCEPTED_REPORTS_MAX, UsageLog};
 pub use usage_reports::{CLOSING_MARGIN, MAX_RETRY_PAUSE, MIN_RETRY_PAUSE};
-pub use usage_table::TenantUsage;
+pub use usage_table::{USAGE_LATENCY, UsageTable};
 
 use change_feed::ChangeFeed;
 use context_placement::ContextRole;
@@ -67,7 +68,6 @@
 use suspension::SuspensionDetector;
 use unreachable_edges::UnreachableEdgeReport;
 use usage_reports::UsageReports;
-use usage_table::UsageTable;
 use voters::VoterMembership;
 use writes::PendingWrites;
 
@@ -158,11 +158,12 @@
     change_feed: ChangeFeed,
     followers: Followers,
     counters: CounterSelection,
+    usage: UsageTable,
+    wall_clock: WallClock,
     replica_list: ReplicaList,
     rollouts: Rollouts,
     /// By service whose copies of shared context are decided here.
     context_roles: BTreeMap<String, ContextRole>,
-    usage_table: UsageTable,
     usage_reports: UsageReports,
     resolution_counts: ResolutionCounts,
     /// Graceful shutdown has begun: others take over what this daemon owns.
@@ -213,10 +214,11 @@
             change_feed: ChangeFeed::default(),
             followers: Followers::default(),
             counters: CounterSelection::default(),
+            usage: UsageTable::default(),
+            wall_clock: WallClock::default(),
             replica_list: ReplicaList::default(),
             rollouts: Rollouts::default(),
             context_roles: BTreeMap::new(),
-            usage_table: UsageTable::default(),
             usage_reports: UsageReports::default(),
             resolution_counts: ResolutionCounts::default(),
             stopping: false,
@@ -316,7 +318,7 @@
         let is_live = self.live_voters(now);
         let wanted_roles = self.wanted_roles();
         self.registers.tick(now, &is_live, &wanted_roles, &mut out);
-        self.select_services(now, &is_live);
+        self.select_counters(now, &is_live);
         self.change_voters(now, &is_live, &mut out);
         self.detect_stalled_loops(now, &is_live, &mut out);
         self.writes.expire(now);
--- a/coordination/src/control/usage_reports.rs
+++ b/coordination/src/control/usage_reports.rs
@@ -155,7 +155,7 @@
             return;
         }
         let next_window = self.next_usage_window(now, wall_ms);
-        self.usage_table.forget_before(next_window);
+        self.usage.forget_before(next_window);
         let Some((epoch, until)) = self.registers.held_until(USAGE_KEY, now) else {
             return;
         };
@@ -221,7 +221,7 @@
         }
         let mut window = first_window;
         while next.has_room() && self.is_usage_complete(window, now, wall_ms) {
-            next.add(window, self.usage_table.counts(window));
+            next.add(window, self.usage.counts(window));
             window += 1;
         }
         if next == *committed {
--- a/coordination/src/control/usage_table.rs
+++ b/coordination/src/control/usage_table.rs
@@ -1,77 +1,182 @@
-//! Requests that began to run, by tenant and window, as the edges have reported them.
+//! Usage by tenant and window, as the edges report it.
 
-use std::collections::BTreeMap;
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    ops::RangeInclusive,
+};
 
-use wire_messages::Name;
+use wire_messages::{Name, ProxyUsage, TenantUsage};
 
 use super::Control;
-use crate::Ms;
-
-/// How many requests of a tenant an edge has seen begin to run in one window, so far.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TenantUsage {
-    /// The window's number.
-    pub window: u64,
-    /// The tenant's name.
-    pub tenant: Name,
-    /// Its requests.
-    pub count: u64,
+use crate::{Ms, membership::NodeRole, usage::kept_windows};
+
+/// ms. Longest time that a report of a proxy and the poll that carries it are assumed to be on their way, besides the time
+/// that the report waits for the poll.
+pub const USAGE_LATENCY: Ms = 250;
+
+/// One incarnation of a proxy.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct UsageSource {
+    agent: Name,
+    proxy_incarnation: u64,
+}
+
+/// What a source counted in one cell.
+#[derive(Clone, Copy, Debug)]
+struct SourceCount {
+    source_number: u32,
+    count: u64,
 }
 
-/// Counts of one incarnation of an agent, by window and tenant.
-type UsageCells = BTreeMap<(u64, Name), u64>;
+/// Counts of one window by tenant. Few sources serve one tenant in one window, so that a list of them is searched.
+type WindowCounts = BTreeMap<Name, Vec<SourceCount>>;
 
-/// The largest count of each cell that each incarnation of an agent has reported.
+/// Requests that began to run, by window, tenant and source. Of each source the largest count is kept, so that a resend
+/// counts nothing twice; a proxy that restarts is another source, whose counts add up with those before.
 #[derive(Clone, Debug, Default)]
-pub(super) struct UsageTable {
-    sources: BTreeMap<(Name, u64), UsageCells>,
+pub struct UsageTable {
+    windows: BTreeMap<u64, WindowCounts>,
+    /// Names of sources are kept once, as each has many counts.
+    source_numbers: BTreeMap<UsageSource, u32>,
+    last_source_number: u32,
 }
 
 impl UsageTable {
-    /// Takes an agent's counts; what it sends again counts once.
-    pub(super) fn record(&mut self, agent: &Name, agent_incarnation: u64, cells: Vec<TenantUsage>) {
-        let source = (agent.clone(), agent_incarnation);
-        let known = self.sources.entry(source).or_default();
-        for TenantUsage {
-            window,
-            tenant,
-            count,
-        } in cells
-        {
-            let largest = known.entry((window, tenant)).or_default();
-            *largest = count.max(*largest);
+    /// Takes cumulative counts of one incarnation of the proxy beside an agent.
+    pub fn record(&mut self, agent: &Name, proxy_incarnation: u64, usage: Vec<TenantUsage>) {
+        if usage.is_empty() {
+            return;
         }
-    }
-
-    /// Requests of each tenant in a window.
-    pub(super) fn counts(&self, window: u64) -> BTreeMap<Name, u64> {
-        let mut counts = BTreeMap::new();
-        for ((counted_in, tenant), count) in self.sources.values().flatten() {
-            if *counted_in == window {
-                *counts.entry(tenant.clone()).or_default() += count;
+        let source_number = self.source_number(agent, proxy_incarnation);
+        for reported in usage {
+            let counts = self
+                .windows
+                .entry(reported.window)
+                .or_default()
+                .entry(reported.tenant)
+                .or_default();
+            let known = counts
+                .iter_mut()
+                .find(|known| known.source_number == source_number);
+            match known {
+                Some(known) => known.count = known.count.max(reported.count),
+                None => counts.push(SourceCount {
+                    source_number,
+                    count: reported.count,
+                }),
             }
         }
-        counts
     }
 
-    /// Forgets all windows before this one.
-    pub(super) fn forget_before(&mut self, window: u64) {
-        for cells in self.sources.values_mut() {
-            cells.retain(|(counted_in, _), _| *counted_in >= window);
+    fn source_number(&mut self, agent: &Name, proxy_incarnation: u64) -> u32 {
+        let source = UsageSource {
+            agent: agent.clone(),
+            proxy_incarnation,
+        };
+        let last_source_number = &mut self.last_source_number;
+        *self.source_numbers.entry(source).or_insert_with(|| {
+            *last_source_number += 1;
+            *last_source_number
+        })
+    }
+
+    /// Requests that began to run in a window, by tenant.
+    pub fn counts(&self, window: u64) -> BTreeMap<Name, u64> {
+        let tenants = self.windows.get(&window).into_iter().flatten();
+        tenants
+            .map(|(tenant, counts)| {
+                let sum = counts.iter().map(|counted| counted.count).sum();
+                (tenant.clone(), sum)
+            })
+            .collect()
+    }
+
+    /// Windows in which something was counted, oldest first.
+    pub fn windows(&self) -> impl Iterator<Item = u64> {
+        self.windows.keys().copied()
+    }
+
+    /// Forgets windows before this one.
+    pub fn forget_before(&mut self, window: u64) {
+        let kept = self.windows.split_off(&window);
+        let forgotten = std::mem::replace(&mut self.windows, kept);
+        if !forgotten.is_empty() {
+            self.forget_unused_sources();
         }
-        self.sources.retain(|_, cells| !cells.is_empty());
+    }
+
+    fn forget_unused_sources(&mut self) {
+        let counts = self.windows.values().flat_map(BTreeMap::values).flatten();
+        let used: BTreeSet<u32> = counts.map(|counted| counted.source_number).collect();
+        self.source_numbers
+            .retain(|_, number| used.contains(number));
     }
 }
 
 impl Control {
-    /// Takes an agent's counts of requests that began to run.
-    pub fn record_usage(&mut self, agent: &Name, agent_incarnation: u64, cells: Vec<TenantUsage>) {
-        self.usage_table.record(agent, agent_incarnation, cells);
+    /// Observes the time of day, in ms since 1970; to be called at least once a second.
+    pub fn observe_wall_clock(&mut self, now: Ms, wall_ms: u64) {
+        self.wall_clock.observe(now, wall_ms);
+        if let Some(windows) = self.kept_usage_windows(now) {
+            self.usage.forget_before(*windows.start());
+        }
+    }
+
+    /// The time of day in ms since 1970, without steps that are taken back; none before it was observed.
+    pub fn wall_ms(&self, now: Ms) -> Option<u64> {
+        self.wall_clock.wall_ms(now)
+    }
+
+    /// Usage as far as this daemon has heard; it hears of usage only where it holds the role of reporting it, or is next
+    /// to acquire it.
+    pub fn usage(&self) -> &UsageTable {
+        &self.usage
+    }
+
+    /// Whether this daemon keeps usage counts.
+    pub fn keeps_usage(&self) -> bool {
+        self.counters.keeps_usage()
+    }
+
+    /// The time up to which every live edge's usage is here, 0 if nothing is known of one of them.
+    ///
+    /// An edge that was heard from within the delay of usage reports, or that gossip has for live, is waited for: it may be
+    /// back before the report is due. An edge that falls silent so stops this time from rising until then.
+    pub fn usage_heard_through(&self, now: Ms) -> Ms {
+        let heard_until = |name: &Name| {
+            let follower = self.followers.get(name);
+            follower
+                .and_then(|follower| follower.counters_heard_until)
+                .unwrap_or(0)
+        };
+        let heard = self
+            .followers
+            .polled_within(self.config.bounds.usage_delay, now)
+            .chain(self.followers.live(now))
+            .map(|follower| &follower.node.name);
+        let live = self.membership.live(NodeRole::Edge).map(|edge| &edge.name);
+        let earliest = heard.chain(live).map(heard_until).min();
+        earliest.unwrap_or(0).saturating_sub(USAGE_LATENCY)
+    }
+
+    /// Accepts usage from an agent, whether or not what it follows is complete: of each count the largest is kept.
+    pub(super) fn accept_usage(&mut self, agent: &Name, reports: Vec<ProxyUsage>, now: Ms) {
+        if !self.keeps_usage() {
+            return;
+        }
+        let kept = self.kept_usage_windows(now);
+        let is_kept = |reported: &TenantUsage| {
+            kept.as_ref()
+                .is_none_or(|windows| windows.contains(&reported.window))
+        };
+        for report in reports {
+            let usage = report.usage.0.into_iter().filter(is_kept).collect();
+            self.usage.record(agent, report.proxy_incarnation, usage);
+        }
     }
 
-    /// The earliest time at which any live follower's counters were last accepted here; 0 where there is no follower.
-    pub(super) fn usage_heard_through(&self, now: Ms) -> Ms {
-        let heard = self.followers.live(now).map(|follower| follower.polled_at);
-        heard.min().unwrap_or(0)
+    /// Windows whose counts are kept; none before the time of day was observed.
+    fn kept_usage_windows(&self, now: Ms) -> Option<RangeInclusive<u64>> {
+        kept_windows(&self.config.bounds, self.wall_clock.wall_ms(now)?)
     }
 }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod events;
 pub mod exchange;
 pub mod membership;
+mod numbered_counts;
 pub mod placement;
 pub mod platform_call;
 pub mod policy;
@@ -27,8 +28,10 @@
 pub mod state_table;
 pub mod stream;
 pub mod timing;
+pub mod usage;
 pub mod version_health;
 pub mod voter_placement;
+pub mod wall_clock;
 
 pub use effect::{Effect, Effects, Ms, NotAcceptedReason, Row, WriteOutcome, send};
 pub use wire_messages as wire;
--- a/coordination/tests/fleet/usage_edges.rs
+++ b/coordination/tests/fleet/usage_edges.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coordination::{Ms, control::TenantUsage};
-use wire_messages::{Name, Node, Poll};
+use coordination::Ms;
+use wire_messages::{List, Name, Node, Poll, ProxyUsage, TenantUsage};
 
 use super::{Fleet, WALL_START};
 
@@ -100,23 +100,27 @@
         let Some(control) = daemon.control.as_mut().filter(|_| is_reached) else {
             continue;
         };
+        let counts = edge
+            .counted
+            .iter()
+            .map(|((window, tenant), count)| TenantUsage {
+                window: *window,
+                tenant: tenant.clone(),
+                count: *count,
+            });
+        let usage = ProxyUsage {
+            proxy_incarnation: 1,
+            usage: counts.collect(),
+        };
         let poll = Poll {
             node: node(&edge.name, edge_index, now),
             proxy_incarnation: 1,
             sent_at: now,
             counters_through: 1,
             has_versions: 1,
+            usage: List(vec![usage]),
             ..Poll::default()
         };
-        let cells = edge
-            .counted
-            .iter()
-            .map(|((window, tenant), count)| TenantUsage {
-                window: *window,
-                tenant: tenant.clone(),
-                count: *count,
-            });
-        control.record_usage(&name, 1, cells.collect());
         let effects = control.on_message(&name, &name, poll.into(), now);
         fleet.carry_out(index, effects);
     }
