--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -22,6 +22,13 @@
     ("c2", "c"),
 ];
 const CONTROLS: usize = 5;
+/// The region that is lost or cut off.
+const LOST_REGION: &str = "c";
+/// As many edges as a large deployment has, and a control daemon in each zone.
+const LARGE_FLEET: usize = 88;
+const CONTROLS_IN_EACH_ZONE: usize = 6;
+/// ms. A daemon names no edge for longer than the contact bound and this, in contact or not.
+const NAMED_BEYOND_CONTACT: Ms = 1_000;
 /// ms. Network latency inside a region and between regions.
 const LOCAL_LATENCY: Ms = 1;
 const REMOTE_LATENCY: Ms = 35;
@@ -29,6 +36,8 @@
 const PROXY_REPORT_INTERVAL: Ms = 200;
 /// ms. All nodes of a fleet know each other by then, also of a large one.
 const DISCOVERY_TIME: Ms = 25_000;
+/// ms. Traffic begins so long after the processes of a recorded day have started, and half a second later edges are lost.
+const TRAFFIC_START: Ms = 14_000;
 /// ms. For so long each daemon is asked after the loss.
 const OBSERVATION_TIME: Ms = 20_000;
 /// ms between two questions.
@@ -62,6 +71,26 @@
     }
 }
 
+/// Which messages a partition of region `c` from the others drops.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum RegionCut {
+    ToRegion,
+    FromRegion,
+    BothWays,
+}
+
+impl RegionCut {
+    fn drops(self, from: &str, to: &str) -> bool {
+        let enters = from != LOST_REGION && to == LOST_REGION;
+        let leaves = from == LOST_REGION && to != LOST_REGION;
+        match self {
+            RegionCut::ToRegion => enters,
+            RegionCut::FromRegion => leaves,
+            RegionCut::BothWays => enters || leaves,
+        }
+    }
+}
+
 struct ControlHost {
     params: ControlConfig,
     brain: Option<Control>,
@@ -80,9 +109,10 @@
     edges: BTreeMap<Name, EdgeHost>,
     gone: BTreeSet<Name>,
     cut: Option<Name>,
-    /// A control daemon that does not run now, and the messages that wait for it.
-    suspended: Option<Name>,
-    waiting: Vec<(Name, Message)>,
+    region_cut: Option<RegionCut>,
+    /// Processes that do not run now, and the messages that wait for each.
+    suspended: BTreeSet<Name>,
+    waiting: Vec<(Name, Name, Message)>,
     queue: BTreeMap<(Ms, u64), (Name, Name, Message)>,
     sequence: u64,
     rng: fastrand::Rng,
@@ -99,20 +129,25 @@
 
 impl Deployment {
     fn new(edges: usize, seed: u64) -> Deployment {
+        Deployment::with_controls(CONTROLS, edges, seed)
+    }
+
+    fn with_controls(controls: usize, edges: usize, seed: u64) -> Deployment {
         let mut deployment = Deployment {
             now: 1_000,
             controls: BTreeMap::new(),
             edges: BTreeMap::new(),
             gone: BTreeSet::new(),
             cut: None,
-            suspended: None,
+            region_cut: None,
+            suspended: BTreeSet::new(),
             waiting: vec![],
             queue: BTreeMap::new(),
             sequence: 0,
             rng: fastrand::Rng::with_seed(seed),
             told_proxies: BTreeMap::new(),
         };
-        for i in 0..CONTROLS {
+        for i in 0..controls {
             deployment.add_control(i, true);
         }
         for i in 0..edges {
@@ -204,10 +239,14 @@
                             .cut
                             .as_ref()
                             .is_some_and(|cut| to == *cut || from == cut);
-                    if is_cut || self.gone.contains(&to) {
+                    let regions = (self.region(from), self.region(&to));
+                    let is_region_cut = self
+                        .region_cut
+                        .is_some_and(|cut| cut.drops(regions.0, regions.1));
+                    if is_cut || is_region_cut || self.gone.contains(&to) {
                         continue;
                     }
-                    let latency = if self.region(from) == self.region(&to) {
+                    let latency = if regions.0 == regions.1 {
                         LOCAL_LATENCY
                     } else {
                         REMOTE_LATENCY
@@ -228,8 +267,8 @@
     }
 
     fn deliver(&mut self, to: &Name, from: &Name, msg: Message) {
-        if self.suspended.as_ref() == Some(to) {
-            return self.waiting.push((from.clone(), msg));
+        if self.suspended.contains(to) {
+            return self.waiting.push((to.clone(), from.clone(), msg));
         }
         let now = self.now;
         let out = match (
@@ -276,7 +315,9 @@
                 self.deliver(&to, &from, msg);
             }
             let due = |(name, e): &(&Name, &EdgeHost)| {
-                e.next_tick <= self.now && !self.gone.contains(*name)
+                e.next_tick <= self.now
+                    && !self.gone.contains(*name)
+                    && !self.suspended.contains(*name)
             };
             for name in self
                 .edges
@@ -289,11 +330,10 @@
             }
             if self.now.is_multiple_of(TICK_INTERVAL) {
                 let now = self.now;
-                let suspended = self.suspended.clone();
                 let running = self
                     .controls
                     .keys()
-                    .filter(|c| Some(*c) != suspended.as_ref());
+                    .filter(|name| !self.suspended.contains(*name));
                 for name in running.cloned().collect::<Vec<_>>() {
                     let brain = self.controls.get_mut(&name).and_then(|c| c.brain.as_mut());
                     let out = brain.map(|c| c.tick(now)).unwrap_or_default();
@@ -303,13 +343,11 @@
         }
     }
 
-    /// Lets the suspended daemon run again: it takes what waited, all at once.
+    /// Lets the suspended processes run again: each takes what waited for it, all at once.
     fn resume(&mut self) {
-        let Some(resumed) = self.suspended.take() else {
-            return;
-        };
-        for (from, msg) in std::mem::take(&mut self.waiting) {
-            self.deliver(&resumed, &from, msg);
+        self.suspended.clear();
+        for (to, from, msg) in std::mem::take(&mut self.waiting) {
+            self.deliver(&to, &from, msg);
         }
     }
 
@@ -487,14 +525,14 @@
         let mut deployment = Deployment::new(edges, 7);
         deployment.run(DISCOVERY_TIME);
         let resumed = Name::from("c1");
-        deployment.suspended = Some(resumed.clone());
+        deployment.suspended.insert(resumed.clone());
         deployment.run(300);
         deployment.lose_edges(50);
         deployment.run(SUSPENSIONS[0] - 300);
         // Too short a run for its polls to be answered.
         deployment.resume();
         deployment.run(2);
-        deployment.suspended = Some(resumed.clone());
+        deployment.suspended.insert(resumed.clone());
         deployment.run(SUSPENSIONS[1]);
         deployment.resume();
         let mut named_lost = 0;
@@ -558,3 +596,229 @@
         }
     }
 }
+
+/// When a fleet's troubles begin, in ms from the start of its processes, and from one loss to the next.
+#[derive(Clone, Copy, Debug)]
+struct LossTimes {
+    /// A quarter of the edges is lost, in all zones.
+    edges_at: Ms,
+    /// Both control daemons of a region and most of its edges are lost so much later.
+    region_after: Ms,
+    /// So long after that all of them are back.
+    back_after: Ms,
+}
+
+impl Deployment {
+    fn lose_region(&mut self) {
+        let lost_controls: Vec<Name> = self
+            .controls
+            .keys()
+            .filter(|name| self.region(name) == LOST_REGION)
+            .cloned()
+            .collect();
+        for name in lost_controls {
+            if let Some(host) = self.controls.get_mut(&name) {
+                host.brain = None;
+            }
+        }
+        let mut lost_edges: Vec<Name> = self
+            .edges
+            .keys()
+            .filter(|name| self.region(name) == LOST_REGION)
+            .cloned()
+            .collect();
+        // A few stay, so that there are edges to name.
+        lost_edges.truncate(lost_edges.len() * 3 / 4);
+        self.gone.extend(lost_edges);
+    }
+
+    fn start_lost_controls(&mut self) {
+        let lost: Vec<Name> = self
+            .controls
+            .iter()
+            .filter(|(_, host)| host.brain.is_none())
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in lost {
+            self.start(&name);
+        }
+    }
+
+    /// The longest time for which any of the edges that are gone, by when each was lost, is named now.
+    fn longest_named(&mut self, lost_at: &BTreeMap<Name, Ms>) -> Option<(Ms, Name)> {
+        let running = |name: &&Name| !self.suspended.contains(*name);
+        let names: Vec<Name> = self.controls.keys().filter(running).cloned().collect();
+        let mut longest = None;
+        for control in names {
+            let named_edges = self.named_edges(&control).unwrap_or_default();
+            let named_for = named_edges
+                .iter()
+                .filter_map(|edge| lost_at.get(edge))
+                .map(|at| self.now - at)
+                .max();
+            longest = longest.max(named_for.map(|named_for| (named_for, control)));
+        }
+        longest
+    }
+
+    /// Runs on, and returns for how long a lost edge was named at most and by which daemon.
+    fn observe_named(&mut self, ms: Ms, lost_at: &mut BTreeMap<Name, Ms>) -> Option<(Ms, Name)> {
+        for lost in &self.gone {
+            lost_at.entry(lost.clone()).or_insert(self.now);
+        }
+        let end = self.now + ms;
+        let mut longest = None;
+        while self.now < end {
+            self.run(OBSERVATION_INTERVAL);
+            longest = longest.max(self.longest_named(lost_at));
+        }
+        longest
+    }
+}
+
+/// For how long an edge is named at most that is gone, by any daemon, as edges are lost and then a region, whose control
+/// daemons come back on their disks.
+fn longest_named_as_region_follows(controls: usize, times: LossTimes) -> Option<(Ms, Name)> {
+    let mut deployment = Deployment::with_controls(controls, LARGE_FLEET, 7);
+    deployment.run(times.edges_at);
+    deployment.lose_edges(25);
+    let mut lost_at = BTreeMap::new();
+    let after_edges = deployment.observe_named(times.region_after, &mut lost_at);
+    deployment.lose_region();
+    let after_region = deployment.observe_named(times.back_after, &mut lost_at);
+    deployment.start_lost_controls();
+    let after_return = deployment.observe_named(OBSERVATION_TIME, &mut lost_at);
+    let longest = after_edges.max(after_region).max(after_return);
+    println!("{controls} controls, {times:?}: {longest:?}");
+    longest
+}
+
+fn contact_bound() -> Ms {
+    coordination::bounds::Bounds::default().contact
+}
+
+/// Whether no edge was named for longer than the contact bound and a second.
+fn is_in_bound(longest: Option<&(Ms, Name)>) -> bool {
+    longest.is_none_or(|(named_for, _)| *named_for <= contact_bound() + NAMED_BEYOND_CONTACT)
+}
+
+/// Edges lost half a second into the traffic and then a region: the directory named machines long gone, eight seconds on.
+#[gtest]
+fn lost_edges_are_not_named_beyond_the_contact_bound_as_a_region_follows() {
+    for controls in [CONTROLS, CONTROLS_IN_EACH_ZONE] {
+        for region_after in [5_000, 9_700] {
+            let times = LossTimes {
+                edges_at: TRAFFIC_START + 500,
+                region_after,
+                back_after: 6_000,
+            };
+            let longest = longest_named_as_region_follows(controls, times);
+            expect_that!(
+                is_in_bound(longest.as_ref()),
+                eq(true),
+                "{controls} controls, {times:?}: {longest:?}"
+            );
+        }
+    }
+}
+
+/// A daemon in its own first seconds knows few edges by their polls: it may name those long gone by what others tell it.
+#[gtest]
+fn edges_lost_as_the_daemons_start_are_not_named_beyond_the_contact_bound() {
+    for controls in [CONTROLS, CONTROLS_IN_EACH_ZONE] {
+        for edges_at in [500, 1_500, 3_000, 5_000] {
+            let times = LossTimes {
+                edges_at,
+                region_after: 9_700,
+                back_after: 6_000,
+            };
+            let longest = longest_named_as_region_follows(controls, times);
+            expect_that!(
+                is_in_bound(longest.as_ref()),
+                eq(true),
+                "{controls} controls, {times:?}: {longest:?}"
+            );
+        }
+    }
+}
+
+/// A region that is cut off in one direction hears, or is heard by, no majority: neither side may name edges long gone.
+#[gtest]
+fn lost_edges_are_not_named_beyond_the_contact_bound_while_a_region_is_cut_off() {
+    const CUT_LASTS: Ms = 10_000;
+    for cut in [
+        RegionCut::ToRegion,
+        RegionCut::FromRegion,
+        RegionCut::BothWays,
+    ] {
+        for cut_before_loss in [0, 3_000, 6_000] {
+            let mut deployment = Deployment::with_controls(CONTROLS_IN_EACH_ZONE, LARGE_FLEET, 7);
+            deployment.run(TRAFFIC_START);
+            deployment.region_cut = Some(cut);
+            deployment.run(cut_before_loss);
+            deployment.lose_edges(25);
+            let mut lost_at = BTreeMap::new();
+            let during = deployment.observe_named(CUT_LASTS, &mut lost_at);
+            deployment.region_cut = None;
+            let after = deployment.observe_named(OBSERVATION_TIME, &mut lost_at);
+            let longest = during.max(after);
+            println!("{cut:?}, {cut_before_loss} ms before the loss: {longest:?}");
+            expect_that!(
+                is_in_bound(longest.as_ref()),
+                eq(true),
+                "{cut:?}, {cut_before_loss} ms before: {longest:?}"
+            );
+        }
+    }
+}
+
+/// For how long an edge is named at most that is lost just after other processes were suspended, by any daemon that runs,
+/// until these have run again for a while.
+fn longest_named_as_others_resume(
+    suspended: BTreeSet<Name>,
+    suspension: Ms,
+    seed: u64,
+) -> Option<(Ms, Name)> {
+    const LOSS_AFTER_SUSPENSION: Ms = 300;
+    let mut deployment = Deployment::with_controls(CONTROLS_IN_EACH_ZONE, LARGE_FLEET, seed);
+    deployment.run(TRAFFIC_START);
+    deployment.suspended = suspended;
+    deployment.run(LOSS_AFTER_SUSPENSION);
+    deployment.lose_edges(25);
+    let mut lost_at = BTreeMap::new();
+    let during = deployment.observe_named(suspension, &mut lost_at);
+    deployment.resume();
+    let after = deployment.observe_named(OBSERVATION_TIME, &mut lost_at);
+    during.max(after)
+}
+
+/// Heartbeats that waited in a suspended edge are as old as its suspension is long: passed on as fresh ones, they bring lost
+/// edges back at daemons that were in contact all the time.
+#[gtest]
+fn resumed_edges_bring_no_lost_edge_back_into_the_directory() {
+    for (edge_count, seed) in [(1, 2), (1, 7), (12, 2), (12, 7)] {
+        for suspension in [4_000, 7_000] {
+            let suspended: BTreeSet<Name> = (0..edge_count)
+                .map(|i| Name::from(format!("e{i}").as_str()))
+                .collect();
+            let longest = longest_named_as_others_resume(suspended, suspension, seed);
+            let case = format!("{edge_count} edges, seed {seed}, {suspension} ms: {longest:?}");
+            println!("{case}");
+            expect_that!(is_in_bound(longest.as_ref()), eq(true), "{case}");
+        }
+    }
+}
+
+/// A control daemon that takes heartbeats that waited for no sign of life itself must not pass them on as such either.
+#[gtest]
+fn resumed_daemon_brings_no_lost_edge_back_into_the_directory_of_others() {
+    for (control, seed) in [("c0", 7), ("c1", 7), ("c2", 2)] {
+        for suspension in [4_000, 7_000] {
+            let suspended = BTreeSet::from([Name::from(control)]);
+            let longest = longest_named_as_others_resume(suspended, suspension, seed);
+            let case = format!("{control}, seed {seed}, {suspension} ms: {longest:?}");
+            println!("{case}");
+            expect_that!(is_in_bound(longest.as_ref()), eq(true), "{case}");
+        }
+    }
+}
