--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -16,6 +16,7 @@
     membership::{Membership, NodeRole},
     register::Registers,
     state_table::{SpecParser, StateTable},
+    suspension::SuspensionDetector,
     wall_clock::WallClock,
 };
 
@@ -34,7 +35,6 @@
 mod rollouts;
 mod state_comparison;
 mod status;
-mod suspension;
 mod unreachable_edges;
 mod usage_log;
 mod usage_reports;
@@ -65,7 +65,6 @@
 use replica_list::ReplicaList;
 use rollouts::Rollouts;
 use state_comparison::StateComparison;
-use suspension::SuspensionDetector;
 use unreachable_edges::UnreachableEdgeReport;
 use usage_reports::UsageReports;
 use voters::VoterMembership;
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod shutdown;
 pub mod state_table;
 pub mod stream;
+mod suspension;
 pub mod timing;
 pub mod usage;
 pub mod version_health;
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -23,6 +23,7 @@
     Effects, Ms,
     effect::send,
     regions::{Regions, region_of},
+    suspension::SuspensionDetector,
 };
 
 /// Of so many shuffles one goes to a neighbour in any region; the others stay in the own region if
@@ -69,6 +70,8 @@
     known: KnownNodes,
     view: PartialView,
     next_shuffle: Ms,
+    /// What arrives when the process resumes may have waited in its sockets: no age includes that time.
+    suspension: Option<SuspensionDetector>,
     rng: fastrand::Rng,
 }
 
@@ -82,6 +85,7 @@
             regions: Regions::new(),
             view: PartialView::default(),
             next_shuffle: 0,
+            suspension: None,
             rng: fastrand::Rng::with_seed(random_seed),
         }
     }
@@ -159,7 +163,17 @@
 
     /// Takes another node's description.
     pub fn on_description(&mut self, node: &Node, now: Ms, out: &mut Effects) {
-        self.known.merge_description(node, now, out);
+        let sent_at = self.earliest_sent(now);
+        self.known.merge_description(node, sent_at, now, out);
+    }
+
+    /// The earliest time at which a message that arrives now may have been sent.
+    fn earliest_sent(&mut self, now: Ms) -> Ms {
+        let Some(suspension) = &mut self.suspension else {
+            return now;
+        };
+        suspension.was_suspended(now);
+        suspension.earliest_sent(now)
     }
 
     /// Takes a message of an exchange from the node at `addr`, and responds if the exchange goes
@@ -169,12 +183,13 @@
         reason = "handlers take the message that they were sent"
     )]
     pub fn on_shuffle(&mut self, addr: &Name, message: Shuffle, now: Ms, out: &mut Effects) {
+        let sent_at = self.earliest_sent(now);
         for node in message.nodes.iter() {
-            self.known.merge_description(node, now, out);
+            self.known.merge_description(node, sent_at, now, out);
         }
         let mut lacking = Vec::new();
         for heartbeat in message.heartbeats.iter() {
-            if !self.known.merge_heartbeat(heartbeat, now, out) {
+            if !self.known.merge_heartbeat(heartbeat, sent_at, now, out) {
                 lacking.push(heartbeat.node_digest);
             }
         }
@@ -201,6 +216,11 @@
 
     /// Makes a heartbeat and shuffles if that is due; notices the unreachable.
     pub fn tick(&mut self, now: Ms, out: &mut Effects) {
+        let suspension = self
+            .suspension
+            .get_or_insert_with(|| SuspensionDetector::new(now));
+        suspension.was_suspended(now);
+        suspension.on_tick(now);
         if now < self.next_shuffle {
             return;
         }
--- a/coordination/src/membership/known_nodes.rs
+++ b/coordination/src/membership/known_nodes.rs
@@ -90,9 +90,9 @@
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// When a heartbeat of that age was made.
-fn heartbeat_time(age: u16, now: Ms) -> Ms {
-    now.saturating_sub(Ms::from(age) * HEARTBEAT_AGE_UNIT)
+/// When a heartbeat was made that had that age when it was sent.
+fn heartbeat_time(age: u16, sent_at: Ms) -> Ms {
+    sent_at.saturating_sub(Ms::from(age) * HEARTBEAT_AGE_UNIT)
 }
 
 /// All nodes but this one.
@@ -167,12 +167,13 @@
             .retain(|_, name| by_name.contains_key(name) || name == own_name);
     }
 
-    /// Takes a node's description if it is newer than the known one.
-    pub fn merge_description(&mut self, node: &Node, now: Ms, out: &mut Effects) {
+    /// Takes a node's description if it is newer than the known one. `sent_at`: the earliest time at which it may have
+    /// been sent.
+    pub fn merge_description(&mut self, node: &Node, sent_at: Ms, now: Ms, out: &mut Effects) {
         if node.name == self.own_name {
             return;
         }
-        let heartbeat_at = heartbeat_time(node.heartbeat_age, now);
+        let heartbeat_at = heartbeat_time(node.heartbeat_age, sent_at);
         let former = self.by_name.get(&node.name);
         if former.is_some_and(|known| known.supersedes(node, heartbeat_at)) {
             return;
@@ -189,10 +190,12 @@
         self.revive(&node.name, is_new, now, out);
     }
 
-    /// Takes a heartbeat; false if it is of a description that this node lacks.
+    /// Takes a heartbeat; false if it is of a description that this node lacks. `sent_at`: the earliest time at which it may
+    /// have been sent.
     pub fn merge_heartbeat(
         &mut self,
         heartbeat: &NodeHeartbeat,
+        sent_at: Ms,
         now: Ms,
         out: &mut Effects,
     ) -> bool {
@@ -209,7 +212,7 @@
             return false;
         }
         known.node.heartbeat = heartbeat.heartbeat;
-        known.heartbeat_at = heartbeat_time(heartbeat.heartbeat_age, now);
+        known.heartbeat_at = heartbeat_time(heartbeat.heartbeat_age, sent_at);
         self.revive(&name, false, now, out);
         true
     }
--- a/coordination/src/control/suspension.rs
+++ b/coordination/src/suspension.rs
@@ -11,7 +11,7 @@
 
 /// Detects suspension by the gap between ticks.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SuspensionDetector {
+pub(crate) struct SuspensionDetector {
     last_tick: Ms,
     /// When the process last ran before the newest suspension, or before several that followed each other closely.
     suspended_since: Ms,
@@ -20,7 +20,7 @@
 }
 
 impl SuspensionDetector {
-    pub(super) fn new(now: Ms) -> Self {
+    pub(crate) fn new(now: Ms) -> Self {
         SuspensionDetector {
             last_tick: now,
             suspended_since: 0,
@@ -28,22 +28,22 @@
         }
     }
 
-    pub(super) fn on_tick(&mut self, now: Ms) {
+    pub(crate) fn on_tick(&mut self, now: Ms) {
         self.last_tick = now;
     }
 
     /// The time of the last tick, or of the start.
-    pub(super) fn last_tick(&self) -> Ms {
+    pub(crate) fn last_tick(&self) -> Ms {
         self.last_tick
     }
 
     /// Whether the process runs: it ticked lately.
-    pub(super) fn ticked_lately(&self, now: Ms) -> bool {
+    pub(crate) fn ticked_lately(&self, now: Ms) -> bool {
         now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD
     }
 
     /// Whether the process was suspended until just now.
-    pub(super) fn was_suspended(&mut self, now: Ms) -> bool {
+    pub(crate) fn was_suspended(&mut self, now: Ms) -> bool {
         if !self.ticked_lately(now) {
             // A short run may leave messages in the sockets.
             if self.last_tick >= self.suspended_until {
@@ -56,7 +56,7 @@
 
     /// The earliest time at which what was received then may have been sent: it may have waited since the process was
     /// suspended.
-    pub(super) fn earliest_sent(&self, received_at: Ms) -> Ms {
+    pub(crate) fn earliest_sent(&self, received_at: Ms) -> Ms {
         if (self.suspended_since..self.suspended_until).contains(&received_at) {
             self.suspended_since
         } else {
