--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -27,6 +27,7 @@
 mod forwarding;
 mod heartbeats;
 mod leases;
+mod liveness;
 mod parsed_state;
 mod peers;
 mod replica_list;
@@ -145,6 +146,8 @@
     voter_membership: VoterMembership,
     suspension: SuspensionDetector,
     fleet_contact: FleetContact,
+    /// Whether it did not vote or was connected to a majority of the voters at the last tick.
+    was_quorum_connected: bool,
     unreachable_edges: UnreachableEdgeReport,
     writes: PendingWrites,
     change_feed: ChangeFeed,
@@ -198,6 +201,7 @@
             voter_membership: VoterMembership::new(started_blank, bootstraps, now),
             suspension: SuspensionDetector::new(now),
             fleet_contact: FleetContact::new(now),
+            was_quorum_connected: true,
             unreachable_edges: UnreachableEdgeReport::default(),
             writes: PendingWrites::new(incarnation),
             change_feed: ChangeFeed::default(),
@@ -297,6 +301,7 @@
             self.registers.set_addr(&node.name, &node.addr);
         }
         self.save_bootstrap(&mut out);
+        self.observe_quorum_connection(now, &mut out);
         self.send_heartbeats(now, &mut out);
         self.introduce(now, &mut out);
         self.check_unreachable_edges(now);
--- a/coordination/src/control/forwarding.rs
+++ b/coordination/src/control/forwarding.rs
@@ -216,6 +216,17 @@
     ) {
         let is_live = self.live_voters(now);
         let Some(owner) = self.registers.preferred_owner(&pending.key, &is_live) else {
+            // A voter that is cut off may be connected again before the sender gives up.
+            if self.registers.members.voting
+                && self.works()
+                && now + HEARTBEAT_INTERVAL < pending.expires_at
+            {
+                let forward_token = self.writes.next_token();
+                self.writes
+                    .forwarding
+                    .retry_soon(forward_token, pending, now);
+                return;
+            }
             out.push(Effect::WriteFinished {
                 token: pending.token,
                 outcome: WriteOutcome::NotAccepted(NotAcceptedReason::NoLiveVoter),
--- a/coordination/src/control/heartbeats.rs
+++ b/coordination/src/control/heartbeats.rs
@@ -13,24 +13,6 @@
 };
 
 impl Control {
-    /// Names of the voters that were heard from lately and vote in this daemon's member epoch, itself among them while
-    /// it works, as a predicate.
-    pub(super) fn live_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
-        let mut names: BTreeSet<Name> = self
-            .peers
-            .heard_within(PEER_TIMEOUT, now)
-            .filter(|(_, peer)| {
-                peer.heartbeat.state == PeerState::Voter
-                    && peer.heartbeat.member_epoch == self.registers.members.member_epoch
-            })
-            .map(|(name, _)| name.clone())
-            .collect();
-        if !self.stopping && self.disk_healthy {
-            names.insert(self.config.name.clone());
-        }
-        move |name| names.contains(name)
-    }
-
     pub(super) fn on_heartbeat(
         &mut self,
         from: &Name,
@@ -40,14 +22,17 @@
         out: &mut Effects,
     ) {
         self.registers.set_addr(from, addr);
-        self.peers.record_disk(heartbeat.disk_id, now);
+        // A voter that hears neither this daemon nor a majority is as good as gone.
+        if heartbeat.hears_receiver != 0 || heartbeat.quorum_connected != 0 {
+            self.peers.record_disk(heartbeat.disk_id, now);
+        }
         let is_blank = matches!(heartbeat.state, PeerState::Blank | PeerState::Bootstrapping);
         let is_voter = heartbeat.state == PeerState::Voter;
         let digests = Digests {
             theirs: heartbeat.committed_digest,
             own: self.registers.committed_digest(),
         };
-        let votes_here = is_voter && heartbeat.member_epoch == self.registers.members.member_epoch;
+        let votes_here = self.votes_here(&heartbeat);
         let missed_change = self.comparison.observe(from, digests, votes_here, now);
         let is_lagging = heartbeat.member_epoch > self.registers.members.member_epoch
             || (is_voter && missed_change);
@@ -81,9 +66,21 @@
             zone: self.config.zone.clone(),
             state: self.own_state(now),
             committed_digest: self.registers.committed_digest(),
+            hears_receiver: 0,
+            quorum_connected: self.is_quorum_connected(now).into(),
         };
-        let receivers = self.heartbeat_receivers(now);
-        out.extend(receivers.iter().map(|addr| send(addr, heartbeat.clone())));
+        let heard: BTreeSet<&Name> = self
+            .peers
+            .heard_within(PEER_TIMEOUT, now)
+            .map(|(_, peer)| &peer.addr)
+            .collect();
+        out.extend(self.heartbeat_receivers(now).iter().map(|addr| {
+            let heartbeat = Heartbeat {
+                hears_receiver: heard.contains(addr).into(),
+                ..heartbeat.clone()
+            };
+            send(addr, heartbeat)
+        }));
         let votes = |name: &Name| {
             self.registers
                 .members
--- a/coordination/src/control/peers.rs
+++ b/coordination/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! The other control daemons: their last heartbeats, and when each disk was last heard from.
+//! The other control daemons: their last heartbeats, and when each last heard this daemon.
 
 use std::collections::BTreeMap;
 
@@ -13,6 +13,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) heard_at: Ms,
+    /// When it last said that it hears this daemon; messages pass in both directions then.
+    connected_at: Option<Ms>,
     pub(super) heartbeat: Heartbeat,
     pub(super) addr: Name,
 }
@@ -34,7 +36,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     by_name: BTreeMap<Name, Peer>,
-    disk_heard_at: BTreeMap<u64, Ms>,
+    /// When a daemon with this disk last heard this daemon or a majority of the voters.
+    disk_connected_at: BTreeMap<u64, Ms>,
     next_heartbeat: Ms,
 }
 
@@ -64,6 +67,23 @@
             .is_some_and(|peer| now.saturating_sub(peer.heard_at) <= window)
     }
 
+    /// Peers that were connected to this daemon within `window`: both hear each other.
+    pub(super) fn connected_within(
+        &self,
+        window: Ms,
+        now: Ms,
+    ) -> impl Iterator<Item = (&Name, &Peer)> + Clone {
+        self.by_name.iter().filter(move |(_, peer)| {
+            peer.connected_at
+                .is_some_and(|connected_at| now.saturating_sub(connected_at) <= window)
+        })
+    }
+
+    /// When a peer and this daemon last heard each other, if they ever did.
+    pub(super) fn connected_at(&self, name: &Name) -> Option<Ms> {
+        self.by_name.get(name)?.connected_at
+    }
+
     pub(super) fn record(&mut self, from: &Name, addr: &Name, heartbeat: Heartbeat, now: Ms) {
         // A peer that is new, was unreachable or has another disk learns of this daemon at once.
         let is_known = self.by_name.get(from).is_some_and(|peer| {
@@ -73,8 +93,14 @@
         if !is_known {
             self.next_heartbeat = now;
         }
+        let connected_at = if heartbeat.hears_receiver != 0 {
+            Some(now)
+        } else {
+            self.connected_at(from)
+        };
         let peer = Peer {
             heard_at: now,
+            connected_at,
             heartbeat,
             addr: addr.clone(),
         };
@@ -82,18 +108,18 @@
     }
 
     pub(super) fn record_disk(&mut self, disk_id: u64, now: Ms) {
-        self.disk_heard_at.insert(disk_id, now);
+        self.disk_connected_at.insert(disk_id, now);
     }
 
-    /// How long a disk has not been heard from; `started_at` counts for one that never was.
-    pub(super) fn disk_unheard_for(&self, disk_id: u64, started_at: Ms, now: Ms) -> Ms {
-        let heard_at = self.disk_heard_at.get(&disk_id).copied();
-        now.saturating_sub(heard_at.unwrap_or(started_at))
+    /// How long a disk has been absent; `started_at` counts for one that was never here.
+    pub(super) fn disk_absent_for(&self, disk_id: u64, started_at: Ms, now: Ms) -> Ms {
+        let connected_at = self.disk_connected_at.get(&disk_id).copied();
+        now.saturating_sub(connected_at.unwrap_or(started_at))
     }
 
     pub(super) fn forget_old_disks(&mut self, now: Ms) {
-        self.disk_heard_at
-            .retain(|_, heard_at| now.saturating_sub(*heard_at) < NODE_RETENTION);
+        self.disk_connected_at
+            .retain(|_, connected_at| now.saturating_sub(*connected_at) < NODE_RETENTION);
     }
 
     /// Whether this daemon's own heartbeat is due; if so, the next one is due an interval later.
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -355,7 +355,9 @@
         for service in &spec.services {
             let key = format!("{ROLLOUT_PREFIX}{}", service.name);
             let owner = self.registers.preferred_owner(&key, live);
-            if owner.is_none_or(|voter| voter.name != self.config.name) {
+            // Where no voter can own the key nobody runs the loop.
+            let runs_elsewhere = owner.is_some_and(|voter| voter.name != self.config.name);
+            if runs_elsewhere || !self.registers.members.voting {
                 self.rollouts.forget_run(&service.name);
             } else if let Some(idle) = self.rollouts.newly_stalled_for(&service.name, now) {
                 let text = format!("{idle} ms");
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -29,9 +29,9 @@
             daemon: self.config.name.to_string(),
             member_epoch: self.registers.members.member_epoch.into(),
             settled: self.is_settled,
-            quorum: Some(self.hears_majority(now)),
+            quorum: Some(self.has_quorum(now)),
             disk_ok: self.disk_healthy,
-            members: self.member_statuses(&is_live, now),
+            members: self.member_statuses(&self.connected_voters(now), now),
             keys: self.key_statuses(&is_live, now),
             edges: followers
                 .map(|follower| edge_status(follower, now))
@@ -71,12 +71,12 @@
         self.registers.slots().map(key_status).collect()
     }
 
-    fn member_statuses(&self, is_live: &dyn Fn(&str) -> bool, now: Ms) -> Vec<MemberStatus> {
+    fn member_statuses(&self, is_connected: &dyn Fn(&str) -> bool, now: Ms) -> Vec<MemberStatus> {
         self.registers
             .members
             .voters
             .iter()
-            .map(|voter| self.member_status(voter, is_live(&voter.name), now))
+            .map(|voter| self.member_status(voter, is_connected(&voter.name), now))
             .collect()
     }
 
@@ -130,15 +130,15 @@
             .collect()
     }
 
-    /// Whether this daemon votes and hears a majority of the voters, itself among them.
-    fn hears_majority(&self, now: Ms) -> bool {
-        self.registers.members.voting && self.registers.is_majority(self.live_voter_count(now))
+    /// Whether this daemon votes and is connected to a majority of the voters, itself among them.
+    fn has_quorum(&self, now: Ms) -> bool {
+        self.registers.members.voting && self.registers.is_majority(self.connected_voter_count(now))
     }
 
-    fn live_voter_count(&self, now: Ms) -> usize {
-        let is_live = self.live_voters(now);
+    fn connected_voter_count(&self, now: Ms) -> usize {
+        let is_connected = self.connected_voters(now);
         let voters = self.registers.members.voters.iter();
-        voters.filter(|voter| is_live(&voter.name)).count()
+        voters.filter(|voter| is_connected(&voter.name)).count()
     }
 
     /// Whether this daemon does its part, and a word on what it lacks.
@@ -183,9 +183,9 @@
             ("edges", self.followers.len() as u64),
             ("keys_uncommitted", uncommitted.count() as u64),
             ("member_epoch", self.registers.members.member_epoch.into()),
-            ("quorum", self.hears_majority(now).into()),
+            ("quorum", self.has_quorum(now).into()),
             ("voters", voters.len() as u64),
-            ("voters_live", self.live_voter_count(now) as u64),
+            ("voters_live", self.connected_voter_count(now) as u64),
             ("voters_behind", lagging.count() as u64),
             ("in_touch", self.in_touch(now).into()),
             ("loops_resting", self.rollouts.stalled_count() as u64),
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -140,7 +140,7 @@
         if !self.may_change_voters(now, live) || self.is_new_voter_catching_up(now) {
             return;
         }
-        let Some(next) = self.next_voters(now, live) else {
+        let Some(next) = self.next_voters(now) else {
             return;
         };
         let names: Vec<&str> = next.iter().map(|voter| &*voter.name).collect();
@@ -180,25 +180,26 @@
     }
 
     /// The voters that should follow the present ones, where they should change.
-    fn next_voters(&self, now: Ms, live: &dyn Fn(&str) -> bool) -> Option<Vec<Voter>> {
-        let is_live = |voter: &Voter| voter.name == self.config.name || live(&voter.name);
-        let unheard_for = |voter: &Voter| match voter.disk_id == self.registers.disk_id() {
+    fn next_voters(&self, now: Ms) -> Option<Vec<Voter>> {
+        let connected = self.connected_voters(now);
+        let is_connected = |voter: &Voter| connected(&voter.name);
+        let absent_for = |voter: &Voter| match voter.disk_id == self.registers.disk_id() {
             true => 0,
             false => self
                 .peers
-                .disk_unheard_for(voter.disk_id, self.started_at, now),
+                .disk_absent_for(voter.disk_id, self.started_at, now),
         };
         voter_placement::next_voters(&VoterChange {
             voters: &self.registers.members.voters,
-            unheard_for: &unheard_for,
+            absent_for: &absent_for,
             candidates: self.voter_candidates(now),
             regions: &self.config.regions,
             bounds: &self.config.bounds,
-            is_live: &is_live,
+            is_connected: &is_connected,
         })
     }
 
-    /// Peers that could become voters.
+    /// Peers that could become voters. One that does not hear this daemon would not learn that it is one.
     fn voter_candidates(&self, now: Ms) -> Vec<Candidate> {
         let is_free = |peer: &Peer| {
             let is_waiting = matches!(
@@ -213,7 +214,7 @@
         };
         let since_epoch = self.registers.members.member_epoch + 1;
         self.peers
-            .heard_within(PEER_TIMEOUT, now)
+            .connected_within(PEER_TIMEOUT, now)
             .filter(|(_, peer)| is_free(peer))
             .map(|(name, peer)| Candidate {
                 voter: peer.as_voter(name, since_epoch),
--- a/coordination/src/events.rs
+++ b/coordination/src/events.rs
@@ -49,6 +49,8 @@
     204 MEMBER_EPOCH Info "A new member epoch was adopted."
     205 VOTING Info "This daemon has caught up with the other voters and votes."
     206 VOTERS_CHANGED Warn "Daemons without a vote become voters; the new voters are listed."
+    207 QUORUM_CONNECTION_LOST Warn "This daemon and a majority of the voters no longer hear each other; it can own no key."
+    208 QUORUM_CONNECTED Info "This daemon and a majority of the voters hear each other again."
     210 KEY_OWNED Info "This daemon owns a key under a new epoch."
     211 OWNERSHIP_LOST Info "Another daemon owns the key under a higher epoch."
     212 LEASE_EXPIRED Warn "The lease had expired when an order was to be sent; the order was dropped."
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -58,6 +58,7 @@
             if let Some(ownership) = self.ownerships.get(&key)
                 && ownership.is_owning()
                 && is_leased(&key)
+                && is_preferred
             {
                 renewals.0.push(ownership.owned_key(&key));
             }
--- a/coordination/src/voter_placement.rs
+++ b/coordination/src/voter_placement.rs
@@ -21,9 +21,9 @@
 const MIN_VOTERS: usize = 3;
 /// Voters where there are enough daemons, unless the losses to be tolerated ask for more: a zone and a disk may be lost.
 const TARGET_VOTERS: usize = 5;
-/// ms. A voter that was heard from within this time is well.
-const HEARD_LATELY: Ms = 2 * HEARTBEAT_INTERVAL;
-/// ms. A learner takes the place of a voter that was not heard from for so long; a restart takes less.
+/// ms. A voter that was present within this time is well.
+const PRESENT_LATELY: Ms = 2 * HEARTBEAT_INTERVAL;
+/// ms. A learner takes the place of a voter that was absent for so long; a restart takes less.
 const REPLACE_AFTER: Ms = 3_000;
 /// ms. After so long even a daemon whose zone or region has its share of voters does.
 const REPLACE_ANYWHERE_AFTER: Ms = 10_000;
@@ -38,7 +38,7 @@
 }
 
 impl Candidate {
-    /// ms. How long a voter must have been unheard for before this daemon takes its place. A learner waits longer than
+    /// ms. How long a voter must have been absent before this daemon takes its place. A learner waits longer than
     /// an empty machine, as the voter may be restarting.
     fn replaces_after(&self) -> Ms {
         if self.started_blank {
@@ -53,21 +53,22 @@
 pub struct VoterChange<'a> {
     /// The present voters.
     pub voters: &'a [Voter],
-    /// ms. For how long nothing was heard of a voter's disk.
-    pub unheard_for: &'a dyn Fn(&Voter) -> Ms,
+    /// ms. For how long a voter's disk was absent: nothing was heard of it, or its daemon heard neither this one nor a
+    /// majority.
+    pub absent_for: &'a dyn Fn(&Voter) -> Ms,
     /// Daemons that could become voters.
     pub candidates: Vec<Candidate>,
     /// Region of each zone.
     pub regions: &'a Regions,
     /// Losses that are to be survived.
     pub bounds: &'a Bounds,
-    /// Whether a voter was heard from lately, and votes.
-    pub is_live: &'a dyn Fn(&Voter) -> bool,
+    /// Whether a voter and this daemon have heard each other lately, and it votes.
+    pub is_connected: &'a dyn Fn(&Voter) -> bool,
 }
 
 impl VoterChange<'_> {
-    fn was_heard_lately(&self, voter: &Voter) -> bool {
-        (self.unheard_for)(voter) <= HEARD_LATELY
+    fn was_present_lately(&self, voter: &Voter) -> bool {
+        (self.absent_for)(voter) <= PRESENT_LATELY
     }
 
     fn excess(&self, voters: &[Voter]) -> usize {
@@ -87,14 +88,14 @@
     if change
         .voters
         .iter()
-        .all(|voter| (change.is_live)(voter) && change.was_heard_lately(voter))
+        .all(|voter| (change.is_connected)(voter) && change.was_present_lately(voter))
     {
         rebalance(change, &mut voters, &mut candidates);
     }
     // Joiners read a majority of the former voters: without one that goes on voting they would wait for good.
     let remaining = voters
         .iter()
-        .filter(|voter| change.voters.contains(voter) && (change.is_live)(voter))
+        .filter(|voter| change.voters.contains(voter) && (change.is_connected)(voter))
         .count();
     (voters != change.voters && remaining > change.voters.len() / 2).then_some(voters)
 }
@@ -105,17 +106,17 @@
         let successor = candidates.iter().position(|candidate| {
             candidate.voter.name == voter.name || candidate.voter.addr == voter.addr
         });
-        if let Some(index) = successor.filter(|_| !change.was_heard_lately(voter)) {
+        if let Some(index) = successor.filter(|_| !change.was_present_lately(voter)) {
             *voter = candidates.remove(index).voter;
         }
     }
 }
 
-/// Gives places of voters that were not heard from for long to others.
+/// Gives places of voters that were absent for long to others.
 fn replace_lost(change: &VoterChange, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
     // Who has been away longest is least likely to come back.
     let mut order: Vec<usize> = (0..voters.len()).collect();
-    order.sort_by_key(|place| Reverse((change.unheard_for)(&voters[*place])));
+    order.sort_by_key(|place| Reverse((change.absent_for)(&voters[*place])));
     for place in order {
         if let Some(index) = best_replacement(change, voters, place, candidates) {
             voters[place] = candidates.remove(index).voter;
@@ -131,9 +132,9 @@
     candidates: &[Candidate],
 ) -> Option<usize> {
     let lost = &voters[place];
-    let unheard_for = (change.unheard_for)(lost);
+    let absent_for = (change.absent_for)(lost);
     // After long enough a worse spread is better than a place that nobody takes.
-    let most_excess = if unheard_for > REPLACE_ANYWHERE_AFTER {
+    let most_excess = if absent_for > REPLACE_ANYWHERE_AFTER {
         usize::MAX
     } else {
         change.excess(voters)
@@ -144,7 +145,7 @@
         .iter()
         .enumerate()
         .filter(|(_, candidate)| {
-            unheard_for > candidate.replaces_after() && excess_with(candidate) <= most_excess
+            absent_for > candidate.replaces_after() && excess_with(candidate) <= most_excess
         })
         .min_by_key(|(_, candidate)| {
             let voter = &candidate.voter;
--- a/coordination/tests/update_pushes.rs
+++ b/coordination/tests/update_pushes.rs
@@ -100,10 +100,15 @@
 
     /// Another control daemon is alive in the zone `y`.
     fn hear_other_daemon(&mut self) {
+        self.hear_heartbeat_of_other_daemon(true);
+    }
+
+    fn hear_heartbeat_of_other_daemon(&mut self, quorum_connected: bool) {
         let heartbeat = Heartbeat {
             member_epoch: 1,
             disk_id: 8,
             zone: "y".into(),
+            quorum_connected: quorum_connected.into(),
             ..Heartbeat::default()
         };
         self.receive("d", heartbeat);
@@ -220,6 +225,27 @@
     }
 }
 
+// A daemon that others hear, and that hears none of them, learns of no change that it could push.
+#[gtest]
+fn a_value_is_not_left_to_a_nearest_daemon_that_hears_no_majority() {
+    for (quorum_connected, expected_bytes) in [(true, 0), (false, LONG_VALUE_BYTES)] {
+        let mut lone = LoneControl::polled_from("y");
+        let stream = lone.first_poll();
+        let started_at = lone.now;
+        while lone.now < started_at + 2 * PUSH_TIMEOUT {
+            lone.tick();
+            lone.poll(stream);
+        }
+        lone.hear_heartbeat_of_other_daemon(quorum_connected);
+        let pushed_bytes = value_bytes(&lone.write("plan/s", LONG_VALUE_BYTES));
+        expect_that!(
+            pushed_bytes,
+            eq(expected_bytes),
+            "connected: {quorum_connected}"
+        );
+    }
+}
+
 // A record that changes all the time must not be left to a daemon that does not reach the edge.
 #[gtest]
 fn a_long_value_that_changes_all_the_time_reaches_an_edge_that_its_nearest_daemon_does_not() {
--- a/wire-messages/src/lib.rs
+++ b/wire-messages/src/lib.rs
@@ -18,7 +18,7 @@
 
 /// Version of the messages. It rises with every change to one of them. Processes of different versions do not read each
 /// other, so a fleet is upgraded edge by edge and voter by voter (docs/operators.md).
-pub const WIRE_VERSION: u16 = 13;
+pub const WIRE_VERSION: u16 = 14;
 /// Largest body of a frame, in bytes: the largest document that operators may send, and all other keys.
 pub const MAX_FRAME: usize = 8 << 20;
 /// Largest [`Name`], in bytes: names are labels of machines, keys and versions.
--- a/wire-messages/src/messages.rs
+++ b/wire-messages/src/messages.rs
@@ -55,6 +55,10 @@
         state: PeerState,
         /// Digest over its committed values.
         committed_digest: u64,
+        /// 1 if it has heard from the receiver lately.
+        hears_receiver: u8,
+        /// 1 if it and a majority of the voters hear each other: it can own keys.
+        quorum_connected: u8,
     }
 
     /// First phase of owning a key: asks voters to promise an epoch.
--- a/wire-messages/tests/frames.rs
+++ b/wire-messages/tests/frames.rs
@@ -16,13 +16,13 @@
 #[rustfmt::skip]
 fn instances() -> Vec<Message> {
     vec![
-        Heartbeat { member_epoch: 100001, disk_id: 10000000002, zone: "zone-3".into(), state: PeerState::Voter, committed_digest: 10000000005 }.into(),
-        Heartbeat { member_epoch: 100006, disk_id: 10000000007, zone: "zone-8".into(), state: PeerState::Blank, committed_digest: 10000000010 }.into(),
-        Heartbeat { member_epoch: 100011, disk_id: 10000000012, zone: "zone-13".into(), state: PeerState::CatchingUp, committed_digest: 10000000015 }.into(),
-        Heartbeat { member_epoch: 100016, disk_id: 10000000017, zone: "zone-18".into(), state: PeerState::Stopping, committed_digest: 10000000020 }.into(),
-        Heartbeat { member_epoch: 100021, disk_id: 10000000022, zone: "zone-23".into(), state: PeerState::Bootstrapping, committed_digest: 10000000025 }.into(),
-        Heartbeat { member_epoch: 100026, disk_id: 10000000027, zone: "zone-28".into(), state: PeerState::Joiner, committed_digest: 10000000030 }.into(),
-        Heartbeat { member_epoch: 100031, disk_id: 10000000032, zone: "zone-33".into(), state: PeerState::Learner, committed_digest: 10000000035 }.into(),
+        Heartbeat { member_epoch: 100001, disk_id: 10000000002, zone: "zone-3".into(), state: PeerState::Voter, committed_digest: 10000000005, hears_receiver: 1, quorum_connected: 0 }.into(),
+        Heartbeat { member_epoch: 100006, disk_id: 10000000007, zone: "zone-8".into(), state: PeerState::Blank, committed_digest: 10000000010, hears_receiver: 0, quorum_connected: 1 }.into(),
+        Heartbeat { member_epoch: 100011, disk_id: 10000000012, zone: "zone-13".into(), state: PeerState::CatchingUp, committed_digest: 10000000015, hears_receiver: 1, quorum_connected: 1 }.into(),
+        Heartbeat { member_epoch: 100016, disk_id: 10000000017, zone: "zone-18".into(), state: PeerState::Stopping, committed_digest: 10000000020, hears_receiver: 0, quorum_connected: 0 }.into(),
+        Heartbeat { member_epoch: 100021, disk_id: 10000000022, zone: "zone-23".into(), state: PeerState::Bootstrapping, committed_digest: 10000000025, hears_receiver: 1, quorum_connected: 0 }.into(),
+        Heartbeat { member_epoch: 100026, disk_id: 10000000027, zone: "zone-28".into(), state: PeerState::Joiner, committed_digest: 10000000030, hears_receiver: 0, quorum_connected: 1 }.into(),
+        Heartbeat { member_epoch: 100031, disk_id: 10000000032, zone: "zone-33".into(), state: PeerState::Learner, committed_digest: 10000000035, hears_receiver: 1, quorum_connected: 1 }.into(),
         Prepare { key: "key-36".into(), epoch: 10000000037, member_epoch: 100038 }.into(),
         Promise { epoch: 10000000039, member_epoch: 100040, granted: 41, retry_after_ms: 100042, slot: Slot { key: "key-44".into(), promised_epoch: 10000000045, accepted_epoch: 10000000046, version: 10000000047, committed_version: 10000000048, value: Blob(vec![49, 50]), replaced: List(vec![ReplacedValue { release: 10000000052, digest: 1180591620717411303477 }, ReplacedValue { release: 10000000055, digest: 1180591620717411303480 }]) } }.into(),
         Accept { key: "key-57".into(), epoch: 10000000058, version: 10000000059, value: Blob(vec![60, 61]), replaced: List(vec![ReplacedValue { release: 10000000063, digest: 1180591620717411303488 }, ReplacedValue { release: 10000000066, digest: 1180591620717411303491 }]), member_epoch: 100068 }.into(),
