--- a/fleet-simulator/src/schedule/machines.rs
+++ b/fleet-simulator/src/schedule/machines.rs
@@ -96,6 +96,35 @@
         }
     }
 
+    /// One control machine after the other hears nobody, while what it sends arrives.
+    pub(super) fn cut_inbound(&mut self) {
+        let start = start_time(&mut self.rng);
+        let zones = self.zones.clone();
+        let all: Vec<&str> = zones.iter().map(|zone| zone.as_str()).collect();
+        for turn in 0..3 {
+            let cut_at = start + turn * 10_000;
+            let deaf = self.control_name(self.victim + turn as usize);
+            let duration = self.rng.u64(7_000..9_000);
+            self.faults
+                .push((cut_at, cut(&all, &[&deaf], duration, true)));
+            let warning = Fault::Warn {
+                nth: self.rng.usize(..50),
+                leaves_in: self.rng.u64(6_000..9_000),
+            };
+            self.faults.push((cut_at + 2_500, warning));
+            let evacuation = if turn % 2 == 0 {
+                Fault::Evacuate { zone: self.victim }
+            } else {
+                Fault::Restore { zone: self.victim }
+            };
+            self.faults.push((cut_at + 3_000, evacuation));
+            for _ in 0..3 {
+                let put_at = cut_at + self.rng.u64(500..6_000);
+                self.faults.push((put_at, Fault::PutSpec));
+            }
+        }
+    }
+
     /// A region is cut off.
     pub(super) fn cut_region(&mut self) {
         let t = start_time(&mut self.rng);
--- a/fleet-simulator/src/schedule/registry.rs
+++ b/fleet-simulator/src/schedule/registry.rs
@@ -98,6 +98,11 @@
         "single machines are cut off, also one way only",
         ScheduleBuilder::cut_one,
     ),
+    schedule(
+        "cut_inbound",
+        "one control machine after the other hears nobody, while what it sends arrives",
+        ScheduleBuilder::cut_inbound,
+    ),
     schedule(
         "cut_region",
         "a region is cut off",
--- a/fleet-simulator/tests/never.rs
+++ b/fleet-simulator/tests/never.rs
@@ -89,6 +89,7 @@
         ("dentaplan", "rollout_faults", 203),
         ("registry", "rollout_faults", 204),
         ("registry", "rollout_faults", 212),
+        ("registry", "freeze", 9_007),
         ("dentaplan", "network", 1),
         ("dentaplan", "resume", 1),
         ("dentaplan", "rollout_long_lane", 1001),
