--- a/coordination/tests/usage.rs
+++ b/coordination/tests/usage.rs
@@ -205,12 +205,13 @@
     let mut bench = Bench::counting_usage(1, 14_000);
     bench.is_partitioned = true;
     bench.run(4_000, 0);
-    bench.run(25_000, 200);
+    bench.run(50_000, 200);
     let seen: usize = bench
         .true_usage(bench.now)
         .values()
         .map(|tenants| tenants.len())
         .sum();
+    expect_that!(seen, gt(COUNTS_PER_MESSAGE));
     // The proxy's own reports are in parts too, to an agent that knows nothing.
     bench.restart_agent();
     let full_report = bench.proxy.full_report(bench.now);
