--- a/coordination/tests/fleet/usage_edges.rs
+++ b/coordination/tests/fleet/usage_edges.rs
@@ -63,14 +63,14 @@
         let now = fleet.now;
         let window = (WALL_START + now) / self.window;
         for (index, edge) in self.edges.iter_mut().enumerate() {
-            if now % REQUEST_INTERVAL == 0 {
+            if now.is_multiple_of(REQUEST_INTERVAL) {
                 // The large tenant has three quarters.
-                let is_small = (now / REQUEST_INTERVAL + index as Ms) % 4 == 0;
+                let is_small = (now / REQUEST_INTERVAL + index as Ms).is_multiple_of(4);
                 let cell = (window, TENANTS[usize::from(is_small)].into());
                 *edge.counted.entry(cell.clone()).or_default() += 1;
                 *self.truth.entry(cell).or_default() += 1;
             }
-            let is_poll_due = (now + 97 * index as Ms) % POLL_INTERVAL == 0;
+            let is_poll_due = (now + 97 * index as Ms).is_multiple_of(POLL_INTERVAL);
             if is_poll_due && !self.cut_off.contains(&index) {
                 poll(fleet, edge, index);
             }
