--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -313,7 +313,7 @@
         for node in self.membership.known(NodeRole::Control) {
             self.registers.set_addr(&node.name, &node.addr);
         }
-        self.save_bootstrap(&mut out);
+        self.persist_bootstrap(&mut out);
         self.observe_quorum_connection(now, &mut out);
         self.send_heartbeats(now, &mut out);
         self.introduce(now, &mut out);
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -73,7 +73,7 @@
 
 impl Control {
     /// Puts the row of the bootstrap on disk, once.
-    pub(super) fn save_bootstrap(&mut self, out: &mut Effects) {
+    pub(super) fn persist_bootstrap(&mut self, out: &mut Effects) {
         if std::mem::take(&mut self.voter_membership.bootstrap_unsaved) {
             out.push(self.registers.persist_members());
         }
