--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -1,4 +1,4 @@
-//! Membership of the voters: bootstrap, catching up before the first vote, and changes of who votes.
+//! Voter membership: bootstrap, catching up before the first vote, and reconfiguration.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +11,33 @@
     events,
     register::{Expect, MEMBERS_KEY},
     timing::{HEARTBEAT_INTERVAL, PEER_TIMEOUT},
-    voter_placement::{self, Candidate, VoterChange},
+    voter_placement::{self, Candidate, ChangeInputs},
 };
 
-/// ms. An empty machine that came so lately replaces a lost one.
+/// Time in ms after its start during which a daemon with a blank disk is a joiner, which replaces a lost voter.
 pub(super) const JOINER_WINDOW: Ms = 20_000;
-/// ms. A new voter reads the others' disks in this time; longer, and its place may be given away again.
+/// Time in ms for a new voter to read the others' slots; after that, it may be replaced again.
 const CATCH_UP_TIMEOUT: Ms = 3_000;
 
-/// This daemon's own part in the membership of voters, and when it next acts on it.
+/// This daemon's own state in the voter membership, and when it next tries to join or to change the voters.
 #[derive(Clone, Debug)]
 pub(super) struct VoterMembership {
     /// This process started without a member epoch on disk.
     started_blank: bool,
-    /// The row of the bootstrap is not on disk yet.
-    bootstrap_unsaved: bool,
-    next_join: Ms,
-    next_voter_change: Ms,
+    /// The row of the bootstrap is not persisted yet.
+    bootstrap_unpersisted: bool,
+    next_join_at: Ms,
+    next_voter_change_at: Ms,
     voters_changed_at: Ms,
 }
 
 impl VoterMembership {
-    pub(super) fn new(started_blank: bool, bootstrap_unsaved: bool, now: Ms) -> Self {
+    pub(super) fn new(started_blank: bool, bootstrap_unpersisted: bool, now: Ms) -> Self {
         VoterMembership {
             started_blank,
-            bootstrap_unsaved,
-            next_join: 0,
-            next_voter_change: 0,
+            bootstrap_unpersisted,
+            next_join_at: 0,
+            next_voter_change_at: 0,
             voters_changed_at: now,
         }
     }
@@ -46,41 +46,42 @@
         self.started_blank
     }
 
-    /// Begins anew with voters that were adopted at `now`.
+    /// Resets the timers for voters that were adopted at `now`.
     fn on_voters_changed(&mut self, now: Ms) {
-        self.next_join = 0;
+        self.next_join_at = 0;
         self.voters_changed_at = now;
     }
 }
 
-/// Where the first voters must be: names of members where these are configured, else the addresses of the seeds.
-struct BootstrapPlaces<'a> {
+/// Identifies the first voters: by the names of the members where these are configured, else by the addresses of the
+/// seeds.
+struct InitialVoterIds<'a> {
     all: Vec<&'a Name>,
-    /// This daemon's own place, whether or not it is among them.
+    /// This daemon's own id, whether or not it is among them.
     own: &'a Name,
     are_names: bool,
-    /// The state in which daemons wait for the bootstrap.
+    /// The state of daemons that wait for the bootstrap.
     state: PeerState,
 }
 
-impl BootstrapPlaces<'_> {
-    /// Whether a peer waits for the bootstrap at a place.
-    fn is_at(&self, place: &Name, name: &Name, peer: &Peer) -> bool {
-        let peer_place = if self.are_names { name } else { &peer.addr };
-        peer.heartbeat.state == self.state && peer_place == place
+impl InitialVoterIds<'_> {
+    /// Returns whether a peer has this id and waits for the bootstrap.
+    fn is_waiting(&self, id: &Name, name: &Name, peer: &Peer) -> bool {
+        let peer_id = if self.are_names { name } else { &peer.addr };
+        peer.heartbeat.state == self.state && peer_id == id
     }
 }
 
 impl Control {
-    /// Puts the row of the bootstrap on disk, once.
+    /// Persists the row of the bootstrap, once.
     pub(super) fn persist_bootstrap(&mut self, out: &mut Effects) {
-        if std::mem::take(&mut self.voter_membership.bootstrap_unsaved) {
+        if std::mem::take(&mut self.voter_membership.bootstrap_unpersisted) {
             out.push(self.registers.persist_members());
         }
     }
 
     pub(super) fn on_bootstrap(&mut self, bootstrap: Bootstrap, out: &mut Effects) {
-        // Only a disk that is blank and named accepts it; a later blank disk has another number.
+        // Only a blank disk that is listed accepts it; a disk that becomes blank later has another id.
         if self.registers.members.member_epoch == 0 && self.registers.is_among(&bootstrap.voters) {
             self.begin_as_voter(bootstrap.voters.0, out);
         }
@@ -88,7 +89,7 @@
 
     fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
         self.registers.begin_as_voter(voters, out);
-        // Until others know that it votes they acquire its keys.
+        // Other daemons acquire its keys until they know that it votes.
         self.peers.send_heartbeat_soon();
     }
 
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Adopts voters that were committed under the members' key.
+    /// Adopts voters that are committed under the members' key.
     pub(super) fn adopt_committed_voters(&mut self, out: &mut Effects) {
         if self.registers.adopt_committed_voters(out) {
             self.begin_member_epoch();
@@ -121,21 +122,21 @@
     fn begin_member_epoch(&mut self) {
         self.voter_membership
             .on_voters_changed(self.suspension.last_tick());
-        // Until others know that it counts the same votes it is not live to them.
+        // Other daemons do not consider it live until they know that it has the same member epoch.
         self.peers.send_heartbeat_soon();
     }
 
-    /// Gives lost voters' places to others, and adds voters where there are too few, if this daemon is the one to.
+    /// Replaces lost voters, and adds voters where there are too few, if this daemon owns the members' key.
     pub(super) fn change_voters(
         &mut self,
         now: Ms,
         live: &dyn Fn(&str) -> bool,
         out: &mut Effects,
     ) {
-        if now < self.voter_membership.next_voter_change || !self.registers.members.voting {
+        if now < self.voter_membership.next_voter_change_at || !self.registers.members.voting {
             return;
         }
-        self.voter_membership.next_voter_change = now + 2 * HEARTBEAT_INTERVAL;
+        self.voter_membership.next_voter_change_at = now + 2 * HEARTBEAT_INTERVAL;
         self.peers.forget_old_disks(now);
         if !self.may_change_voters(now, live) || self.is_new_voter_catching_up(now) {
             return;
@@ -146,7 +147,8 @@
         let names: Vec<&str> = next.iter().map(|voter| &*voter.name).collect();
         let text = names.join(" ");
         out.push(log_event(events::VOTERS_CHANGED, &self.config.name, text));
-        // The first voters are member epoch 1 and under no key, so that a key's version is one below its epoch.
+        // The first voters have member epoch 1 and are stored under no key, so the key's version is one below the
+        // member epoch.
         let expect = Expect::Version(u64::from(self.registers.members.member_epoch) - 1);
         let value = voter_placement::encode(self.registers.members.voters.len() as u32, &next);
         self.registers
@@ -158,12 +160,12 @@
             .registers
             .preferred_owner(MEMBERS_KEY, live)
             .is_some_and(|voter| voter.name == self.config.name);
-        // One that has just started has not heard the others yet.
-        let has_heard_others = now.saturating_sub(self.started_at) >= 2 * PEER_TIMEOUT;
-        is_owner && has_heard_others && !self.registers.has_pending_writes(MEMBERS_KEY)
+        // A daemon that has just started has not received the others' heartbeats yet.
+        let has_received_heartbeats = now.saturating_sub(self.started_at) >= 2 * PEER_TIMEOUT;
+        is_owner && has_received_heartbeats && !self.registers.has_pending_writes(MEMBERS_KEY)
     }
 
-    /// Whether a new voter is still reading the others' disks: another change would have it begin anew.
+    /// Returns whether a new voter is still reading the others' slots; another change would make it start over.
     fn is_new_voter_catching_up(&self, now: Ms) -> bool {
         let changed_at = self.voter_membership.voters_changed_at;
         let is_new_voter = |peer: &Peer| {
@@ -179,7 +181,7 @@
             })
     }
 
-    /// The voters that should follow the present ones, where they should change.
+    /// Returns the next voters, if the current ones should change.
     fn next_voters(&self, now: Ms) -> Option<Vec<Voter>> {
         let connected = self.connected_voters(now);
         let is_connected = |voter: &Voter| connected(&voter.name);
@@ -189,7 +191,7 @@
                 .peers
                 .disk_absent_for(voter.disk_id, self.started_at, now),
         };
-        voter_placement::next_voters(&VoterChange {
+        voter_placement::next_voters(&ChangeInputs {
             voters: &self.registers.members.voters,
             absent_for: &absent_for,
             candidates: self.voter_candidates(now),
@@ -199,7 +201,8 @@
         })
     }
 
-    /// Peers that could become voters. One that does not hear this daemon would not learn that it is one.
+    /// Returns peers that could become voters. A peer that does not receive messages from this daemon would never know
+    /// that it is a voter.
     fn voter_candidates(&self, now: Ms) -> Vec<Candidate> {
         let is_free = |peer: &Peer| {
             let is_waiting = matches!(
@@ -223,56 +226,57 @@
             .collect()
     }
 
-    /// Advances a daemon that does not vote yet: as a listed voter it requests slots, else it may bootstrap.
+    /// Advances a daemon that does not vote yet: a listed voter requests slots, any other may bootstrap.
     pub(super) fn request_missing_slots(&mut self, now: Ms, out: &mut Effects) {
-        if self.registers.members.voting || now < self.voter_membership.next_join {
+        if self.registers.members.voting || now < self.voter_membership.next_join_at {
             return;
         }
-        self.voter_membership.next_join = now + HEARTBEAT_INTERVAL;
+        self.voter_membership.next_join_at = now + HEARTBEAT_INTERVAL;
         if self.registers.is_listed_voter() {
             let request = self.registers.slots_request();
-            let receivers = self.slots_request_receivers(now);
-            out.extend(receivers.values().map(|addr| send(addr, request.clone())));
+            let recipients = self.slots_request_recipients(now);
+            out.extend(recipients.values().map(|addr| send(addr, request.clone())));
         } else if let Some(voters) = self.bootstrap_voters(now) {
-            // Others store it when this daemon's next heartbeats announce them. Should it crash before it is synced
-            // here, it learns it from them, or writes the same again: it accepts nothing but the same disks.
+            // Other daemons store the voters when this daemon's next heartbeats announce them. If it crashes before the
+            // voters are synced here, it receives them from the others or writes the same ones again, since it accepts
+            // only the same disks.
             self.begin_as_voter(voters, out);
         }
     }
 
-    /// Addresses by name of the daemons that were not read yet: voters, and those that have just lost their places, as
-    /// what these voted may be on their disks alone.
-    fn slots_request_receivers(&self, now: Ms) -> BTreeMap<Name, Name> {
+    /// Returns the addresses, by name, of the daemons whose slots were not read yet: voters, and daemons that have just
+    /// been replaced, because their votes may be stored on their disks alone.
+    fn slots_request_recipients(&self, now: Ms) -> BTreeMap<Name, Name> {
         let voters = self.registers.members.voters.iter();
-        let mut receivers: BTreeMap<Name, Name> = voters
+        let mut recipients: BTreeMap<Name, Name> = voters
             .map(|voter| (voter.name.clone(), self.registers.addr(voter)))
             .collect();
-        let heard = self.peers.heard_within(PEER_TIMEOUT, now);
-        receivers.extend(heard.map(|(name, peer)| (name.clone(), peer.addr.clone())));
-        receivers.retain(|name, _| {
+        let recent_peers = self.peers.heard_within(PEER_TIMEOUT, now);
+        recipients.extend(recent_peers.map(|(name, peer)| (name.clone(), peer.addr.clone())));
+        recipients.retain(|name, _| {
             *name != self.config.name && !self.registers.has_caught_up_from(name)
         });
-        receivers
+        recipients
     }
 
-    /// The first voters, once all of them are here with blank disks and this daemon is the one to write them down: the
-    /// first by name where names are given, else the one at the first of the seeds.
+    /// Returns the first voters, once all of them are present with blank disks and this daemon is the one to write
+    /// them: the first by name where names are configured, else the one at the first of the seeds.
     fn bootstrap_voters(&self, now: Ms) -> Option<Vec<Voter>> {
         if self.registers.members.member_epoch > 0 {
             return None;
         }
-        let places = self.bootstrap_places();
-        if places.all.iter().min() != Some(&places.own) {
+        let ids = self.initial_voter_ids();
+        if ids.all.iter().min() != Some(&ids.own) {
             return None;
         }
-        let peer_at = |place: &Name| {
-            let mut heard = self.peers.heard_within(PEER_TIMEOUT, now);
-            let found = heard.find(|(name, peer)| places.is_at(place, name, peer));
+        let waiting_peer = |id: &Name| {
+            let mut recent_peers = self.peers.heard_within(PEER_TIMEOUT, now);
+            let found = recent_peers.find(|(name, peer)| ids.is_waiting(id, name, peer));
             found.map(|(name, peer)| peer.as_voter(name, 1))
         };
-        let others = places.all.iter().filter(|place| **place != places.own);
+        let others = ids.all.iter().filter(|id| **id != ids.own);
         let mut voters = others
-            .map(|place| peer_at(place))
+            .map(|id| waiting_peer(id))
             .collect::<Option<Vec<Voter>>>()?;
         let own = Voter {
             name: self.config.name.clone(),
@@ -285,10 +289,10 @@
         Some(voters)
     }
 
-    fn bootstrap_places(&self) -> BootstrapPlaces<'_> {
+    fn initial_voter_ids(&self) -> InitialVoterIds<'_> {
         let config = &self.config;
         if config.members.is_empty() {
-            BootstrapPlaces {
+            InitialVoterIds {
                 all: self
                     .registers
                     .members
@@ -301,7 +305,7 @@
                 state: PeerState::Bootstrapping,
             }
         } else {
-            BootstrapPlaces {
+            InitialVoterIds {
                 all: config.members.iter().collect(),
                 own: &config.name,
                 are_names: true,
--- a/coordination/src/voter_placement.rs
+++ b/coordination/src/voter_placement.rs
@@ -1,4 +1,4 @@
-//! Who votes: which daemon gets a lost voter's place, a new place, or a better one.
+//! Choice of the voters: replaces lost voters, adds missing ones, and spreads them over zones and regions.
 
 use std::cmp::Reverse;
 
@@ -17,29 +17,30 @@
 
 pub use stored::{StoredVoters, decode, encode};
 
-/// Voters at least, where there are so many daemons: one of them may be lost.
+/// Minimum number of voters, if there are enough daemons; one of them may be lost.
 const MIN_VOTERS: usize = 3;
-/// Voters where there are enough daemons, unless the losses to be tolerated ask for more: a zone and a disk may be lost.
+/// Number of voters if there are enough daemons, unless the losses to be tolerated need more; a zone and a disk may be
+/// lost.
 const TARGET_VOTERS: usize = 5;
-/// ms. A voter that was present within this time is well.
-const PRESENT_LATELY: Ms = 2 * HEARTBEAT_INTERVAL;
-/// ms. A learner takes the place of a voter that was absent for so long; a restart takes less.
+/// Time in ms within which a voter must have been present to be considered healthy.
+const PRESENCE_WINDOW: Ms = 2 * HEARTBEAT_INTERVAL;
+/// Time in ms after which a learner replaces an absent voter; a restart is faster.
 const REPLACE_AFTER: Ms = 3_000;
-/// ms. After so long even a daemon whose zone or region has its share of voters does.
+/// Time in ms after which an absent voter is replaced even by a daemon whose zone or region has its share of voters.
 const REPLACE_ANYWHERE_AFTER: Ms = 10_000;
 
-/// A daemon that could vote.
+/// A daemon that could become a voter.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The voter that it would be.
+    /// The voter that it would become.
     pub voter: Voter,
-    /// Whether its disk was blank when it started: it may have come to replace a lost machine.
+    /// Whether its disk was blank when it started; it may have been added to replace a lost machine.
     pub started_blank: bool,
 }
 
 impl Candidate {
-    /// ms. How long a voter must have been absent before this daemon takes its place. A learner waits longer than
-    /// an empty machine, as the voter may be restarting.
+    /// Returns the time in ms for which a voter must have been absent before this daemon replaces it. A learner waits
+    /// longer than a daemon with a blank disk, as the voter may be restarting.
     fn replaces_after(&self) -> Ms {
         if self.started_blank {
             PEER_TIMEOUT
@@ -49,26 +50,26 @@
     }
 }
 
-/// What a change of voters is decided from.
-pub struct VoterChange<'a> {
-    /// The present voters.
+/// The inputs that the next voters are computed from.
+pub struct ChangeInputs<'a> {
+    /// The current voters.
     pub voters: &'a [Voter],
-    /// ms. For how long a voter's disk was absent: nothing was heard of it, or its daemon heard neither this one nor a
-    /// majority.
+    /// Time in ms for which a voter's disk was absent: no heartbeat of its daemon was received, or the daemon received
+    /// those of neither this one nor a majority.
     pub absent_for: &'a dyn Fn(&Voter) -> Ms,
     /// Daemons that could become voters.
     pub candidates: Vec<Candidate>,
     /// Region of each zone.
     pub regions: &'a Regions,
-    /// Losses that are to be survived.
+    /// The losses to be tolerated.
     pub bounds: &'a Bounds,
-    /// Whether a voter and this daemon have heard each other lately, and it votes.
+    /// Whether a voter votes, and it and this daemon have received each other's heartbeats recently.
     pub is_connected: &'a dyn Fn(&Voter) -> bool,
 }
 
-impl VoterChange<'_> {
-    fn was_present_lately(&self, voter: &Voter) -> bool {
-        (self.absent_for)(voter) <= PRESENT_LATELY
+impl ChangeInputs<'_> {
+    fn was_recently_present(&self, voter: &Voter) -> bool {
+        (self.absent_for)(voter) <= PRESENCE_WINDOW
     }
 
     fn excess(&self, voters: &[Voter]) -> usize {
@@ -76,104 +77,106 @@
     }
 }
 
-/// The next voters, if the present ones are to change. A change never has fewer voters than before, so that a majority
-/// of the next that is made of former ones is a majority of the former.
-pub fn next_voters(change: &VoterChange) -> Option<Vec<Voter>> {
-    let mut voters = change.voters.to_vec();
-    let mut candidates = change.candidates.clone();
-    replace_disks(change, &mut voters, &mut candidates);
-    replace_lost(change, &mut voters, &mut candidates);
-    add_voters(change, &mut voters, &mut candidates);
-    // A voter that is away may come back: it is no time to move others.
-    if change
+/// Returns the next voters, if the current ones are to change. A change never reduces the number of voters, so that a
+/// majority of the next voters that consists of former ones is a majority of the former voters.
+pub fn next_voters(inputs: &ChangeInputs) -> Option<Vec<Voter>> {
+    let mut voters = inputs.voters.to_vec();
+    let mut candidates = inputs.candidates.clone();
+    replace_disks(inputs, &mut voters, &mut candidates);
+    replace_lost(inputs, &mut voters, &mut candidates);
+    add_voters(inputs, &mut voters, &mut candidates);
+    // An absent voter may return, so no other voter is moved meanwhile.
+    if inputs
         .voters
         .iter()
-        .all(|voter| (change.is_connected)(voter) && change.was_present_lately(voter))
+        .all(|voter| (inputs.is_connected)(voter) && inputs.was_recently_present(voter))
     {
-        rebalance(change, &mut voters, &mut candidates);
+        rebalance(inputs, &mut voters, &mut candidates);
     }
-    // Joiners read a majority of the former voters: without one that goes on voting they would wait for good.
+    // Joiners read a majority of the former voters: unless a majority continues to vote, they would wait forever.
     let remaining = voters
         .iter()
-        .filter(|voter| change.voters.contains(voter) && (change.is_connected)(voter))
+        .filter(|voter| inputs.voters.contains(voter) && (inputs.is_connected)(voter))
         .count();
-    (voters != change.voters && remaining > change.voters.len() / 2).then_some(voters)
+    (voters != inputs.voters && remaining > inputs.voters.len() / 2).then_some(voters)
 }
 
-/// Gives a lost disk's place to the daemon of the same name or address: the process with the old disk is no more.
-fn replace_disks(change: &VoterChange, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
+/// Replaces a lost disk by the daemon of the same name or address, since the process with the old disk no longer
+/// exists.
+fn replace_disks(inputs: &ChangeInputs, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
     for voter in voters {
         let successor = candidates.iter().position(|candidate| {
             candidate.voter.name == voter.name || candidate.voter.addr == voter.addr
         });
-        if let Some(index) = successor.filter(|_| !change.was_present_lately(voter)) {
-            *voter = candidates.remove(index).voter;
+        if let Some(candidate_index) = successor.filter(|_| !inputs.was_recently_present(voter)) {
+            *voter = candidates.remove(candidate_index).voter;
         }
     }
 }
 
-/// Gives places of voters that were absent for long to others.
-fn replace_lost(change: &VoterChange, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
-    // Who has been away longest is least likely to come back.
+/// Replaces voters that were absent for too long.
+fn replace_lost(inputs: &ChangeInputs, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
+    // The voter with the longest absence is the least likely to return.
     let mut order: Vec<usize> = (0..voters.len()).collect();
-    order.sort_by_key(|place| Reverse((change.absent_for)(&voters[*place])));
-    for place in order {
-        if let Some(index) = best_replacement(change, voters, place, candidates) {
-            voters[place] = candidates.remove(index).voter;
+    order.sort_by_key(|voter_index| Reverse((inputs.absent_for)(&voters[*voter_index])));
+    for voter_index in order {
+        if let Some(candidate_index) = best_replacement(inputs, voters, voter_index, candidates) {
+            voters[voter_index] = candidates.remove(candidate_index).voter;
         }
     }
 }
 
-/// Which candidate takes a voter's place: one that keeps the voters spread, as near to the voter as there is.
+/// Returns the index of the candidate to replace a voter: one that keeps the voters spread, as near to that voter as
+/// possible.
 fn best_replacement(
-    change: &VoterChange,
+    inputs: &ChangeInputs,
     voters: &[Voter],
-    place: usize,
+    lost_index: usize,
     candidates: &[Candidate],
 ) -> Option<usize> {
-    let lost = &voters[place];
-    let absent_for = (change.absent_for)(lost);
-    // After long enough a worse spread is better than a place that nobody takes.
-    let most_excess = if absent_for > REPLACE_ANYWHERE_AFTER {
+    let lost = &voters[lost_index];
+    let absent_for = (inputs.absent_for)(lost);
+    // After this time, a worse spread is better than a lost voter that is not replaced.
+    let max_excess = if absent_for > REPLACE_ANYWHERE_AFTER {
         usize::MAX
     } else {
-        change.excess(voters)
+        inputs.excess(voters)
     };
     let excess_with =
-        |candidate: &Candidate| change.excess(&with_replaced(voters, place, &candidate.voter));
+        |candidate: &Candidate| inputs.excess(&with_replaced(voters, lost_index, &candidate.voter));
     candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| {
-            absent_for > candidate.replaces_after() && excess_with(candidate) <= most_excess
+            absent_for > candidate.replaces_after() && excess_with(candidate) <= max_excess
         })
         .min_by_key(|(_, candidate)| {
             let voter = &candidate.voter;
             let is_other_zone = voter.zone != lost.zone;
             let is_other_region =
-                voter_region(voter, change.regions) != voter_region(lost, change.regions);
+                voter_region(voter, inputs.regions) != voter_region(lost, inputs.regions);
             (
                 excess_with(candidate),
                 is_other_zone,
                 is_other_region,
-                Crowding::around(voter, voters, change.regions),
+                Crowding::around(voter, voters, inputs.regions),
                 voter.name.clone(),
             )
         })
-        .map(|(index, _)| index)
+        .map(|(candidate_index, _)| candidate_index)
 }
 
-fn with_replaced(voters: &[Voter], place: usize, voter: &Voter) -> Vec<Voter> {
+fn with_replaced(voters: &[Voter], voter_index: usize, voter: &Voter) -> Vec<Voter> {
     let mut next = voters.to_vec();
-    next[place] = voter.clone();
+    next[voter_index] = voter.clone();
     next
 }
 
-/// Adds voters: two at a time, as an even number tolerates no more losses than one less; one at a time below what the
-/// losses to be tolerated need, where one more disk still keeps what a single loss would take.
-fn add_voters(change: &VoterChange, voters: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
-    let least = MIN_VOTERS.max(2 * change.bounds.lost_disks as usize + 1);
-    while voters.len() < least.max(TARGET_VOTERS) && !candidates.is_empty() {
+/// Adds voters: two at a time, as an even number tolerates no more losses than one voter less; one at a time below what
+/// the losses to be tolerated need, where one more disk preserves data that a single loss would destroy.
+fn add_voters(inputs: &ChangeInputs, voters: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
+    let min_voters = MIN_VOTERS.max(2 * inputs.bounds.lost_disks as usize + 1);
+    while voters.len() < min_voters.max(TARGET_VOTERS) && !candidates.is_empty() {
         let is_odd = voters.len() % 2 == 1;
         let step = if is_odd && (voters.len() >= MIN_VOTERS || candidates.len() >= 2) {
             2
@@ -186,9 +189,9 @@
         let mut next = voters.clone();
         let mut remaining = candidates.clone();
         for _ in 0..step {
-            next.extend(take_least_crowded(change, &next, &mut remaining));
+            next.extend(take_least_crowded(inputs, &next, &mut remaining));
         }
-        if voters.len() >= least && change.excess(&next) > change.excess(voters) {
+        if voters.len() >= min_voters && inputs.excess(&next) > inputs.excess(voters) {
             return;
         }
         *voters = next;
@@ -196,41 +199,41 @@
     }
 }
 
-/// Takes the candidate that has the fewest voters near it.
+/// Removes and returns the candidate with the fewest voters near it.
 fn take_least_crowded(
-    change: &VoterChange,
+    inputs: &ChangeInputs,
     voters: &[Voter],
     candidates: &mut Vec<Candidate>,
 ) -> Option<Voter> {
-    let (index, _) = candidates.iter().enumerate().min_by_key(|(_, candidate)| {
+    let (candidate_index, _) = candidates.iter().enumerate().min_by_key(|(_, candidate)| {
         (
-            Crowding::around(&candidate.voter, voters, change.regions),
+            Crowding::around(&candidate.voter, voters, inputs.regions),
             candidate.voter.name.clone(),
         )
     })?;
-    Some(candidates.remove(index).voter)
+    Some(candidates.remove(candidate_index).voter)
 }
 
-/// Swaps one voter for a learner where that spreads the voters better.
-fn rebalance(change: &VoterChange, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
-    let excess_now = change.excess(voters);
+/// Replaces one voter by a learner if that spreads the voters better.
+fn rebalance(inputs: &ChangeInputs, voters: &mut [Voter], candidates: &mut Vec<Candidate>) {
+    let excess_now = inputs.excess(voters);
     if excess_now == 0 {
         return;
     }
-    // A machine that has just come may have been meant to replace a voter that has just gone.
+    // A machine that was just added may be meant to replace a voter that was just lost.
     let learners: Vec<usize> = (0..candidates.len())
-        .filter(|index| !candidates[*index].started_blank)
+        .filter(|candidate_index| !candidates[*candidate_index].started_blank)
         .collect();
     let best = (0..voters.len())
-        .flat_map(|place| learners.iter().map(move |index| (place, *index)))
-        .map(|(place, index)| {
-            let swapped = with_replaced(voters, place, &candidates[index].voter);
-            (change.excess(&swapped), place, index)
+        .flat_map(|voter_index| learners.iter().map(move |index| (voter_index, *index)))
+        .map(|(voter_index, candidate_index)| {
+            let swapped = with_replaced(voters, voter_index, &candidates[candidate_index].voter);
+            (inputs.excess(&swapped), voter_index, candidate_index)
         })
         .min_by_key(|(excess, ..)| *excess);
-    if let Some((excess, place, index)) = best
+    if let Some((excess, voter_index, candidate_index)) = best
         && excess < excess_now
     {
-        voters[place] = candidates.remove(index).voter;
+        voters[voter_index] = candidates.remove(candidate_index).voter;
     }
 }
--- a/coordination/src/voter_placement/spread.rs
+++ b/coordination/src/voter_placement/spread.rs
@@ -1,4 +1,4 @@
-//! How voters are spread over zones and regions.
+//! Measures of how well voters are spread over zones and regions.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
     region_of(regions, &voter.zone)
 }
 
-/// Voters that a loss of the worst zone or region would take beyond what leaves a majority; 0: any one may be lost.
+/// Counts the voters in each zone and region beyond the number whose loss leaves a majority; 0 if any one zone or
+/// region may be lost.
 pub(super) fn excess_voters(voters: &[Voter], regions: &Regions) -> usize {
     let majority = voters.len() / 2 + 1;
     let tolerable = voters.len().saturating_sub(majority);
@@ -19,7 +20,7 @@
     in_zones + in_regions
 }
 
-/// Voters beyond `tolerable` in each group, summed up.
+/// Sums up the voters beyond `tolerable` in each group.
 fn excess_in_groups<'a>(
     voters: &'a [Voter],
     tolerable: usize,
@@ -35,7 +36,7 @@
         .sum()
 }
 
-/// How many voters there are near a daemon already. Fewer in the region goes before fewer in the zone.
+/// Number of voters near a daemon, ordered by those in its region, then by those in its zone.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Crowding {
     in_region: usize,
--- a/coordination/src/voter_placement/stored.rs
+++ b/coordination/src/voter_placement/stored.rs
@@ -1,23 +1,23 @@
-//! The value of the members' key: JSON arrays, as disks of every build hold it.
+//! Encoding of the members' key: JSON arrays, in the formats that the disks of all builds contain.
 
 use serde::{Deserialize, Serialize};
 use wire_messages::{Blob, Name, Voter};
 
-/// The voters, and how many there were before.
+/// The voters, and the number of voters before them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredRows", into = "StoredRows")]
 pub struct StoredVoters {
-    /// 0: not known.
+    /// 0 if unknown.
     pub previous_voter_count: u32,
     /// The voters.
     pub voters: Vec<Voter>,
 }
 
-/// How it is spelled: the previous number of voters, and a row each.
+/// Serialized form: the previous number of voters, and one row per voter.
 type StoredRows = (u32, Vec<VoterRow>);
-/// Name, disk id, address, zone, and the member epoch since which it is a voter.
+/// Name, disk id, address, zone, and the member epoch since which the daemon is a voter.
 type VoterRow = (Name, u64, Name, Name, u32);
-/// The row of a voter before voters had zones: name, disk id, address.
+/// Row in the format before voters had zones: name, disk id, address.
 type VoterRowWithoutZone = (Name, u64, Name);
 
 impl From<StoredRows> for StoredVoters {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The voters as they are stored.
+/// Encodes voters for storage.
 pub fn encode(previous_voter_count: u32, voters: &[Voter]) -> Blob {
     let stored = StoredVoters {
         previous_voter_count,
@@ -63,7 +63,8 @@
     Blob(serde_json::to_vec(&stored).unwrap_or_default())
 }
 
-/// Reads stored voters, also as they were written before voters had zones; none if the bytes are neither.
+/// Decodes stored voters, also in the format before voters had zones. Returns `None` if the bytes are in neither
+/// format.
 pub fn decode(bytes: &[u8]) -> Option<StoredVoters> {
     if let Ok(stored) = serde_json::from_slice(bytes) {
         return Some(stored);
