--- a/coordination/src/control/counters.rs
+++ b/coordination/src/control/counters.rs
@@ -1,4 +1,5 @@
-//! Counters of the edges: which of them this daemon keeps, and handing outcome counters to their services' rollout loops.
+//! Counters of the edges: selects those that this daemon keeps, and passes outcome counters to the rollout loops of
+//! their services.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +8,25 @@
 use super::{Control, UsageTable};
 use crate::{Ms, register::ROLLOUT_PREFIX, rendezvous::rendezvous_weight, usage::USAGE_KEY};
 
-/// Daemons that keep the counters of a singleton role: its lease holder, and the daemon next in order for it.
+/// Number of daemons that keep the counters of a singleton role: its lease holder and the next preferred owner.
 const COUNTER_SUBSCRIBERS: usize = 2;
-/// ms. A daemon that is neither any more keeps them for so long: voters come and go for a moment.
+/// Time in ms for which a daemon that is no longer one of these keeps the counters, since voters may be unreachable for
+/// a moment.
 pub const COUNTER_RETENTION: Ms = 10_000;
 
 /// The counters that this daemon keeps.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CounterSelection {
-    /// By service when its counters were last wanted here.
+    /// When the counters of each service were last wanted here.
     wanted_at: BTreeMap<Name, Ms>,
-    /// When usage was last wanted here; none where it is not kept.
+    /// When usage was last wanted here; `None` if it is not kept.
     usage_wanted_at: Option<Ms>,
-    /// How often the selection changed.
+    /// Number of times that the selection changed.
     selection: u64,
 }
 
 impl CounterSelection {
-    /// The number of the present selection: counters that were sent for another one are not accepted.
+    /// Returns the number of the current selection. Counters sent for another selection are not accepted.
     pub(super) fn selection(&self) -> u64 {
         self.selection
     }
@@ -37,12 +39,12 @@
         self.usage_wanted_at.is_some()
     }
 
-    /// Notes that a service's counters are wanted; returns whether they were not kept before.
-    fn want(&mut self, service: &str, now: Ms) -> bool {
+    /// Marks a service's counters as wanted; returns whether they were not kept before.
+    fn mark_wanted(&mut self, service: &str, now: Ms) -> bool {
         self.wanted_at.insert(service.into(), now).is_none()
     }
 
-    /// Drops services that were not wanted for long, and returns them.
+    /// Drops services that were not wanted within the retention time, and returns them.
     fn expire(&mut self, now: Ms) -> Vec<Name> {
         let expired: Vec<Name> = self
             .wanted_at
@@ -57,15 +59,15 @@
     }
 }
 
-/// Whether counters that were last wanted then are not kept any more.
+/// Returns whether counters that were last wanted at `wanted_at` are no longer kept.
 fn is_expired(wanted_at: Ms, now: Ms) -> bool {
     now.saturating_sub(wanted_at) >= COUNTER_RETENTION
 }
 
 impl Control {
-    /// Selects the counters that are kept: those of the singleton roles that this daemon holds or is next to acquire.
-    /// Whoever takes a role over so judges by evidence at once, and all others need not receive every edge's every
-    /// counter.
+    /// Selects the counters to keep: those of the singleton roles that this daemon holds or is next to acquire. A
+    /// daemon that acquires a role thus has evidence to judge by at once, and the others need not receive all counters
+    /// of all edges.
     pub(super) fn select_counters(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) {
         let is_usage_changed = self.select_usage(now, live);
         let are_services_changed = self.select_services(now, live);
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Selects usage; returns whether that changed the selection.
+    /// Updates whether usage is selected; returns whether that changed the selection.
     fn select_usage(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) -> bool {
         let is_wanted = self.config.bounds.usage_window > 0
             && (self.is_counter_subscriber(USAGE_KEY, live)
@@ -92,7 +94,7 @@
         is_dropped
     }
 
-    /// Selects services; returns whether that changed the selection.
+    /// Updates which services are selected; returns whether that changed the selection.
     fn select_services(&mut self, now: Ms, live: &dyn Fn(&str) -> bool) -> bool {
         let Some(spec) = self.spec() else {
             return false;
@@ -103,12 +105,13 @@
             if self.is_counter_subscriber(&key, live)
                 || self.registers.held_until(&key, now).is_some()
             {
-                is_changed |= self.counters.want(&service.name, now);
+                is_changed |= self.counters.mark_wanted(&service.name, now);
             }
         }
-        // A voter that is unreachable for a moment changes nothing: a new selection costs every edge's every counter.
+        // A voter that is unreachable for a moment changes nothing, since all edges send all counters again for a new
+        // selection.
         for service in self.counters.expire(now) {
-            // Else what happened in the meantime would seem to have happened at once.
+            // Otherwise the outcomes of the time in between would seem to have occurred at once.
             self.rollouts.reset_health(&service);
             is_changed = true;
         }
@@ -129,8 +132,8 @@
         before.count() < COUNTER_SUBSCRIBERS
     }
 
-    /// Hands a proxy's counters to the loops of the selected services. Services without a counter yet are handed none: a
-    /// source is known from its first report on.
+    /// Passes a proxy's counters to the loops of the selected services. Services without counters yet are passed an
+    /// empty list, so that a source is known from its first report on.
     pub(super) fn add_counters(
         &mut self,
         source: &Name,
@@ -154,12 +157,12 @@
         }
     }
 
-    /// Services whose counters this daemon keeps.
+    /// Returns the services whose counters this daemon keeps.
     pub fn selected_services(&self) -> impl Iterator<Item = &str> {
         self.counters.services().map(|service| &**service)
     }
 
-    /// Requests sent that this daemon has counted: of a service, and of one of its versions.
+    /// Returns the number of sent requests that this daemon has counted for a service and for one of its versions.
     pub fn requests_counted(&self, service: &str, version: &str) -> (u64, u64) {
         self.rollouts.get(service).map_or((0, 0), |rollout| {
             let sent = rollout.health.sent(version);
--- a/coordination/src/control/forwarding.rs
+++ b/coordination/src/control/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding of writes and reads to the daemon that owns the key: going out from here, and arriving here from others.
+//! Forwarding of writes and reads to the daemon that owns the key: requests sent by this daemon and received by it.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
     timing::HEARTBEAT_INTERVAL,
 };
 
-/// ms. A daemon that forwarded a request waits a little longer than the owner does.
+/// Time in ms for which a daemon waits for a forwarded request, a little longer than the owner does.
 pub const FORWARD_TIMEOUT: Ms = 2_500;
 
-/// What must be current for a write that is forwarded. There is no `Any`: a write that is compared with nothing carries
-/// the version that was current where it came in, so that wherever it is delayed it does not undo what came after it.
+/// Precondition of a forwarded write. There is no `Any`: an unconditional write carries the version that was current on
+/// the daemon that received it, so that a delayed one does not undo later writes.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WriteCondition {
     Version(u64),
@@ -23,7 +23,7 @@
 }
 
 impl WriteCondition {
-    /// `local_version`: the version of the key here.
+    /// Converts a precondition for forwarding. `local_version` is the key's version on this daemon.
     pub(super) fn new(expect: Expect, local_version: u64) -> Self {
         match expect {
             Expect::Any => WriteCondition::UnchangedSince(local_version),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The version as which a write under it may be committed, where that is known.
+    /// Returns the version as which a write with this condition may be committed, if known.
     fn offered_version(self) -> Option<u64> {
         match self {
             WriteCondition::Version(version) | WriteCondition::UnchangedSince(version) => {
@@ -54,10 +54,10 @@
     }
 }
 
-/// What is asked of a key's owner.
+/// A request to a key's owner.
 #[derive(Clone, Debug)]
 pub(super) enum OwnerRequest {
-    /// The newest version.
+    /// Reads the newest version.
     Read,
     Write(WriteCondition, Blob),
 }
@@ -87,17 +87,17 @@
     }
 }
 
-/// A write or a read that goes to the key's owner.
+/// A write or a read that the key's owner has not answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
-    /// Under which token its outcome is awaited here.
+    /// The token under which its outcome is reported on this daemon.
     token: u64,
     key: Name,
     request: OwnerRequest,
-    /// The daemon that it was forwarded to; empty where that is to be found yet.
+    /// The daemon that it was forwarded to; empty until an owner is found.
     owner: Name,
     expires_at: Ms,
-    /// That daemon said that it is not the owner, or none was asked yet: when the request goes out again.
+    /// When to send the request again, if that daemon replied that it is not the owner, or no owner was found yet.
     retry_at: Option<Ms>,
 }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether it goes out again: its time has come, or its owner is not live any more.
+    /// Returns whether it has expired or must be sent again, because a retry is due or its owner is no longer live.
     fn is_due(&self, live: &dyn Fn(&str) -> bool, now: Ms) -> bool {
         let is_retried = match self.retry_at {
             Some(retry_at) => retry_at <= now,
@@ -125,12 +125,12 @@
 
 /// The daemon that forwarded a request here, and its token there.
 #[derive(Clone, Debug)]
-pub(super) struct RemoteCaller {
+pub(super) struct ForwardOrigin {
     addr: Name,
     token: u64,
 }
 
-impl RemoteCaller {
+impl ForwardOrigin {
     pub(super) fn reply(&self, outcome: ForwardOutcome, version: u64, reason: &str) -> Effect {
         let reply = ForwardReply {
             token: self.token,
@@ -153,20 +153,20 @@
     }
 }
 
-/// Requests that were forwarded from here and to here.
+/// Requests that this daemon has forwarded, and those forwarded to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Forwarding {
-    /// Requests forwarded to other daemons, by the token of the forwarding: an owner accepts none twice, so that each
-    /// forwarding has a token of its own.
+    /// Requests forwarded to other daemons, by forwarding token. Each forwarding has its own token, because an owner
+    /// accepts a token only once.
     outgoing: BTreeMap<u64, PendingRequest>,
-    /// Requests accepted from other daemons, by their token here.
-    incoming: BTreeMap<u64, RemoteCaller>,
-    /// When a request of a daemon's address and its token there arrived: one that comes twice is accepted once.
+    /// Origins of the requests accepted from other daemons, by the request's token on this daemon.
+    incoming: BTreeMap<u64, ForwardOrigin>,
+    /// Arrival times of forwarded requests, by the sender's address and its token there, to drop duplicates.
     seen_at: BTreeMap<(Name, u64), Ms>,
 }
 
 impl Forwarding {
-    /// Has a request go out at the end of half a heartbeat interval.
+    /// Schedules a request to be sent in half a heartbeat interval.
     pub(super) fn retry_soon(&mut self, forward_token: u64, pending: PendingRequest, now: Ms) {
         let retry_at = Some(now + HEARTBEAT_INTERVAL / 2);
         self.outgoing.insert(
@@ -178,13 +178,13 @@
         );
     }
 
-    /// The daemon that awaits the outcome of a request, if it was forwarded here.
-    pub(super) fn take_remote_caller(&mut self, token: u64) -> Option<RemoteCaller> {
+    /// Removes and returns the origin of a request, if another daemon forwarded it here.
+    pub(super) fn take_forward_origin(&mut self, token: u64) -> Option<ForwardOrigin> {
         self.incoming.remove(&token)
     }
 
-    /// Returns whether this is the first time that the request arrives.
-    fn is_first_arrival(&mut self, from: &Name, token: u64, now: Ms) -> bool {
+    /// Records that a request arrived and returns whether it is the first time.
+    fn record_arrival(&mut self, from: &Name, token: u64, now: Ms) -> bool {
         self.seen_at.insert((from.clone(), token), now).is_none()
     }
 
@@ -207,7 +207,7 @@
 }
 
 impl Control {
-    /// Hands a request to its key's owner, which may be this daemon itself.
+    /// Sends a request to its key's owner, which may be this daemon itself.
     pub(super) fn send_to_owner(
         &mut self,
         mut pending: PendingRequest,
@@ -216,7 +216,7 @@
     ) {
         let is_live = self.live_voters(now);
         let Some(owner) = self.registers.preferred_owner(&pending.key, &is_live) else {
-            // A voter that is cut off may be connected again before the sender gives up.
+            // A disconnected voter may be connected again before the request expires.
             if self.registers.members.voting
                 && self.works()
                 && now + HEARTBEAT_INTERVAL < pending.expires_at
@@ -253,14 +253,14 @@
             .insert(forward_token, pending);
     }
 
-    /// Forwards requests again whose owner has died, or was none; and gives up on those that took too long.
+    /// Resends requests whose owner is no longer live or was not found yet, and times out expired ones.
     pub(super) fn retry_forwarded(&mut self, now: Ms, out: &mut Effects) {
         if self.writes.forwarding.outgoing.is_empty() {
             return;
         }
         let is_live = self.live_voters(now);
         for mut pending in self.writes.forwarding.take_due(&is_live, now) {
-            // What a former owner accepted may be, or come to be, committed.
+            // A write that the former owner accepted may be committed, now or later.
             if pending.retry_at.take().is_none()
                 && let OwnerRequest::Write(condition, _) = pending.request
             {
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Accepts a request that another daemon forwarded here, if this daemon owns the key.
+    /// Accepts a request forwarded by another daemon if this daemon owns the key.
     pub(super) fn on_forward(
         &mut self,
         from: &Name,
@@ -286,25 +286,26 @@
         now: Ms,
         out: &mut Effects,
     ) {
-        // The second copy would lose against the first, and its sender be answered with a conflict with itself.
+        // A duplicate would conflict with the first copy, and the sender would receive a conflict with its own
+        // write.
         let forwarding = &mut self.writes.forwarding;
-        if !forwarding.is_first_arrival(from, request.token, now) {
+        if !forwarding.record_arrival(from, request.token, now) {
             return;
         }
-        let caller = RemoteCaller {
+        let origin = ForwardOrigin {
             addr: from.clone(),
             token: request.token,
         };
         let is_live = self.live_voters(now);
         let owner = self.registers.preferred_owner(&request.key, &is_live);
-        // Forwarding a second time could go in circles; the sender looks again instead.
+        // Forwarding again could loop; the sender looks up the owner again instead.
         if owner.is_none_or(|voter| voter.name != self.config.name) {
-            let reason = "the daemon asked does not come first for this key";
-            out.push(caller.reply(ForwardOutcome::NotOwner, 0, reason));
+            let reason = "the receiving daemon is not the preferred owner of this key";
+            out.push(origin.reply(ForwardOutcome::NotOwner, 0, reason));
             return;
         }
         let token = self.writes.next_token();
-        self.writes.forwarding.incoming.insert(token, caller);
+        self.writes.forwarding.incoming.insert(token, origin);
         let expect = match request.precondition {
             Precondition::Read => {
                 self.registers.read(token, &request.key, now, out);
@@ -318,10 +319,10 @@
             .propose(token, &request.key, expect, request.value, now, out);
     }
 
-    /// Takes the outcome of a request that was forwarded from here.
+    /// Handles the reply to a request that this daemon forwarded.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "handlers take ownership of the received message"
     )]
     pub(super) fn on_forward_reply(&mut self, reply: ForwardReply, now: Ms, out: &mut Effects) {
         let Some(mut pending) = self.writes.forwarding.outgoing.remove(&reply.token) else {
@@ -332,7 +333,7 @@
             self.writes.mark_uncertain(token, Some(reply.version));
         }
         let outcome = match reply.outcome {
-            // The two daemons do not see the same ones live yet.
+            // The two daemons do not agree yet on which voters are live.
             ForwardOutcome::NotOwner | ForwardOutcome::Deposed
                 if now + HEARTBEAT_INTERVAL < pending.expires_at =>
             {
--- a/coordination/src/control/leases.rs
+++ b/coordination/src/control/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that the agents get with each update, for the singleton roles that are held here.
+//! Leases for the singleton roles held by this daemon, which each update to the agents contains.
 
 use remote_calls::{GroupRecord, GroupRole};
 use wire_messages::{Change, Lease, List};
@@ -7,8 +7,8 @@
 use crate::{Ms, register::ROLLOUT_PREFIX};
 
 impl Control {
-    /// Leases under the roles held here. They end no later than the role's own lease, because an agent counts their time
-    /// to live from before its poll was even sent.
+    /// Returns leases for the roles held by this daemon. They expire no later than the role's own lease, because an
+    /// agent counts their time to live from before it sent its poll.
     pub(super) fn current_leases(&self, now: Ms) -> List<Lease> {
         if !self.is_settled || self.kill_switch_on() {
             return List::default();
@@ -31,7 +31,8 @@
         })
     }
 
-    /// Percent of a service's requests that its canary may have, within the spec's limit; `None` without a record.
+    /// Returns the percentage of a service's requests that its canary may receive, capped at the spec's limit, or
+    /// `None` without a record.
     fn canary_share_percent(&self, service: &str) -> Option<u32> {
         let record = self.parsed.record(service)?;
         let is_canary = |group: &&GroupRecord| {
@@ -42,7 +43,7 @@
             .iter()
             .find(is_canary)
             .filter(|group| !group.replicas.is_empty());
-        // A lease holder that does not know the replicas yet has no ground to let a canary have anything.
+        // A lease holder that does not know the replicas yet has no evidence to justify a canary share.
         let knows_replicas = self
             .rollouts
             .get(service)
--- a/coordination/src/control/replica_list.rs
+++ b/coordination/src/control/replica_list.rs
@@ -1,4 +1,4 @@
-//! What the platform and the replicas report: the replica list, and each replica's last report.
+//! Reports of the platform and the replicas: the replica list, and each replica's last report.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,14 +7,14 @@
 use super::Control;
 use crate::{Ms, register::ROLLOUT_PREFIX};
 
-/// ms. A replica list that has not changed for so long is stable: nothing is being placed, drained or removed.
+/// Time in ms without a change after which the replica list is stable: nothing is being placed, drained or removed.
 const LIST_STABLE_AFTER: Ms = 5_000;
 
-/// Calls a second that one of `voters` may make so that all daemons that may hold one of `roles`, or held it last, stay
-/// within `rate` in any second: each may have one call in hand besides.
+/// Returns the calls per second that each of `voters` may make so that all daemons that may hold one of `roles`, or
+/// held it last, together stay within `rate` in any second. Each may also have one call saved up.
 pub fn call_rate_share(rate: f64, voters: usize, roles: usize) -> f64 {
     let share = rate / voters.min(2 * roles).max(1) as f64;
-    // Below two calls a second the one in hand is half of it.
+    // Below two calls per second, the saved call is half of the share.
     (share - 1.0).max(share / 2.0)
 }
 
@@ -22,11 +22,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReplicaList {
     list: Option<Arc<PlatformList>>,
-    /// When the platform was asked for the present list.
+    /// When the current list was requested from the platform.
     requested_at: Ms,
-    /// When the list last differed from the one before.
+    /// When the list last differed from the previous one.
     changed_at: Ms,
-    /// Reports and when they arrived, by replica.
+    /// Reports and their arrival times, by replica.
     reports: BTreeMap<String, (ReplicaReport, Ms)>,
 }
 
@@ -43,7 +43,7 @@
         &self.reports
     }
 
-    /// An answer that a later request overtook is dropped.
+    /// Replaces the list, unless a later request was answered already.
     fn replace(&mut self, list: PlatformList, requested_at: Ms) {
         if self.requested_at > requested_at {
             return;
@@ -68,29 +68,30 @@
 }
 
 impl Control {
-    /// Takes a replica list. `requested_at`: when the platform was asked for it; an answer that was overtaken is dropped.
+    /// Stores a replica list that was requested from the platform at `requested_at`. Drops it if a later request was
+    /// answered already.
     pub fn on_replica_list(&mut self, list: PlatformList, requested_at: Ms) {
         self.replica_list.replace(list, requested_at);
     }
 
-    /// Whether the list has not changed for a while, so that it may be asked for less often.
+    /// Returns whether the list has not changed for a while, so that it may be requested less often.
     pub fn is_list_stable(&self, now: Ms) -> bool {
         self.replica_list.is_stable(now)
     }
 
-    /// Takes a replica's report.
+    /// Stores a replica's report.
     pub fn on_report(&mut self, report: ReplicaReport, now: Ms) {
         self.replica_list
             .reports
             .insert(report.replica.clone(), (report, now));
     }
 
-    /// Replicas to ask for their reports: id and address.
+    /// Returns the id and address of each replica to request a report from.
     pub fn replicas_to_poll(&self) -> Vec<(String, String)> {
         let Some(list) = self.replica_list.list() else {
             return vec![];
         };
-        // The list says all of a replica that the platform placed.
+        // The list contains everything about a replica that the platform placed.
         list.replicas
             .iter()
             .filter(|replica| !self.is_placed(replica))
@@ -108,7 +109,7 @@
             .any(|service| service.name == replica.service && service.mode == ServiceMode::Placed)
     }
 
-    /// Whether any singleton role is held here, so that the platform and replicas need asking.
+    /// Returns whether this daemon holds any singleton role, so that it must poll the platform and the replicas.
     pub fn holds_any_role(&self, now: Ms) -> bool {
         let is_held = |key: &str| self.registers.held_until(key, now).is_some();
         let mut records = self.state_table.with_prefix(ROLLOUT_PREFIX);
@@ -121,9 +122,9 @@
             || services.any(|service| is_held(&format!("{ROLLOUT_PREFIX}{}", service.name)))
     }
 
-    /// This daemon's share of the calls a second that all daemons may make: the lease holder of each singleton role
-    /// calls, a former one may not have noticed yet that another holds it, and no more daemons hold roles than there are
-    /// voters.
+    /// Returns this daemon's share of the calls per second that all daemons may make. The lease holder of each
+    /// singleton role calls, a former holder may not have noticed yet that another daemon holds the role, and no more
+    /// daemons hold roles than there are voters.
     pub fn call_rate_share(&self, rate: f64) -> f64 {
         let roles = self
             .parsed
@@ -132,14 +133,14 @@
         call_rate_share(rate, self.registers.members.voters.len(), roles)
     }
 
-    /// This daemon's share of the calls a second that all daemons may make under the leases of singleton roles: those of
-    /// the services and of the usage reports.
+    /// Returns this daemon's share of the calls per second that all daemons may make under the leases of singleton
+    /// roles: those of the services and of the usage reports.
     pub fn role_call_rate_share(&self, rate: f64) -> f64 {
         let services = self.parsed.spec().map_or(0, |spec| spec.services.len());
         call_rate_share(rate, self.registers.members.voters.len(), services + 1)
     }
 
-    /// Whether the platform has this replica, as far as this daemon or the rollout records know.
+    /// Returns whether the platform has this replica, according to the replica list or the rollout records.
     pub fn knows_replica(&self, id: &str) -> bool {
         let mut records = self.decoded::<RolloutRecord>(ROLLOUT_PREFIX);
         self.replica_list.contains(id)
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What operators and supervisors see: status, health and counters.
+//! Status, health and counters for operators and supervisors.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 };
 
 impl Control {
-    /// Everything an operator may want to know of this daemon and the state it has.
+    /// Returns the status of this daemon and of the state that it stores, for operators.
     pub fn status(&self, now: Ms) -> Status {
         let is_live = self.live_voters(now);
         let zones = self.parsed.spec().map_or(vec![], |spec| spec.zones.clone());
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Records of the keys with a prefix, in the order of the keys, without those that are unreadable.
+    /// Decodes the records of the keys with a prefix, in key order, and skips unreadable ones.
     pub(super) fn decoded<T: DeserializeOwned>(
         &self,
         prefix: &'static str,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Streams that run now, by the zone of their replicas.
+    /// Counts the open streams by the zone of their replicas.
     fn zone_streams<'a>(&self, zones: impl Iterator<Item = &'a str>, now: Ms) -> Vec<ZoneStreams> {
         let zone_by_replica: BTreeMap<String, String> = self
             .decoded::<RolloutRecord>(ROLLOUT_PREFIX)
@@ -130,7 +130,7 @@
             .collect()
     }
 
-    /// Whether this daemon votes and is connected to a majority of the voters, itself among them.
+    /// Returns whether this daemon votes and is connected to a majority of the voters, counting itself.
     fn has_quorum(&self, now: Ms) -> bool {
         self.registers.members.voting && self.registers.is_majority(self.connected_voter_count(now))
     }
@@ -141,7 +141,7 @@
         voters.filter(|voter| is_connected(&voter.name)).count()
     }
 
-    /// Whether this daemon does its part, and a word on what it lacks.
+    /// Returns whether this daemon is healthy, and in short why not.
     pub fn health(&self) -> Health {
         let is_learner =
             self.registers.members.member_epoch > 0 && !self.registers.is_listed_voter();
@@ -150,8 +150,8 @@
             self.registers.members.voting,
             self.is_settled,
         ) {
-            (false, ..) => "the disk does not take writes",
-            _ if is_learner => "stands by without a vote",
+            (false, ..) => "the disk does not accept writes",
+            _ if is_learner => "is a learner and does not vote",
             (_, false, _) => "does not vote yet",
             (.., false) => "has not settled yet",
             _ => "serves",
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Counters for monitoring, by name.
+    /// Returns the counters for monitoring, by name.
     pub fn counters(&self, now: Ms) -> Vec<(&'static str, u64)> {
         let voters = &self.registers.members.voters;
         let lagging = voters
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -1,5 +1,5 @@
-//! Writes and reads of keys: how they come in here, and their outcomes on the way back to whoever asked. How they reach
-//! the daemon that owns the key is in `forwarding`.
+//! Writes and reads of keys: submits them and returns their outcomes to the requester. Forwarding to the daemon that
+//! owns the key is in `forwarding`.
 
 use std::collections::BTreeMap;
 
@@ -14,38 +14,39 @@
     register::{DisplacedRequest, Expect},
 };
 
-/// ms. An unconditional write is tried again on what another write left, for so long from its arrival: its sender goes to
-/// another daemon after a second without an answer, and may then order the opposite.
+/// Time in ms, from its arrival, for which an unconditional write is retried after a conflict. Its sender turns to
+/// another daemon after a second without an answer, and may then write the opposite.
 const UNCONDITIONAL_RETRY_TIME: Ms = 700;
 
-/// A write that is compared with nothing, as it came to this daemon.
+/// A write without a precondition, as this daemon received it.
 #[derive(Clone, Debug)]
 struct UnconditionalWrite {
     key: Name,
     value: Blob,
-    /// Until when it is tried again on what another write left.
-    retried_until: Ms,
+    /// When retries after conflicts end.
+    retry_until: Ms,
 }
 
 impl UnconditionalWrite {
-    /// Whether an outcome of it may still come.
+    /// Returns whether its outcome may still arrive.
     fn is_awaited(&self, now: Ms) -> bool {
-        now < self.retried_until + 2 * FORWARD_TIMEOUT
+        now < self.retry_until + 2 * FORWARD_TIMEOUT
     }
 }
 
-/// Writes and reads whose outcome is awaited, by their tokens here.
+/// Writes and reads whose outcomes are pending, by their tokens on this daemon.
 #[derive(Clone, Debug)]
 pub(super) struct PendingWrites {
     last_token: u64,
     unconditional: BTreeMap<u64, UnconditionalWrite>,
-    /// Writes that an owner may have accepted before they went to another, and as which version, where that is known.
+    /// Writes that an earlier owner may have accepted, with the version that it would have given them, if known.
     uncertain: BTreeMap<u64, Option<u64>>,
     pub(super) forwarding: Forwarding,
 }
 
 impl PendingWrites {
-    /// Tokens differ between incarnations, so that no answer to an earlier one is taken for an answer now.
+    /// Creates an empty table. Tokens differ between incarnations, so that a reply to an earlier incarnation matches no
+    /// current request.
     pub(super) fn new(incarnation: u64) -> Self {
         PendingWrites {
             last_token: incarnation << 20,
@@ -60,19 +61,20 @@
         self.last_token
     }
 
-    /// A write may be, or come to be, committed as this version: the one after the one it expects, if it expects one.
+    /// Marks a write as possibly committed, now or later, as `version`: the one after the version that it expects, if
+    /// any.
     pub(super) fn mark_uncertain(&mut self, token: u64, version: Option<u64>) {
-        // Offered under two versions, it may be committed under either.
+        // A write offered as two versions may be committed as either.
         let known = self.uncertain.entry(token).or_insert(version);
         if *known != version {
             *known = None;
         }
     }
 
-    /// The outcome of a write, less certain where an earlier owner may have accepted it.
+    /// Returns the outcome of a write; a failure becomes `Unknown` where an earlier owner may have accepted the write.
     fn with_uncertainty(&mut self, token: u64, outcome: WriteOutcome) -> WriteOutcome {
         match (self.uncertain.remove(&token), outcome) {
-            // Another value is committed under its very version: it never will be.
+            // Another value is committed as the offered version, so this one never will be.
             (Some(Some(offered)), WriteOutcome::Conflict(current)) if offered == current => outcome,
             (Some(_), WriteOutcome::Conflict(_) | WriteOutcome::NotAccepted(_)) => {
                 WriteOutcome::Unknown
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Forgets writes whose outcome nobody awaits any more.
+    /// Drops writes whose outcomes can no longer arrive.
     pub(super) fn expire(&mut self, now: Ms) {
         self.forwarding.expire(now);
         self.unconditional.retain(|_, write| write.is_awaited(now));
@@ -89,7 +91,8 @@
 }
 
 impl Control {
-    /// Writes a key; `Effect::WriteFinished` with the returned token follows. `expect`: what must be current for it.
+    /// Writes a key if `expect` holds for its current value. `Effect::WriteFinished` with the returned token reports
+    /// the outcome.
     pub fn write(
         &mut self,
         key: &str,
@@ -110,8 +113,8 @@
         (token, self.finish(now, out))
     }
 
-    /// Asks for the newest version of a key that any majority has accepted; `Effect::WriteFinished` with the returned
-    /// token says it, and this daemon's state table has that version or soon will.
+    /// Reads the newest version of a key that any majority has accepted. `Effect::WriteFinished` with the returned
+    /// token reports it; this daemon's state table contains that version then or soon after.
     pub fn read_newest(&mut self, key: &str, now: Ms) -> (u64, Effects) {
         let mut out = Vec::new();
         let token = self.writes.next_token();
@@ -120,13 +123,13 @@
         (token, self.finish(now, out))
     }
 
-    /// Whether this daemon was suspended until just now: what it reads may have waited for long, and whoever sent it has
-    /// gone to others since. A write that is compared with nothing would undo what was written meanwhile.
+    /// Returns whether this daemon was suspended until just now. The requests that it reads then may be old, and their
+    /// senders have turned to other daemons since: an unconditional write would undo what was written meanwhile.
     pub fn was_suspended(&mut self, now: Ms) -> bool {
         self.suspension.was_suspended(now)
     }
 
-    /// Hands a write to the key's owner.
+    /// Sends a write to the key's owner.
     fn submit(
         &mut self,
         token: u64,
@@ -145,7 +148,7 @@
             let write = UnconditionalWrite {
                 key: key.clone(),
                 value: value.clone(),
-                retried_until: now + UNCONDITIONAL_RETRY_TIME,
+                retry_until: now + UNCONDITIONAL_RETRY_TIME,
             };
             self.writes.unconditional.insert(token, write);
         }
@@ -155,23 +158,23 @@
         self.send_to_owner(write, now, out);
     }
 
-    /// The version of a key in this daemon's state table, 0 for none.
+    /// Returns the version of a key in this daemon's state table, 0 if the key is missing.
     pub(super) fn local_version(&self, key: &Name) -> u64 {
         self.state_table.get(key).map_or(0, |change| change.version)
     }
 
-    /// Handles requests that waited here for a key that another daemon owns now.
+    /// Handles requests that were pending here when another daemon acquired their key.
     pub(super) fn reroute_displaced(&mut self, now: Ms, out: &mut Effects) {
         for displaced in std::mem::take(&mut self.registers.displaced) {
             let token = displaced.token;
-            if let Some(caller) = self.writes.forwarding.take_remote_caller(token) {
+            if let Some(origin) = self.writes.forwarding.take_forward_origin(token) {
                 let (outcome, version) = match displaced.offered_version {
                     Some(version) => (ForwardOutcome::Deposed, version),
                     None => (ForwardOutcome::NotOwner, 0),
                 };
-                out.push(caller.reply(outcome, version, ""));
+                out.push(origin.reply(outcome, version, ""));
             } else if token == NO_CALLER || self.is_role_write(token) {
-                // A record is computed anew by whoever holds its role.
+                // The role's lease holder computes the record anew.
                 let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::KeyMoved);
                 out.push(Effect::WriteFinished { token, outcome });
             } else {
@@ -180,12 +183,12 @@
         }
     }
 
-    /// Whether a write is one of a singleton role's own record.
+    /// Returns whether a write is to a singleton role's own record.
     fn is_role_write(&self, token: u64) -> bool {
         self.rollouts.is_record_write(token) || self.usage_reports.is_log_write(token)
     }
 
-    /// Has a displaced request go to the key's next owner.
+    /// Schedules a displaced request to be sent to the key's next owner.
     fn reroute(&mut self, displaced: DisplacedRequest, now: Ms) {
         if displaced.offered_version.is_some() {
             self.writes
@@ -206,7 +209,7 @@
             .retry_soon(forward_token, pending, now);
     }
 
-    /// Brings an outcome of this daemon's own registers, or of a forwarded request, to whoever asked.
+    /// Returns an outcome, from this daemon's own registers or of a forwarded request, to the requester.
     pub(super) fn route_outcome(
         &mut self,
         token: u64,
@@ -220,15 +223,15 @@
             return;
         }
         let outcome = self.writes.with_uncertainty(token, outcome);
-        if let Some(caller) = self.writes.forwarding.take_remote_caller(token) {
-            out.push(caller.reply_outcome(outcome));
+        if let Some(origin) = self.writes.forwarding.take_forward_origin(token) {
+            out.push(origin.reply_outcome(outcome));
         } else if let Some(outcome) = self.retry_unconditional(token, outcome, now, out) {
             out.push(Effect::WriteFinished { token, outcome });
         }
     }
 
-    /// Tries an unconditional write that another write overtook again on what that one left, as long as its sender waits
-    /// here. Returns the outcome to report where it is not tried again.
+    /// Retries an unconditional write that conflicted with another write, on top of that write, as long as its sender
+    /// waits for this daemon. Returns the outcome to report if it is not retried.
     fn retry_unconditional(
         &mut self,
         token: u64,
@@ -242,7 +245,7 @@
         let WriteOutcome::Conflict(version) = outcome else {
             return Some(outcome);
         };
-        if now >= write.retried_until {
+        if now >= write.retry_until {
             return Some(WriteOutcome::NotAccepted(NotAcceptedReason::Overtaken));
         }
         let condition = WriteCondition::UnchangedSince(version);
