--- a/coordination/tests/founding.rs
+++ b/coordination/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Bootstrap: the daemons at the seeds write the first voters once, whatever crashes or is late in between.
+//! Bootstrap: the daemons at the seeds write the first voters exactly once, despite crashes and delays.
 
 mod fleet;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Daemons beyond the seeds have blank disks as well; they never bootstrap anything by themselves.
+/// Daemons that are no seeds have blank disks as well, but never bootstrap by themselves.
 #[gtest]
 fn only_the_seeds_are_the_first_voters() {
     let mut fleet = Fleet::bootstrapped(1, 4, one_region);
@@ -41,7 +41,7 @@
     );
 }
 
-/// Without the setting that the system starts for the first time a blank disk waits, whoever else is there.
+/// Without the bootstrap setting, a daemon with a blank disk waits, whichever other daemons are present.
 #[gtest]
 fn a_blank_disk_without_the_bootstrap_setting_never_votes() {
     let mut fleet = Fleet::new(1);
@@ -53,34 +53,34 @@
     expect_that!(fleet.first_voters(), is_empty());
 }
 
-/// A seed is killed at any point and comes back, notified again that it bootstraps, or not any more.
+/// A seed is killed at any point and restarts, with or without the bootstrap setting.
 #[gtest]
 fn a_seed_killed_at_any_point_bootstraps_once() {
-    for notified_again in [true, false] {
+    for keeps_setting in [true, false] {
         for killed_at in (30..900).step_by(7) {
             for victim in 0..3 {
                 let mut fleet = three_daemons(killed_at);
                 fleet.run(killed_at);
                 fleet.kill(victim);
-                // A daemon that was killed before it had stored the notice was never notified.
-                if !notified_again && fleet.daemons[victim].disk.is_empty() {
-                    expect_that!(killed_at, lt(100), "the notice is stored at once");
+                // A daemon that was killed before it stored the setting never had it.
+                if !keeps_setting && fleet.daemons[victim].disk.is_empty() {
+                    expect_that!(killed_at, lt(100), "the setting is stored at once");
                     continue;
                 }
                 fleet.run(300);
-                fleet.daemons[victim].config.bootstrap = notified_again;
+                fleet.daemons[victim].config.bootstrap = keeps_setting;
                 fleet.start(victim);
                 let duration = fleet.run_until(6_000, |fleet| fleet.voting().len() == 3);
                 expect_that!(
                     duration,
                     some(anything()),
-                    "killed {victim} at {killed_at}, notified again: {notified_again}"
+                    "killed {victim} at {killed_at}, with the setting: {keeps_setting}"
                 );
                 fleet.run(2_000);
                 expect_that!(
                     fleet.first_voters(),
                     len(eq(1)),
-                    "killed {victim} at {killed_at}, notified again: {notified_again}"
+                    "killed {victim} at {killed_at}, with the setting: {keeps_setting}"
                 );
                 expect_that!(
                     fleet.write_until_accepted("spec", b"one", 5_000),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Messages that name the first voters are lost for a while, and one seed is slow to start.
+/// Messages that contain the first voters are lost for a while, and one seed starts late.
 #[gtest]
 fn lost_messages_and_a_slow_seed_only_delay_the_bootstrap() {
     for slow in 0..3 {
@@ -107,7 +107,7 @@
         expect_that!(fleet.voting(), is_empty());
         fleet.add(slow, &[0, 1, 2], true, &Default::default());
         fleet.run(3_000);
-        // The first seed alone has them; it is no majority.
+        // Only the first seed has the first voters, which is no majority.
         expect_that!(fleet.voting(), len(le(1)));
         fleet.delivers = Box::new(|_, _, _| true);
         expect_that!(
@@ -118,7 +118,7 @@
     }
 }
 
-/// A disk is lost during the bootstrap: there is no second one with the new disk.
+/// A disk is lost during the bootstrap: the new disk causes no second bootstrap.
 #[gtest]
 fn a_disk_lost_during_the_bootstrap_causes_no_second_one() {
     for lost_at in (30..900).step_by(7) {
@@ -132,7 +132,7 @@
     }
 }
 
-/// The seeds as the settings give them may be in any order, and a small system has fewer.
+/// The settings may list the seeds in any order, and a small system has fewer of them.
 #[gtest]
 fn fewer_seeds_in_any_order_bootstrap() {
     let mut fleet = Fleet::new(3);
@@ -151,8 +151,8 @@
     expect_that!(fleet.daemons[0].config.seeds, container_eq([addr(0)]));
 }
 
-/// Whoever begins to vote reports it at once: until the others know, two daemons acquire the same key, and the first
-/// writes are forwarded to and fro.
+/// A daemon that starts to vote reports it at once. Until the others know, two daemons acquire the same key, and the
+/// first writes are forwarded back and forth.
 #[gtest]
 fn the_first_writes_are_accepted_without_a_rival_owner() {
     let (mut deposed, mut late) = (0, 0);
@@ -161,7 +161,7 @@
         fleet
             .run_until(4_000, |fleet| fleet.voting().len() == 3)
             .expect("all vote");
-        // The heartbeats that report it have reached each.
+        // All daemons have received the heartbeats that report it.
         fleet.run(100);
         let daemon = fleet.rng.usize(..3);
         let write = fleet.write(daemon, "spec", Some(0), b"one").unwrap();
--- a/coordination/tests/calls.rs
+++ b/coordination/tests/calls.rs
@@ -1,21 +1,21 @@
-//! Calls to the platform: one rate limit for the whole fleet, also while a singleton role goes from
-//! one holder to another.
+//! Calls to the platform: one rate limit applies to the whole fleet, also while another daemon acquires a singleton
+//! role.
 
 use coordination::{Ms, control::call_rate_share, placement::TokenBucket};
 use googletest::prelude::*;
 
-/// A daemon that calls whenever its share of the rate limit lets it.
-struct Caller {
+/// A daemon that calls whenever its share of the rate limit allows it.
+struct CallingDaemon {
     starts_at: Ms,
     ends_at: Ms,
 }
 
-/// Most calls of all callers in any second.
-fn max_calls_per_second(callers: &[Caller], share: f64) -> usize {
+/// Returns the maximum number of calls of all daemons in any second.
+fn max_calls_per_second(daemons: &[CallingDaemon], share: f64) -> usize {
     let mut called_at: Vec<Ms> = vec![];
-    for caller in callers {
-        let mut bucket = TokenBucket::new(share, 1.0, caller.starts_at);
-        called_at.extend((caller.starts_at..caller.ends_at).filter(|now| bucket.try_draw(*now)));
+    for daemon in daemons {
+        let mut bucket = TokenBucket::new(share, 1.0, daemon.starts_at);
+        called_at.extend((daemon.starts_at..daemon.ends_at).filter(|now| bucket.try_draw(*now)));
     }
     called_at.sort_unstable();
     assert!(!called_at.is_empty());
@@ -35,24 +35,24 @@
         assert!(rate_limit > 0.0);
         for (voters, roles) in [(1, 1), (3, 1), (5, 1), (3, 2), (5, 2), (5, 7)] {
             let share = call_rate_share(rate_limit, voters, roles);
-            // Each role has a holder and one that has not noticed yet that it lost it.
+            // Each role has a lease holder and a former one that has not noticed yet that it lost the role.
             let holder_count = voters.min(2 * roles);
-            let callers: Vec<Caller> = (0..holder_count as Ms)
+            let daemons: Vec<CallingDaemon> = (0..holder_count as Ms)
                 .map(|index| {
                     let (starts_at, ends_at) = if index % 2 == 0 {
                         (index * 37, 8_000 + index * 11)
                     } else {
                         (5_000 + index * 53, END)
                     };
-                    Caller { starts_at, ends_at }
+                    CallingDaemon { starts_at, ends_at }
                 })
                 .collect();
             expect_that!(
-                max_calls_per_second(&callers, share) as f64,
+                max_calls_per_second(&daemons, share) as f64,
                 le(rate_limit.max(holder_count as f64)),
                 "{rate_limit} a second, {voters} voters, {roles} roles"
             );
-            // And one holder has enough of it to go on.
+            // One holder's share is enough to make progress.
             expect_that!(share, ge(rate_limit / (2 * holder_count) as f64));
         }
     }
--- a/coordination/tests/expect.rs
+++ b/coordination/tests/expect.rs
@@ -1,4 +1,4 @@
-//! Writes on an operator's release, and reads by a majority.
+//! Writes conditional on an operator's release, and majority reads.
 
 mod fleet;
 
@@ -7,9 +7,10 @@
 use googletest::prelude::*;
 use wire_messages::Message;
 
-/// A document of a release, in the product's own spelling; `mark` tells two of one release apart.
-fn document(release: u64, mark: u64) -> Vec<u8> {
-    let document = serde_json::json!({"zones": [{"name": "z0"}], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark,
+/// Returns a spec document of a release, in the product's own format; `variant` distinguishes two documents of one
+/// release.
+fn document(release: u64, variant: u64) -> Vec<u8> {
+    let document = serde_json::json!({"zones": [{"name": "z0"}], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": variant,
         "release": release});
     serde_json::to_vec(&document).unwrap()
 }
@@ -29,10 +30,10 @@
     fleet
 }
 
-/// A request that was made at a daemon: the daemon, and the token it gave.
+/// A submitted request: the daemon, and the token that it returned.
 type Submitted = (usize, u64);
 
-/// Submits a write to a daemon; its outcome is looked for later.
+/// Submits a write to a daemon without waiting for its outcome.
 fn submit(fleet: &mut Fleet, daemon: usize, expect: Expect, value: &[u8]) -> Submitted {
     let now = fleet.now;
     let control = fleet.daemons[daemon].control.as_mut().unwrap();
@@ -62,7 +63,7 @@
     outcome(fleet, (daemon, token))
 }
 
-/// The daemon that owns the spec's key.
+/// Returns the daemon that owns the spec's key.
 fn spec_owner(fleet: &Fleet) -> usize {
     (0..3)
         .find(|daemon| owns_spec(fleet, *daemon))
@@ -82,14 +83,14 @@
         write(fleet, 0, Expect::Release(0), &document(3, 1)),
         some(eq(WriteOutcome::Accepted(1)))
     );
-    // The same document again, at any daemon: nothing is written anew.
+    // Repeats of the same document at any daemon write nothing.
     for daemon in 0..3 {
         expect_that!(
             write(fleet, daemon, Expect::Release(0), &document(3, 1)),
             some(eq(WriteOutcome::Accepted(1)))
         );
     }
-    // Another one on top of the same release lost.
+    // Another document on top of the same release is a conflict.
     expect_that!(
         write(fleet, 1, Expect::Release(0), &document(3, 2)),
         some(eq(WriteOutcome::Conflict(1)))
@@ -118,7 +119,7 @@
                 .map(|spec| spec.release),
             some(eq(8))
         );
-        // A repeat that comes after its successor is accepted as the version that it was; what lost is refused again.
+        // A repeat after its successor is accepted as its original version; a rejected document is rejected again.
         expect_that!(
             write(fleet, daemon, Expect::Release(0), &document(3, 1)),
             some(eq(WriteOutcome::Accepted(1)))
@@ -156,8 +157,8 @@
     }
 }
 
-/// The owner is partitioned off and another acquires the key: the first may neither reject a right write as a conflict
-/// nor report the older version as the newest.
+/// The owner is partitioned and another daemon acquires the key. The deposed owner must neither reject a valid write as
+/// a conflict nor report its older version as the newest.
 #[gtest]
 fn a_deposed_owner_in_a_partition_reports_no_stale_outcome() {
     for seed in 0..20 {
@@ -169,7 +170,7 @@
         let owner = spec_owner(fleet);
         let other = (owner + 1) % 3;
         fleet.partitioned.insert(addr(owner));
-        // Until the others take it for dead they forward writes to it, and report the outcome as unknown.
+        // Until the owner is unreachable to the others, they forward writes to it and report the outcome as unknown.
         let mut accepted = None;
         for _ in 0..8 {
             accepted = write(fleet, other, Expect::Release(1), &document(2, 0));
@@ -179,17 +180,17 @@
             fleet.run(300);
         }
         expect_that!(accepted, some(eq(WriteOutcome::Accepted(2))), "seed {seed}");
-        // It still owns the key as far as it knows, and is asked while it hears nobody.
+        // The deposed owner still considers itself the owner, and gets requests while it receives no messages.
         let outcomes = [
             write(fleet, owner, Expect::Release(2), &document(3, 0)),
             read_newest(fleet, owner),
         ];
         for outcome in outcomes {
-            let is_clear = matches!(
+            let is_definite = matches!(
                 outcome,
                 Some(WriteOutcome::Conflict(_) | WriteOutcome::Accepted(_))
             );
-            expect_false!(is_clear, "seed {seed}: {outcome:?}");
+            expect_false!(is_definite, "seed {seed}: {outcome:?}");
         }
         fleet.partitioned.clear();
         let caught_up_after: Option<Ms> = fleet.run_until(6_000, |fleet| {
@@ -206,7 +207,7 @@
     }
 }
 
-/// All processes are killed right after a release was accepted: no older one is read from then on.
+/// All processes are killed right after a release was accepted: no later read returns an older release.
 #[gtest]
 fn no_stale_release_is_read_after_all_daemons_were_killed() {
     for seed in 0..20 {
@@ -245,8 +246,8 @@
     }
 }
 
-/// An owner's own disk has a newer document that no majority accepted, and is slower than the others with its promise:
-/// the document is what is compared with from then on, or is gone, but no right write is rejected because of it.
+/// An owner's own disk stores a newer document that no majority accepted, and promises more slowly than the others. The
+/// document either becomes the current one or is dropped, but no valid write is rejected because of it.
 #[gtest]
 fn an_owner_compares_with_the_committed_value_not_with_an_uncommitted_one_on_its_disk() {
     let mut seeds_reached = 0;
@@ -260,7 +261,7 @@
         fleet.run(1_000);
         let owner = spec_owner(fleet);
         let (owner_addr, other) = (addr(owner), (owner + 1) % 3);
-        // Accepted by its own disk only; then another owns the key.
+        // Only the owner's disk accepts the write; then another daemon owns the key.
         fleet.delivers = Box::new(move |from, to, message| {
             *from != owner_addr || from == to || !matches!(message, Message::Accept(_))
         });
@@ -278,7 +279,7 @@
             continue;
         }
         seeds_reached += 1;
-        // An operator that reads the newest and builds on it is not refused.
+        // A write on top of the newest release that an operator has read is not rejected.
         let Some(WriteOutcome::Accepted(version)) = read_newest(fleet, other) else {
             continue;
         };
