--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -307,8 +307,8 @@
         let mut out = Vec::new();
         let is_running = !self.was_suspended(now);
         self.suspension.on_tick(now);
-        let hears_voters = is_running && self.hears_voter_majority(now);
-        self.fleet_contact.observe(hears_voters, now);
+        let is_majority_reachable = is_running && self.is_voter_majority_reachable(now);
+        self.fleet_contact.observe(is_majority_reachable, now);
         self.membership.tick(now, &mut out);
         for node in self.membership.known(NodeRole::Control) {
             self.registers.set_addr(&node.name, &node.addr);
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -36,10 +36,10 @@
     /// When the present burst of its changes began.
     burst_started_at: Ms,
     /// The version before the present burst.
-    version_before: u64,
+    version_before_burst: u64,
     /// The version before the burst before. An agent that lacks even that one did not get it from the daemon that pushes
     /// to it.
-    version_before_last_burst: u64,
+    version_before_previous_burst: u64,
 }
 
 impl FeedEntry {
@@ -47,8 +47,8 @@
         self.position = position;
         if !self.is_in_burst(now) {
             self.burst_started_at = now;
-            self.version_before_last_burst = self.version_before;
-            self.version_before = previous_version;
+            self.version_before_previous_burst = self.version_before_burst;
+            self.version_before_burst = previous_version;
         }
     }
 
@@ -200,7 +200,7 @@
         out: &mut Effects,
     ) {
         let update = Update {
-            unreachable_edges: self.lacking_unreachable_edges(follower),
+            unreachable_edges: self.unreachable_edges_update(follower),
             ..self.build_update(follower, is_snapshot, now)
         };
         Self::deliver_update(addr, follower, update, through_limit, now, out);
@@ -256,7 +256,7 @@
         let is_left_out = |change: &Change, entry: &FeedEntry| {
             let is_pushed = || {
                 entry.is_in_burst(now)
-                    && follower.seen_version(&change.key) >= entry.version_before_last_burst
+                    && follower.seen_version(&change.key) >= entry.version_before_previous_burst
             };
             !is_snapshot
                 && change.value.0.len() > LONG_VALUE_BYTES
@@ -288,7 +288,7 @@
     fn long_values_in_flight(&self, follower: &Follower, now: Ms) -> bool {
         let region_of = |zone| regions::region_of(&self.config.regions, zone);
         let is_remote = region_of(&follower.node.zone) != region_of(&self.config.zone);
-        let is_new = now.saturating_sub(follower.in_touch_since) < PUSH_TIMEOUT;
+        let is_new = now.saturating_sub(follower.polling_since) < PUSH_TIMEOUT;
         follower.was_delayed || (is_remote && is_new)
     }
 
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -294,7 +294,7 @@
     /// that is cut off, and it goes by gossip, for no longer than an edge may serve out of contact without its serving
     /// rule's permission.
     fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
-        let in_touch = self.in_touch(now);
+        let in_touch = self.is_in_contact(now);
         let longest_unheard = if in_touch {
             NODE_TIMEOUT
         } else {
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -28,7 +28,7 @@
     pub(super) node: Node,
     pub(super) polled_at: Ms,
     /// Since when it has polled without a gap.
-    pub(super) in_touch_since: Ms,
+    pub(super) polling_since: Ms,
     /// Whether its last poll came right behind the one before, though it had been sent long after it: both were delayed
     /// on the way, and what the first asked for is in flight.
     pub(super) was_delayed: bool,
@@ -37,7 +37,7 @@
     /// Its outcome counters have arrived up to this one.
     pub(super) counters_through: u64,
     /// Up to when its counters are here; none since the selection of counters changed.
-    pub(super) counters_heard_until: Option<Ms>,
+    pub(super) counters_received_until: Option<Ms>,
     pub(super) open_streams: OpenStreamCounts,
     versions: Vec<Change>,
     pub(super) in_flight: InFlight,
@@ -51,12 +51,12 @@
         let mut follower = Follower {
             node: poll.node.clone(),
             polled_at: now,
-            in_touch_since: now,
+            polling_since: now,
             was_delayed: false,
             poll_sent_at: poll.sent_at,
             after_position: poll.after_position,
             counters_through: 0,
-            counters_heard_until: None,
+            counters_received_until: None,
             open_streams: OpenStreamCounts::new(),
             versions: std::mem::take(&mut poll.versions.0),
             in_flight: InFlight::default(),
@@ -69,12 +69,12 @@
         if previous.node.incarnation == poll.node.incarnation {
             let since_last_poll = now.saturating_sub(previous.polled_at);
             if since_last_poll <= FOLLOWER_TIMEOUT {
-                follower.in_touch_since = previous.in_touch_since;
+                follower.polling_since = previous.polling_since;
             }
             follower.was_delayed =
                 poll.sent_at.saturating_sub(previous.poll_sent_at) > 2 * since_last_poll;
             follower.counters_through = previous.counters_through;
-            follower.counters_heard_until = previous.counters_heard_until;
+            follower.counters_received_until = previous.counters_received_until;
             follower.in_flight = previous.in_flight;
             if poll.has_versions == 0 {
                 follower.versions = previous.versions;
@@ -148,7 +148,7 @@
     pub(super) fn restart_counters(&mut self) {
         for follower in self.0.values_mut() {
             follower.counters_through = 0;
-            follower.counters_heard_until = None;
+            follower.counters_received_until = None;
         }
     }
 }
@@ -196,7 +196,7 @@
         follower.counters_through = poll.counters_through;
         // A message that is full need not be the last one.
         if usage_count < MAX_COUNTS_PER_MESSAGE {
-            follower.counters_heard_until = Some(now.saturating_sub(poll.report_age_ms));
+            follower.counters_received_until = Some(now.saturating_sub(poll.report_age_ms));
         }
     }
 
--- a/coordination/src/control/forwarding.rs
+++ b/coordination/src/control/forwarding.rs
@@ -218,7 +218,7 @@
         let Some(owner) = self.registers.preferred_owner(&pending.key, &is_live) else {
             // A voter that is cut off may be connected again before the sender gives up.
             if self.registers.members.voting
-                && self.works()
+                && self.is_operational()
                 && now + HEARTBEAT_INTERVAL < pending.expires_at
             {
                 let forward_token = self.writes.next_token();
--- a/coordination/src/control/heartbeats.rs
+++ b/coordination/src/control/heartbeats.rs
@@ -32,11 +32,13 @@
             theirs: heartbeat.committed_digest,
             own: self.registers.committed_digest(),
         };
-        let votes_here = self.votes_here(&heartbeat);
-        let missed_change = self.comparison.observe(from, digests, votes_here, now);
+        let votes_in_same_epoch = self.votes_in_same_epoch(&heartbeat);
+        let missed_change = self
+            .comparison
+            .observe(from, digests, votes_in_same_epoch, now);
         let is_lagging = heartbeat.member_epoch > self.registers.members.member_epoch
             || (is_voter && missed_change);
-        if is_lagging && !is_blank && self.comparison.take_slots_request_turn(now) {
+        if is_lagging && !is_blank && self.comparison.try_acquire_slots_request(now) {
             out.push(send(addr, self.registers.slots_request()));
         }
         if is_blank {
@@ -57,7 +59,7 @@
     }
 
     pub(super) fn send_heartbeats(&mut self, now: Ms, out: &mut Effects) {
-        if !self.peers.take_heartbeat_turn(now) {
+        if !self.peers.take_due_heartbeat(now) {
             return;
         }
         let heartbeat = Heartbeat {
@@ -69,14 +71,14 @@
             hears_receiver: 0,
             quorum_connected: self.is_quorum_connected(now).into(),
         };
-        let heard: BTreeSet<&Name> = self
+        let reachable: BTreeSet<&Name> = self
             .peers
-            .heard_within(PEER_TIMEOUT, now)
+            .reachable_within(PEER_TIMEOUT, now)
             .map(|(_, peer)| &peer.addr)
             .collect();
         out.extend(self.heartbeat_receivers(now).iter().map(|addr| {
             let heartbeat = Heartbeat {
-                hears_receiver: heard.contains(addr).into(),
+                hears_receiver: reachable.contains(addr).into(),
                 ..heartbeat.clone()
             };
             send(addr, heartbeat)
@@ -90,7 +92,7 @@
         };
         let followers = self
             .peers
-            .heard_within(NODE_TIMEOUT, now)
+            .reachable_within(NODE_TIMEOUT, now)
             .filter(|(name, _)| !votes(name))
             .map(|(_, peer)| peer.addr.clone())
             .collect();
@@ -129,8 +131,8 @@
         if self.registers.members.voting || self.registers.members.member_epoch == 0 {
             let live = self.membership.live(NodeRole::Control);
             receivers.extend(live.map(|node| node.addr.clone()));
-            let heard = self.peers.heard_within(NODE_TIMEOUT, now);
-            receivers.extend(heard.map(|(_, peer)| peer.addr.clone()));
+            let reachable = self.peers.reachable_within(NODE_TIMEOUT, now);
+            receivers.extend(reachable.map(|(_, peer)| peer.addr.clone()));
         }
         // Until it knows the voters, only its seeds lead there.
         if self.registers.members.member_epoch == 0 {
--- a/coordination/src/control/liveness.rs
+++ b/coordination/src/control/liveness.rs
@@ -21,13 +21,13 @@
     pub(super) fn live_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
         let mut names: BTreeSet<Name> = self
             .peers
-            .heard_within(PEER_TIMEOUT, now)
+            .reachable_within(PEER_TIMEOUT, now)
             .filter(|(_, peer)| {
-                self.votes_here(&peer.heartbeat) && peer.heartbeat.quorum_connected != 0
+                self.votes_in_same_epoch(&peer.heartbeat) && peer.heartbeat.quorum_connected != 0
             })
             .map(|(name, _)| name.clone())
             .collect();
-        if self.works() && self.is_quorum_connected(now) {
+        if self.is_operational() && self.is_quorum_connected(now) {
             names.insert(self.config.name.clone());
         }
         move |name| names.contains(name)
@@ -39,23 +39,23 @@
         let mut names: BTreeSet<Name> = self
             .peers
             .connected_within(PEER_TIMEOUT, now)
-            .filter(|(_, peer)| self.votes_here(&peer.heartbeat))
+            .filter(|(_, peer)| self.votes_in_same_epoch(&peer.heartbeat))
             .map(|(name, _)| name.clone())
             .collect();
-        if self.works() {
+        if self.is_operational() {
             names.insert(self.config.name.clone());
         }
         move |name| names.contains(name)
     }
 
     /// Whether the sender of a heartbeat votes in this daemon's member epoch.
-    pub(super) fn votes_here(&self, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn votes_in_same_epoch(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.state == PeerState::Voter
             && heartbeat.member_epoch == self.registers.members.member_epoch
     }
 
     /// Whether it goes on running and its disk takes writes.
-    pub(super) fn works(&self) -> bool {
+    pub(super) fn is_operational(&self) -> bool {
         !self.stopping && self.disk_healthy
     }
 
@@ -86,7 +86,7 @@
             return;
         }
         self.was_quorum_connected = is_connected;
-        self.peers.send_heartbeat_soon();
+        self.peers.make_heartbeat_due();
         let event = if is_connected {
             QUORUM_CONNECTED
         } else {
--- a/coordination/src/control/peers.rs
+++ b/coordination/src/control/peers.rs
@@ -12,7 +12,7 @@
 /// Another control daemon, as its last heartbeat described it.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    pub(super) heard_at: Ms,
+    pub(super) last_received_at: Ms,
     /// When it last said that it hears this daemon; messages pass in both directions then.
     connected_at: Option<Ms>,
     pub(super) heartbeat: Heartbeat,
@@ -51,20 +51,20 @@
     }
 
     /// Peers that were heard from within `window`.
-    pub(super) fn heard_within(
+    pub(super) fn reachable_within(
         &self,
         window: Ms,
         now: Ms,
     ) -> impl Iterator<Item = (&Name, &Peer)> + Clone {
         self.by_name
             .iter()
-            .filter(move |(_, peer)| now.saturating_sub(peer.heard_at) <= window)
+            .filter(move |(_, peer)| now.saturating_sub(peer.last_received_at) <= window)
     }
 
-    pub(super) fn is_heard_within(&self, name: &Name, window: Ms, now: Ms) -> bool {
+    pub(super) fn is_reachable_within(&self, name: &Name, window: Ms, now: Ms) -> bool {
         self.by_name
             .get(name)
-            .is_some_and(|peer| now.saturating_sub(peer.heard_at) <= window)
+            .is_some_and(|peer| now.saturating_sub(peer.last_received_at) <= window)
     }
 
     /// Peers that were connected to this daemon within `window`: both hear each other.
@@ -87,7 +87,7 @@
     pub(super) fn record(&mut self, from: &Name, addr: &Name, heartbeat: Heartbeat, now: Ms) {
         // A peer that is new, was unreachable or has another disk learns of this daemon at once.
         let is_known = self.by_name.get(from).is_some_and(|peer| {
-            now.saturating_sub(peer.heard_at) <= PEER_TIMEOUT
+            now.saturating_sub(peer.last_received_at) <= PEER_TIMEOUT
                 && peer.heartbeat.disk_id == heartbeat.disk_id
         });
         if !is_known {
@@ -99,7 +99,7 @@
             self.connected_at(from)
         };
         let peer = Peer {
-            heard_at: now,
+            last_received_at: now,
             connected_at,
             heartbeat,
             addr: addr.clone(),
@@ -117,13 +117,13 @@
         now.saturating_sub(connected_at.unwrap_or(started_at))
     }
 
-    pub(super) fn forget_old_disks(&mut self, now: Ms) {
+    pub(super) fn prune_old_disks(&mut self, now: Ms) {
         self.disk_connected_at
             .retain(|_, connected_at| now.saturating_sub(*connected_at) < NODE_RETENTION);
     }
 
     /// Whether this daemon's own heartbeat is due; if so, the next one is due an interval later.
-    pub(super) fn take_heartbeat_turn(&mut self, now: Ms) -> bool {
+    pub(super) fn take_due_heartbeat(&mut self, now: Ms) -> bool {
         if now < self.next_heartbeat {
             return false;
         }
@@ -132,7 +132,7 @@
     }
 
     /// Makes this daemon's heartbeat due at its next tick.
-    pub(super) fn send_heartbeat_soon(&mut self) {
+    pub(super) fn make_heartbeat_due(&mut self) {
         self.next_heartbeat = 0;
     }
 }
--- a/coordination/src/control/state_comparison.rs
+++ b/coordination/src/control/state_comparison.rs
@@ -40,18 +40,18 @@
 
 impl StateComparison {
     /// Takes the digest of a peer's heartbeat and says whether a change was missed that is not in transit to either
-    /// daemon. `votes_here`: the peer votes in this daemon's member epoch.
+    /// daemon. `votes_in_same_epoch`: the peer votes in this daemon's member epoch.
     pub(super) fn observe(
         &mut self,
         peer: &Name,
         digests: Digests,
-        votes_here: bool,
+        votes_in_same_epoch: bool,
         now: Ms,
     ) -> bool {
         if digests.theirs != digests.own {
             return !self.compared_with.contains(peer) || self.still_differs(peer, digests, now);
         }
-        if votes_here {
+        if votes_in_same_epoch {
             self.compared_with.insert(peer.clone());
         }
         self.differences.remove(peer);
@@ -96,7 +96,7 @@
     }
 
     /// Whether slots may be requested again; if so, the next request waits a quarter of a heartbeat interval.
-    pub(super) fn take_slots_request_turn(&mut self, now: Ms) -> bool {
+    pub(super) fn try_acquire_slots_request(&mut self, now: Ms) -> bool {
         if now < self.next_slots_request {
             return false;
         }
--- a/coordination/src/control/status.rs
+++ b/coordination/src/control/status.rs
@@ -97,7 +97,7 @@
         let peer = self.peers.get(&voter.name);
         match peer.filter(|peer| peer.heartbeat.disk_id == voter.disk_id) {
             Some(peer) => status(
-                Some(now.saturating_sub(peer.heard_at)),
+                Some(now.saturating_sub(peer.last_received_at)),
                 Some(peer.heartbeat.member_epoch),
                 Some(peer.heartbeat.committed_digest == self.registers.committed_digest()),
             ),
@@ -187,7 +187,7 @@
             ("voters", voters.len() as u64),
             ("voters_live", self.connected_voter_count(now) as u64),
             ("voters_behind", lagging.count() as u64),
-            ("in_touch", self.in_touch(now).into()),
+            ("in_touch", self.is_in_contact(now).into()),
             ("loops_resting", self.rollouts.stalled_count() as u64),
         ];
         rows.extend(self.resolution_counts.rows());
--- a/coordination/src/control/unreachable_edges.rs
+++ b/coordination/src/control/unreachable_edges.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreachableEdgeReport {
     /// How often the report has changed; the version of a report.
-    changes: u64,
+    change_count: u64,
     /// Digests of the edges' names in their order; none while this daemon cannot know.
     edges: Option<Vec<u32>>,
     next_check: Ms,
@@ -26,14 +26,14 @@
 impl UnreachableEdgeReport {
     fn set(&mut self, edges: Option<Vec<u32>>) {
         if edges != self.edges {
-            self.changes += 1;
+            self.change_count += 1;
             self.edges = edges;
         }
     }
 
     /// The version of the report as it is sent; 0 where this daemon has nothing to report.
     fn version(&self) -> u64 {
-        self.edges.as_ref().map_or(0, |_| self.changes)
+        self.edges.as_ref().map_or(0, |_| self.change_count)
     }
 
     fn message(&self) -> UnreachableEdges {
@@ -44,7 +44,7 @@
     }
 
     /// What a follower lacks that has the report of this version.
-    pub(super) fn after_version(&self, version: u64) -> List<UnreachableEdges> {
+    pub(super) fn changed_since(&self, version: u64) -> List<UnreachableEdges> {
         if version == self.version() {
             return List::default();
         }
@@ -60,7 +60,9 @@
             return;
         }
         self.unreachable_edges.next_check = now + CHECK_INTERVAL;
-        let edges = self.in_touch(now).then(|| self.unreachable_edges_now(now));
+        let edges = self
+            .is_in_contact(now)
+            .then(|| self.unreachable_edges_now(now));
         self.unreachable_edges.set(edges);
     }
 
@@ -73,8 +75,8 @@
     }
 
     /// The report, where a follower lacks the newest.
-    pub(super) fn lacking_unreachable_edges(&self, follower: &Follower) -> List<UnreachableEdges> {
+    pub(super) fn unreachable_edges_update(&self, follower: &Follower) -> List<UnreachableEdges> {
         self.unreachable_edges
-            .after_version(follower.unreachable_edges_version)
+            .changed_since(follower.unreachable_edges_version)
     }
 }
--- a/coordination/src/control/usage_table.rs
+++ b/coordination/src/control/usage_table.rs
@@ -146,7 +146,7 @@
         let heard_until = |name: &Name| {
             let follower = self.followers.get(name);
             follower
-                .and_then(|follower| follower.counters_heard_until)
+                .and_then(|follower| follower.counters_received_until)
                 .unwrap_or(0)
         };
         let heard = self
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -89,7 +89,7 @@
     fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
         self.registers.begin_as_voter(voters, out);
         // Until others know that it votes they acquire its keys.
-        self.peers.send_heartbeat_soon();
+        self.peers.make_heartbeat_due();
     }
 
     pub(super) fn on_slots_reply(
@@ -104,7 +104,7 @@
             self.begin_member_epoch();
         }
         if outcome.voting_started {
-            self.peers.send_heartbeat_soon();
+            self.peers.make_heartbeat_due();
         }
         if outcome.compared_with_voter {
             self.comparison.record_compared(from);
@@ -122,7 +122,7 @@
         self.voter_membership
             .on_voters_changed(self.suspension.last_tick());
         // Until others know that it counts the same votes it is not live to them.
-        self.peers.send_heartbeat_soon();
+        self.peers.make_heartbeat_due();
     }
 
     /// Gives lost voters' places to others, and adds voters where there are too few, if this daemon is the one to.
@@ -136,7 +136,7 @@
             return;
         }
         self.voter_membership.next_voter_change = now + 2 * HEARTBEAT_INTERVAL;
-        self.peers.forget_old_disks(now);
+        self.peers.prune_old_disks(now);
         if !self.may_change_voters(now, live) || self.is_new_voter_catching_up(now) {
             return;
         }
@@ -174,9 +174,12 @@
             })
         };
         now.saturating_sub(changed_at) < CATCH_UP_TIMEOUT
-            && self.peers.heard_within(PEER_TIMEOUT, now).any(|(_, peer)| {
-                peer.heartbeat.state == PeerState::CatchingUp && is_new_voter(peer)
-            })
+            && self
+                .peers
+                .reachable_within(PEER_TIMEOUT, now)
+                .any(|(_, peer)| {
+                    peer.heartbeat.state == PeerState::CatchingUp && is_new_voter(peer)
+                })
     }
 
     /// The voters that should follow the present ones, where they should change.
@@ -247,7 +250,7 @@
         let mut receivers: BTreeMap<Name, Name> = voters
             .map(|voter| (voter.name.clone(), self.registers.addr(voter)))
             .collect();
-        let heard = self.peers.heard_within(PEER_TIMEOUT, now);
+        let heard = self.peers.reachable_within(PEER_TIMEOUT, now);
         receivers.extend(heard.map(|(name, peer)| (name.clone(), peer.addr.clone())));
         receivers.retain(|name, _| {
             *name != self.config.name && !self.registers.has_caught_up_from(name)
@@ -266,7 +269,7 @@
             return None;
         }
         let peer_at = |place: &Name| {
-            let mut heard = self.peers.heard_within(PEER_TIMEOUT, now);
+            let mut heard = self.peers.reachable_within(PEER_TIMEOUT, now);
             let found = heard.find(|(name, peer)| places.is_at(place, name, peer));
             found.map(|(name, peer)| peer.as_voter(name, 1))
         };
