--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -1,7 +1,7 @@
-//! A control daemon as a state machine: it takes messages, ticks and calls with the time, and gives effects.
+//! State machine of a control daemon: consumes messages, ticks and calls with the current time and returns effects.
 //!
-//! [`Control`] composes the components below; each file has one topic. What concerns several components is a method of
-//! `Control` in the file of its topic.
+//! [`Control`] composes the components in the submodules. Logic that spans several components is a method of `Control`
+//! in the submodule of its topic.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -73,7 +73,7 @@
 
 /// Key of the operator's spec.
 pub const SPEC_KEY: &str = "spec";
-/// Prefix of the keys of release plans, by service.
+/// Prefix of the keys of release plans; the service name follows.
 pub const PLAN_PREFIX: &str = "plan/";
 /// Prefix of the keys of evacuated zones.
 pub const ZONE_PREFIX: &str = "zone/";
@@ -82,37 +82,37 @@
 /// Key of the kill switch.
 pub const KILL_SWITCH_KEY: &str = "kill-switch";
 
-/// Token of writes that nobody waits for.
+/// Token of writes without a waiting caller.
 const NO_CALLER: u64 = 0;
 
-/// What a control daemon is started with.
+/// Configuration that a control daemon starts with.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// Lasting name of this daemon.
+    /// Persistent name of this daemon.
     pub name: Name,
-    /// Zone that it runs in.
+    /// Zone that this daemon runs in.
     pub zone: Name,
-    /// Address for messages of other processes.
+    /// Address at which this daemon receives messages from other processes.
     pub addr: Name,
-    /// Address of its HTTP interface.
+    /// Address of the HTTP interface.
     pub http_addr: Name,
-    /// Lasting names of all control daemons; the first voters must all be these. With none named the daemons at
-    /// the seeds bootstrap the system, if `bootstrap` is set.
+    /// Persistent names of all control daemons, which must all be the first voters. If empty and `bootstrap` is set,
+    /// the daemons at the seeds bootstrap the system.
     pub members: Vec<Name>,
-    /// Addresses of the control daemons that are asked first.
+    /// Addresses of the control daemons that are contacted first.
     pub seeds: Vec<Name>,
-    /// Region of each zone; a zone that is not named is its own region.
+    /// Region of each zone; an unlisted zone is its own region.
     pub regions: BTreeMap<String, String>,
-    /// How the operator's document is parsed.
+    /// Parser of the operator's spec.
     pub spec_parser: SpecParser,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the whole system starts for the first time, with empty disks.
     pub bootstrap: bool,
-    /// Times within which changes must be in force.
+    /// Time bounds within which changes must take effect.
     pub bounds: Bounds,
 }
 
 impl ControlConfig {
-    /// This daemon as gossip describes it.
+    /// Returns this daemon's description for gossip.
     fn node(&self, incarnation: u64) -> Node {
         Node {
             name: self.name.clone(),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The registers of this daemon, with what its disk held.
+    /// Creates the registers of this daemon from the rows on its disk.
     fn registers(&self, disk_id: u64, rows: Vec<Row>, now: Ms) -> Registers {
         let lease = self.bounds.lease();
         let mut registers = Registers::new(self.name.clone(), disk_id, rows, lease, now);
@@ -136,15 +136,15 @@
     }
 }
 
-/// A control daemon.
+/// State machine of a control daemon.
 #[derive(Clone, Debug)]
 pub struct Control {
     config: ControlConfig,
     started_at: Ms,
     incarnation: u64,
-    /// The keys' registers: what this daemon accepted, owns and knows to be committed.
+    /// Registers of all keys: what this daemon accepted, owns and knows to be committed.
     pub registers: Registers,
-    /// All nodes of the fleet, by gossip.
+    /// All nodes of the fleet that are known by gossip.
     pub membership: Membership,
     state_table: StateTable,
     parsed: ParsedState,
@@ -153,7 +153,7 @@
     voter_membership: VoterMembership,
     suspension: SuspensionDetector,
     fleet_contact: FleetContact,
-    /// Whether it did not vote or was connected to a majority of the voters at the last tick.
+    /// Whether this daemon did not vote or was quorum-connected at the last tick.
     was_quorum_connected: bool,
     unreachable_edges: UnreachableEdgeReport,
     writes: PendingWrites,
@@ -164,20 +164,20 @@
     wall_clock: WallClock,
     replica_list: ReplicaList,
     rollouts: Rollouts,
-    /// By service whose copies of shared context are decided here.
+    /// State of the context placement roles that this daemon holds, by service.
     context_roles: BTreeMap<String, ContextRole>,
     usage_reports: UsageReports,
     resolution_counts: ResolutionCounts,
-    /// Graceful shutdown has begun: others take over what this daemon owns.
+    /// Whether graceful shutdown has begun, in which other daemons take over this daemon's keys.
     pub stopping: bool,
-    /// Whether the disk takes writes.
+    /// Whether the disk accepts writes.
     pub disk_healthy: bool,
     is_settled: bool,
 }
 
 impl Control {
-    /// A daemon that starts. `disk_id`: the data folder's own number; `rows`: what it held; `incarnation`: differs between
-    /// starts.
+    /// Creates a daemon that starts at `now`. `disk_id`: id of the data folder; `rows`: rows stored in it;
+    /// `incarnation`: differs between starts.
     pub fn new(
         config: ControlConfig,
         disk_id: u64,
@@ -190,8 +190,8 @@
         membership.set_regions(config.regions.clone());
         let mut registers = config.registers(disk_id, rows, now);
         let started_blank = registers.members.member_epoch == 0;
-        // This is written to disk: one of the first voters that restarts is not configured to bootstrap any more, nor
-        // with whom.
+        // The first voters are persisted, because a first voter that restarts is no longer configured to bootstrap, nor
+        // with the names of the others.
         let bootstraps = started_blank
             && registers.members.voters.is_empty()
             && config.bootstrap
@@ -233,18 +233,18 @@
         control
     }
 
-    /// Newest committed value of each key, as far as this daemon knows.
+    /// Returns the newest committed value of each key, as far as this daemon knows.
     pub fn state_table(&self) -> &StateTable {
         &self.state_table
     }
 
-    /// The operator's spec, once one is committed.
+    /// Returns the operator's spec, once one is committed.
     pub fn spec(&self) -> Option<Arc<Spec>> {
         self.parsed.spec().cloned()
     }
 
-    /// Whether this daemon votes, has compared its slots with a majority, and has known all that it has accepted to be
-    /// committed.
+    /// Returns whether this daemon votes, has compared its slots with a majority and has at some time known everything
+    /// that it accepted to be committed.
     pub fn is_settled(&self) -> bool {
         self.is_settled
     }
@@ -255,7 +255,7 @@
             .unwrap_or(false)
     }
 
-    /// Takes a message of another process.
+    /// Handles a message from another process.
     pub fn on_message(&mut self, from: &Name, addr: &Name, message: Message, now: Ms) -> Effects {
         self.was_suspended(now);
         let mut out = Vec::new();
@@ -302,7 +302,7 @@
         self.finish(now, out)
     }
 
-    /// Does what is due at this time.
+    /// Performs the work that is due at `now`.
     pub fn tick(&mut self, now: Ms) -> Effects {
         let mut out = Vec::new();
         let is_running = !self.was_suspended(now);
@@ -335,7 +335,7 @@
         let was_settled = self.is_settled;
         let others_needed = self.registers.members.voters.len() / 2;
         let is_compared = self.comparison.compared_count() >= others_needed;
-        // Once settled, a write in progress does not change that: it is new in this incarnation.
+        // A write in progress does not end the settled state, because the write began in this incarnation.
         self.is_settled = self.registers.members.voting
             && (was_settled || (is_compared && self.registers.all_committed()));
         if self.is_settled && !was_settled {
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Ends a step: publishes what it committed, and brings outcomes of writes to whoever asked.
+    /// Completes a step: publishes newly committed values and routes the outcomes of writes to their callers.
     fn finish(&mut self, now: Ms, mut out: Effects) -> Effects {
         self.adopt_committed_voters(&mut out);
         self.reroute_displaced(now, &mut out);
@@ -361,7 +361,7 @@
     }
 }
 
-/// Whether a zone is evacuated, by a state table.
+/// Returns whether a zone is evacuated according to a state table.
 pub fn evacuated(state_table: &StateTable, zone: &str) -> bool {
     state_table
         .read::<ZoneState>(&format!("{ZONE_PREFIX}{zone}"))
--- a/coordination/src/control/change_feed.rs
+++ b/coordination/src/control/change_feed.rs
@@ -1,4 +1,5 @@
-//! The change stream: what was committed, in the order in which this daemon learned it, on its way to the edge agents.
+//! Change feed: committed values in the order in which they became known to this daemon, for delivery to the edge
+//! agents.
 
 use std::{cell::OnceCell, collections::BTreeMap};
 
@@ -17,28 +18,29 @@
     state_table::version_stamp,
 };
 
-/// Bytes a ms. Updates to an agent are assumed to arrive at this pace: an edge's link of 10 Mbit/s, shared by the daemons
-/// that send to it. What is short, as nearly all is, arrives at once.
+/// Assumed rate in bytes per ms at which updates arrive at an agent: an edge's link of 10 Mbit/s, shared by the daemons
+/// that send to it. Short updates, which are nearly all, count as arriving at once.
 pub const ASSUMED_BYTES_PER_MS: Ms = 256;
-/// ms. Changes are pushed to agents that polled within this, the time of two polls: an agent that is cut off asks when it
-/// is back, and what was pushed meanwhile would come then as a flood.
+/// Changes are pushed only to agents that polled within this time in ms, which is two poll intervals. An agent that was
+/// cut off polls again when it reconnects; changes pushed in the meantime would then all arrive at once.
 pub const PUSH_ELIGIBILITY: Ms = 1_000;
-/// Bytes. A longer value comes to an agent from one daemon only: to send it costs more than to wait.
+/// Length in bytes above which a value is sent to an agent by one daemon only: sending it again costs more than
+/// waiting.
 const LONG_VALUE_BYTES: usize = 1_000;
-/// ms. Changes are pushed to an agent within this, also a long spec over a slow link and by a busy daemon; after it
-/// whichever daemon is polled sends them, well before a change must be in force.
+/// Time in ms within which changes are pushed to an agent, even a long spec over a slow link by a busy daemon. After
+/// it, any daemon that is polled sends them, well before a change must take effect.
 pub const PUSH_TIMEOUT: Ms = 1_000;
 
-/// A key's newest position in the change stream.
+/// A key's newest position in the change feed.
 #[derive(Clone, Copy, Debug, Default)]
 struct FeedEntry {
     position: u64,
-    /// When the present burst of its changes began.
+    /// When the current burst of changes to the key began.
     burst_started_at: Ms,
-    /// The version before the present burst.
+    /// Version before the current burst.
     version_before_burst: u64,
-    /// The version before the burst before. An agent that lacks even that one did not get it from the daemon that pushes
-    /// to it.
+    /// Version before the previous burst. An agent with an older version did not receive this one from the daemon that
+    /// pushes to it.
     version_before_previous_burst: u64,
 }
 
@@ -57,8 +59,8 @@
     }
 }
 
-/// Positions of all keys. Only each key's newest position is kept: followers merge values by version, so that they never
-/// need an older one.
+/// Positions of all keys. Only the newest position of each key is kept, because followers merge values by version and
+/// never need an older one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ChangeFeed {
     position: u64,
@@ -66,7 +68,7 @@
 }
 
 impl ChangeFeed {
-    /// The newest position.
+    /// Returns the newest position.
     pub(super) fn position(&self) -> u64 {
         self.position
     }
@@ -87,19 +89,19 @@
 /// Changes to send to a follower.
 struct PendingChanges {
     changes: Vec<Change>,
-    /// The position that the follower has reached with them.
+    /// Position that the follower reaches with these changes.
     through_position: u64,
 }
 
 impl Control {
-    /// Merges what is newly committed into the state table and the change stream, and pushes it to the agents.
+    /// Merges newly committed values into the state table and the change feed, and pushes them to the agents.
     pub(super) fn publish(&mut self, now: Ms, out: &mut Effects) {
         if self.merge_committed(now, out) {
             self.push_updates(now, out);
         }
     }
 
-    /// Returns whether anything was new for the agents.
+    /// Merges newly committed values; returns whether any of them is sent to edges.
     fn merge_committed(&mut self, now: Ms, out: &mut Effects) -> bool {
         let (mut is_any_new, mut is_spec_new) = (false, false);
         for change in std::mem::take(&mut self.registers.newly_committed) {
@@ -132,16 +134,16 @@
             if polled_lately && self.pushes_to(&follower.node, &sources) {
                 let addr = follower.node.addr.clone();
                 self.send_update(&addr, follower, through_position, false, now, out);
-                // Assumed to arrive; where it does not, the agent's next poll says so.
+                // The push is assumed to arrive; otherwise the agent's next poll shows that it is missing.
                 follower.after_position = follower.in_flight.through_position;
             }
         }
         self.followers = followers;
     }
 
-    /// Whether this daemon pushes changes to an agent: to those of its zone, and to those for which it is first in
-    /// rendezvous order among the live daemons of their region, or among all where their region has none. All others have
-    /// changes from other daemons, or poll.
+    /// Returns whether this daemon pushes changes to an agent: to agents in its zone, and to those for which it is
+    /// first in rendezvous order among the live daemons of their region, or among all live daemons if their region has
+    /// none. Other agents receive changes from other daemons or by polling.
     fn pushes_to(&self, agent: &Node, sources: &[Name]) -> bool {
         let region_of = |zone| regions::region_of(&self.config.regions, zone);
         // Traffic between regions is expensive.
@@ -156,14 +158,14 @@
         agent.zone == self.config.zone || first.is_none_or(|name| *name == self.config.name)
     }
 
-    /// Zone of a control daemon; this daemon's own for itself.
+    /// Returns the zone of a control daemon, which may be this daemon.
     fn zone_of_daemon(&self, name: &Name) -> &Name {
         self.peers
             .get(name)
             .map_or(&self.config.zone, |peer| &peer.heartbeat.zone)
     }
 
-    /// Daemons that changes may be had from, by name.
+    /// Returns the names of the daemons that can send changes.
     fn update_sources(&self, now: Ms) -> Vec<Name> {
         let is_live = self.live_voters(now);
         self.peers
@@ -174,8 +176,8 @@
             .collect()
     }
 
-    /// Sends a follower what it lacks, and records how long that may take to arrive. The update names no position beyond
-    /// `through_limit`.
+    /// Sends a follower the changes it lacks and records when they are assumed to arrive. The update names no position
+    /// beyond `through_limit`.
     pub(super) fn send_update(
         &self,
         addr: &Name,
@@ -189,7 +191,7 @@
         Self::deliver_update(addr, follower, update, through_limit, now, out);
     }
 
-    /// Answers a poll like a push, with the report of unreachable edges where the agent lacks the newest.
+    /// Answers a poll like a push, and adds the report of unreachable edges if the agent lacks the newest.
     pub(super) fn send_poll_answer(
         &self,
         addr: &Name,
@@ -216,7 +218,7 @@
     ) {
         let changes = update.changes.iter();
         let bytes: usize = changes.map(|change| change.value.0.len()).sum();
-        // It arrives behind what is still in flight.
+        // Updates that are still in flight arrive first.
         let starts_at = now.max(follower.in_flight.until);
         follower.in_flight = InFlight {
             through_position: update.through_position,
@@ -241,13 +243,13 @@
             voter_count: self.registers.members.voters.len() as u64,
             changes: List(pending.changes),
             leases: self.current_leases(now),
-            // A push does not know what the agent has got meanwhile.
+            // A push cannot know which report the agent has received in the meantime.
             unreachable_edges: List::default(),
         }
     }
 
-    /// Changes that a follower lacks, without long values that most likely reach it another way. The position stays before
-    /// the first one that is left out.
+    /// Returns the changes that a follower lacks, except long values that it most likely receives another way. The
+    /// position stays before the first omitted change.
     fn pending_changes(&self, follower: &Follower, is_snapshot: bool, now: Ms) -> PendingChanges {
         let long_values_in_flight = self.long_values_in_flight(follower, now);
         let is_preferred = OnceCell::new();
@@ -270,7 +272,7 @@
             let Some(change) = self.state_table.get(key) else {
                 continue;
             };
-            // What it has by other ways is not sent again.
+            // Values received from other sources are not sent again.
             let lacks = follower
                 .seen(key)
                 .is_none_or(|seen| version_stamp(seen) < version_stamp(change));
@@ -283,8 +285,8 @@
         pending
     }
 
-    /// Whether long values are most likely on their way to a follower already: as an answer to an earlier poll, or from a
-    /// daemon of its region, which may have been cut off together with it until just now.
+    /// Returns whether long values are most likely in flight to a follower already: in the answer to an earlier poll,
+    /// or from a daemon of its region, which may have been cut off together with the follower until just now.
     fn long_values_in_flight(&self, follower: &Follower, now: Ms) -> bool {
         let region_of = |zone| regions::region_of(&self.config.regions, zone);
         let is_remote = region_of(&follower.node.zone) != region_of(&self.config.zone);
@@ -292,8 +294,8 @@
         follower.was_delayed || (is_remote && is_new)
     }
 
-    /// Whether this daemon is the one that sends long values to an agent: one of its zone, else of its region, else any;
-    /// of several the first in rendezvous order.
+    /// Returns whether this daemon is the one that sends long values to an agent: a daemon of its zone, else of its
+    /// region, else any; among several, the first in rendezvous order.
     fn is_preferred_source(&self, agent: &Node, now: Ms) -> bool {
         let agent_region = regions::region_of(&self.config.regions, &agent.zone);
         let preference = |source: &&Name| {
--- a/coordination/src/control/followers.rs
+++ b/coordination/src/control/followers.rs
@@ -1,4 +1,4 @@
-//! Followers: the edge agents that poll this daemon, and what each last said.
+//! Followers: the edge agents that poll this daemon, as described by their last polls.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,48 @@
 use super::Control;
 use crate::{Effects, Ms, usage::MAX_COUNTS_PER_MESSAGE};
 
-/// ms. Agents that polled within this are counted as followers.
+/// Time in ms for which an agent counts as a live follower after a poll.
 const FOLLOWER_TIMEOUT: Ms = 3_000;
 
-/// Streams by replica and version.
+/// Number of open streams by replica and version.
 pub(super) type OpenStreamCounts = BTreeMap<(Name, Name), u32>;
 
-/// Changes on their way to a follower.
+/// Changes in flight to a follower.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct InFlight {
-    /// Up to which position of the change stream.
+    /// Position in the change feed that the follower reaches with them.
     pub(super) through_position: u64,
-    /// Until when they may take to arrive.
+    /// Time by which they are assumed to have arrived.
     pub(super) until: Ms,
 }
 
-/// An edge agent, as its last poll described it.
+/// An edge agent as described by its last poll.
 #[derive(Clone, Debug)]
 pub(super) struct Follower {
     pub(super) node: Node,
     pub(super) polled_at: Ms,
-    /// Since when it has polled without a gap.
+    /// Start of the current period of polls without a gap.
     pub(super) polling_since: Ms,
-    /// Whether its last poll came right behind the one before, though it had been sent long after it: both were delayed
-    /// on the way, and what the first asked for is in flight.
+    /// Whether the last poll arrived right after the previous one although it was sent long after it. In that case both
+    /// were delayed in transit, and the answer to the previous poll is in flight.
     pub(super) was_delayed: bool,
     pub(super) poll_sent_at: u64,
     pub(super) after_position: u64,
-    /// Its outcome counters have arrived up to this one.
+    /// Newest report of outcome counters that was received.
     pub(super) counters_through: u64,
-    /// Up to when its counters are here; none since the selection of counters changed.
+    /// Time up to which the agent's counters were received; `None` if none were since the selection of counters
+    /// changed.
     pub(super) counters_received_until: Option<Ms>,
     pub(super) open_streams: OpenStreamCounts,
     versions: Vec<Change>,
     pub(super) in_flight: InFlight,
-    /// Version of the report of unreachable edges that it has from this daemon's incarnation.
+    /// Version of the report of unreachable edges that the agent has from this incarnation of the daemon.
     pub(super) unreachable_edges_version: u64,
 }
 
 impl Follower {
-    /// The follower that polls now, with what carries over from its last poll. The versions are moved out of the poll.
+    /// Creates the follower for a poll and keeps the state that carries over from its previous poll. Moves the versions
+    /// out of the poll.
     fn from_poll(previous: Option<Follower>, poll: &mut Poll, now: Ms) -> Self {
         let mut follower = Follower {
             node: poll.node.clone(),
@@ -83,7 +85,7 @@
         follower
     }
 
-    /// Key, epoch and version of the value that it has for a key.
+    /// Returns the metadata of the value that the follower has for a key.
     pub(super) fn seen(&self, key: &str) -> Option<&Change> {
         self.versions.iter().find(|change| *change.key == *key)
     }
@@ -92,7 +94,7 @@
         self.seen(key).map_or(0, |change| change.version)
     }
 
-    /// What it has, by key.
+    /// Returns the metadata of all values that the follower has.
     pub(super) fn versions(&self) -> &[Change] {
         &self.versions
     }
@@ -134,7 +136,7 @@
         self.0.values_mut()
     }
 
-    /// Followers that polled lately.
+    /// Returns the followers that polled recently.
     pub(super) fn live(&self, now: Ms) -> impl Iterator<Item = &Follower> {
         self.polled_within(FOLLOWER_TIMEOUT, now)
     }
@@ -144,7 +146,7 @@
             .filter(move |follower| now.saturating_sub(follower.polled_at) <= window)
     }
 
-    /// Has every follower send all its counters again, as the selection of counters that are kept has changed.
+    /// Makes every follower send all its counters again, because the selection of kept counters has changed.
     pub(super) fn restart_counters(&mut self) {
         for follower in self.0.values_mut() {
             follower.counters_through = 0;
@@ -154,7 +156,7 @@
 }
 
 impl Control {
-    /// Answers an agent's poll with what it lacks, and accepts its counters.
+    /// Answers an agent's poll with the changes that it lacks, and accepts its counters.
     pub(super) fn on_poll(&mut self, addr: &Name, mut poll: Poll, now: Ms, out: &mut Effects) {
         let previous = self.followers.0.remove(&poll.node.name);
         let mut follower = Follower::from_poll(previous, &mut poll, now);
@@ -162,7 +164,7 @@
             follower.unreachable_edges_version = poll.unreachable_edges_version;
         }
         self.accept_poll_counters(&mut follower, &mut poll, now);
-        // This is first hand: gossip in a large fleet takes longer.
+        // The poll is direct information; gossip takes longer in a large fleet.
         self.membership.on_description(&follower.node, now, out);
         self.answer_poll(addr, &mut follower, &poll, now, out);
         self.followers
@@ -170,9 +172,9 @@
             .insert(follower.node.name.clone(), follower);
     }
 
-    /// Accepts the counters and open streams of a poll, unless they changed since a counter that an earlier incarnation
-    /// of this daemon had, which is not enough to know anything by; nor does an agent's word count before its proxy has
-    /// reported.
+    /// Accepts the counters and open streams of a poll if the agent's proxy has reported and this incarnation of the
+    /// daemon received the report that they build on. Changes since a report to an earlier incarnation do not suffice
+    /// to know the current counters.
     fn accept_poll_counters(&mut self, follower: &mut Follower, poll: &mut Poll, now: Ms) {
         let usage = std::mem::take(&mut poll.usage.0);
         let usage_count: usize = usage.iter().map(|report| report.usage.len()).sum();
@@ -194,14 +196,14 @@
         }
         follower.update_open_streams(std::mem::take(&mut poll.open_streams.0));
         follower.counters_through = poll.counters_through;
-        // A message that is full need not be the last one.
+        // A full message is not necessarily the last one.
         if usage_count < MAX_COUNTS_PER_MESSAGE {
             follower.counters_received_until = Some(now.saturating_sub(poll.report_age_ms));
         }
     }
 
-    /// Sends a follower what it lacks. What takes long to arrive is not sent again behind itself: an edge that polls more
-    /// often than its link carries the answers would never complete one.
+    /// Sends a follower the changes it lacks. Changes that take long to arrive are not sent again while they are in
+    /// flight: an edge that polls faster than its link delivers the answers would never receive a complete one.
     fn answer_poll(
         &self,
         addr: &Name,
@@ -225,7 +227,7 @@
         }
         follower.after_position = in_flight.through_position;
         if !needs_snapshot {
-            // Its position stays where it says that it is.
+            // The position remains at the one that the follower acknowledged.
             self.send_poll_answer(addr, follower, acknowledged, needs_snapshot, now, out);
         }
     }
--- a/coordination/src/control/parsed_state.rs
+++ b/coordination/src/control/parsed_state.rs
@@ -1,5 +1,5 @@
-//! Values of the state table that every update and every pass looks at, parsed once a change: the spec, the rollout
-//! records and the release plans.
+//! Parsed values of the state table that are used in every update and tick: the spec, the rollout records and the
+//! release plans. Each value is parsed once per change.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,14 +11,14 @@
     compressed, register::ROLLOUT_PREFIX, rollout::VersionedPlan, state_table::SpecParser,
 };
 
-/// A release plan as it is stored, and the version of its key.
+/// A release plan and the version of its key.
 #[derive(Clone, Debug)]
 struct StoredPlan {
     version: u64,
     plan: ReleasePlan,
 }
 
-/// Parsed values, by service where there is one for each.
+/// Parsed values; rollout records and release plans by service.
 #[derive(Clone, Debug)]
 pub(super) struct ParsedState {
     spec_parser: SpecParser,
@@ -45,7 +45,7 @@
         self.records.get(service)
     }
 
-    /// A service's release plan and its version.
+    /// Returns a service's release plan and its version.
     pub(super) fn plan(&self, service: &str) -> Option<VersionedPlan<'_>> {
         self.plans.get(service).map(|stored| VersionedPlan {
             version: stored.version,
@@ -53,11 +53,11 @@
         })
     }
 
-    /// Parses the operator's document. It may be long, so this is done once for all changes of it that come together.
+    /// Parses the operator's document. It may be long, so it is parsed once for all of its changes in a batch.
     pub(super) fn parse_spec(&mut self, document: &Change) {
         if !document.value.0.is_empty() {
             let mut spec = (self.spec_parser)(&document.value.0);
-            // Tenants' keys are for the proxies alone.
+            // Only the proxies need the tenants' keys.
             let access = spec.iter_mut().flat_map(|spec| &mut spec.access);
             for tenant in access.flat_map(|access| &mut access.tenants) {
                 tenant.keys.clear();
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Parses a changed rollout record or release plan; a value that is empty or unreadable removes the former one.
+    /// Parses a changed rollout record or release plan; an empty or unreadable value removes the previous one.
     pub(super) fn parse_rollout(&mut self, change: &Change) {
         if let Some(service) = change.key.strip_prefix(ROLLOUT_PREFIX) {
             self.records.remove(service);
