--- a/coordination/src/control/fleet_contact.rs
+++ b/coordination/src/control/fleet_contact.rs
@@ -1,19 +1,20 @@
-//! Tracks whether this daemon is in contact with the fleet. Only then does a silent edge count as unreachable; otherwise
-//! this daemon may be the one that is cut off.
+//! Tracks whether this daemon is in contact with the fleet. Only then does a silent edge count as unreachable;
+//! otherwise this daemon may be the one that is cut off.
 
 use wire_messages::Name;
 
 use super::Control;
 use crate::{Effects, Ms, effect::send, membership::NodeRole, timing::PEER_TIMEOUT};
 
-/// Time in ms without interruption that a control daemon must run and receive heartbeats from a majority of the voters to
-/// be in contact. By then every live edge has polled it, including edges that have just discovered it.
+/// Time in ms without interruption that a control daemon must run and receive heartbeats from a majority of the voters
+/// to be in contact. By then every live edge has polled it, including edges that have just discovered it.
 const CONTACT_ESTABLISHED_AFTER: Ms = 3_000;
 /// Interval in ms at which a daemon that is not yet in contact introduces itself to edges that are known by gossip but
 /// have not polled it. Edges that know the daemon poll it twice in this time.
 const INTRODUCTION_INTERVAL: Ms = 1_000;
 
-/// How long a majority of the voters has been reachable without interruption, and the schedule of introductions to edges.
+/// How long a majority of the voters has been reachable without interruption, and the schedule of introductions to
+/// edges.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FleetContact {
     majority_reachable_since: Option<Ms>,
@@ -63,8 +64,8 @@
         self.suspension.ticked_lately(now) && self.fleet_contact.is_established(now)
     }
 
-    /// Introduces this daemon to edges that have not polled it, because gossip takes long to spread a new daemon through a
-    /// large fleet.
+    /// Introduces this daemon to edges that have not polled it, because gossip takes long to spread a new daemon
+    /// through a large fleet.
     pub(super) fn introduce(&mut self, now: Ms, out: &mut Effects) {
         if now < self.fleet_contact.next_introduction || self.is_in_contact(now) {
             return;
--- a/coordination/src/control/heartbeats.rs
+++ b/coordination/src/control/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between control daemons: what this daemon says of itself, to whom, and what it does on hearing a peer.
+//! Heartbeats between control daemons: their content, their receivers and the handling of received heartbeats.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
         out: &mut Effects,
     ) {
         self.registers.set_addr(from, addr);
-        // A voter that hears neither this daemon nor a majority is as good as gone.
+        // A voter that receives heartbeats neither from this daemon nor from a majority counts as absent.
         if heartbeat.hears_receiver != 0 || heartbeat.quorum_connected != 0 {
             self.peers.record_disk(heartbeat.disk_id, now);
         }
@@ -47,7 +47,7 @@
         self.peers.record(from, addr, heartbeat, now);
     }
 
-    /// Offers the first voters again to a member that was named among them but has not stored them.
+    /// Sends the first voters again to a member that is listed among them but has not stored them.
     fn offer_first_voters(&self, addr: &Name, disk_id: u64, out: &mut Effects) {
         let voters = &self.registers.members.voters;
         if self.registers.members.member_epoch == 1
@@ -127,14 +127,14 @@
         let voters = self.registers.members.voters.iter();
         let mut receivers: BTreeSet<Name> =
             voters.map(|voter| self.registers.addr(voter)).collect();
-        // Learners have nothing to report to each other.
+        // Learners do not need each other's heartbeats.
         if self.registers.members.voting || self.registers.members.member_epoch == 0 {
             let live = self.membership.live(NodeRole::Control);
             receivers.extend(live.map(|node| node.addr.clone()));
             let reachable = self.peers.reachable_within(NODE_TIMEOUT, now);
             receivers.extend(reachable.map(|(_, peer)| peer.addr.clone()));
         }
-        // Until it knows the voters, only its seeds lead there.
+        // Until the voters are known, they can be reached only through the seeds.
         if self.registers.members.member_epoch == 0 {
             receivers.extend(self.config.seeds.iter().cloned());
         }
--- a/coordination/src/control/liveness.rs
+++ b/coordination/src/control/liveness.rs
@@ -1,7 +1,8 @@
-//! Which voters can own keys, and which of them this daemon is connected to: messages pass in both directions.
+//! Determines which voters can own keys, and which of them this daemon is connected to, that is, exchanges messages
+//! with in both directions.
 //!
-//! A partition may be in one direction only. A daemon that others hear, and that hears none of them, can confirm nothing
-//! and must own no key; so heartbeats say whether their sender is connected to a majority of the voters.
+//! A network partition may be one-way. A daemon whose messages arrive but that receives none can confirm nothing and
+//! must own no key, so heartbeats state whether their sender is connected to a majority of the voters.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -16,8 +17,8 @@
 };
 
 impl Control {
-    /// Names of the voters that can own keys, as a predicate: those that were heard from lately, vote in this daemon's
-    /// member epoch and are connected to a majority of the voters.
+    /// Returns a predicate on the names of the voters that can own keys: those that are reachable, vote in this
+    /// daemon's member epoch and are quorum-connected.
     pub(super) fn live_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
         let mut names: BTreeSet<Name> = self
             .peers
@@ -33,8 +34,8 @@
         move |name| names.contains(name)
     }
 
-    /// Names of the voters whose votes this daemon can ask for and get, as a predicate: those that it is connected to and
-    /// that vote in its member epoch.
+    /// Returns a predicate on the names of the voters that can answer this daemon's requests for votes: those that it
+    /// is connected to and that vote in its member epoch.
     pub(super) fn connected_voters(&self, now: Ms) -> impl Fn(&str) -> bool + use<> {
         let mut names: BTreeSet<Name> = self
             .peers
@@ -48,19 +49,19 @@
         move |name| names.contains(name)
     }
 
-    /// Whether the sender of a heartbeat votes in this daemon's member epoch.
+    /// Returns whether the sender of a heartbeat votes in this daemon's member epoch.
     pub(super) fn votes_in_same_epoch(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.state == PeerState::Voter
             && heartbeat.member_epoch == self.registers.members.member_epoch
     }
 
-    /// Whether it goes on running and its disk takes writes.
+    /// Returns whether this daemon is not stopping and its disk accepts writes.
     pub(super) fn is_operational(&self) -> bool {
         !self.stopping && self.disk_healthy
     }
 
-    /// Whether this daemon and a majority of the voters have heard each other lately, this daemon itself counting as one
-    /// of them. One that has just started is given the time to find out.
+    /// Returns whether this daemon was recently connected to a majority of the voters, counting itself. A daemon that
+    /// has just started counts as connected until the time-out.
     pub(super) fn is_quorum_connected(&self, now: Ms) -> bool {
         let voters = &self.registers.members.voters;
         let mut connected_at: Vec<Ms> = voters
@@ -79,7 +80,7 @@
             .is_some_and(|majority_at| now.saturating_sub(*majority_at) <= PEER_TIMEOUT)
     }
 
-    /// Notices that a voter's connection to a majority of them was lost or is back, and has others know it at once.
+    /// Detects that this voter lost or regained its connection to a majority, and makes a heartbeat due to report it.
     pub(super) fn observe_quorum_connection(&mut self, now: Ms, out: &mut Effects) {
         let is_connected = !self.registers.members.voting || self.is_quorum_connected(now);
         if is_connected == self.was_quorum_connected {
--- a/coordination/src/control/peers.rs
+++ b/coordination/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! The other control daemons: their last heartbeats, and when each last heard this daemon.
+//! The other control daemons: their last heartbeats, and when each was last connected to this daemon.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,18 @@
     timing::{HEARTBEAT_INTERVAL, NODE_RETENTION, PEER_TIMEOUT},
 };
 
-/// Another control daemon, as its last heartbeat described it.
+/// Another control daemon as described by its last heartbeat.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) last_received_at: Ms,
-    /// When it last said that it hears this daemon; messages pass in both directions then.
+    /// When it last reported that it receives this daemon's heartbeats; messages pass in both directions then.
     connected_at: Option<Ms>,
     pub(super) heartbeat: Heartbeat,
     pub(super) addr: Name,
 }
 
 impl Peer {
-    /// This peer as a voter from `since_epoch` on.
+    /// Returns this peer as a voter from `since_epoch` on.
     pub(super) fn as_voter(&self, name: &Name, since_epoch: u32) -> Voter {
         Voter {
             name: name.clone(),
@@ -32,11 +32,11 @@
     }
 }
 
-/// Peers by name, and when this daemon sends them its own next heartbeat.
+/// Peers by name, and when this daemon's next heartbeat is due.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     by_name: BTreeMap<Name, Peer>,
-    /// When a daemon with this disk last heard this daemon or a majority of the voters.
+    /// When a daemon with this disk last reported that it receives this daemon's heartbeats or is quorum-connected.
     disk_connected_at: BTreeMap<u64, Ms>,
     next_heartbeat: Ms,
 }
@@ -50,7 +50,7 @@
         self.by_name.keys()
     }
 
-    /// Peers that were heard from within `window`.
+    /// Returns the peers from which a heartbeat was received within `window`.
     pub(super) fn reachable_within(
         &self,
         window: Ms,
@@ -67,7 +67,7 @@
             .is_some_and(|peer| now.saturating_sub(peer.last_received_at) <= window)
     }
 
-    /// Peers that were connected to this daemon within `window`: both hear each other.
+    /// Returns the peers that were connected to this daemon within `window`: messages passed in both directions.
     pub(super) fn connected_within(
         &self,
         window: Ms,
@@ -79,13 +79,13 @@
         })
     }
 
-    /// When a peer and this daemon last heard each other, if they ever did.
+    /// Returns when a peer and this daemon were last connected, if ever.
     pub(super) fn connected_at(&self, name: &Name) -> Option<Ms> {
         self.by_name.get(name)?.connected_at
     }
 
     pub(super) fn record(&mut self, from: &Name, addr: &Name, heartbeat: Heartbeat, now: Ms) {
-        // A peer that is new, was unreachable or has another disk learns of this daemon at once.
+        // Sends a heartbeat at the next tick if the peer is new, was unreachable or has another disk.
         let is_known = self.by_name.get(from).is_some_and(|peer| {
             now.saturating_sub(peer.last_received_at) <= PEER_TIMEOUT
                 && peer.heartbeat.disk_id == heartbeat.disk_id
@@ -111,7 +111,7 @@
         self.disk_connected_at.insert(disk_id, now);
     }
 
-    /// How long a disk has been absent; `started_at` counts for one that was never here.
+    /// Returns how long a disk has been absent, counted from `started_at` if it was never connected.
     pub(super) fn disk_absent_for(&self, disk_id: u64, started_at: Ms, now: Ms) -> Ms {
         let connected_at = self.disk_connected_at.get(&disk_id).copied();
         now.saturating_sub(connected_at.unwrap_or(started_at))
@@ -122,7 +122,7 @@
             .retain(|_, connected_at| now.saturating_sub(*connected_at) < NODE_RETENTION);
     }
 
-    /// Whether this daemon's own heartbeat is due; if so, the next one is due an interval later.
+    /// Returns whether this daemon's own heartbeat is due; if so, schedules the next one an interval later.
     pub(super) fn take_due_heartbeat(&mut self, now: Ms) -> bool {
         if now < self.next_heartbeat {
             return false;
--- a/coordination/src/control/state_comparison.rs
+++ b/coordination/src/control/state_comparison.rs
@@ -1,4 +1,5 @@
-//! Which peers hold the same state as this daemon, by digest, and which differ for so long that slots must be exchanged.
+//! Tracks by digest which peers hold the same state as this daemon, and which differ for so long that slots must be
+//! exchanged.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,31 +7,31 @@
 
 use crate::{Ms, timing::HEARTBEAT_INTERVAL};
 
-/// ms. Two daemons whose states differ for so long compare them, even where both keep changing.
+/// Time in ms after which two daemons with different states compare them, even if both keep changing.
 const DIVERGENCE_TIMEOUT: Ms = 1_000;
-/// ms. A voter whose state has differed from this daemon's for so long counts as lagging.
+/// Time in ms after which a voter whose state differs from this daemon's counts as lagging.
 const LAGGING_AFTER: Ms = 500;
 
-/// Digests of the committed state: a peer's and this daemon's own.
+/// Digests of the committed state of a peer and of this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Digests {
     pub(super) theirs: u64,
     pub(super) own: u64,
 }
 
-/// A peer's state differs from this daemon's.
+/// A difference between a peer's state and this daemon's.
 #[derive(Clone, Copy, Debug)]
 struct Difference {
-    /// As they last differed. An update in transit makes two states differ in one heartbeat only.
+    /// The last digests that differed. An update in flight makes two states differ in one heartbeat only.
     digests: Digests,
-    /// Since when they have differed without a break.
+    /// Start of the uninterrupted difference.
     since: Ms,
-    /// When they were last compared, or began to differ: where both states keep changing, no two differences are alike,
-    /// and one of the daemons may still lack an earlier change.
+    /// When the states were last compared, or began to differ. While both states keep changing, no two differences have
+    /// the same digests, and one of the daemons may still lack an earlier change.
     compared_at: Ms,
 }
 
-/// Outcomes of comparing states with peers since this daemon started.
+/// Outcomes of state comparisons with peers since this daemon started.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StateComparison {
     compared_with: BTreeSet<Name>,
@@ -39,8 +40,8 @@
 }
 
 impl StateComparison {
-    /// Takes the digest of a peer's heartbeat and says whether a change was missed that is not in transit to either
-    /// daemon. `votes_in_same_epoch`: the peer votes in this daemon's member epoch.
+    /// Records the digest of a peer's heartbeat and returns whether a change was missed that is not in flight to either
+    /// daemon. `votes_in_same_epoch`: whether the peer votes in this daemon's member epoch.
     pub(super) fn observe(
         &mut self,
         peer: &Name,
@@ -58,8 +59,8 @@
         false
     }
 
-    /// Whether a difference outlasts what is in transit: that differs in one heartbeat, while a missed change differs in
-    /// the next one too, or for long.
+    /// Returns whether a difference outlasts the updates in flight. Those cause a difference in one heartbeat, while a
+    /// missed change causes one in the next heartbeat too, or for long.
     fn still_differs(&mut self, peer: &Name, digests: Digests, now: Ms) -> bool {
         let Some(difference) = self.differences.get_mut(peer) else {
             let difference = Difference {
@@ -84,7 +85,7 @@
         self.compared_with.insert(voter.clone());
     }
 
-    /// Peers that this daemon has compared its slots with since its start.
+    /// Returns the number of peers that this daemon has compared its slots with since it started.
     pub(super) fn compared_count(&self) -> usize {
         self.compared_with.len()
     }
@@ -95,7 +96,8 @@
             .is_some_and(|difference| now.saturating_sub(difference.since) >= LAGGING_AFTER)
     }
 
-    /// Whether slots may be requested again; if so, the next request waits a quarter of a heartbeat interval.
+    /// Returns whether slots may be requested again; if so, the next request must wait a quarter of a heartbeat
+    /// interval.
     pub(super) fn try_acquire_slots_request(&mut self, now: Ms) -> bool {
         if now < self.next_slots_request {
             return false;
--- a/coordination/src/control/unreachable_edges.rs
+++ b/coordination/src/control/unreachable_edges.rs
@@ -1,5 +1,5 @@
-//! The edges that this daemon does not hear from, as it reports them to the agents: all live edges poll it, while gossip
-//! takes the longer to notice a lost edge the larger the fleet is.
+//! Report of the unreachable edges to the agents. All live edges poll this daemon, while gossip takes longer to detect
+//! a lost edge the larger the fleet is.
 
 use wire_messages::{List, UnreachableEdges};
 
@@ -10,15 +10,15 @@
     timing::NODE_TIMEOUT,
 };
 
-/// ms. How often it is looked up which edges are unreachable.
+/// Interval between checks for unreachable edges, in ms.
 const CHECK_INTERVAL: Ms = 100;
 
-/// The present report, and when it is checked next.
+/// The current report, and when it is checked next.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreachableEdgeReport {
-    /// How often the report has changed; the version of a report.
+    /// Number of times the report has changed; used as the version of the report.
     change_count: u64,
-    /// Digests of the edges' names in their order; none while this daemon cannot know.
+    /// Digests of the edges' names, in the order of the names; `None` while this daemon cannot know them.
     edges: Option<Vec<u32>>,
     next_check: Ms,
 }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The version of the report as it is sent; 0 where this daemon has nothing to report.
+    /// Returns the version of the report as it is sent; 0 if this daemon has nothing to report.
     fn version(&self) -> u64 {
         self.edges.as_ref().map_or(0, |_| self.change_count)
     }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What a follower lacks that has the report of this version.
+    /// Returns the report if its version differs from the version that a follower has.
     pub(super) fn changed_since(&self, version: u64) -> List<UnreachableEdges> {
         if version == self.version() {
             return List::default();
@@ -53,8 +53,8 @@
 }
 
 impl Control {
-    /// Looks up which edges are unreachable, where that is due. A daemon that is not in contact reports none: it may be
-    /// the one that is cut off.
+    /// Updates the report if a check is due. A daemon that is not in contact reports no edges, because it may be the
+    /// one that is cut off.
     pub(super) fn check_unreachable_edges(&mut self, now: Ms) {
         if now < self.unreachable_edges.next_check {
             return;
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    /// The report, where a follower lacks the newest.
+    /// Returns the report if a follower lacks the newest one.
     pub(super) fn unreachable_edges_update(&self, follower: &Follower) -> List<UnreachableEdges> {
         self.unreachable_edges
             .changed_since(follower.unreachable_edges_version)
