--- a/coordination/tests/feed.rs
+++ b/coordination/tests/feed.rs
@@ -1,5 +1,5 @@
-//! How changes get from control daemons to edges over several regions: without delay, also where a daemon fails, and over
-//! the expensive links between regions no more often than needed.
+//! Delivery of changes from control daemons to edges over several regions: without delay, even if a daemon fails, and
+//! over the expensive links between regions no more often than needed.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,15 +19,15 @@
 
 mod fleet;
 
-/// Regions, and control daemons in them: two each, in zones of their own.
+/// Number of regions and of control daemons: two per region, each in its own zone.
 const REGIONS: usize = 3;
 const DAEMONS: usize = 6;
-/// Edges of each zone.
+/// Edges per zone.
 const EDGES_PER_ZONE: usize = 4;
-/// ms. Network latency inside a region and between regions.
+/// Network latency in ms within a region and between regions.
 const LOCAL_LATENCY: Ms = 1;
 const REMOTE_LATENCY: Ms = 35;
-/// Bytes of a long spec, and bytes that an edge's link takes in a ms: ten megabits a second.
+/// Size of a long spec in bytes, and capacity of an edge's link in bytes per ms: 10 Mbit/s.
 const LONG_SPEC_BYTES: usize = 40_000;
 const LINK_BYTES_PER_MS: usize = 1_250;
 
@@ -44,29 +44,29 @@
 struct Edge {
     agent: EdgeAgent,
     zone: usize,
-    /// When its link is free again.
+    /// When its link becomes free.
     link_free_at: Ms,
     /// When it received the newest spec.
     received_at: Option<Ms>,
 }
 
-/// A message in transit: the receiver, the sender, the sender's address.
-type Transit = (Name, Name, Name, Message);
+/// A message in flight: receiver, sender and the sender's address.
+type InFlightMessage = (Name, Name, Name, Message);
 
 struct Topology {
     fleet: Fleet,
     edges: BTreeMap<Name, Edge>,
-    /// Messages from daemons to edges, taken off the fleet's own network.
+    /// Messages from daemons to edges, intercepted on the fleet's own network.
     sent_to_edges: Rc<RefCell<Vec<(Name, Name, Message)>>>,
-    in_transit: BTreeMap<(Ms, u64), Transit>,
+    in_flight: BTreeMap<(Ms, u64), InFlightMessage>,
     sequence: u64,
-    /// Bytes from daemons to edges of other regions.
+    /// Bytes transferred from daemons to edges of other regions.
     remote_bytes: usize,
-    /// Links from a daemon to edges that lose everything, by the daemon's number.
+    /// Indices of the daemons whose links to edges lose every message.
     disconnected_daemons: BTreeSet<usize>,
-    /// A region that is cut off, and messages that wait on the way out of it and into it: channels break only after minutes.
-    cut: Rc<Cell<Option<usize>>>,
-    delayed: Vec<Transit>,
+    /// Region that is cut off, and messages into and out of it, which are delayed: channels break only after minutes.
+    cut_off: Rc<Cell<Option<usize>>>,
+    delayed: Vec<InFlightMessage>,
 }
 
 impl Topology {
@@ -74,43 +74,43 @@
         let mut fleet = Fleet::bootstrapped(seed, DAEMONS, region);
         fleet.run(6_000);
         let sent_to_edges: Rc<RefCell<Vec<(Name, Name, Message)>>> = Rc::default();
-        let cut: Rc<Cell<Option<usize>>> = Rc::default();
-        let (log, sides) = (sent_to_edges.clone(), cut.clone());
+        let cut_off: Rc<Cell<Option<usize>>> = Rc::default();
+        let (sent, partition) = (sent_to_edges.clone(), cut_off.clone());
         fleet.delivers = Box::new(move |from, to, message| {
             if to.starts_with('e') {
-                log.borrow_mut()
+                sent.borrow_mut()
                     .push((from.clone(), to.clone(), message.clone()));
                 return true;
             }
-            let inside = |n: &Name| sides.get().is_some_and(|r| zone_of(n) % REGIONS == r);
+            let inside = |n: &Name| partition.get().is_some_and(|r| zone_of(n) % REGIONS == r);
             inside(from) == inside(to)
         });
         let mut topology = Topology {
             fleet,
             edges: BTreeMap::new(),
             sent_to_edges,
-            in_transit: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
             remote_bytes: 0,
             disconnected_daemons: BTreeSet::new(),
-            cut,
+            cut_off,
             delayed: vec![],
         };
         let regions: BTreeMap<String, String> =
             (0..DAEMONS).map(|z| (format!("z{z}"), region(z))).collect();
         for i in 0..DAEMONS * EDGES_PER_ZONE {
             let (zone, name): (usize, Name) = (i % DAEMONS, format!("e{i}").into());
-            let at = format!("z{zone}");
-            let me = Node {
+            let zone_name = format!("z{zone}");
+            let node = Node {
                 name: name.clone(),
                 addr: name.clone(),
                 role: 2,
-                zone: at.as_str().into(),
+                zone: zone_name.as_str().into(),
                 incarnation: 1,
                 ..Node::default()
             };
             let mut agent = EdgeAgent::new(
-                me,
+                node,
                 (0..3).map(fleet::addr).collect(),
                 seed + i as u64,
                 topology.fleet.now,
@@ -134,7 +134,7 @@
     fn send(&mut self, from: &Name, addr: &Name, to: Name, msg: Message) {
         let zone = |n: &Name| self.edges.get(n).map_or_else(|| zone_of(n), |e| e.zone);
         let is_remote = region(zone(addr)) != region(zone(&to));
-        let inside = |n: &Name| self.cut.get().is_some_and(|r| zone(n) % REGIONS == r);
+        let inside = |n: &Name| self.cut_off.get().is_some_and(|r| zone(n) % REGIONS == r);
         if inside(addr) != inside(&to) {
             return self.delayed.push((to, from.clone(), addr.clone(), msg));
         }
@@ -160,7 +160,7 @@
             edge.link_free_at = at;
         }
         self.sequence += 1;
-        self.in_transit
+        self.in_flight
             .insert((at, self.sequence), (to, from.clone(), addr.clone(), msg));
     }
     fn carry_out(&mut self, edge: &Name, out: Effects) {
@@ -189,7 +189,7 @@
                     self.send(&name, &from, to, message);
                 }
             }
-            while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= now) {
+            while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= now) {
                 let (to, from, addr, message) = entry.remove();
                 if let Some(edge) = self.edges.get_mut(&to) {
                     let out = edge.agent.on_message(&from, &addr, message, now);
@@ -203,7 +203,7 @@
                     let out = self.fleet.daemons[i]
                         .control
                         .as_mut()
-                        .map_or(vec![], |b| b.on_message(&from, &addr, message, now));
+                        .map_or(vec![], |c| c.on_message(&from, &addr, message, now));
                     self.fleet.carry_out(i, out);
                 }
             }
@@ -233,15 +233,15 @@
             }
         }
     }
-    /// Ends the partition: all delayed messages set out.
+    /// Ends the partition and sends all delayed messages.
     fn heal_partition(&mut self) {
-        self.cut.set(None);
+        self.cut_off.set(None);
         self.remote_bytes = 0;
         for (to, from, addr, message) in std::mem::take(&mut self.delayed) {
             self.send(&from, &addr, to, message);
         }
     }
-    /// Writes a long spec; returns when it was accepted.
+    /// Writes a long spec and returns when it was accepted.
     fn write_long_spec(&mut self) -> Ms {
         for edge in self.edges.values_mut() {
             edge.received_at = None;
@@ -257,9 +257,9 @@
                 return *at;
             }
         }
-        panic!("no answer to a write");
+        panic!("the write has no outcome");
     }
-    /// ms from `since` until the slowest edge had the spec.
+    /// Returns the time in ms from `since` until the last edge received the spec.
     fn slowest_delivery(&self, since: Ms) -> Ms {
         self.edges
             .values()
@@ -276,7 +276,8 @@
         let at = topology.write_long_spec();
         topology.run(3_000);
         expect_that!(topology.slowest_delivery(at), le(400), "seed {seed}");
-        // Four copies' worth for all edges, short changes included; each had most of them from elsewhere once.
+        // At most four times the spec for all edges together, including short changes. Before a fix, each edge received
+        // most of its copies from other regions.
         expect_that!(
             topology.remote_bytes,
             le(LONG_SPEC_BYTES * 4),
@@ -305,9 +306,9 @@
 fn region_is_not_flooded_after_a_network_partition() {
     for seed in 0..3 {
         let mut topology = Topology::new(seed);
-        topology.cut.set(Some(2));
+        topology.cut_off.set(Some(2));
         topology.run(PUSH_ELIGIBILITY + 200);
-        // Two operators' changes, neither of which the region hears of.
+        // Two changes by operators, neither of which reaches the region.
         topology.write_long_spec();
         topology.run(500);
         topology.write_long_spec();
@@ -329,7 +330,7 @@
         expect_that!(
             topology.remote_bytes,
             le(2 * EDGES_PER_ZONE * LONG_SPEC_BYTES),
-            "seed {seed}: at most one copy each comes from afar"
+            "seed {seed}: more than one copy per edge came from other regions"
         );
     }
 }
@@ -338,14 +339,15 @@
 fn delayed_polls_are_answered_with_long_values_once() {
     for seed in 0..3 {
         let mut topology = Topology::new(seed);
-        // So short that daemons take the edges for followers all along.
-        topology.cut.set(Some(2));
+        // Short enough that the daemons count the edges as followers throughout.
+        topology.cut_off.set(Some(2));
         topology.run(PUSH_ELIGIBILITY + 100);
         topology.write_long_spec();
         topology.run(1_200);
         topology.heal_partition();
         topology.run(5_000);
-        // Each of the four daemons elsewhere once, though two or three questions of each edge had waited at each.
+        // Each of the four daemons in other regions sends the value once, although two or three polls of each edge were
+        // waiting at each daemon.
         expect_that!(
             topology.remote_bytes,
             le(4 * 2 * EDGES_PER_ZONE * LONG_SPEC_BYTES * 11 / 10),
--- a/coordination/tests/update_pushes.rs
+++ b/coordination/tests/update_pushes.rs
@@ -1,5 +1,5 @@
-//! How a control daemon pushes committed values to edges: a long value is sent to those that lack
-//! it, once, and by the nearest daemon.
+//! Pushes of committed values from a control daemon to edges: a long value is sent to each edge that lacks it, once, by
+//! the nearest daemon.
 
 mod support;
 
@@ -17,19 +17,19 @@
     lone_control::{self, DISK_ID, NAME},
 };
 
-/// Bytes of a long spec.
+/// Size of a long value in bytes.
 const LONG_VALUE_BYTES: usize = 30_000;
 
-/// A control daemon that is the only voter, and what it sends to others than itself.
+/// A control daemon that is the only voter; it receives its own messages at once.
 struct LoneControl {
     control: Control,
     now: Ms,
-    /// Of the agent that polls it.
+    /// Zone of the agent that polls it.
     agent_zone: &'static str,
 }
 
 impl LoneControl {
-    /// One that has settled and is polled from a zone.
+    /// Creates a settled daemon that is polled by an agent in a zone.
     fn polled_from(agent_zone: &'static str) -> Self {
         let mut lone = LoneControl {
             control: Control::new(lone_control::config(), DISK_ID, vec![], 1, 0),
@@ -42,7 +42,7 @@
         lone
     }
 
-    /// Carries effects out at once; gives the updates to others.
+    /// Executes effects at once and returns the updates that are sent to others.
     fn carry_out(&mut self, mut effects: Vec<Effect>) -> Vec<Update> {
         let mut updates = vec![];
         while let Some(effect) = effects.pop() {
@@ -74,36 +74,36 @@
         self.carry_out(effects)
     }
 
-    /// The answers to a poll of an agent that has the change stream up to a position.
-    fn poll(&mut self, stream: Stream) -> Vec<Update> {
+    /// Returns the answers to a poll of an agent that has reached a position in the change feed.
+    fn poll(&mut self, reached: FeedPosition) -> Vec<Update> {
         let poll = Poll {
             node: Node {
                 zone: self.agent_zone.into(),
                 ..node("e", NodeRole::Edge)
             },
             sent_at: self.now,
-            source_incarnation: stream.incarnation,
-            after_position: stream.position,
+            source_incarnation: reached.incarnation,
+            after_position: reached.position,
             ..Poll::default()
         };
         self.receive("e", poll)
     }
 
-    /// The answers to the first poll of an agent, and where it then is in the change stream.
-    fn first_poll(&mut self) -> Stream {
-        let answers = self.poll(Stream::default());
-        Stream {
+    /// Sends the first poll of an agent and returns the position in the change feed that it reaches.
+    fn first_poll(&mut self) -> FeedPosition {
+        let answers = self.poll(FeedPosition::default());
+        FeedPosition {
             incarnation: answers[0].source_incarnation,
             position: answers[0].through_position,
         }
     }
 
-    /// Another control daemon is alive in the zone `y`.
-    fn hear_other_daemon(&mut self) {
-        self.hear_heartbeat_of_other_daemon(true);
+    /// Receives a heartbeat from another, quorum-connected control daemon in zone `y`.
+    fn receive_peer_heartbeat(&mut self) {
+        self.receive_peer_heartbeat_with(true);
     }
 
-    fn hear_heartbeat_of_other_daemon(&mut self, quorum_connected: bool) {
+    fn receive_peer_heartbeat_with(&mut self, quorum_connected: bool) {
         let heartbeat = Heartbeat {
             member_epoch: 1,
             disk_id: 8,
@@ -122,16 +122,16 @@
     }
 }
 
-/// Where an agent is in the change stream of a control daemon.
+/// Position of an agent in the change feed of one incarnation of a control daemon.
 #[derive(Clone, Copy, Default)]
-struct Stream {
+struct FeedPosition {
     incarnation: u64,
     position: u64,
 }
 
-impl Stream {
+impl FeedPosition {
     fn at(self, position: u64) -> Self {
-        Stream { position, ..self }
+        FeedPosition { position, ..self }
     }
 }
 
@@ -143,9 +143,9 @@
         .sum()
 }
 
-// At 299 machines and 3,000 replicas each poll of an edge that was still to be sent anything was
-// answered by a snapshot of all that there is, behind those that were on their way: 278 MB were in
-// control daemons' buffers.
+// With 299 machines and 3,000 replicas, each poll of an edge that still lacked changes was answered
+// with a full snapshot, queued behind the snapshots in flight: 278 MB were in control daemons'
+// buffers.
 #[gtest]
 fn a_snapshot_in_flight_is_not_sent_again() {
     const SNAPSHOT_BYTES: usize = 600_000;
@@ -155,11 +155,11 @@
     let started_at = lone.now;
     let mut sent_bytes = 0;
     while lone.now < started_at + DURATION {
-        sent_bytes += value_bytes(&lone.poll(Stream::default()));
+        sent_bytes += value_bytes(&lone.poll(FeedPosition::default()));
         lone.tick();
     }
     let assumed_bytes = (DURATION * ASSUMED_BYTES_PER_MS) as usize;
-    // A snapshot that was lost is sent again.
+    // A lost snapshot is sent again.
     expect_that!(
         sent_bytes,
         all![ge(2 * SNAPSHOT_BYTES), le(assumed_bytes + SNAPSHOT_BYTES)]
@@ -167,31 +167,31 @@
 }
 
 #[gtest]
-fn short_values_bypass_long_ones_in_flight_and_the_position_is_never_ahead_of_what_came() {
+fn short_values_bypass_long_ones_in_flight_and_the_position_excludes_unacknowledged_changes() {
     let mut lone = LoneControl::polled_from("z");
-    let stream = lone.first_poll();
+    let reached = lone.first_poll();
     expect_that!(value_bytes(&lone.write("plan/s", 600_000)), eq(600_000));
     let mut sent_bytes = 0;
     for turn in 0..10 {
         lone.tick();
-        let updates = lone.poll(stream);
+        let updates = lone.poll(reached);
         sent_bytes += value_bytes(&updates);
-        // The agent gets its leases all the same, and is not told that it has what may still be
-        // lost.
+        // The agent receives its leases nevertheless, and the position excludes changes that may
+        // still be lost.
         expect_that!(updates.len(), eq(1));
         expect_that!(
             updates[0].through_position,
-            eq(stream.position),
+            eq(reached.position),
             "at {turn}"
         );
     }
     expect_that!(sent_bytes, eq(0));
     expect_that!(value_bytes(&lone.write("zone/z", 5)), eq(5));
-    // What was lost comes once more, after the time that it would have taken.
+    // Lost changes are sent again after the time in which they should have arrived.
     lone.now += 3_000;
-    let again = lone.poll(stream);
+    let again = lone.poll(reached);
     expect_that!(value_bytes(&again), eq(600_005));
-    let updates = lone.poll(stream.at(again[0].through_position));
+    let updates = lone.poll(reached.at(again[0].through_position));
     expect_that!(value_bytes(&updates), eq(0));
 }
 
@@ -199,44 +199,45 @@
 fn a_long_value_is_pushed_by_the_nearest_daemon_and_by_others_only_if_that_one_does_not_send_it() {
     for (zone, is_nearest) in [("z", true), ("y", false)] {
         let mut lone = LoneControl::polled_from(zone);
-        let mut stream = lone.first_poll();
-        lone.hear_other_daemon();
+        let mut reached = lone.first_poll();
+        lone.receive_peer_heartbeat();
         let pushed_bytes = value_bytes(&lone.write("plan/s", LONG_VALUE_BYTES));
         let expected_bytes = if is_nearest { LONG_VALUE_BYTES } else { 0 };
         expect_that!(pushed_bytes, eq(expected_bytes), "zone {zone}");
-        // A short value goes to whom it went to before, and is not taken for all that there is.
+        // Short values are sent as before, and an answer without the long value does not count as
+        // complete.
         let started_at = lone.now;
         let mut sent_bytes = pushed_bytes;
         while sent_bytes == 0 && lone.now < started_at + 5_000 {
-            lone.hear_other_daemon();
+            lone.receive_peer_heartbeat();
             lone.tick();
-            let updates = lone.poll(stream);
+            let updates = lone.poll(reached);
             expect_that!(updates.len(), eq(1));
-            stream = stream.at(updates[0].through_position);
+            reached = reached.at(updates[0].through_position);
             sent_bytes += value_bytes(&updates);
         }
         expect_that!(sent_bytes, eq(LONG_VALUE_BYTES));
-        let most = if is_nearest {
+        let limit = if is_nearest {
             0
         } else {
             PUSH_TIMEOUT + TICK_INTERVAL
         };
-        expect_that!(lone.now - started_at, le(most));
+        expect_that!(lone.now - started_at, le(limit));
     }
 }
 
-// A daemon that others hear, and that hears none of them, learns of no change that it could push.
+// A daemon whose messages arrive but that receives none has no changes to push.
 #[gtest]
-fn a_value_is_not_left_to_a_nearest_daemon_that_hears_no_majority() {
+fn a_value_is_not_left_to_a_nearest_daemon_that_is_not_quorum_connected() {
     for (quorum_connected, expected_bytes) in [(true, 0), (false, LONG_VALUE_BYTES)] {
         let mut lone = LoneControl::polled_from("y");
-        let stream = lone.first_poll();
+        let reached = lone.first_poll();
         let started_at = lone.now;
         while lone.now < started_at + 2 * PUSH_TIMEOUT {
             lone.tick();
-            lone.poll(stream);
+            lone.poll(reached);
         }
-        lone.hear_heartbeat_of_other_daemon(quorum_connected);
+        lone.receive_peer_heartbeat_with(quorum_connected);
         let pushed_bytes = value_bytes(&lone.write("plan/s", LONG_VALUE_BYTES));
         expect_that!(
             pushed_bytes,
@@ -246,14 +247,14 @@
     }
 }
 
-// A record that changes all the time must not be left to a daemon that does not reach the edge.
+// A record that changes all the time must not be left to a daemon that cannot reach the edge.
 #[gtest]
-fn a_long_value_that_changes_all_the_time_reaches_an_edge_that_its_nearest_daemon_does_not() {
+fn a_frequently_changed_long_value_reaches_an_edge_that_its_nearest_daemon_cannot_reach() {
     let mut lone = LoneControl::polled_from("y");
-    let mut stream = lone.first_poll();
+    let mut reached = lone.first_poll();
     let (mut last_received_at, mut longest_gap) = (lone.now, 0);
     for turn in 0..200 {
-        lone.hear_other_daemon();
+        lone.receive_peer_heartbeat();
         let mut updates = if turn % 4 == 0 {
             lone.write("plan/s", LONG_VALUE_BYTES + turn)
         } else {
@@ -261,11 +262,11 @@
         };
         lone.tick();
         if let Some(last) = updates.last() {
-            stream = stream.at(last.through_position);
+            reached = reached.at(last.through_position);
         }
-        updates.extend(lone.poll(stream));
+        updates.extend(lone.poll(reached));
         let answered_position = updates[updates.len() - 1].through_position;
-        stream = stream.at(stream.position.max(answered_position));
+        reached = reached.at(reached.position.max(answered_position));
         if value_bytes(&updates) > 0 {
             longest_gap = longest_gap.max(lone.now - last_received_at);
             last_received_at = lone.now;
