--- a/coordination/src/control/heartbeats.rs
+++ b/coordination/src/control/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between control daemons: what this daemon says of itself, to whom, and what it does on hearing a peer.
+//! Heartbeats between control daemons: their content, their receivers and the handling of received heartbeats.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
         out: &mut Effects,
     ) {
         self.registers.set_addr(from, addr);
-        // A voter that hears neither this daemon nor a majority is as good as gone.
+        // A voter that receives heartbeats neither from this daemon nor from a majority counts as absent.
         if heartbeat.hears_receiver != 0 || heartbeat.quorum_connected != 0 {
             self.peers.record_disk(heartbeat.disk_id, now);
         }
@@ -32,11 +32,13 @@
             theirs: heartbeat.committed_digest,
             own: self.registers.committed_digest(),
         };
-        let votes_here = self.votes_here(&heartbeat);
-        let missed_change = self.comparison.observe(from, digests, votes_here, now);
+        let votes_in_same_epoch = self.votes_in_same_epoch(&heartbeat);
+        let missed_change = self
+            .comparison
+            .observe(from, digests, votes_in_same_epoch, now);
         let is_lagging = heartbeat.member_epoch > self.registers.members.member_epoch
             || (is_voter && missed_change);
-        if is_lagging && !is_blank && self.comparison.take_slots_request_turn(now) {
+        if is_lagging && !is_blank && self.comparison.try_acquire_slots_request(now) {
             out.push(send(addr, self.registers.slots_request()));
         }
         if is_blank {
@@ -45,7 +47,7 @@
         self.peers.record(from, addr, heartbeat, now);
     }
 
-    /// Offers the first voters again to a member that was named among them but has not stored them.
+    /// Sends the first voters again to a member that is listed among them but has not stored them.
     fn offer_first_voters(&self, addr: &Name, disk_id: u64, out: &mut Effects) {
         let voters = &self.registers.members.voters;
         if self.registers.members.member_epoch == 1
@@ -57,7 +59,7 @@
     }
 
     pub(super) fn send_heartbeats(&mut self, now: Ms, out: &mut Effects) {
-        if !self.peers.take_heartbeat_turn(now) {
+        if !self.peers.take_due_heartbeat(now) {
             return;
         }
         let heartbeat = Heartbeat {
@@ -69,14 +71,14 @@
             hears_receiver: 0,
             quorum_connected: self.is_quorum_connected(now).into(),
         };
-        let heard: BTreeSet<&Name> = self
+        let reachable: BTreeSet<&Name> = self
             .peers
-            .heard_within(PEER_TIMEOUT, now)
+            .reachable_within(PEER_TIMEOUT, now)
             .map(|(_, peer)| &peer.addr)
             .collect();
         out.extend(self.heartbeat_receivers(now).iter().map(|addr| {
             let heartbeat = Heartbeat {
-                hears_receiver: heard.contains(addr).into(),
+                hears_receiver: reachable.contains(addr).into(),
                 ..heartbeat.clone()
             };
             send(addr, heartbeat)
@@ -90,7 +92,7 @@
         };
         let followers = self
             .peers
-            .heard_within(NODE_TIMEOUT, now)
+            .reachable_within(NODE_TIMEOUT, now)
             .filter(|(name, _)| !votes(name))
             .map(|(_, peer)| peer.addr.clone())
             .collect();
@@ -125,14 +127,14 @@
         let voters = self.registers.members.voters.iter();
         let mut receivers: BTreeSet<Name> =
             voters.map(|voter| self.registers.addr(voter)).collect();
-        // Learners have nothing to report to each other.
+        // Learners do not need each other's heartbeats.
         if self.registers.members.voting || self.registers.members.member_epoch == 0 {
             let live = self.membership.live(NodeRole::Control);
             receivers.extend(live.map(|node| node.addr.clone()));
-            let heard = self.peers.heard_within(NODE_TIMEOUT, now);
-            receivers.extend(heard.map(|(_, peer)| peer.addr.clone()));
+            let reachable = self.peers.reachable_within(NODE_TIMEOUT, now);
+            receivers.extend(reachable.map(|(_, peer)| peer.addr.clone()));
         }
-        // Until it knows the voters, only its seeds lead there.
+        // Until the voters are known, they can be reached only through the seeds.
         if self.registers.members.member_epoch == 0 {
             receivers.extend(self.config.seeds.iter().cloned());
         }
--- a/coordination/src/control/unreachable_edges.rs
+++ b/coordination/src/control/unreachable_edges.rs
@@ -1,5 +1,5 @@
-//! The edges that this daemon does not hear from, as it reports them to the agents: all live edges poll it, while gossip
-//! takes the longer to notice a lost edge the larger the fleet is.
+//! Report of the unreachable edges to the agents. All live edges poll this daemon, while gossip takes longer to detect
+//! a lost edge the larger the fleet is.
 
 use wire_messages::{List, UnreachableEdges};
 
@@ -10,15 +10,15 @@
     timing::NODE_TIMEOUT,
 };
 
-/// ms. How often it is looked up which edges are unreachable.
+/// Interval between checks for unreachable edges, in ms.
 const CHECK_INTERVAL: Ms = 100;
 
-/// The present report, and when it is checked next.
+/// The current report, and when it is checked next.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreachableEdgeReport {
-    /// How often the report has changed; the version of a report.
-    changes: u64,
-    /// Digests of the edges' names in their order; none while this daemon cannot know.
+    /// Number of times the report has changed; used as the version of the report.
+    change_count: u64,
+    /// Digests of the edges' names, in the order of the names; `None` while this daemon cannot know them.
     edges: Option<Vec<u32>>,
     next_check: Ms,
 }
@@ -26,14 +26,14 @@
 impl UnreachableEdgeReport {
     fn set(&mut self, edges: Option<Vec<u32>>) {
         if edges != self.edges {
-            self.changes += 1;
+            self.change_count += 1;
             self.edges = edges;
         }
     }
 
-    /// The version of the report as it is sent; 0 where this daemon has nothing to report.
+    /// Returns the version of the report as it is sent; 0 if this daemon has nothing to report.
     fn version(&self) -> u64 {
-        self.edges.as_ref().map_or(0, |_| self.changes)
+        self.edges.as_ref().map_or(0, |_| self.change_count)
     }
 
     fn message(&self) -> UnreachableEdges {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// What a follower lacks that has the report of this version.
-    pub(super) fn after_version(&self, version: u64) -> List<UnreachableEdges> {
+    /// Returns the report if its version differs from the version that a follower has.
+    pub(super) fn changed_since(&self, version: u64) -> List<UnreachableEdges> {
         if version == self.version() {
             return List::default();
         }
@@ -53,14 +53,16 @@
 }
 
 impl Control {
-    /// Looks up which edges are unreachable, where that is due. A daemon that is not in contact reports none: it may be
-    /// the one that is cut off.
+    /// Updates the report if a check is due. A daemon that is not in contact reports no edges, because it may be the
+    /// one that is cut off.
     pub(super) fn check_unreachable_edges(&mut self, now: Ms) {
         if now < self.unreachable_edges.next_check {
             return;
         }
         self.unreachable_edges.next_check = now + CHECK_INTERVAL;
-        let edges = self.in_touch(now).then(|| self.unreachable_edges_now(now));
+        let edges = self
+            .is_in_contact(now)
+            .then(|| self.unreachable_edges_now(now));
         self.unreachable_edges.set(edges);
     }
 
@@ -72,9 +74,9 @@
             .collect()
     }
 
-    /// The report, where a follower lacks the newest.
-    pub(super) fn lacking_unreachable_edges(&self, follower: &Follower) -> List<UnreachableEdges> {
+    /// Returns the report if a follower lacks the newest one.
+    pub(super) fn unreachable_edges_update(&self, follower: &Follower) -> List<UnreachableEdges> {
         self.unreachable_edges
-            .after_version(follower.unreachable_edges_version)
+            .changed_since(follower.unreachable_edges_version)
     }
 }
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -90,7 +90,7 @@
     fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
         self.registers.begin_as_voter(voters, out);
         // Other daemons acquire its keys until they know that it votes.
-        self.peers.send_heartbeat_soon();
+        self.peers.make_heartbeat_due();
     }
 
     pub(super) fn on_slots_reply(
@@ -105,7 +105,7 @@
             self.begin_member_epoch();
         }
         if outcome.voting_started {
-            self.peers.send_heartbeat_soon();
+            self.peers.make_heartbeat_due();
         }
         if outcome.compared_with_voter {
             self.comparison.record_compared(from);
@@ -123,7 +123,7 @@
         self.voter_membership
             .on_voters_changed(self.suspension.last_tick());
         // Other daemons do not consider it live until they know that it has the same member epoch.
-        self.peers.send_heartbeat_soon();
+        self.peers.make_heartbeat_due();
     }
 
     /// Replaces lost voters, and adds voters where there are too few, if this daemon owns the members' key.
@@ -137,7 +137,7 @@
             return;
         }
         self.voter_membership.next_voter_change_at = now + 2 * HEARTBEAT_INTERVAL;
-        self.peers.forget_old_disks(now);
+        self.peers.prune_old_disks(now);
         if !self.may_change_voters(now, live) || self.is_new_voter_catching_up(now) {
             return;
         }
@@ -176,9 +176,12 @@
             })
         };
         now.saturating_sub(changed_at) < CATCH_UP_TIMEOUT
-            && self.peers.heard_within(PEER_TIMEOUT, now).any(|(_, peer)| {
-                peer.heartbeat.state == PeerState::CatchingUp && is_new_voter(peer)
-            })
+            && self
+                .peers
+                .reachable_within(PEER_TIMEOUT, now)
+                .any(|(_, peer)| {
+                    peer.heartbeat.state == PeerState::CatchingUp && is_new_voter(peer)
+                })
     }
 
     /// Returns the next voters, if the current ones should change.
@@ -251,7 +254,7 @@
         let mut recipients: BTreeMap<Name, Name> = voters
             .map(|voter| (voter.name.clone(), self.registers.addr(voter)))
             .collect();
-        let recent_peers = self.peers.heard_within(PEER_TIMEOUT, now);
+        let recent_peers = self.peers.reachable_within(PEER_TIMEOUT, now);
         recipients.extend(recent_peers.map(|(name, peer)| (name.clone(), peer.addr.clone())));
         recipients.retain(|name, _| {
             *name != self.config.name && !self.registers.has_caught_up_from(name)
@@ -270,7 +273,7 @@
             return None;
         }
         let waiting_peer = |id: &Name| {
-            let mut recent_peers = self.peers.heard_within(PEER_TIMEOUT, now);
+            let mut recent_peers = self.peers.reachable_within(PEER_TIMEOUT, now);
             let found = recent_peers.find(|(name, peer)| ids.is_waiting(id, name, peer));
             found.map(|(name, peer)| peer.as_voter(name, 1))
         };
