--- a/fleet-tools/src/bin/soak.rs
+++ b/fleet-tools/src/bin/soak.rs
@@ -52,6 +52,14 @@
                 .action(ArgAction::SetTrue)
                 .help("Fails only on findings that rest on no wall clock"),
         )
+        .arg(
+            Arg::new("rolling-from")
+                .long("rolling-from")
+                .value_name("FILE")
+                .value_parser(value_parser!(PathBuf))
+                .conflicts_with("minutes")
+                .help("Starts the fleet from this program, and in place of faults moves its machines one by one to the usual one and back"),
+        )
         .arg(
             Arg::new("report")
                 .long("report")
@@ -66,6 +74,10 @@
     if !program.exists() {
         return Err(format!("{} is not built", program.display()));
     }
+    let rolling_from = m.get_one::<PathBuf>("rolling-from").cloned();
+    if let Some(former) = rolling_from.as_ref().filter(|file| !file.is_file()) {
+        return Err(format!("{} is no file", former.display()));
+    }
     let minutes: f64 = m.get_one("minutes").copied().unwrap_or(1.0);
     Ok(Options {
         seed: m.get_one("seed").copied().unwrap_or(1),
@@ -75,6 +87,7 @@
             .copied()
             .unwrap_or(PROCESSES.0) as usize,
         program,
+        rolling_from,
     })
 }
 
@@ -96,9 +109,12 @@
         }
     };
     let findings = check(&observed);
-    let minutes = o.long.as_secs_f64() / 60.0;
+    let played = match &o.rolling_from {
+        Some(former) => format!("--rolling-from {}", former.display()),
+        None => format!("--minutes {}", o.long.as_secs_f64() / 60.0),
+    };
     let again = format!(
-        "soak --seed {} --minutes {minutes} --processes {}",
+        "soak --seed {} {played} --processes {}",
         o.seed, o.processes
     );
     let report = Report {
--- a/fleet-tools/src/soak.rs
+++ b/fleet-tools/src/soak.rs
@@ -11,4 +11,5 @@
 pub mod releases;
 pub mod report;
 pub mod resources;
+pub mod rolling;
 pub mod run;
--- a/fleet-tools/src/soak/faults.rs
+++ b/fleet-tools/src/soak/faults.rs
@@ -1,6 +1,7 @@
 //! Carries out the actions of a plan on real processes.
 
 use std::{
+    path::Path,
     rc::Rc,
     time::{Duration, Instant},
 };
@@ -38,11 +39,8 @@
     Duration::from_millis(n)
 }
 
-/// Stops a machine's processes by SIGTERM and starts them again.
-async fn restart(s: &Soak, machine: usize, rng: &mut Rng) {
-    if !s.claim(machine) {
-        return;
-    }
+/// Stops a machine's processes by SIGTERM, and kills what is left at the end of their grace; gives the place of the note.
+async fn stop(s: &Soak, machine: usize) -> usize {
     let place = s.note(machine, Trouble::Stopped);
     s.machines.borrow().all[machine].signal(libc::SIGTERM);
     let until = Instant::now() + Duration::from_secs(s.d.grace);
@@ -58,17 +56,34 @@
     if ended.is_none() {
         s.machines.borrow_mut().all[machine].kill();
     }
-    {
-        let mut seen = s.seen.borrow_mut();
-        let event = &mut seen.events[place];
-        event.ended_well = ended
-            .as_ref()
-            .map(|ends| ends.iter().all(|(_, e)| e.success()));
-        event.statuses = ended.map_or(String::new(), |ends| format!("{ends:?}"));
+    let mut seen = s.seen.borrow_mut();
+    let event = &mut seen.events[place];
+    event.ended_well = ended
+        .as_ref()
+        .map(|ends| ends.iter().all(|(_, e)| e.success()));
+    event.statuses = ended.map_or(String::new(), |ends| format!("{ends:?}"));
+    place
+}
+
+/// Stops a machine's processes by SIGTERM and starts them again.
+async fn restart(s: &Soak, machine: usize, rng: &mut Rng) {
+    if !s.claim(machine) {
+        return;
     }
+    let place = stop(s, machine).await;
     run_again(s, machine, place, rng.u64(START.0..START.1)).await;
 }
 
+/// Stops a machine's processes by SIGTERM and starts them again from another program.
+pub async fn restart_with(s: &Soak, machine: usize, program: &Path) {
+    if !s.claim(machine) {
+        return;
+    }
+    let place = stop(s, machine).await;
+    s.machines.borrow_mut().set_program(machine, program);
+    run_again(s, machine, place, START.0).await;
+}
+
 /// Starts a machine whose processes have ended, and gives it back.
 async fn run_again(s: &Soak, machine: usize, place: usize, down: Ms) {
     sleep(ms(down)).await;
@@ -121,12 +136,23 @@
         sleep(LOOK).await;
     }
     f.await;
+    all_vote(s).await;
+}
+
+/// Waits until every control daemon votes; names those that do not.
+pub async fn all_vote(s: &Soak) -> Vec<String> {
     let until = Instant::now() + WHOLE;
-    for c in s.controls() {
-        while !votes(&c).await && Instant::now() < until {
+    let mut missing = vec![];
+    for (n, control) in s.controls().iter().enumerate() {
+        while !votes(control).await {
+            if Instant::now() >= until {
+                missing.push(format!("control daemon {n}"));
+                break;
+            }
             sleep(LOOK).await;
         }
     }
+    missing
 }
 
 async fn wipe(s: &Soak, machine: usize) {
--- a/fleet-tools/src/soak/history.rs
+++ b/fleet-tools/src/soak/history.rs
@@ -77,6 +77,17 @@
     pub statuses: String,
 }
 
+/// A machine's processes ran from one program. Noted only where machines are moved between programs.
+#[derive(Clone, Debug, Serialize)]
+pub struct ProgramRun {
+    pub machine: String,
+    pub program: String,
+    /// When they were started; 0 for the first start.
+    pub from: Ms,
+    /// When they were told to stop; none for the last run.
+    pub until: Option<Ms>,
+}
+
 /// A replica's life ended.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplicaEnd {
@@ -193,6 +204,7 @@
     pub tried: Vec<Tried>,
     pub arrived: Vec<Arrived>,
     pub events: Vec<Event>,
+    pub program_runs: Vec<ProgramRun>,
     pub replica_ends: Vec<ReplicaEnd>,
     pub directed: Vec<Directed>,
     pub changes: Vec<Change>,
--- a/fleet-tools/src/soak/report.rs
+++ b/fleet-tools/src/soak/report.rs
@@ -6,7 +6,7 @@
 
 use super::{
     checks::{Finding, is_read_while_cut},
-    history::{End, Observed, Usage},
+    history::{End, Observed, ProgramRun, Usage},
 };
 
 /// A soak and what its checks found.
@@ -67,6 +67,19 @@
     all.iter().map(of).max().unwrap_or(0)
 }
 
+fn program_run(run: &ProgramRun) -> String {
+    let until = run
+        .until
+        .map_or("the end".into(), |until| format!("{until} ms"));
+    let ProgramRun {
+        machine,
+        program,
+        from,
+        ..
+    } = run;
+    format!("{machine}: `{program}` from {from} ms to {until}")
+}
+
 impl Report<'_> {
     /// A page in Markdown.
     pub fn page(&self) -> String {
@@ -114,6 +127,12 @@
         );
         row("play again", format!("`{}`", self.again));
         row("logs", self.logs.clone());
+        if !o.program_runs.is_empty() {
+            writeln!(s, "\n## Programs of machines\n").unwrap_or_default();
+        }
+        for run in &o.program_runs {
+            writeln!(s, "- {}", program_run(run)).unwrap_or_default();
+        }
         writeln!(s, "\n## Findings: {}\n", self.findings.len()).unwrap_or_default();
         for f in self.findings {
             writeln!(s, "- {} ({:?}): {}", f.check, f.basis, f.text).unwrap_or_default();
--- a/fleet-tools/src/soak/run.rs
+++ b/fleet-tools/src/soak/run.rs
@@ -26,6 +26,7 @@
     plan::{self, Size, Step},
     releases::{self, Releases},
     resources,
+    rolling::{self, Programs},
 };
 use crate::link::Link;
 
@@ -46,6 +47,9 @@
     pub processes: usize,
     /// The program under test.
     pub program: PathBuf,
+    /// The fleet starts from this program, and in place of faults its machines are moved one by one to the program under
+    /// test and back. That takes as long as it takes, whatever `long` says.
+    pub rolling_from: Option<PathBuf>,
 }
 
 /// A soak under way, as its callers, operators and faults share it.
@@ -144,7 +148,7 @@
     }
 
     /// Waits until every edge serves every kind of request; names those that do not.
-    async fn all_serve(&self) -> Vec<String> {
+    pub async fn all_serve(&self) -> Vec<String> {
         let until = Instant::now() + PATIENCE;
         let mut missing = vec![];
         for (edge, front) in self.fronts().iter().enumerate() {
@@ -200,7 +204,8 @@
 
 fn start(o: &Options) -> io::Result<Soak> {
     let d = Deployment::sized(o.processes);
-    let mut machines = Machines::start_behind_relays(d, &o.program)?;
+    let mut machines =
+        Machines::start_behind_relays(d, o.rolling_from.as_ref().unwrap_or(&o.program))?;
     machines.keeps = true;
     let world = Shared::default();
     world::serve_list(&world, (machines.list(), d.ports.list))?;
@@ -257,15 +262,8 @@
         .map_err(|e| e.to_string())
 }
 
-async fn play(s: &Rc<Soak>, steps: Vec<Step>, seed: u64, long: Duration) {
-    let n = (s.d.edges.len() * CALLERS.0).clamp(CALLERS.1, CALLERS.2);
-    let mut tasks: Vec<_> = (0..n)
-        .map(|i| actix_rt::spawn(callers::call(s.clone(), seed, i)))
-        .collect();
-    tasks.push(actix_rt::spawn(operators::read(s.clone(), seed)));
-    tasks.push(actix_rt::spawn(operators::resolve(s.clone(), seed)));
-    sleep(CALM).await;
-    s.seen.borrow_mut().usage_before = resources::usage(&s.machines.borrow());
+/// Carries out the steps of a plan; ends when all have ended and the soak is as long as it is to be.
+async fn play_steps(s: &Rc<Soak>, steps: Vec<Step>, seed: u64, long: Duration) {
     let begun = s.now();
     let mut actions = vec![];
     for (at, action) in steps {
@@ -280,6 +278,35 @@
         let _ = a.await;
     }
     sleep((long + CALM).saturating_sub(Duration::from_millis(s.now() - begun))).await;
+}
+
+/// Plays what the options say, under traffic.
+async fn play(s: &Rc<Soak>, o: &Options) {
+    let seed = o.seed;
+    let n = (s.d.edges.len() * CALLERS.0).clamp(CALLERS.1, CALLERS.2);
+    let mut tasks: Vec<_> = (0..n)
+        .map(|i| actix_rt::spawn(callers::call(s.clone(), seed, i)))
+        .collect();
+    tasks.push(actix_rt::spawn(operators::read(s.clone(), seed)));
+    tasks.push(actix_rt::spawn(operators::resolve(s.clone(), seed)));
+    sleep(CALM).await;
+    s.seen.borrow_mut().usage_before = resources::usage(&s.machines.borrow());
+    if let Some(former) = &o.rolling_from {
+        let programs = Programs {
+            former,
+            usual: &o.program,
+        };
+        rolling::roll(s, programs, seed).await;
+        sleep(CALM).await;
+    } else {
+        let size = Size {
+            edges: s.d.edges.len(),
+            core: s.d.core.len(),
+            zones: s.d.zones.len(),
+        };
+        let steps = plan::draw(seed, o.long.as_millis() as Ms, size);
+        play_steps(s, steps, seed, o.long).await;
+    }
     s.over.set(true);
     for t in tasks {
         let _ = t.await;
@@ -295,18 +322,12 @@
         .await
         .map_err(|e| format!("starting relays: {e}"))?;
     begin(&s).await?;
-    let size = Size {
-        edges: s.d.edges.len(),
-        core: s.d.core.len(),
-        zones: s.d.zones.len(),
-    };
-    let steps = plan::draw(o.seed, o.long.as_millis() as Ms, size);
-    play(&s, steps, o.seed, o.long).await;
+    play(&s, o).await;
     let missing = s.all_serve().await;
     let lost = operators::last(&s).await;
     sleep(CALM).await;
     let mut seen = s.seen.take();
-    seen.not_back = missing;
+    seen.not_back.extend(missing);
     seen.lost_changes = lost;
     seen.arrived = s.arrived();
     seen.usage_after = resources::usage(&s.machines.borrow());
--- a/fleet-tools/tests/soak.rs
+++ b/fleet-tools/tests/soak.rs
@@ -24,6 +24,7 @@
         long: Duration::from_secs(40),
         processes: 15,
         program,
+        rolling_from: None,
     };
     let (observed, logs) = soak(&o).await.expect("a soak");
     let findings = check(&observed);
