--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -197,7 +197,7 @@
             && config.bootstrap
             && config.members.is_empty();
         if bootstraps {
-            registers.bootstrap_with(&config.seeds);
+            registers.set_bootstrap_addrs(&config.seeds);
         }
         let mut control = Control {
             started_at: now,
--- a/coordination/src/control/usage_reports.rs
+++ b/coordination/src/control/usage_reports.rs
@@ -287,7 +287,8 @@
             CallOutcome::Superseded => {
                 let text = format!("epoch {}", call.epoch);
                 out.push(log_event(events::PLATFORM_CALL_SUPERSEDED, USAGE_KEY, text));
-                self.registers.end_term(&USAGE_KEY.into(), call.epoch, out);
+                self.registers
+                    .relinquish_epoch(&USAGE_KEY.into(), call.epoch, out);
             }
         }
     }
--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -87,7 +87,7 @@
     }
 
     fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
-        self.registers.begin_as_voter(voters, out);
+        self.registers.bootstrap_as_voter(voters, out);
         // Until others know that it votes they acquire its keys.
         self.peers.send_heartbeat_soon();
     }
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -165,7 +165,7 @@
         for displaced in std::mem::take(&mut self.registers.displaced) {
             let token = displaced.token;
             if let Some(caller) = self.writes.forwarding.take_remote_caller(token) {
-                let (outcome, version) = match displaced.offered_version {
+                let (outcome, version) = match displaced.proposed_version {
                     Some(version) => (ForwardOutcome::Deposed, version),
                     None => (ForwardOutcome::NotOwner, 0),
                 };
@@ -187,9 +187,9 @@
 
     /// Has a displaced request go to the key's next owner.
     fn reroute(&mut self, displaced: DisplacedRequest, now: Ms) {
-        if displaced.offered_version.is_some() {
+        if displaced.proposed_version.is_some() {
             self.writes
-                .mark_uncertain(displaced.token, displaced.offered_version);
+                .mark_uncertain(displaced.token, displaced.proposed_version);
         }
         let request = match displaced.value {
             Some(value) => {
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -151,7 +151,7 @@
     /// Votes from now on. Leases that others granted before are unknown here: one is waited out.
     pub fn start_voting(&mut self, now: Ms) {
         self.members.voting = true;
-        self.lease_grants.abstain_from(now);
+        self.lease_grants.abstain_for_one_lease(now);
     }
 
     /// Nobody has ever voted: there is no lease to wait out.
--- a/coordination/src/register/acceptor.rs
+++ b/coordination/src/register/acceptor.rs
@@ -38,11 +38,11 @@
 /// Puts an accepted value into its slot, with the promise that accepting implies. A delayed copy of an older write of the
 /// same owner must not overwrite the newer one.
 fn store_accepted(slot: &mut Slot, accept: Accept) {
-    let offered = AcceptedStamp {
+    let proposed = AcceptedStamp {
         epoch: accept.epoch,
         version: accept.version,
     };
-    if offered < AcceptedStamp::of(slot) {
+    if proposed < AcceptedStamp::of(slot) {
         return;
     }
     slot.promised_epoch = accept.epoch;
@@ -66,11 +66,11 @@
         if !self.members.votes_in(prepare.member_epoch) {
             // The refusal tells a proposer of an older member epoch that there is a newer one.
             if prepare.member_epoch < member_epoch {
-                let no_slot = Slot {
+                let empty_slot = Slot {
                     key: prepare.key,
                     ..Slot::default()
                 };
-                let refusal = refused_promise(prepare.epoch, member_epoch, no_slot, 0);
+                let refusal = refused_promise(prepare.epoch, member_epoch, empty_slot, 0);
                 out.push(send(proposer_addr, refusal));
             }
             return;
@@ -206,7 +206,7 @@
         // A former owner learns at once that it is one: otherwise it would rest on a key that nobody renews for it, and
         // that nobody else acquires.
         if promised_epoch > owned.epoch {
-            let denial = Accepted {
+            let refusal = Accepted {
                 key: owned.key.clone(),
                 epoch: owned.epoch,
                 version: 0,
@@ -214,7 +214,7 @@
                 member_epoch: self.members.member_epoch,
                 accepted: 0,
             };
-            out.push(send(owner_addr, denial));
+            out.push(send(owner_addr, refusal));
             return false;
         }
         // Other voters made this owner. Its majority may need this voter once one of them is gone, so that the
--- a/coordination/src/register/acquisition.rs
+++ b/coordination/src/register/acquisition.rs
@@ -28,8 +28,8 @@
         let (pending, not_before) = self
             .ownerships
             .remove(key)
-            .map_or((VecDeque::new(), 0), |former| {
-                (former.pending, former.not_before)
+            .map_or((VecDeque::new(), 0), |previous| {
+                (previous.pending, previous.not_before)
             });
         let ownership = Ownership::preparing(epoch, pending, not_before, now);
         self.ownerships.insert(key.clone(), ownership);
@@ -64,12 +64,12 @@
     pub fn on_promise(&mut self, voter: &Name, promise: Promise, now: Ms, out: &mut Effects) {
         self.epochs.observe(promise.slot.promised_epoch);
         let key = promise.slot.key.clone();
-        let counts =
+        let is_counted =
             promise.member_epoch == self.members.member_epoch && self.members.has_voter(voter);
         let Some(ownership) = self
             .ownerships
             .get_mut(&key)
-            .filter(|ownership| counts && ownership.epoch == promise.epoch)
+            .filter(|ownership| is_counted && ownership.epoch == promise.epoch)
         else {
             return;
         };
@@ -95,7 +95,7 @@
         }
         if promised_by.len() >= self.members.majority() {
             let newest = newest.clone();
-            self.begin_to_own(&key, newest, now, out);
+            self.become_owner(&key, newest, now, out);
         }
     }
 
@@ -104,7 +104,7 @@
         clippy::needless_pass_by_value,
         reason = "the slot is consumed by the write that it becomes"
     )]
-    fn begin_to_own(&mut self, key: &Name, newest: Slot, now: Ms, out: &mut Effects) {
+    fn become_owner(&mut self, key: &Name, newest: Slot, now: Ms, out: &mut Effects) {
         let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
         };
@@ -144,7 +144,7 @@
 
     /// Ends this daemon's ownership of a key under an epoch: it never acts under that epoch again. Where it comes first in
     /// the key's order it acquires the key again, under a higher epoch and with promises of a majority.
-    pub fn end_term(&mut self, key: &Name, epoch: u64, out: &mut Effects) {
+    pub fn relinquish_epoch(&mut self, key: &Name, epoch: u64, out: &mut Effects) {
         if self
             .ownerships
             .get(key)
@@ -166,14 +166,14 @@
             };
             self.broadcast(release, out);
         }
-        let offered = ownership
+        let in_flight = ownership
             .in_flight
-            .and_then(|write| write.displaced_from(key));
+            .and_then(|write| write.into_displaced(key));
         let pending = ownership
             .pending
             .into_iter()
-            .map(|request| request.displaced_from(key));
-        self.displaced.extend(offered.into_iter().chain(pending));
+            .map(|request| request.into_displaced(key));
+        self.displaced.extend(in_flight.into_iter().chain(pending));
     }
 
     /// Gives up every key: their votes were counted over other voters.
--- a/coordination/src/register/catching_up.rs
+++ b/coordination/src/register/catching_up.rs
@@ -10,8 +10,8 @@
 
 impl Registers {
     /// Notes the addresses of the daemons that bootstrap the system, on a disk that is blank.
-    pub fn bootstrap_with(&mut self, addrs: &[Name]) {
-        self.members.bootstrap_with(addrs);
+    pub fn set_bootstrap_addrs(&mut self, addrs: &[Name]) {
+        self.members.set_bootstrap_addrs(addrs);
     }
 
     /// Follows a later member epoch. Everything owned is relinquished: its votes were counted over other voters.
--- a/coordination/src/register/confirmation.rs
+++ b/coordination/src/register/confirmation.rs
@@ -74,8 +74,8 @@
             else {
                 continue;
             };
-            let asked_at = ownership.confirmed_by.entry(voter.clone()).or_insert(0);
-            *asked_at = renewed.request_sent_at.max(*asked_at);
+            let requested_at = ownership.confirmed_by.entry(voter.clone()).or_insert(0);
+            *requested_at = renewed.request_sent_at.max(*requested_at);
             self.advance(&owned.key, now, out);
         }
     }
--- a/coordination/src/register/lease_grants.rs
+++ b/coordination/src/register/lease_grants.rs
@@ -39,7 +39,7 @@
     }
 
     /// Waits a lease out from now on: this voter does not know which ones others granted before it voted.
-    pub(super) fn abstain_from(&mut self, now: Ms) {
+    pub(super) fn abstain_for_one_lease(&mut self, now: Ms) {
         self.abstain_until = self.abstain_until.max(now + self.lease_duration);
     }
 
--- a/coordination/src/register/member_config.rs
+++ b/coordination/src/register/member_config.rs
@@ -49,15 +49,15 @@
 
     /// Notes the addresses of the daemons that bootstrap the system: under member epoch 0 the voters are these, with
     /// disks that nobody knows yet.
-    pub(super) fn bootstrap_with(&mut self, addrs: &[Name]) {
+    pub(super) fn set_bootstrap_addrs(&mut self, addrs: &[Name]) {
         let mut addrs = addrs.to_vec();
         addrs.sort();
         addrs.dedup();
-        let unknown_disk_at = |addr| Voter {
+        let voter_with_unknown_disk = |addr| Voter {
             addr,
             ..Voter::default()
         };
-        self.voters = addrs.into_iter().map(unknown_disk_at).collect();
+        self.voters = addrs.into_iter().map(voter_with_unknown_disk).collect();
     }
 
     /// The row that keeps all of this on disk.
--- a/coordination/src/register/ownership.rs
+++ b/coordination/src/register/ownership.rs
@@ -21,14 +21,14 @@
 }
 
 impl PendingRequest {
-    pub(super) fn displaced_from(self, key: &Name) -> DisplacedRequest {
+    pub(super) fn into_displaced(self, key: &Name) -> DisplacedRequest {
         DisplacedRequest {
             token: self.token,
             key: key.clone(),
             expect: self.expect,
             value: self.value,
             received_at: self.received_at,
-            offered_version: None,
+            proposed_version: None,
         }
     }
 }
@@ -108,14 +108,14 @@
     }
 
     /// The request that waited for this write, if one still does.
-    pub(super) fn displaced_from(self, key: &Name) -> Option<DisplacedRequest> {
+    pub(super) fn into_displaced(self, key: &Name) -> Option<DisplacedRequest> {
         Some(DisplacedRequest {
             token: self.token?,
             key: key.clone(),
             expect: self.expect,
             value: Some(self.value),
             received_at: self.received_at,
-            offered_version: Some(self.version),
+            proposed_version: Some(self.version),
         })
     }
 }
@@ -134,7 +134,7 @@
     /// ms. When it was received here.
     pub received_at: Ms,
     /// The version as which it was offered to disks: it may be committed, or come to be.
-    pub offered_version: Option<u64>,
+    pub proposed_version: Option<u64>,
 }
 
 /// The two phases of a write to a register.
@@ -211,9 +211,9 @@
     /// When the majority was asked that has confirmed this ownership since: the time at which so many voters' latest
     /// confirmations had all been asked for.
     pub(super) fn confirmed_at(&self, majority: usize) -> Option<Ms> {
-        let mut asked_at: Vec<Ms> = self.confirmed_by.values().copied().collect();
-        asked_at.sort_unstable_by(|earlier, later| later.cmp(earlier));
-        asked_at.get(majority.wrapping_sub(1)).copied()
+        let mut requested_at: Vec<Ms> = self.confirmed_by.values().copied().collect();
+        requested_at.sort_unstable_by(|earlier, later| later.cmp(earlier));
+        requested_at.get(majority.wrapping_sub(1)).copied()
     }
 
     /// The key with this ownership's epoch, as it is renewed and released.
--- a/coordination/src/register/prior_writes.rs
+++ b/coordination/src/register/prior_writes.rs
@@ -21,9 +21,9 @@
     /// It was accepted as this version, which has been replaced since.
     Accepted(u64),
     /// It was never accepted.
-    Never,
+    NotAccepted,
     /// It may have been accepted: it is older than the history.
-    Forgotten,
+    Unknown,
 }
 
 /// The first half of a value's SHA-256. Two documents that share it would be taken for one order, so it must be out of
@@ -77,14 +77,14 @@
         value: &Blob,
     ) -> PriorOutcome {
         if version == 0 {
-            return PriorOutcome::Never;
+            return PriorOutcome::NotAccepted;
         }
         // A slot of another version is a later owner's already, and its history says nothing of this one.
         let Some(slot) = self.slots.at_version(key, version) else {
-            return PriorOutcome::Forgotten;
+            return PriorOutcome::Unknown;
         };
         match expect {
-            Expect::Any | Expect::UnchangedSince(_) => PriorOutcome::Never,
+            Expect::Any | Expect::UnchangedSince(_) => PriorOutcome::NotAccepted,
             Expect::Version(expected) => outcome_by_version(slot, expected + 1, value),
             Expect::Release(_) => self.outcome_by_release(slot, value),
         }
@@ -107,9 +107,9 @@
             .first()
             .map_or_else(|| self.parse_release(&slot.value), |oldest| oldest.release);
         if oldest_version > 1 && self.parse_release(value) < lowest_release {
-            PriorOutcome::Forgotten
+            PriorOutcome::Unknown
         } else {
-            PriorOutcome::Never
+            PriorOutcome::NotAccepted
         }
     }
 
@@ -156,18 +156,18 @@
 }
 
 /// An order on a version can have been accepted as the next one only.
-fn outcome_by_version(slot: &Slot, as_version: u64, value: &Blob) -> PriorOutcome {
+fn outcome_by_version(slot: &Slot, accepted_version: u64, value: &Blob) -> PriorOutcome {
     let oldest_version = oldest_known_version(slot);
-    if as_version >= slot.version {
-        return PriorOutcome::Never;
+    if accepted_version >= slot.version {
+        return PriorOutcome::NotAccepted;
     }
-    if as_version < oldest_version {
-        return PriorOutcome::Forgotten;
+    if accepted_version < oldest_version {
+        return PriorOutcome::Unknown;
     }
-    let replaced = &slot.replaced[(as_version - oldest_version) as usize];
+    let replaced = &slot.replaced[(accepted_version - oldest_version) as usize];
     if replaced.digest == value_digest(value) {
-        PriorOutcome::Accepted(as_version)
+        PriorOutcome::Accepted(accepted_version)
     } else {
-        PriorOutcome::Never
+        PriorOutcome::NotAccepted
     }
 }
--- a/coordination/src/register/proposer.rs
+++ b/coordination/src/register/proposer.rs
@@ -18,7 +18,7 @@
 const MAX_PENDING_REQUESTS: usize = 32;
 
 /// The effect that answers a request.
-pub(super) fn finished(token: u64, outcome: WriteOutcome) -> Effect {
+pub(super) fn write_finished(token: u64, outcome: WriteOutcome) -> Effect {
     Effect::WriteFinished { token, outcome }
 }
 
@@ -57,7 +57,7 @@
     fn enqueue(&mut self, request: PendingRequest, key: &Name, now: Ms, out: &mut Effects) {
         if !self.members.voting {
             let reason = WriteOutcome::NotAccepted(NotAcceptedReason::NotVoting);
-            out.push(finished(request.token, reason));
+            out.push(write_finished(request.token, reason));
             return;
         }
         if !self.ownerships.contains_key(key) {
@@ -68,7 +68,7 @@
         };
         if ownership.pending.len() >= MAX_PENDING_REQUESTS {
             let reason = WriteOutcome::NotAccepted(NotAcceptedReason::TooManyPending);
-            out.push(finished(request.token, reason));
+            out.push(write_finished(request.token, reason));
             return;
         }
         ownership.pending.push_back(request);
@@ -104,13 +104,13 @@
                         PriorOutcome::Accepted(prior_version) => {
                             WriteOutcome::Accepted(prior_version)
                         }
-                        PriorOutcome::Never => WriteOutcome::Conflict(version),
-                        PriorOutcome::Forgotten => WriteOutcome::Unknown,
+                        PriorOutcome::NotAccepted => WriteOutcome::Conflict(version),
+                        PriorOutcome::Unknown => WriteOutcome::Unknown,
                     }
                 }
                 _ => WriteOutcome::Accepted(version),
             };
-            out.push(finished(request.token, outcome));
+            out.push(write_finished(request.token, outcome));
         }
     }
 
@@ -186,12 +186,12 @@
     )]
     pub fn on_accepted(&mut self, voter: &Name, reply: Accepted, now: Ms, out: &mut Effects) {
         self.epochs.observe(reply.promised_epoch);
-        let counts =
+        let is_counted =
             reply.member_epoch == self.members.member_epoch && self.members.has_voter(voter);
         let Some(ownership) = self
             .ownerships
             .get_mut(&reply.key)
-            .filter(|ownership| counts && ownership.epoch == reply.epoch)
+            .filter(|ownership| is_counted && ownership.epoch == reply.epoch)
         else {
             return;
         };
@@ -225,7 +225,7 @@
                 &self.name,
                 format!("{key} version {}", write.version),
             ));
-            out.push(finished(token, WriteOutcome::Accepted(write.version)));
+            out.push(write_finished(token, WriteOutcome::Accepted(write.version)));
         }
         let commit = Commit {
             change: write.committed_change(key, epoch),
--- a/coordination/src/register/reconfiguration.rs
+++ b/coordination/src/register/reconfiguration.rs
@@ -76,7 +76,7 @@
     }
 
     /// The first voters: nobody ever voted before, so that there is no lease to wait out.
-    pub fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
+    pub fn bootstrap_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
         self.adopt_members(1, 0, voters, out);
         self.skip_lease_wait();
         self.members.voting = true;
@@ -124,12 +124,12 @@
         }
         // Whoever lost its place and was given one again may lack what was accepted in between.
         let disk_id = self.catch_up.disk_id;
-        let keeps_place = voters
+        let remains_voter = voters
             .iter()
             .any(|voter| voter.disk_id == disk_id && voter.since_epoch <= current_epoch);
-        let is_retired = !keeps_place && self.members.voting && member_epoch == current_epoch + 1;
+        let is_retired = !remains_voter && self.members.voting && member_epoch == current_epoch + 1;
         self.adopt_members(member_epoch, previous_voter_count, voters, out);
-        self.members.voting &= keeps_place;
+        self.members.voting &= remains_voter;
         self.members.retired = is_retired;
         self.catch_up.sources.clear();
         out.push(self.persist_members());
@@ -195,7 +195,7 @@
             && reply.member_epoch == 1
             && self.is_among(&reply.voters);
         if is_bootstrap {
-            self.begin_as_voter(reply.voters.0, out);
+            self.bootstrap_as_voter(reply.voters.0, out);
             outcome.voting_started = true;
         } else if reply.member_epoch > self.members.member_epoch {
             let previous = reply.previous_voter_count;
@@ -206,8 +206,8 @@
             return outcome;
         }
         outcome.compared_with_voter = reply.voting == REPLY_VOTING;
-        let is_closed_there = reply.voting != REPLY_NOT_VOTING;
-        if !self.members.voting && self.is_listed_voter() && is_closed_there {
+        let ended_previous_epoch = reply.voting != REPLY_NOT_VOTING;
+        if !self.members.voting && self.is_listed_voter() && ended_previous_epoch {
             outcome.voting_started = self.catch_up_from(from, &reply.slots, now, out);
         }
         outcome
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -12,7 +12,7 @@
     Registers,
     keys::is_leased,
     ownership::{OwnershipPhase, PendingRequest, RESEND_INTERVAL},
-    proposer::finished,
+    proposer::write_finished,
 };
 use crate::{
     Effects, Ms, NotAcceptedReason, WriteOutcome, effect::log_event, events,
@@ -26,19 +26,19 @@
 
 impl Registers {
     /// Brings every key to its preferred owner, and what is owned here forward. `is_live` tells which daemons live,
-    /// `wanted` names keys that must have an owner.
+    /// `required_keys` names keys that must have an owner.
     pub fn tick(
         &mut self,
         now: Ms,
         is_live: &dyn Fn(&str) -> bool,
-        wanted: &[Name],
+        required_keys: &[Name],
         out: &mut Effects,
     ) {
         if !self.members.voting {
             return;
         }
         let mut renewals = List::default();
-        for key in self.keys_due(now, wanted) {
+        for key in self.keys_due(now, required_keys) {
             let is_preferred = self
                 .preferred_owner(&key, is_live)
                 .is_some_and(|voter| voter.name == self.name);
@@ -71,7 +71,7 @@
 
     /// The keys to look at in this tick. Who should own a key changes with the voters that live, which heartbeats tell;
     /// in between only keys that are owned here under a lease, or have work, need any care.
-    fn keys_due(&mut self, now: Ms, wanted: &[Name]) -> BTreeSet<Name> {
+    fn keys_due(&mut self, now: Ms, required_keys: &[Name]) -> BTreeSet<Name> {
         if now < self.next_ownership_check {
             return self
                 .ownerships
@@ -84,7 +84,7 @@
         self.slots
             .iter()
             .map(|slot| &slot.key)
-            .chain(wanted)
+            .chain(required_keys)
             .chain(self.ownerships.keys())
             .cloned()
             .collect()
@@ -108,7 +108,7 @@
                 &self.name,
                 format!("{key} version {}", write.version),
             ));
-            out.push(finished(token, WriteOutcome::Unknown));
+            out.push(write_finished(token, WriteOutcome::Unknown));
         }
         let (overdue, pending): (VecDeque<PendingRequest>, VecDeque<PendingRequest>) =
             mem::take(&mut ownership.pending)
@@ -119,7 +119,7 @@
         out.extend(
             overdue
                 .into_iter()
-                .map(|request| finished(request.token, outcome)),
+                .map(|request| write_finished(request.token, outcome)),
         );
     }
 
