--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -1,28 +1,30 @@
-//! Registers: each key is a register that is written by Paxos.
+//! Registers: each key is a register that is replicated by Paxos.
 //!
-//! A key has one owner, the proposer, under a rising epoch. The owner acquires the key by promises of a majority of
-//! voters, and then has one value after the other accepted by a majority, on disk, before it answers. Any two majorities
-//! share a voter; so a new owner finds whatever may be committed, and a former one is refused. Keys of singleton roles
-//! also carry a lease: voters promise such a key to no other daemon while its holder's lease runs.
+//! A key has one owner, its proposer, under an increasing epoch. The owner acquires the key with promises from a
+//! majority of voters. It then proposes one value after another, and answers a write once a majority has synced its
+//! value. Any two majorities share a voter, so a new owner finds every value that may be committed, and a former
+//! owner's proposals are refused. Keys of singleton roles also have a lease: while it runs, voters promise the key to
+//! no daemon but the holder.
 //!
-//! One daemon is acceptor and proposer at once. Parts, each with its own state:
+//! Each control daemon is both acceptor and proposer. The modules, each with its own state:
 //!
-//! | module | what it is |
+//! | module | contents |
 //! |---|---|
-//! | `keys` | the classes of keys |
-//! | `member_config` | who votes, under which member epoch |
-//! | `epochs` | the generator of epochs |
-//! | `slots` | what this voter has promised and accepted |
-//! | `lease_grants` | leases that this voter has granted |
-//! | `ownership` | the proposer's state of one key |
-//! | `acceptor` | prepare, accept, commit, renew and release, as a voter takes them |
-//! | `acquisition` | how a key is acquired and relinquished |
-//! | `proposer` | how requests are served and writes committed |
-//! | `confirmation` | leases and reads: ownership that a majority has confirmed |
-//! | `prior_writes` | repeated orders |
-//! | `catching_up` | member epochs and slots that are taken over from others |
-//! | `reconfiguration` | changes of the voters, and how a new one catches up |
-//! | `timers` | what happens as time passes |
+//! | `keys` | classes of keys |
+//! | `member_config` | voters and their member epoch |
+//! | `epochs` | generator of epochs |
+//! | `slots` | promises and accepted values of this voter |
+//! | `lease_grants` | leases granted by this voter |
+//! | `ownership` | proposer state of one key |
+//! | `expectation` | condition under which a write is accepted |
+//! | `acceptor` | a voter's handlers: prepare, accept, commit, renew and release |
+//! | `acquisition` | acquiring and relinquishing a key |
+//! | `proposer` | serving requests and committing writes |
+//! | `confirmation` | leases and reads, based on ownership that a majority has confirmed |
+//! | `prior_writes` | detection of repeated writes |
+//! | `catching_up` | member epochs and slots copied from other daemons |
+//! | `reconfiguration` | changes of the voters, and catch-up of new voters |
+//! | `timers` | periodic work: ownership changes, resends, lease renewal and time-outs |
 
 use std::collections::BTreeMap;
 
@@ -70,12 +72,12 @@
 #[derive(Clone, Debug)]
 pub struct Registers {
     name: Name,
-    /// Who votes, under which member epoch.
+    /// Voters and their member epoch.
     pub members: MemberConfig,
     catch_up: CatchUp,
-    /// Addresses of control daemons that do not vote: commits are sent to them too.
+    /// Addresses of non-voting control daemons, which also receive commits.
     pub followers: Vec<Name>,
-    /// Addresses that voters have now, by name, where they differ from those in the member configuration.
+    /// Current addresses of voters, by name, where they differ from the member configuration.
     addrs: BTreeMap<Name, Name>,
     epochs: EpochGenerator,
     slots: Slots,
@@ -83,17 +85,17 @@
     ownerships: BTreeMap<Name, Ownership>,
     next_renewal: Ms,
     next_ownership_check: Ms,
-    /// Writes and reads that waited for keys which are no longer owned here.
+    /// Writes and reads that were pending for keys that this daemon no longer owns.
     pub displaced: Vec<DisplacedRequest>,
-    /// Values newly known to be committed, for the change stream.
+    /// Values newly known to be committed, for the change feed.
     pub newly_committed: Vec<Change>,
-    /// How the operator's document is read.
+    /// Parser of the operator's spec.
     pub spec_parser: SpecParser,
     releases: ReleaseCache,
 }
 
 impl Registers {
-    /// The registers as they are on the disk with this number. `lease_duration` is in ms.
+    /// Restores the registers from the rows of the disk with id `disk_id`. `lease_duration` is in ms.
     pub fn new(name: Name, disk_id: u64, rows: Vec<Row>, lease_duration: Ms, now: Ms) -> Self {
         let mut registers = Registers {
             name,
@@ -148,34 +150,35 @@
         }
     }
 
-    /// Votes from now on. Leases that others granted before are unknown here: one is waited out.
+    /// Starts voting. This voter does not know the leases that others have granted, so it abstains for one lease
+    /// duration.
     pub fn start_voting(&mut self, now: Ms) {
         self.members.voting = true;
         self.lease_grants.abstain_for_one_lease(now);
     }
 
-    /// Nobody has ever voted: there is no lease to wait out.
+    /// Skips the wait for earlier leases: no daemon has voted yet, so none were granted.
     pub fn skip_lease_wait(&mut self) {
         self.lease_grants.skip_abstention();
     }
 
-    /// Notes the address that a control daemon has now.
+    /// Sets the current address of a control daemon.
     pub fn set_addr(&mut self, name: &Name, addr: &Name) {
         self.addrs.insert(name.clone(), addr.clone());
     }
 
-    /// The address that a voter has now, as far as known.
+    /// Returns the current address of a voter, or the configured one if no other is known.
     pub fn addr(&self, voter: &Voter) -> Name {
         self.addrs.get(&voter.name).unwrap_or(&voter.addr).clone()
     }
 
-    /// Whether so many voters are a majority of all.
+    /// Returns whether `voter_count` voters are a majority.
     pub fn is_majority(&self, voter_count: usize) -> bool {
         voter_count >= self.members.majority()
     }
 
-    /// The voter that should own a key: the first live one in the key's rendezvous order, on which all agree that see
-    /// the same voters live.
+    /// Returns the voter that should own a key: the first live one in the key's rendezvous order. Daemons that see the
+    /// same voters live return the same one.
     pub fn preferred_owner(&self, key: &str, is_live: &dyn Fn(&str) -> bool) -> Option<&Voter> {
         let rendezvous_key = rendezvous_key(key);
         self.members
@@ -185,39 +188,39 @@
             .max_by_key(|voter| rendezvous_weight(&rendezvous_key, &voter.name))
     }
 
-    /// Whether a write to the key is in flight here, or any request waits.
+    /// Returns whether this daemon has a write in flight or pending requests for the key.
     pub fn has_pending_writes(&self, key: &str) -> bool {
         self.ownerships
             .get(key)
             .is_some_and(Ownership::has_requests)
     }
 
-    /// The slots of all keys.
+    /// Returns the slots of all keys.
     pub fn slots(&self) -> impl Iterator<Item = &Slot> {
         self.slots.iter()
     }
 
-    /// The slots of all keys without their values.
+    /// Returns the slots of all keys without their values.
     pub fn slot_metadata(&self) -> List<Slot> {
         self.slots.metadata()
     }
 
-    /// Slots in which this voter differs from one that has `others`.
+    /// Returns the slots of this daemon that differ from `others`.
     pub fn slots_differing_from(&self, others: &[Slot]) -> List<Slot> {
         self.slots.differing_from(others)
     }
 
-    /// Whether everything that was accepted here is known to be committed.
+    /// Returns whether all values accepted by this daemon are known to be committed.
     pub fn all_committed(&self) -> bool {
         self.slots.all_committed()
     }
 
-    /// Digest over what is committed, for repair between daemons.
+    /// Returns the digest of all committed values, for repair between daemons.
     pub fn committed_digest(&self) -> u64 {
         self.slots.committed_digest()
     }
 
-    /// Sends a message to every voter, this one included if it is one.
+    /// Sends a message to every voter, including this daemon if it is one.
     fn broadcast(&self, message: impl Into<Message>, out: &mut Effects) {
         let message = message.into();
         for voter in &self.members.voters {
--- a/coordination/src/register/acceptor.rs
+++ b/coordination/src/register/acceptor.rs
@@ -1,6 +1,7 @@
-//! The acceptor's part: a voter promises epochs, accepts values, learns what is committed, and grants leases.
+//! The acceptor: a voter promises epochs, accepts values, stores committed values, and grants leases.
 //!
-//! A reply that others count on leaves only after the slot is synced: it is in the `then` of an [`Effect::Persist`].
+//! Replies that count towards a majority are sent only after the slot is synced: they are in the `then` of an
+//! [`Effect::Persist`].
 
 use wire_messages::{
     Accept, Accepted, Change, LeasesRenewed, List, Name, OwnedKey, Prepare, Promise, ReleaseLeases,
@@ -13,7 +14,7 @@
 };
 use crate::{Effect, Effects, Ms, Row, effect::send};
 
-/// A promise to take nothing from lower epochs any more.
+/// Builds a promise to accept nothing below `epoch`.
 fn granted_promise(epoch: u64, member_epoch: u32, slot: Slot) -> Promise {
     Promise {
         epoch,
@@ -24,7 +25,8 @@
     }
 }
 
-/// A refusal to promise. `slot` shows which epoch was promised instead, `lease_wait` for how long a lease is in the way.
+/// Builds a refusal to promise. `slot` holds the epoch that was promised instead, `lease_wait` the time until another
+/// daemon's lease has expired.
 fn refused_promise(epoch: u64, member_epoch: u32, slot: Slot, lease_wait: Ms) -> Promise {
     Promise {
         epoch,
@@ -35,7 +37,7 @@
     }
 }
 
-/// Puts an accepted value into its slot, with the promise that accepting implies. A delayed copy of an older write of the
+/// Stores an accepted value in its slot, with the promise that it implies. A delayed duplicate of an older write by the
 /// same owner must not overwrite the newer one.
 fn store_accepted(slot: &mut Slot, accept: Accept) {
     let proposed = AcceptedStamp {
@@ -53,7 +55,7 @@
 }
 
 impl Registers {
-    /// Answers a proposer that wants to own a key.
+    /// Handles the prepare of a proposer: promises its epoch or refuses.
     pub fn on_prepare(
         &mut self,
         proposer_addr: &Name,
@@ -64,7 +66,7 @@
         let member_epoch = self.members.member_epoch;
         self.epochs.observe(prepare.epoch);
         if !self.members.votes_in(prepare.member_epoch) {
-            // The refusal tells a proposer of an older member epoch that there is a newer one.
+            // A proposer in an older member epoch learns from the refusal that there is a newer one.
             if prepare.member_epoch < member_epoch {
                 let empty_slot = Slot {
                     key: prepare.key,
@@ -84,7 +86,7 @@
         }
         slot.promised_epoch = prepare.epoch;
         let slot = slot.clone();
-        // Once this voter's promise is out a majority may have made the proposer the owner.
+        // With this promise a majority may have made the proposer the owner.
         self.relinquish_below(&prepare.key, prepare.epoch, out);
         let promise = granted_promise(prepare.epoch, member_epoch, slot.clone());
         out.push(Effect::Persist {
@@ -93,7 +95,7 @@
         });
     }
 
-    /// Stores an owner's value, unless a higher epoch was promised.
+    /// Handles an owner's accept: stores the value unless a higher epoch was promised.
     pub fn on_accept(&mut self, owner_addr: &Name, accept: Accept, out: &mut Effects) {
         let member_epoch = self.members.member_epoch;
         self.epochs.observe(accept.epoch);
@@ -109,8 +111,8 @@
             member_epoch,
             accepted: 0,
         };
-        // A commit may have brought a value of a higher epoch than was promised here. A lower one is not stored beside
-        // it, and what is not stored must not be acknowledged.
+        // A commit may have stored a value of a higher epoch than the promised one. A value of a lower epoch does not
+        // replace it, and a value that is not stored must not be acknowledged.
         let lowest_epoch = slot.promised_epoch.max(slot.accepted_epoch);
         if accept.epoch < lowest_epoch {
             reply.promised_epoch = lowest_epoch;
@@ -120,7 +122,8 @@
         reply.accepted = 1;
         store_accepted(slot, accept);
         let slot = slot.clone();
-        // This version was known to be committed until a newer one, which no majority accepted, replaced it here.
+        // This version was already known to be committed, but a newer one that no majority accepted had replaced it
+        // here.
         if slot.committed_version == slot.version && slot.accepted_epoch == reply.epoch {
             self.newly_committed.push(committed_change(&slot));
         }
@@ -130,7 +133,7 @@
         });
     }
 
-    /// Learns a committed value, and what it replaced. An older one than the slot holds changes nothing.
+    /// Stores a committed value and the digests of the values that it replaced. Ignores values older than the slot's.
     pub fn on_commit(&mut self, change: &Change, replaced: &[ReplacedValue], out: &mut Effects) {
         self.epochs.observe(change.epoch);
         let slot = self.slots.entry(&change.key);
@@ -155,7 +158,7 @@
         self.newly_committed.push(change.clone());
     }
 
-    /// Confirms an owner's keys, and grants leases of those that are leased.
+    /// Confirms the ownership of an owner's keys, and grants leases for the leased ones.
     pub fn on_renew(
         &mut self,
         owner_addr: &Name,
@@ -193,7 +196,8 @@
         });
     }
 
-    /// Whether this voter takes a daemon for the owner of a key from now on. `rows` gets a promise that this implies.
+    /// Confirms a daemon as the owner of a key; returns `false` if it is not. Adds a promise implied by the
+    /// confirmation to `rows`.
     fn confirm(
         &mut self,
         owner_addr: &Name,
@@ -203,8 +207,8 @@
         out: &mut Effects,
     ) -> bool {
         let promised_epoch = self.slots.promised_epoch(&owned.key);
-        // A former owner learns at once that it is one: otherwise it would rest on a key that nobody renews for it, and
-        // that nobody else acquires.
+        // Tell a former owner at once that it was superseded. Otherwise it would keep a key that no voter renews for it
+        // and no other daemon acquires.
         if promised_epoch > owned.epoch {
             let refusal = Accepted {
                 key: owned.key.clone(),
@@ -217,8 +221,8 @@
             out.push(send(owner_addr, refusal));
             return false;
         }
-        // Other voters made this owner. Its majority may need this voter once one of them is gone, so that the
-        // confirmation has to bind like a promise.
+        // The owner's promises came from other voters. If one of them fails, the majority may depend on this voter, so
+        // the confirmation must bind like a promise.
         if promised_epoch < owned.epoch {
             if self.lease_grants.wait(&owned.key, owner_addr, now) > 0 {
                 return false;
@@ -232,7 +236,8 @@
         true
     }
 
-    /// A holder has relinquished its keys: nobody needs to wait for its leases to end.
+    /// Removes the leases of keys that their holder has relinquished, so that other daemons need not wait for them to
+    /// expire.
     pub fn on_release(&mut self, holder_addr: &Name, release: ReleaseLeases) {
         for owned in release.keys {
             self.lease_grants
--- a/coordination/src/register/acquisition.rs
+++ b/coordination/src/register/acquisition.rs
@@ -1,4 +1,4 @@
-//! How this daemon becomes the owner of a key, and stops being it.
+//! Acquiring and relinquishing the ownership of a key.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 };
 use crate::{Effect, Effects, Ms, effect::log_event, events};
 
-/// The newest of the slots, if it is newer than `newest`.
+/// Returns the newest of the slots if it is newer than `newest`.
 fn newest_above<'a>(newest: &Slot, slots: impl Iterator<Item = &'a Slot>) -> Option<&'a Slot> {
     slots
         .max_by_key(|slot| promise_order(slot))
@@ -20,7 +20,7 @@
 }
 
 impl Registers {
-    /// Starts to acquire a key under an epoch above all that are known. Requests that wait for the key stay.
+    /// Starts to acquire a key under an epoch above all known ones. Keeps the key's pending requests.
     pub(super) fn acquire(&mut self, key: &Name, now: Ms, out: &mut Effects) {
         let epoch = self
             .epochs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Asks for promises once the epoch is on this daemon's own disk: after a crash it would make the same one again,
-    /// and two writes under one epoch and version could not be told apart.
+    /// Requests promises once the epoch is synced to this daemon's disk. Otherwise a daemon that crashed could generate
+    /// the same epoch again, and two writes with the same epoch and version could not be told apart.
     pub(super) fn prepare(&self, key: &Name, epoch: u64, out: &mut Effects) {
         let mut then = vec![];
         self.broadcast(
@@ -56,10 +56,10 @@
         });
     }
 
-    /// Counts a voter's promise; with a majority of them the key is owned.
+    /// Counts a voter's promise. Once a majority has promised, this daemon owns the key.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "message handlers take their message by value"
     )]
     pub fn on_promise(&mut self, voter: &Name, promise: Promise, now: Ms, out: &mut Effects) {
         self.epochs.observe(promise.slot.promised_epoch);
@@ -88,7 +88,7 @@
             return;
         }
         promised_by.insert(voter.clone());
-        // This daemon's own slot counts at once, though its own promise may be the last to arrive.
+        // Include this daemon's own slot now: its own promise may be the last to arrive.
         let own_slot = self.slots.get(&key);
         if let Some(newer) = newest_above(newest, own_slot.into_iter().chain([&promise.slot])) {
             *newest = newer.clone();
@@ -99,10 +99,11 @@
         }
     }
 
-    /// A majority has promised; `newest` is the newest value that any of it has accepted.
+    /// Becomes the owner after a majority has promised. `newest` is the newest value that any of these voters has
+    /// accepted.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "the slot is consumed by the write that it becomes"
+        reason = "the slot is consumed by the write built from it"
     )]
     fn become_owner(&mut self, key: &Name, newest: Slot, now: Ms, out: &mut Effects) {
         let Some(ownership) = self.ownerships.get_mut(key) else {
@@ -115,7 +116,7 @@
             &self.name,
             format!("{key} epoch {} version {version}", ownership.epoch),
         ));
-        // A committed value is on a majority already, where each later owner finds it.
+        // A committed value is already on a majority, where each later owner finds it.
         if newest.committed_version == version {
             if version > 0 {
                 self.on_commit(&committed_change(&newest), &newest.replaced, out);
@@ -123,15 +124,15 @@
             self.advance(key, now, out);
             return;
         }
-        // Another may be committed or not: its owner may have died between two disks. It is written again under this
-        // epoch before anything else, so that there is one outcome for everybody.
+        // It is uncertain whether any other value is committed: its owner may have crashed between two disks. It is
+        // written again under this epoch before anything else, so that all daemons see one outcome.
         let rewrite = InFlightWrite::rewrite(&newest, now);
         let accept = rewrite.accept_message(key, ownership.epoch, self.members.member_epoch);
         ownership.in_flight = Some(rewrite);
         self.broadcast(accept, out);
     }
 
-    /// Relinquishes a key that this daemon owns, or acquires, under a lower epoch.
+    /// Relinquishes a key that this daemon owns or acquires under an epoch below `epoch`.
     pub(super) fn relinquish_below(&mut self, key: &Name, epoch: u64, out: &mut Effects) {
         if self
             .ownerships
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Ends this daemon's ownership of a key under an epoch: it never acts under that epoch again. Where it comes first in
-    /// the key's order it acquires the key again, under a higher epoch and with promises of a majority.
+    /// Relinquishes a key owned under exactly this epoch; this daemon never acts under it again. If it is the preferred
+    /// owner it acquires the key again, under a higher epoch and with promises of a majority.
     pub fn relinquish_epoch(&mut self, key: &Name, epoch: u64, out: &mut Effects) {
         if self
             .ownerships
@@ -154,8 +155,9 @@
         }
     }
 
-    /// Stops owning a key. What was offered and what waited is for the next owner. What was offered may be committed by
-    /// then; it is displaced all the same, as the next owner may never see it and have nothing to write again.
+    /// Relinquishes a key. Displaces its write in flight and pending requests, which the next owner is to serve. The
+    /// write may be committed by then; it is displaced nevertheless, as the next owner may not find it and then does
+    /// not write it again.
     pub(super) fn relinquish(&mut self, key: &Name, out: &mut Effects) {
         let Some(ownership) = self.ownerships.remove(key) else {
             return;
@@ -176,7 +178,7 @@
         self.displaced.extend(in_flight.into_iter().chain(pending));
     }
 
-    /// Gives up every key: their votes were counted over other voters.
+    /// Relinquishes every key: the promises came from another set of voters.
     pub(super) fn relinquish_all(&mut self, out: &mut Effects) {
         let keys: Vec<Name> = self.ownerships.keys().cloned().collect();
         for key in &keys {
--- a/coordination/src/register/catching_up.rs
+++ b/coordination/src/register/catching_up.rs
@@ -1,4 +1,4 @@
-//! What a voter follows: changes of the member configuration, and slots that it takes over from other voters.
+//! Adoption of state from other daemons: changes of the member configuration, and the slots of other voters.
 
 use wire_messages::{Name, Slot, Voter};
 
@@ -9,12 +9,12 @@
 use crate::{Effects, Row, effect::log_event, events};
 
 impl Registers {
-    /// Notes the addresses of the daemons that bootstrap the system, on a disk that is blank.
+    /// Sets the addresses of the daemons that bootstrap the system; called for a blank disk.
     pub fn set_bootstrap_addrs(&mut self, addrs: &[Name]) {
         self.members.set_bootstrap_addrs(addrs);
     }
 
-    /// Follows a later member epoch. Everything owned is relinquished: its votes were counted over other voters.
+    /// Adopts a later member epoch. Relinquishes all keys, as their promises came from another set of voters.
     pub fn adopt_members(
         &mut self,
         member_epoch: u32,
@@ -39,13 +39,14 @@
         ));
     }
 
-    /// The row that keeps the member configuration on disk.
+    /// Returns the row that stores the member configuration.
     pub fn members_row(&self) -> Row {
         self.members.row()
     }
 
-    /// Takes over another voter's slots: of each key the newest accepted value and the highest promise. Once that is
-    /// done with a majority, this disk refuses whatever that majority would have refused. Returns the rows to sync.
+    /// Merges another voter's slots: for each key the newest accepted value and the highest promise. Once the slots of
+    /// a majority are merged, this disk refuses everything that this majority would have refused. Returns the rows to
+    /// sync.
     pub fn catch_up(&mut self, voter_slots: &[Slot]) -> Vec<Row> {
         for voter_slot in voter_slots {
             self.epochs.observe(voter_slot.promised_epoch);
@@ -65,7 +66,7 @@
         self.slots.iter().cloned().map(Row::Slot).collect()
     }
 
-    /// Learns what another daemon knows to be committed.
+    /// Stores the values that another daemon knows to be committed.
     pub fn repair(&mut self, slots: &[Slot], out: &mut Effects) {
         for slot in slots.iter().filter(|slot| is_committed(slot)) {
             self.on_commit(&committed_change(slot), &slot.replaced, out);
--- a/coordination/src/register/confirmation.rs
+++ b/coordination/src/register/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmed ownership: leases of leased keys, and reads of the newest version. Both rest on a majority of voters that
+//! Confirmed ownership: the basis of leases and of reads of the newest version. Both require that a majority of voters
 //! has confirmed the owner since a given time.
 
 use wire_messages::{LeasesRenewed, List, Name, OwnedKey, RenewLeases};
@@ -11,8 +11,8 @@
 use crate::{Effects, Ms};
 
 impl Registers {
-    /// The epoch under which this daemon owns a key, if it does, and until when. Only leased keys have an end; others
-    /// are owned until a voter says otherwise.
+    /// Returns the epoch under which this daemon owns a key, if it does, and until when. Only the ownership of leased
+    /// keys expires; others are owned until a voter reports a higher epoch.
     pub fn held_until(&self, key: &str, now: Ms) -> Option<(u64, Ms)> {
         let ownership = self
             .ownerships
@@ -25,19 +25,20 @@
         (until > now).then_some((ownership.epoch, until))
     }
 
-    /// A majority of voters keeps others out at least until then.
+    /// Returns a time before which a majority of voters promises the key to no other daemon.
     fn lease_end(&self, ownership: &Ownership) -> Ms {
         self.confirmed_at(ownership).map_or(0, |confirmed_at| {
             self.lease_grants.holder_lease_end(confirmed_at)
         })
     }
 
-    /// When the majority was asked that has confirmed an ownership since.
+    /// Returns when a majority last confirmed an ownership, as of the time of the requests.
     pub(super) fn confirmed_at(&self, ownership: &Ownership) -> Option<Ms> {
         ownership.confirmed_at(self.members.majority())
     }
 
-    /// Asks the voters whether a key is still this daemon's own, unless they were asked since `since` and lately.
+    /// Asks the voters to confirm that this daemon owns a key, unless they were asked since `since` and within the
+    /// resend interval.
     pub(super) fn confirm_ownership(&mut self, key: &Name, since: Ms, now: Ms, out: &mut Effects) {
         let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
@@ -61,7 +62,8 @@
         self.broadcast(renewal, out);
     }
 
-    /// Counts a voter's confirmation for the time at which it was asked for: what the voter did in between is unknown.
+    /// Counts a voter's confirmation as of the time at which the request was sent: what the voter did since then is
+    /// unknown.
     pub fn on_renewed(&mut self, voter: &Name, renewed: LeasesRenewed, now: Ms, out: &mut Effects) {
         if renewed.member_epoch != self.members.member_epoch || !self.members.has_voter(voter) {
             return;
--- a/coordination/src/register/expectation.rs
+++ b/coordination/src/register/expectation.rs
@@ -6,11 +6,12 @@
     /// The write is accepted on top of any value.
     #[default]
     Any,
-    /// This version of the key; 0: no value yet.
+    /// This version of the key; 0: no value.
     Version(u64),
-    /// A spec of this release of the operator's; 0: none yet.
+    /// A spec with this release number; 0: no spec.
     Release(u64),
-    /// This version was current when the order was given. The same value is accepted under any version.
+    /// The version that was current when the write was submitted. If the key already has the same value, the write is
+    /// accepted under any version.
     UnchangedSince(u64),
 }
 
--- a/coordination/src/register/lease_grants.rs
+++ b/coordination/src/register/lease_grants.rs
@@ -1,4 +1,4 @@
-//! The leases that this voter has granted. While one runs the voter promises its key to nobody but the holder; as a
+//! Leases granted by this voter. While a lease runs the voter promises its key to no daemon but the holder. As a
 //! majority does so, no other daemon can become the owner.
 
 use std::collections::BTreeMap;
@@ -8,14 +8,15 @@
 use super::keys::is_leased;
 use crate::Ms;
 
-/// ms. A holder stops this long before voters let others in, covering clock rates that differ by up to 5%.
+/// Margin in ms by which a lease ends earlier for its holder than for the voters. Covers clock rates that differ by up
+/// to 5%.
 const LEASE_MARGIN: Ms = 200;
 
-/// One granted lease.
+/// A granted lease.
 #[derive(Clone, Debug)]
 struct LeaseGrant {
     holder_addr: Name,
-    /// The epoch of the ownership for which it was granted.
+    /// Epoch of the holder's ownership.
     epoch: u64,
     until: Ms,
 }
@@ -24,12 +25,13 @@
 pub(super) struct LeaseGrants {
     lease_duration: Ms,
     grants: BTreeMap<Name, LeaseGrant>,
-    /// Until then this voter may have granted leases that it does not remember.
+    /// Until this time there may be leases that this voter does not know.
     abstain_until: Ms,
 }
 
 impl LeaseGrants {
-    /// Grants are not kept on disk: a voter that has just started waits out any lease that it may have granted before.
+    /// Returns the state of a voter that has just started. Grants are not stored, so it waits for one lease duration,
+    /// until any lease granted before the restart has expired.
     pub(super) fn after_start(lease_duration: Ms, now: Ms) -> Self {
         LeaseGrants {
             lease_duration,
@@ -38,17 +40,18 @@
         }
     }
 
-    /// Waits a lease out from now on: this voter does not know which ones others granted before it voted.
+    /// Abstains for one lease duration: this voter does not know the leases that others granted before it voted.
     pub(super) fn abstain_for_one_lease(&mut self, now: Ms) {
         self.abstain_until = self.abstain_until.max(now + self.lease_duration);
     }
 
-    /// No lease has ever been granted by anybody.
+    /// Ends the abstention: no voter has ever granted a lease.
     pub(super) fn skip_abstention(&mut self) {
         self.abstain_until = 0;
     }
 
-    /// ms. For how long `candidate_addr` may not own the key, as another daemon holds its lease, or may hold it.
+    /// Returns for how long, in ms, `candidate_addr` may not own the key because another daemon holds or may hold its
+    /// lease.
     pub(super) fn wait(&self, key: &Name, candidate_addr: &Name, now: Ms) -> Ms {
         if !is_leased(key) {
             return 0;
@@ -70,7 +73,7 @@
         self.grants.insert(key.clone(), grant);
     }
 
-    /// Ends a lease at its holder's word. One granted for a later ownership of the same holder runs on.
+    /// Ends a lease released by its holder. A lease granted for a later ownership of the same holder continues.
     pub(super) fn release(&mut self, key: &Name, holder_addr: &Name, epoch: u64) {
         if self
             .grants
@@ -81,8 +84,8 @@
         }
     }
 
-    /// When a lease ends for its holder. Voters count from when the renewal arrived, the holder from when it asked, so
-    /// that it always ends earlier here than at any voter of the majority.
+    /// Returns when a lease ends for its holder. The holder counts from sending the renewal, voters from receiving it,
+    /// so the lease always ends earlier at the holder than at any voter of the majority.
     pub(super) fn holder_lease_end(&self, renewal_sent_at: Ms) -> Ms {
         renewal_sent_at + self.lease_duration - LEASE_MARGIN
     }
--- a/coordination/src/register/member_config.rs
+++ b/coordination/src/register/member_config.rs
@@ -1,43 +1,44 @@
-//! The member configuration: who votes under which member epoch, and whether this daemon does.
+//! The member configuration: the voters of a member epoch, and whether this daemon votes.
 
 use wire_messages::{Name, Voter};
 
 use super::epochs::NON_VOTER_RANK;
 use crate::Row;
 
-/// The voters under a member epoch, and this daemon's part among them.
+/// The voters of a member epoch, and whether this daemon votes.
 #[derive(Clone, Debug, Default)]
 pub struct MemberConfig {
-    /// Rises with each change of voters; 0: none are known yet.
+    /// Increases with each change of the voters; 0: no voters are known yet.
     pub member_epoch: u32,
     /// The voters.
     pub voters: Vec<Voter>,
-    /// How many voters the member epoch before had; 0: not known.
+    /// Number of voters in the previous member epoch; 0: unknown.
     pub previous_voter_count: u32,
-    /// Whether this daemon votes: it is listed and has caught up.
+    /// Whether this daemon votes: it is a listed voter and has caught up.
     pub voting: bool,
-    /// It voted until this member epoch, which gave its place away: joiners may still read it.
+    /// Whether this daemon voted in the previous member epoch and is no longer a voter: joiners may still read its
+    /// slots.
     pub retired: bool,
 }
 
 impl MemberConfig {
-    /// How many voters are a majority. Any two majorities share a voter, so what one has on disk the next one finds.
+    /// Returns the size of a majority. Any two majorities share a voter, so each finds what the other has on disk.
     pub(super) fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether a daemon of this name votes.
+    /// Returns whether the daemon with this name is a voter.
     pub(super) fn has_voter(&self, name: &Name) -> bool {
         self.voters.iter().any(|voter| voter.name == *name)
     }
 
-    /// Whether this daemon votes in that member epoch. A disk that may lack what it once acknowledged must not vote, and
-    /// other member epochs count other votes.
+    /// Returns whether this daemon votes in a member epoch. A disk that may lack values it once acknowledged must not
+    /// vote, and votes of different member epochs must not be mixed.
     pub(super) fn votes_in(&self, member_epoch: u32) -> bool {
         self.voting && member_epoch == self.member_epoch
     }
 
-    /// The place of a voter among all names in their order: within a member epoch no two voters share one.
+    /// Returns the position of a voter in the sorted list of names: within a member epoch no two voters share a rank.
     pub(super) fn rank_of(&self, name: &Name) -> u64 {
         let mut names: Vec<&Name> = self.voters.iter().map(|voter| &voter.name).collect();
         names.sort();
@@ -47,8 +48,8 @@
             .map_or(NON_VOTER_RANK, |rank| rank as u64)
     }
 
-    /// Notes the addresses of the daemons that bootstrap the system: under member epoch 0 the voters are these, with
-    /// disks that nobody knows yet.
+    /// Sets the addresses of the daemons that bootstrap the system: they are the voters of member epoch 0, with disk
+    /// ids that are not known yet.
     pub(super) fn set_bootstrap_addrs(&mut self, addrs: &[Name]) {
         let mut addrs = addrs.to_vec();
         addrs.sort();
@@ -60,7 +61,7 @@
         self.voters = addrs.into_iter().map(voter_with_unknown_disk).collect();
     }
 
-    /// The row that keeps all of this on disk.
+    /// Returns the row that stores the member configuration.
     pub(super) fn row(&self) -> Row {
         Row::Members {
             member_epoch: self.member_epoch,
--- a/coordination/src/register/ownership.rs
+++ b/coordination/src/register/ownership.rs
@@ -1,4 +1,4 @@
-//! This daemon's ownership of one key: the proposer's state, and the requests that it serves.
+//! Ownership of one key by this daemon: the proposer's state and the requests that it serves.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,15 +7,15 @@
 use super::{Expect, slots::AcceptedStamp};
 use crate::Ms;
 
-/// ms. Prepares, accepts and questions to voters are sent again when they were not answered for this long.
+/// Interval after which unanswered prepares, accepts and confirmation requests are sent again, in ms.
 pub(super) const RESEND_INTERVAL: Ms = 400;
 
-/// A request that waits until this daemon owns its key and earlier requests are done.
+/// A request that waits until this daemon owns its key and earlier requests have finished.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) token: u64,
     pub(super) expect: Expect,
-    /// None: a read of the newest version.
+    /// `None` for a read of the newest version.
     pub(super) value: Option<Blob>,
     pub(super) received_at: Ms,
 }
@@ -33,15 +33,15 @@
     }
 }
 
-/// The one value of a key that the voters are asked to accept now.
+/// The write in flight for a key; there is at most one.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightWrite {
     pub(super) version: u64,
     pub(super) value: Blob,
     pub(super) replaced: List<ReplacedValue>,
-    /// Voters that have it on disk.
+    /// Voters that have synced it.
     pub(super) accepted_by: BTreeSet<Name>,
-    /// The request that waits for it; none where the value is only written again, or its request was answered.
+    /// Token of the waiting request. `None` if the value is only being written again, or the request was answered.
     pub(super) token: Option<u64>,
     pub(super) expect: Expect,
     pub(super) received_at: Ms,
@@ -49,10 +49,10 @@
 }
 
 impl InFlightWrite {
-    /// A pending write as the key's next version.
+    /// Turns a pending write into the key's next version.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "a request is consumed by the write that it becomes"
+        reason = "the request is consumed by the write built from it"
     )]
     pub(super) fn new(
         request: PendingRequest,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// An accepted value that may be committed already, written again under the owner's own epoch.
+    /// Writes an accepted value, which may already be committed, again under the owner's own epoch.
     pub(super) fn rewrite(slot: &Slot, now: Ms) -> Self {
         InFlightWrite {
             version: slot.version,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The request that waited for this write, if one still does.
+    /// Returns the request that still waits for this write, if any.
     pub(super) fn into_displaced(self, key: &Name) -> Option<DisplacedRequest> {
         Some(DisplacedRequest {
             token: self.token?,
@@ -120,59 +120,59 @@
     }
 }
 
-/// A write, or a read where there is no value, whose key is no longer owned here.
+/// A request whose key this daemon no longer owns: a write, or a read if `value` is `None`.
 #[derive(Clone, Debug)]
 pub struct DisplacedRequest {
-    /// Matches the outcome to the request.
+    /// Token that matches the outcome to the request.
     pub token: u64,
     /// The key.
     pub key: Name,
-    /// What must hold for it to be written.
+    /// What must be current for the write to be accepted.
     pub expect: Expect,
-    /// The value to write; none for a read.
+    /// The value to write; `None` for a read.
     pub value: Option<Blob>,
-    /// ms. When it was received here.
+    /// When this daemon received the request, in ms.
     pub received_at: Ms,
-    /// The version as which it was offered to disks: it may be committed, or come to be.
+    /// The version under which the write was proposed to voters. It may be committed, now or later.
     pub proposed_version: Option<u64>,
 }
 
-/// The two phases of a write to a register.
+/// The phases of ownership of a key.
 #[derive(Clone, Debug)]
 pub(super) enum OwnershipPhase {
-    /// Voters are asked to promise the epoch.
+    /// Waiting for voters to promise the epoch.
     Preparing {
         promised_by: BTreeSet<Name>,
         /// The newest accepted value among the promises.
         newest: Slot,
         sent_at: Ms,
     },
-    /// A majority has promised: values may be proposed.
+    /// A majority has promised, so values may be proposed.
     Owning {
-        /// The newest version that this owner knows to be committed, or is writing again.
+        /// The newest version that this owner knows to be committed or is writing again.
         version: u64,
     },
 }
 
-/// This daemon's ownership of one key.
+/// Ownership of one key by this daemon.
 #[derive(Clone, Debug)]
 pub(super) struct Ownership {
     pub(super) epoch: u64,
     pub(super) phase: OwnershipPhase,
     pub(super) in_flight: Option<InFlightWrite>,
     pub(super) pending: VecDeque<PendingRequest>,
-    /// No prepare is sent before then: another daemon's lease still runs, or a rival was ahead.
+    /// No prepare is sent before this time: another daemon's lease still runs, or a voter has promised a higher epoch.
     pub(super) not_before: Ms,
-    /// A voter has promised a higher epoch: this one cannot win any more.
+    /// A voter has promised a higher epoch, so this one can no longer win a majority.
     pub(super) superseded: bool,
-    /// When each voter's latest confirmation was asked for.
+    /// When the request for each voter's latest confirmation was sent.
     pub(super) confirmed_by: BTreeMap<Name, Ms>,
-    /// When the voters were last asked whether the key is still this daemon's own.
+    /// When the voters were last asked to confirm the ownership.
     pub(super) confirmation_sent_at: Ms,
 }
 
 impl Ownership {
-    /// An ownership whose epoch the voters are yet to promise.
+    /// Returns an ownership whose epoch the voters have not promised yet.
     pub(super) fn preparing(
         epoch: u64,
         pending: VecDeque<PendingRequest>,
@@ -199,7 +199,7 @@
         matches!(self.phase, OwnershipPhase::Owning { .. })
     }
 
-    /// Whether anything here waits for voters.
+    /// Returns whether the ownership waits for voters.
     pub(super) fn is_busy(&self) -> bool {
         self.has_requests() || !self.is_owning()
     }
@@ -208,15 +208,15 @@
         self.in_flight.is_some() || !self.pending.is_empty()
     }
 
-    /// When the majority was asked that has confirmed this ownership since: the time at which so many voters' latest
-    /// confirmations had all been asked for.
+    /// Returns when a majority last confirmed this ownership: the latest time at or after which the requests for that
+    /// many voters' latest confirmations were sent.
     pub(super) fn confirmed_at(&self, majority: usize) -> Option<Ms> {
         let mut requested_at: Vec<Ms> = self.confirmed_by.values().copied().collect();
         requested_at.sort_unstable_by(|earlier, later| later.cmp(earlier));
         requested_at.get(majority.wrapping_sub(1)).copied()
     }
 
-    /// The key with this ownership's epoch, as it is renewed and released.
+    /// Returns the key with this ownership's epoch, as sent in renewals and releases.
     pub(super) fn owned_key(&self, key: &Name) -> OwnedKey {
         OwnedKey {
             key: key.clone(),
@@ -225,8 +225,7 @@
     }
 }
 
-/// Orders what promises bring: by the epoch and version under which it was accepted; of equal ones that which is known
-/// to be committed.
+/// Orders the slots in promises by epoch and version; if these are equal, by the version known to be committed.
 pub(super) fn promise_order(slot: &Slot) -> (AcceptedStamp, u64) {
     (AcceptedStamp::of(slot), slot.committed_version)
 }
--- a/coordination/src/register/prior_writes.rs
+++ b/coordination/src/register/prior_writes.rs
@@ -1,7 +1,8 @@
-//! Repeated orders: whether one was accepted before, though another value is current by now.
+//! Repeated writes: whether a write was accepted before, although another value is current now.
 //!
-//! Each accepted value of an operator's key carries digests of what it replaced, up to [`REPLACED_VALUES_KEPT`] of them,
-//! under the same majority as the value itself. An order that is older than that history is neither accepted nor refused.
+//! Each accepted value of an operator's key carries digests of the values that it replaced, at most
+//! [`REPLACED_VALUES_KEPT`], stored on the same majority as the value itself. For a write older than this history the
+//! outcome is unknown.
 
 use std::collections::BTreeMap;
 
@@ -10,46 +11,46 @@
 
 use super::{Expect, Registers, keys::keeps_history, slots::AcceptedStamp};
 
-/// Accepted values of an operator's key whose digests are kept beside the one that replaced them: an order that is
-/// repeated late is known to have been accepted. Some 18 bytes each; at the quickest storm that was met, a change each
-/// 80 ms, it reaches back twenty seconds, as long as a machine is cut off. What is older gets no clear answer.
+/// Number of replaced values of an operator's key whose digests are kept, so that a write repeated late is recognized
+/// as accepted. Each takes some 18 bytes. At one change per 80 ms, the fastest observed, they cover twenty seconds,
+/// which is how long a machine is partitioned. For an older write the outcome is unknown.
 pub const REPLACED_VALUES_KEPT: usize = 256;
 
-/// What is known of an order whose expectation does not match what is current.
+/// What is known about a write whose expectation does not match the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PriorOutcome {
-    /// It was accepted as this version, which has been replaced since.
+    /// Accepted as this version, which has been replaced since.
     Accepted(u64),
-    /// It was never accepted.
+    /// Never accepted.
     NotAccepted,
-    /// It may have been accepted: it is older than the history.
+    /// May have been accepted: the write is older than the history.
     Unknown,
 }
 
-/// The first half of a value's SHA-256. Two documents that share it would be taken for one order, so it must be out of
-/// reach of whoever writes documents.
+/// Returns the first half of a value's SHA-256. Two documents with the same digest would be taken for one write, so
+/// authors of documents must not be able to construct a collision.
 fn value_digest(value: &Blob) -> u128 {
     let mut half = [0; 16];
     half.copy_from_slice(&Sha256::digest(&value.0)[..16]);
     u128::from_be_bytes(half)
 }
 
-/// The release that was read from a key's value.
+/// The release number of a key's value.
 #[derive(Clone, Copy, Debug)]
 struct CachedRelease {
-    /// Which value it was read from.
+    /// The value from which the release was parsed.
     read_from: AcceptedStamp,
     release: u64,
 }
 
-/// The release last read of each key: documents grow long, and each is parsed once.
+/// Caches the last release parsed for each key: documents can be long, and each is parsed only once.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReleaseCache {
     by_key: BTreeMap<Name, CachedRelease>,
 }
 
 impl ReleaseCache {
-    /// The release of a slot's value; `parse` reads it where that was not done before.
+    /// Returns the release of a slot's value; parses it only if it is not cached.
     fn release_of(&mut self, slot: &Slot, parse: impl Fn(&Blob) -> u64) -> u64 {
         let read_from = AcceptedStamp::of(slot);
         if let Some(cached) = self
@@ -67,8 +68,8 @@
 }
 
 impl Registers {
-    /// Whether an order that conflicts with `version` was accepted before. It has lost no race then: whoever repeats it
-    /// did not receive the answer.
+    /// Determines whether a write that conflicts with `version` was accepted before. If so it has lost no race: the
+    /// sender repeats it because it did not receive the answer.
     pub(super) fn prior_outcome(
         &self,
         key: &Name,
@@ -79,7 +80,7 @@
         if version == 0 {
             return PriorOutcome::NotAccepted;
         }
-        // A slot of another version is a later owner's already, and its history says nothing of this one.
+        // A slot with another version was written by a later owner; its history does not apply to this one.
         let Some(slot) = self.slots.at_version(key, version) else {
             return PriorOutcome::Unknown;
         };
@@ -90,8 +91,8 @@
         }
     }
 
-    /// An order on a release may have been accepted as any version; releases rise with each accepted document, so that
-    /// whatever the history has lost is below all that it holds.
+    /// Determines the outcome of a write that expects a release. It may have been accepted as any version. Releases
+    /// increase with each accepted document, so every release dropped from the history is lower than those in it.
     fn outcome_by_release(&self, slot: &Slot, value: &Blob) -> PriorOutcome {
         let oldest_version = oldest_known_version(slot);
         let digest = value_digest(value);
@@ -113,8 +114,8 @@
         }
     }
 
-    /// What the version after `version` replaces. It goes with the value itself, under the same majority: a record of
-    /// its own could be there without the value, or lack it.
+    /// Returns the history to store with the version after `version`. It is stored in the same slot as the value, on
+    /// the same majority: a separate record could exist without the value, or the value without it.
     pub(super) fn replaced_by_next(&mut self, key: &Name, version: u64) -> List<ReplacedValue> {
         let release = self.release_at(key, version).unwrap_or(0);
         let Some(slot) = self
@@ -134,7 +135,7 @@
         List(replaced)
     }
 
-    /// The release of the document that a version is; none where this daemon's slot holds another version already.
+    /// Returns the release of the document in a version, or `None` if this daemon's slot already holds another version.
     pub(super) fn release_at(&mut self, key: &Name, version: u64) -> Option<u64> {
         if version == 0 {
             return Some(0);
@@ -150,12 +151,12 @@
     }
 }
 
-/// The oldest version that a slot's history holds, or its own version where it has none.
+/// Returns the oldest version in a slot's history, or the slot's own version if the history is empty.
 fn oldest_known_version(slot: &Slot) -> u64 {
     slot.version - slot.replaced.len() as u64
 }
 
-/// An order on a version can have been accepted as the next one only.
+/// Determines the outcome of a write that expects a version: it can only have been accepted as the next one.
 fn outcome_by_version(slot: &Slot, accepted_version: u64, value: &Blob) -> PriorOutcome {
     let oldest_version = oldest_known_version(slot);
     if accepted_version >= slot.version {
--- a/coordination/src/register/proposer.rs
+++ b/coordination/src/register/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's part: an owner serves its key's requests one by one, and has each value accepted by a majority.
+//! The proposer: an owner serves its key's requests in sequence, and has each value accepted by a majority.
 
 use wire_messages::{Accepted, Blob, Commit, Name, Slot};
 
@@ -14,17 +14,17 @@
     events,
 };
 
-/// Requests that may wait for one key; operators that race are a handful.
+/// Maximum number of pending requests per key; only a handful of operators write concurrently.
 const MAX_PENDING_REQUESTS: usize = 32;
 
-/// The effect that answers a request.
+/// Returns the effect that answers a request.
 pub(super) fn write_finished(token: u64, outcome: WriteOutcome) -> Effect {
     Effect::WriteFinished { token, outcome }
 }
 
 impl Registers {
-    /// Submits a write to a key that this daemon owns or is to own. It ends in an [`Effect::WriteFinished`] with this
-    /// token, or in `displaced`.
+    /// Submits a write to a key that this daemon owns or acquires. The write ends in an [`Effect::WriteFinished`] with
+    /// this token, or in `displaced`.
     pub fn propose(
         &mut self,
         token: u64,
@@ -43,7 +43,7 @@
         self.enqueue(request, key, now, out);
     }
 
-    /// Asks for the newest version of a key that this daemon owns or is to own. It ends like a write.
+    /// Reads the newest version of a key that this daemon owns or acquires. A read ends like a write.
     pub fn read(&mut self, token: u64, key: &Name, now: Ms, out: &mut Effects) {
         let request = PendingRequest {
             token,
@@ -56,8 +56,8 @@
 
     fn enqueue(&mut self, request: PendingRequest, key: &Name, now: Ms, out: &mut Effects) {
         if !self.members.voting {
-            let reason = WriteOutcome::NotAccepted(NotAcceptedReason::NotVoting);
-            out.push(write_finished(request.token, reason));
+            let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::NotVoting);
+            out.push(write_finished(request.token, outcome));
             return;
         }
         if !self.ownerships.contains_key(key) {
@@ -67,16 +67,16 @@
             return;
         };
         if ownership.pending.len() >= MAX_PENDING_REQUESTS {
-            let reason = WriteOutcome::NotAccepted(NotAcceptedReason::TooManyPending);
-            out.push(write_finished(request.token, reason));
+            let outcome = WriteOutcome::NotAccepted(NotAcceptedReason::TooManyPending);
+            out.push(write_finished(request.token, outcome));
             return;
         }
         ownership.pending.push_back(request);
         self.advance(key, now, out);
     }
 
-    /// Works through a key's pending requests, until a write is in flight or the voters must confirm the ownership
-    /// first.
+    /// Processes a key's pending requests until a write is in flight or the ownership must first be confirmed by the
+    /// voters.
     pub(super) fn advance(&mut self, key: &Name, now: Ms, out: &mut Effects) {
         while let Some((version, request)) = self.next_request(key) {
             let (received_at, expect) = (request.received_at, request.expect);
@@ -89,8 +89,8 @@
                 self.write_next(key, version, now, out);
                 return;
             }
-            // Only an owner that a majority has confirmed since the request came may say what is current: one that was
-            // deposed without having heard of it would answer with an older value.
+            // Only an owner confirmed by a majority since the request was received may report the current version: an
+            // owner that was superseded without knowing would return an older value.
             if !self.is_confirmed_since(key, received_at) {
                 self.confirm_ownership(key, received_at, now, out);
                 return;
@@ -114,7 +114,8 @@
         }
     }
 
-    /// The first pending request of a key with the key's version, if the key is owned and no write is in flight.
+    /// Returns the first pending request of a key with the key's version, if the key is owned and no write is in
+    /// flight.
     fn next_request(&self, key: &Name) -> Option<(u64, &PendingRequest)> {
         let ownership = self.ownerships.get(key)?;
         match (&ownership.phase, &ownership.in_flight) {
@@ -136,7 +137,7 @@
             .is_some_and(|confirmed_at| confirmed_at >= since)
     }
 
-    /// Whether what a write expects is current.
+    /// Returns whether a write's expectation matches the current version.
     fn matches_expectation(&mut self, key: &Name, version: u64, expect: Expect) -> bool {
         match expect {
             Expect::Any => true,
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Whether a write's value is current already, as what the write would have made of it: an operator that got no
-    /// clear answer repeats its order, and a daemon a write whose owner went.
+    /// Returns whether a write's value is already current and may be the result of this write: an operator repeats a
+    /// write whose outcome was unknown, and a daemon repeats one whose owner failed.
     fn is_current(&self, key: &Name, version: u64, expect: Expect, value: &Blob) -> bool {
         let is_same_value = version > 0
             && self
@@ -160,7 +161,7 @@
         is_same_value && is_same_version
     }
 
-    /// Offers the first pending write to the voters' disks, as the version after `version`.
+    /// Proposes the first pending write to the voters, as the version after `version`.
     fn write_next(&mut self, key: &Name, version: u64, now: Ms, out: &mut Effects) {
         let replaced = self.replaced_by_next(key, version);
         let Some(mut request) = self.pop_request(key) else {
@@ -178,11 +179,11 @@
         self.broadcast(accept, out);
     }
 
-    /// Counts a voter's acceptance; with a majority of them the write is committed. A refusal for a higher epoch ends
-    /// the ownership.
+    /// Counts a voter's acceptance; once a majority has accepted, the write is committed. A refusal with a higher epoch
+    /// ends the ownership.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "message handlers take their message by value"
     )]
     pub fn on_accepted(&mut self, voter: &Name, reply: Accepted, now: Ms, out: &mut Effects) {
         self.epochs.observe(reply.promised_epoch);
@@ -217,7 +218,7 @@
         }
     }
 
-    /// A majority has a write on disk: answers its request and lets everybody know.
+    /// Commits a write that a majority has synced: answers its request and notifies the other daemons.
     fn commit(&mut self, key: &Name, epoch: u64, write: InFlightWrite, out: &mut Effects) {
         if let Some(token) = write.token {
             out.push(log_event(
@@ -240,8 +241,8 @@
         out.extend(self.followers.iter().map(|addr| send(addr, commit.clone())));
     }
 
-    /// Writes committed values again where another voter has accepted something newer that is not committed: an owner
-    /// that died left it there, and that voter accepts nothing older in its place.
+    /// Writes committed values again if another voter has accepted a newer value that is not committed. Such a value
+    /// was left by an owner that failed, and the voter accepts nothing older in its place.
     pub fn rewrite_uncommitted(&mut self, voter_slots: &[Slot], now: Ms, out: &mut Effects) {
         let uncommitted = voter_slots
             .iter()
@@ -278,7 +279,7 @@
     }
 }
 
-/// Notes that a voter has a version on disk, and takes the write out of flight once a majority does.
+/// Records that a voter has synced a version. Removes and returns the write in flight once a majority has.
 fn take_if_accepted(
     ownership: &mut Ownership,
     voter: &Name,
--- a/coordination/src/register/reconfiguration.rs
+++ b/coordination/src/register/reconfiguration.rs
@@ -1,9 +1,9 @@
-//! Reconfiguration: how this daemon follows a change of the voters, and catches up before it votes.
+//! Reconfiguration: adoption of changes of the voters, and catch-up of new voters.
 //!
-//! The voters are the value of a key. A change takes effect at each daemon once that knows it to be committed, and ends
-//! the former member epoch there. A new voter reads voters that have ended the former member epoch on their disks, until
-//! these were a majority of it: nothing more can be accepted under that epoch then, and whatever was accepted is on the
-//! disk of one of them.
+//! The voters are the value of a key. A change takes effect at each daemon once the daemon knows it to be committed,
+//! and ends the previous member epoch there. A new voter reads the slots of daemons that have synced the end of the
+//! previous member epoch, until it has read a majority of that epoch's voters. Then no value can be accepted under that
+//! epoch any more, and every accepted value is on the disk of one of these daemons.
 
 use std::collections::BTreeSet;
 
@@ -20,15 +20,15 @@
 const REPLY_NOT_VOTING: u8 = 0;
 /// `SlotsReply::voting`: the sender votes.
 const REPLY_VOTING: u8 = 1;
-/// `SlotsReply::voting`: the sender voted until the member epoch that gave its place away.
+/// `SlotsReply::voting`: the sender voted in the previous member epoch and is no longer a voter.
 const REPLY_RETIRED: u8 = 2;
 
-/// What catching up has come to in this member epoch, and which disk it is for.
+/// Progress of catching up in the current member epoch, and the disk id.
 #[derive(Clone, Debug)]
 pub(super) struct CatchUp {
-    /// The data folder's own number: voters are listed by it, as a process may come back with another disk.
+    /// Id of the data directory. Voters are listed by it, as a process may restart with another disk.
     disk_id: u64,
-    /// Daemons whose slots were taken over in this member epoch.
+    /// Daemons whose slots were merged in this member epoch.
     sources: BTreeSet<Name>,
 }
 
@@ -41,41 +41,41 @@
     }
 }
 
-/// What another daemon's slots have changed here.
+/// What a slots reply from another daemon has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotsReplyOutcome {
     /// A later member epoch was adopted.
     pub voters_changed: bool,
-    /// This daemon votes from now on.
+    /// This daemon started voting.
     pub voting_started: bool,
-    /// The slots were a voter's of this member epoch.
+    /// The slots came from a voter of this member epoch.
     pub compared_with_voter: bool,
 }
 
 impl Registers {
-    /// The data folder's own number.
+    /// Returns the id of the data directory.
     pub fn disk_id(&self) -> u64 {
         self.catch_up.disk_id
     }
 
-    /// Whether these voters include this very disk.
+    /// Returns whether these voters include this disk.
     pub fn is_among(&self, voters: &[Voter]) -> bool {
         voters
             .iter()
             .any(|voter| voter.disk_id == self.catch_up.disk_id)
     }
 
-    /// Whether this very disk is a voter's.
+    /// Returns whether this disk is listed as a voter's.
     pub fn is_listed_voter(&self) -> bool {
         self.is_among(&self.members.voters)
     }
 
-    /// Whether a daemon's slots were taken over in this member epoch.
+    /// Returns whether a daemon's slots were merged in this member epoch.
     pub fn has_caught_up_from(&self, daemon: &Name) -> bool {
         self.catch_up.sources.contains(daemon)
     }
 
-    /// The first voters: nobody ever voted before, so that there is no lease to wait out.
+    /// Starts voting as one of the first voters. No daemon has voted before, so there is no lease to wait for.
     pub fn bootstrap_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
         self.adopt_members(1, 0, voters, out);
         self.skip_lease_wait();
@@ -84,7 +84,7 @@
         out.push(self.persist_members());
     }
 
-    /// Puts the member configuration on disk.
+    /// Stores the member configuration.
     pub fn persist_members(&self) -> Effect {
         Effect::Persist {
             rows: vec![self.members_row()],
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Adopts voters that were committed under the members' key; `true` if there are any.
+    /// Adopts voters committed under [`MEMBERS_KEY`]; returns whether there were newer ones.
     pub fn adopt_committed_voters(&mut self, out: &mut Effects) -> bool {
         let newest = self
             .newly_committed
@@ -110,7 +110,8 @@
         self.adopt_voters(member_epoch, previous, stored.voters, out)
     }
 
-    /// Follows a later member epoch, and stops voting unless this disk keeps its place; `false` for an earlier one.
+    /// Adopts a later member epoch, and stops voting unless this disk remains a voter. Returns `false` for an earlier
+    /// one.
     fn adopt_voters(
         &mut self,
         member_epoch: u32,
@@ -122,7 +123,7 @@
         if member_epoch <= current_epoch {
             return false;
         }
-        // Whoever lost its place and was given one again may lack what was accepted in between.
+        // A voter that was removed and added again may lack values accepted in between.
         let disk_id = self.catch_up.disk_id;
         let remains_voter = voters
             .iter()
@@ -136,7 +137,7 @@
         true
     }
 
-    /// Asks another daemon for the slots that differ from this one's.
+    /// Returns a request for the slots in which another daemon differs from this one.
     pub fn slots_request(&self) -> SlotsRequest {
         SlotsRequest {
             member_epoch: self.members.member_epoch,
@@ -144,11 +145,11 @@
         }
     }
 
-    /// Answers with this daemon's slots once all its votes are on its disk: an earlier member epoch must not come back
-    /// here after a new voter has relied on its end.
+    /// Replies with this daemon's slots once all its votes are synced: after a restart it must not return to an earlier
+    /// member epoch that a new voter assumes to have ended.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "message handlers take their message by value"
     )]
     pub fn on_slots_request(
         &mut self,
@@ -178,8 +179,8 @@
         });
     }
 
-    /// Learns from another daemon's slots: committed values, later voters, and, while this daemon is a voter that
-    /// does not vote yet, what it has to know before it does.
+    /// Handles another daemon's slots: stores committed values, adopts later voters, and merges the slots that this
+    /// daemon needs before it may vote.
     pub fn on_slots_reply(
         &mut self,
         from: &Name,
@@ -190,7 +191,7 @@
         let mut outcome = SlotsReplyOutcome::default();
         self.repair(&reply.slots, out);
         outcome.voters_changed = self.adopt_committed_voters(out);
-        // The first voters are under no key.
+        // The first voters are not stored under any key.
         let is_bootstrap = self.members.member_epoch == 0
             && reply.member_epoch == 1
             && self.is_among(&reply.voters);
@@ -213,8 +214,8 @@
         outcome
     }
 
-    /// Takes over the slots of a daemon that has closed the former member epoch, and votes once enough were read; `true`
-    /// if it votes from now on.
+    /// Merges the slots of a daemon that has ended the previous member epoch, and starts voting once enough were read.
+    /// Returns whether it started voting.
     fn catch_up_from(&mut self, from: &Name, slots: &[Slot], now: Ms, out: &mut Effects) -> bool {
         let mut rows = self.catch_up(slots);
         self.catch_up.sources.insert(from.clone());
@@ -229,8 +230,9 @@
         has_caught_up
     }
 
-    /// How many voters that have closed the former member epoch must be read: a majority of its voters. Who voted in it
-    /// or has itself read so many counts. Where their number is not known, all others.
+    /// Returns how many daemons that have ended the previous member epoch must be read: a majority of its voters.
+    /// Daemons that voted in it, or have read that many themselves, count. If its number of voters is unknown, all
+    /// others must be read.
     fn voters_to_read(&self) -> usize {
         match self.members.previous_voter_count {
             0 => self.members.voters.len() - 1,
--- a/coordination/src/register/slots.rs
+++ b/coordination/src/register/slots.rs
@@ -1,11 +1,11 @@
-//! The acceptor's slots: of each key the highest promise and the newest accepted value, as they are on disk.
+//! The acceptor's slots: the highest promise and newest accepted value of each key, as stored on disk.
 
 use std::collections::BTreeMap;
 
 use wire_messages::{Blob, Change, List, Name, Slot};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Orders the accepted values of a key: by the epoch of the owner that proposed one, then by version.
+/// Orders the accepted values of a key by the epoch of the owner that proposed them, then by version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AcceptedStamp {
     pub(super) epoch: u64,
@@ -21,12 +21,12 @@
     }
 }
 
-/// Whether a slot's value is known to be committed.
+/// Returns whether a slot's value is known to be committed.
 pub(super) fn is_committed(slot: &Slot) -> bool {
     slot.committed_version == slot.version && slot.version > 0
 }
 
-/// A slot's value as a committed change.
+/// Returns a slot's value as a committed change.
 pub(super) fn committed_change(slot: &Slot) -> Change {
     Change {
         key: slot.key.clone(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// What two voters compare of a slot: all but the value, which these determine.
+/// The part of a slot that two voters compare: all but the value, which the epoch and version determine.
 #[derive(PartialEq, Eq)]
 struct SlotState {
     promised_epoch: u64,
@@ -73,12 +73,12 @@
         self.by_key.get(key)
     }
 
-    /// The slot of a key where it holds this very version.
+    /// Returns the slot of a key if it holds exactly this version.
     pub(super) fn at_version(&self, key: &str, version: u64) -> Option<&Slot> {
         self.get(key).filter(|slot| slot.version == version)
     }
 
-    /// The slot of a key; an empty one is made where there is none.
+    /// Returns the slot of a key; inserts an empty one if there is none.
     pub(super) fn entry(&mut self, key: &Name) -> &mut Slot {
         self.by_key.entry(key.clone()).or_insert_with(|| Slot {
             key: key.clone(),
@@ -94,7 +94,7 @@
         self.by_key.values()
     }
 
-    /// The epoch that was promised for a key; 0 where none was.
+    /// Returns the epoch promised for a key; 0 if there is none.
     pub(super) fn promised_epoch(&self, key: &str) -> u64 {
         self.get(key).map_or(0, |slot| slot.promised_epoch)
     }
@@ -103,7 +103,7 @@
         self.iter().map(without_value).collect()
     }
 
-    /// The slots that differ from those of another voter.
+    /// Returns the slots that differ from those of another voter.
     pub(super) fn differing_from(&self, others: &[Slot]) -> List<Slot> {
         let others: BTreeMap<&str, SlotState> = others
             .iter()
@@ -115,13 +115,13 @@
             .collect()
     }
 
-    /// Whether no slot has an accepted value that is not known to be committed.
+    /// Returns whether every accepted value is known to be committed.
     pub(super) fn all_committed(&self) -> bool {
         self.iter()
             .all(|slot| slot.committed_version == slot.version)
     }
 
-    /// One digest over key, epoch and version of all that is committed.
+    /// Returns a digest of the key, epoch and version of all committed values.
     pub(super) fn committed_digest(&self) -> u64 {
         self.iter()
             .filter(|slot| is_committed(slot))
--- a/coordination/src/register/tests.rs
+++ b/coordination/src/register/tests.rs
@@ -10,10 +10,10 @@
 
 const VOTER_COUNT: usize = 3;
 
-/// Messages with their receivers' addresses.
+/// Messages and the addresses of their receivers.
 type Sends = Vec<(Name, Message)>;
 
-/// The name of a voter, which is its address too.
+/// Returns the name of a voter, which is also its address.
 fn name(index: usize) -> Name {
     format!("v{index}").into()
 }
@@ -22,7 +22,7 @@
     voters_of(VOTER_COUNT)
 }
 
-/// So many voters.
+/// Returns `count` voters.
 fn voters_of(count: usize) -> Vec<Voter> {
     (0..count)
         .map(|index| Voter {
@@ -34,7 +34,7 @@
         .collect()
 }
 
-/// The row of a disk that votes under member epoch 1.
+/// Returns the members row of a disk that votes under member epoch 1.
 fn voting_row() -> Row {
     Row::Members {
         member_epoch: 1,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A voter that has just started with nothing else on its disk.
+/// Returns a voter that has just started with only this row on its disk.
 fn voter(index: usize) -> Registers {
     Registers::new(
         name(index),
@@ -67,7 +67,7 @@
     }
 }
 
-/// The reply to an accept among the effects.
+/// Returns the reply to an accept among the effects.
 fn accepted_reply(out: &Effects) -> Option<Accepted> {
     sync(&mut vec![], out.clone())
         .into_iter()
@@ -81,7 +81,7 @@
     registers.slots.get(key).unwrap()
 }
 
-/// The key under which a disk of these tests keeps a row.
+/// Returns the key under which the simulated disk of these tests stores a row.
 fn row_key(row: &Row) -> String {
     match row {
         Row::Slot(slot) => slot.key.to_string(),
@@ -89,7 +89,7 @@
     }
 }
 
-/// Syncs all rows to a disk, and returns all messages that are then sent.
+/// Syncs all rows to a disk, and returns the messages that are sent.
 fn sync(disk: &mut Vec<Row>, out: Effects) -> Sends {
     let mut sends = vec![];
     for effect in out {
--- a/coordination/src/register/timers.rs
+++ b/coordination/src/register/timers.rs
@@ -1,5 +1,4 @@
-//! What happens as time passes: keys are acquired and handed over, messages sent again, leases renewed, and requests
-//! timed out.
+//! Periodic work: acquires and hands over keys, sends messages again, renews leases, and times out requests.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -19,14 +18,14 @@
     timing::HEARTBEAT_INTERVAL,
 };
 
-/// ms. Lease holders renew three times within a lease's duration.
+/// Interval between lease renewals, in ms: three fit within a lease duration.
 const RENEW_INTERVAL: Ms = 700;
-/// ms. A request is answered by then: accepted, not accepted or unknown.
+/// Time within which a request is answered as accepted, not accepted or unknown, in ms.
 const WRITE_TIMEOUT: Ms = 2_000;
 
 impl Registers {
-    /// Brings every key to its preferred owner, and what is owned here forward. `is_live` tells which daemons live,
-    /// `required_keys` names keys that must have an owner.
+    /// Moves each key to its preferred owner and advances the owned ones. `is_live` returns whether a daemon is live;
+    /// `required_keys` are keys that must have an owner.
     pub fn tick(
         &mut self,
         now: Ms,
@@ -48,7 +47,7 @@
                 }
                 continue;
             };
-            // A write in flight is finished first: only its owner can say how it ended.
+            // Finish a write in flight first: only its owner can determine the outcome.
             if !is_preferred && ownership.in_flight.is_none() {
                 self.relinquish(&key, out);
                 continue;
@@ -69,8 +68,8 @@
         }
     }
 
-    /// The keys to look at in this tick. Who should own a key changes with the voters that live, which heartbeats tell;
-    /// in between only keys that are owned here under a lease, or have work, need any care.
+    /// Returns the keys to check in this tick. The preferred owner of a key changes with the set of live voters, which
+    /// changes only with heartbeats. Between these checks only owned keys that are leased or have work are due.
     fn keys_due(&mut self, now: Ms, required_keys: &[Name]) -> BTreeSet<Name> {
         if now < self.next_ownership_check {
             return self
@@ -90,8 +89,8 @@
             .collect()
     }
 
-    /// Answers requests that have waited too long. What was offered to disks is unknown, as it may yet be committed;
-    /// what was not is not accepted and never will be.
+    /// Answers requests that have timed out. The outcome of a proposed write is unknown, as it may still be committed;
+    /// a write that was not proposed is not accepted and never will be.
     fn time_out_requests(&mut self, key: &Name, now: Ms, out: &mut Effects) {
         let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
@@ -123,7 +122,7 @@
         );
     }
 
-    /// Sends again what voters have not answered.
+    /// Resends messages that voters have not answered.
     fn resend(&mut self, key: &Name, now: Ms, out: &mut Effects) {
         let Some(ownership) = self.ownerships.get_mut(key) else {
             return;
