--- a/coordination/src/control/voters.rs
+++ b/coordination/src/control/voters.rs
@@ -88,7 +88,7 @@
     }
 
     fn begin_as_voter(&mut self, voters: Vec<Voter>, out: &mut Effects) {
-        self.registers.begin_as_voter(voters, out);
+        self.registers.bootstrap_as_voter(voters, out);
         // Other daemons acquire its keys until they know that it votes.
         self.peers.make_heartbeat_due();
     }
--- a/coordination/src/control/writes.rs
+++ b/coordination/src/control/writes.rs
@@ -168,7 +168,7 @@
         for displaced in std::mem::take(&mut self.registers.displaced) {
             let token = displaced.token;
             if let Some(origin) = self.writes.forwarding.take_forward_origin(token) {
-                let (outcome, version) = match displaced.offered_version {
+                let (outcome, version) = match displaced.proposed_version {
                     Some(version) => (ForwardOutcome::Deposed, version),
                     None => (ForwardOutcome::NotOwner, 0),
                 };
@@ -190,9 +190,9 @@
 
     /// Schedules a displaced request to be sent to the key's next owner.
     fn reroute(&mut self, displaced: DisplacedRequest, now: Ms) {
-        if displaced.offered_version.is_some() {
+        if displaced.proposed_version.is_some() {
             self.writes
-                .mark_uncertain(displaced.token, displaced.offered_version);
+                .mark_uncertain(displaced.token, displaced.proposed_version);
         }
         let request = match displaced.value {
             Some(value) => {
