--- a/coordination/src/control.rs
+++ b/coordination/src/control.rs
@@ -47,12 +47,12 @@
 pub use context_placement::CONTEXT_WRITE_INTERVAL;
 pub use counters::COUNTER_RETENTION;
 pub use directory::{
-    Caller, DISTANT_LOG_INTERVAL, FLEET_DISCOVERY_TIME, Reach, Resolution, Unresolved,
+    Caller, FLEET_DISCOVERY_TIME, REMOTE_ROUTING_LOG_INTERVAL, Reach, Resolution, Unresolved,
 };
 pub use forwarding::FORWARD_TIMEOUT;
 pub use replica_list::call_rate_share;
 pub use usage_log::{LATE_WINDOWS_MAX, UNACCEPTED_REPORTS_MAX, UsageLog};
-pub use usage_reports::{CLOSING_MARGIN, MAX_RETRY_PAUSE, MIN_RETRY_PAUSE};
+pub use usage_reports::{CLOSING_MARGIN, MAX_RETRY_BACKOFF, MIN_RETRY_BACKOFF};
 pub use usage_table::{USAGE_LATENCY, UsageTable};
 
 use change_feed::ChangeFeed;
@@ -293,7 +293,7 @@
             }
             Message::SlotsReply(reply) => self.on_slots_reply(from, reply, now, &mut out),
             Message::Poll(poll) => self.on_poll(addr, poll, now, &mut out),
-            Message::ContextDemand(demand) => self.on_demand(from, demand, now),
+            Message::ContextDemand(demand) => self.on_context_demand(from, demand, now),
             Message::Shuffle(shuffle) => {
                 self.membership.on_shuffle(addr, shuffle, now, &mut out);
             }
--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -62,20 +62,20 @@
     }
 
     /// Takes an edge's demand for a service's shared chains, if its copies are decided here.
-    pub(super) fn on_demand(&mut self, from: &Name, demand: ContextDemand, now: Ms) {
+    pub(super) fn on_context_demand(&mut self, from: &Name, demand: ContextDemand, now: Ms) {
         if let Some(role) = self.context_roles.get_mut(&*demand.service) {
             role.demand.merge_report(from, demand.chains.0, now);
         }
     }
 
     /// Decides where copies of popular shared context are kept, for the services whose singleton role is held here.
-    pub(super) fn decide_contexts(&mut self, spec: &Spec, now: Ms, out: &mut Effects) {
+    pub(super) fn place_contexts(&mut self, spec: &Spec, now: Ms, out: &mut Effects) {
         for service in &spec.services {
-            self.decide_context(spec, service, now, out);
+            self.place_context(spec, service, now, out);
         }
     }
 
-    fn decide_context(&mut self, spec: &Spec, service: &ServiceSpec, now: Ms, out: &mut Effects) {
+    fn place_context(&mut self, spec: &Spec, service: &ServiceSpec, now: Ms, out: &mut Effects) {
         let key = Name(format!("{CONTEXT_PREFIX}{}", service.name));
         let rollout_key = format!("{ROLLOUT_PREFIX}{}", service.name);
         let is_held = self.registers.held_until(&key, now).is_some()
@@ -197,7 +197,7 @@
         let (service, rollout) = (decision.service, decision.rollout);
         let region_of = |zone: &str| regions::region_of(&self.config.regions, zone).to_string();
         let replicas = self.context_replicas(rollout);
-        let homes_by_number: BTreeMap<u64, Vec<String>> = decision
+        let homes_by_digest: BTreeMap<u64, Vec<String>> = decision
             .spec
             .paths
             .iter()
@@ -213,7 +213,7 @@
             version: &rollout.stable,
             replicas: &replicas,
             region: &region_of,
-            homes: &homes_by_number,
+            homes: &homes_by_digest,
             demand: &decision.demand,
             is_incomplete: decision.is_new_holder,
         };
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -14,7 +14,7 @@
 /// everybody to a few edges.
 pub const FLEET_DISCOVERY_TIME: Ms = 1_500;
 /// ms. That a region's callers are sent so far beyond it, or nowhere, is logged this often while it lasts.
-pub const DISTANT_LOG_INTERVAL: Ms = 60_000;
+pub const REMOTE_ROUTING_LOG_INTERVAL: Ms = 60_000;
 /// ms. An edge that was not heard from for so long is most likely gone: that the directory names it all the same is logged.
 const UNREACHABLE_EDGE_AFTER: Ms = 3_000;
 /// ms. It is logged this often while it lasts.
@@ -59,18 +59,18 @@
 
 /// Where a host's requests may be carried, besides the caller's own region.
 #[derive(PartialEq)]
-enum Homes<'a> {
+enum HomeRegions<'a> {
     /// None of its routes has homes.
-    Unbound,
+    Unrestricted,
     /// These regions alone: none where its routes have no home in common, or where no spec is known.
     Regions(BTreeSet<&'a str>),
 }
 
-impl Homes<'_> {
-    fn include(&self, region: &str) -> bool {
+impl HomeRegions<'_> {
+    fn allows(&self, region: &str) -> bool {
         match self {
-            Homes::Unbound => true,
-            Homes::Regions(homes) => homes.contains(region),
+            HomeRegions::Unrestricted => true,
+            HomeRegions::Regions(homes) => homes.contains(region),
         }
     }
 }
@@ -97,8 +97,8 @@
     fn among(edges: &[ServingEdge]) -> Self {
         let unreachable = edges
             .iter()
-            .filter(|edge| edge.unheard_for > UNREACHABLE_EDGE_AFTER);
-        let longest = edges.iter().map(|edge| edge.unheard_for).max();
+            .filter(|edge| edge.time_since_received > UNREACHABLE_EDGE_AFTER);
+        let longest = edges.iter().map(|edge| edge.time_since_received).max();
         Unreachable {
             edges: unreachable.count(),
             longest_ms: longest.unwrap_or(0),
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy)]
 struct ServingEdge<'a> {
     node: &'a Node,
-    unheard_for: Ms,
+    time_since_received: Ms,
 }
 
 /// Why the directory names no edge.
@@ -132,7 +132,7 @@
     /// When such an answer was last logged.
     unreachable_logged_at: Option<Ms>,
     /// When it was last logged how far a region's callers are sent, `None` for nowhere.
-    distant_logged_at: BTreeMap<(Name, Option<Reach>), Option<Ms>>,
+    remote_routing_logged_at: BTreeMap<(Name, Option<Reach>), Option<Ms>>,
 }
 
 /// Whether something that is logged once an interval is to be logged now; if so, `logged_at` becomes `now`.
@@ -179,12 +179,12 @@
     }
 
     /// Whether it is to be logged how far a region's callers are sent: a region with one edge is so for ever.
-    fn distant_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
+    fn remote_routing_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
         is_log_due(
-            self.distant_logged_at
+            self.remote_routing_logged_at
                 .entry((region.into(), reach))
                 .or_default(),
-            DISTANT_LOG_INTERVAL,
+            REMOTE_ROUTING_LOG_INTERVAL,
             now,
         )
     }
@@ -204,8 +204,8 @@
         let answer = self.edges_for(caller, now);
         self.resolution_counts.count(&answer);
         let mut effects = vec![];
-        if self.is_distant_log_due(caller, &answer, now) {
-            effects.push(self.log_distant(caller, &answer, now));
+        if self.is_remote_routing_log_due(caller, &answer, now) {
+            effects.push(self.log_remote_routing(caller, &answer, now));
         }
         let unreachable = answer
             .as_ref()
@@ -217,7 +217,7 @@
     }
 
     /// Whether it is to be logged that a caller is sent beyond its region, or nowhere.
-    fn is_distant_log_due(
+    fn is_remote_routing_log_due(
         &mut self,
         caller: Caller,
         answer: &Result<Resolution, Unresolved>,
@@ -234,7 +234,7 @@
         regions.any(|region| region == caller.region)
             && self
                 .resolution_counts
-                .distant_log_due(caller.region, reach, now)
+                .remote_routing_log_due(caller.region, reach, now)
     }
 
     fn log_unreachable(&self, caller: Caller, unreachable: Unreachable, now: Ms) -> Effect {
@@ -246,20 +246,20 @@
     }
 
     /// How long ago an edge was last heard from at least, by its own polls or by gossip.
-    pub(super) fn unheard_for(&self, edge: &Node, now: Ms) -> Ms {
+    pub(super) fn time_since_received(&self, edge: &Node, now: Ms) -> Ms {
         let by_poll = self
             .followers
             .get(&edge.name)
             .map(|follower| now.saturating_sub(follower.polled_at));
         let by_gossip = self.membership.unheard_for(&edge.name, now);
-        let unheard_for = by_poll.into_iter().chain(by_gossip).min();
-        unheard_for.map_or(Ms::MAX, |unheard_for| {
-            let heard_at = now.saturating_sub(unheard_for);
-            now - self.suspension.earliest_sent(heard_at)
+        let time_since_received = by_poll.into_iter().chain(by_gossip).min();
+        time_since_received.map_or(Ms::MAX, |time_since_received| {
+            let received_at = now.saturating_sub(time_since_received);
+            now - self.suspension.earliest_sent(received_at)
         })
     }
 
-    fn log_distant(
+    fn log_remote_routing(
         &self,
         caller: Caller,
         answer: &Result<Resolution, Unresolved>,
@@ -294,8 +294,8 @@
     /// that is cut off, and it goes by gossip, for no longer than an edge may serve out of contact without its serving
     /// rule's permission.
     fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
-        let in_touch = self.in_touch(now);
-        let longest_unheard = if in_touch {
+        let is_in_contact = self.in_touch(now);
+        let max_time_since_received = if is_in_contact {
             NODE_TIMEOUT
         } else {
             self.config.bounds.contact
@@ -303,12 +303,12 @@
         self.membership
             .known(NodeRole::Edge)
             .filter(|node| !node.http_addr.is_empty())
-            .filter(|node| in_touch || self.membership.is_live(&node.name))
+            .filter(|node| is_in_contact || self.membership.is_live(&node.name))
             .map(|node| ServingEdge {
                 node,
-                unheard_for: self.unheard_for(node, now),
+                time_since_received: self.time_since_received(node, now),
             })
-            .filter(|edge| edge.unheard_for <= longest_unheard)
+            .filter(|edge| edge.time_since_received <= max_time_since_received)
             .collect()
     }
 
@@ -357,11 +357,11 @@
             return (same_region, Reach::Region);
         }
         // A body is not carried where it has no home for the sake of a choice, nor for the want of any edge.
-        let homes = self.homes(caller.host);
+        let homes = self.home_regions(caller.host);
         let remote = remote
             .into_iter()
-            .filter(|edge| homes.include(self.region_of(*edge)));
-        let reach = if homes == Homes::Unbound {
+            .filter(|edge| homes.allows(self.region_of(*edge)));
+        let reach = if homes == HomeRegions::Unrestricted {
             Reach::Fleet
         } else {
             Reach::Homes
@@ -370,9 +370,9 @@
     }
 
     /// Regions in which all routes of a host may be carried. The directory is not asked for one route, so that each binds.
-    fn homes(&self, host: &str) -> Homes<'_> {
+    fn home_regions(&self, host: &str) -> HomeRegions<'_> {
         let Some(spec) = self.parsed.spec() else {
-            return Homes::Regions(BTreeSet::new());
+            return HomeRegions::Regions(BTreeSet::new());
         };
         let host = host_name(host);
         spec.paths
@@ -380,6 +380,6 @@
             .filter(|path| path.host.eq_ignore_ascii_case(host) && !path.homes.is_empty())
             .map(|path| path.homes.iter().map(String::as_str).collect())
             .reduce(|common: BTreeSet<&str>, homes| common.intersection(&homes).copied().collect())
-            .map_or(Homes::Unbound, Homes::Regions)
+            .map_or(HomeRegions::Unrestricted, HomeRegions::Regions)
     }
 }
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rollouts {
     loops: BTreeMap<String, RolloutLoop>,
-    next_pass: Ms,
+    next_pass_at: Ms,
     /// When this daemon last ran each service's loop, or first was the one to run it.
     ran_at: BTreeMap<String, Ms>,
     /// Services whose loops have raised the alert that they do not run.
@@ -77,11 +77,11 @@
     }
 
     /// Whether a pass over all loops is due; if so, the next one is due an interval later.
-    fn take_pass_turn(&mut self, now: Ms) -> bool {
-        if now < self.next_pass {
+    fn start_pass_if_due(&mut self, now: Ms) -> bool {
+        if now < self.next_pass_at {
             return false;
         }
-        self.next_pass = now + ROLLOUT_INTERVAL;
+        self.next_pass_at = now + ROLLOUT_INTERVAL;
         true
     }
 
@@ -90,7 +90,7 @@
         self.stalled.remove(service);
     }
 
-    fn forget_run(&mut self, service: &str) {
+    fn clear_run(&mut self, service: &str) {
         self.ran_at.remove(service);
         self.stalled.remove(service);
     }
@@ -180,7 +180,7 @@
 impl Control {
     /// Runs the rollout loops of the singleton roles held here. `wall_clock_s`: the time of day.
     pub fn run_rollouts(&mut self, now: Ms, wall_clock_s: u64) -> Effects {
-        if !self.is_settled || self.kill_switch_on() || !self.rollouts.take_pass_turn(now) {
+        if !self.is_settled || self.kill_switch_on() || !self.rollouts.start_pass_if_due(now) {
             return vec![];
         }
         // The daemon next in order for a role keeps the evidence too, and judges by it at once.
@@ -206,8 +206,8 @@
         for service in &spec.services {
             self.run_rollout(service, &pass, &mut out);
         }
-        self.decide_contexts(&spec, now, &mut out);
-        for key in self.drained_and_removed(&pass) {
+        self.place_contexts(&spec, now, &mut out);
+        for key in self.removed_draining_keys(&pass) {
             self.registers
                 .propose(NO_CALLER, &key, None, Blob::default(), now, &mut out);
         }
@@ -329,7 +329,7 @@
     }
 
     /// Keys of drained replicas that are gone and that this daemon owns: it clears them.
-    fn drained_and_removed(&self, pass: &RolloutPass) -> Vec<Name> {
+    fn removed_draining_keys(&self, pass: &RolloutPass) -> Vec<Name> {
         let is_listed = |id: &String| {
             pass.platform
                 .replicas
@@ -358,7 +358,7 @@
             // Where no voter can own the key nobody runs the loop.
             let runs_elsewhere = owner.is_some_and(|voter| voter.name != self.config.name);
             if runs_elsewhere || !self.registers.members.voting {
-                self.rollouts.forget_run(&service.name);
+                self.rollouts.clear_run(&service.name);
             } else if let Some(idle) = self.rollouts.newly_stalled_for(&service.name, now) {
                 let text = format!("{idle} ms");
                 out.push(log_event(events::ROLLOUT_LOOP_STALLED, &service.name, text));
--- a/coordination/src/control/unreachable_edges.rs
+++ b/coordination/src/control/unreachable_edges.rs
@@ -67,7 +67,7 @@
     fn unreachable_edges_now(&self, now: Ms) -> Vec<u32> {
         self.membership
             .known(NodeRole::Edge)
-            .filter(|edge| self.unheard_for(edge, now) > NODE_TIMEOUT)
+            .filter(|edge| self.time_since_received(edge, now) > NODE_TIMEOUT)
             .map(|edge| name_digest(&edge.name))
             .collect()
     }
--- a/coordination/src/control/usage_reports.rs
+++ b/coordination/src/control/usage_reports.rs
@@ -27,9 +27,9 @@
 /// differs a little between machines.
 const COUNT_DELAY: Ms = 1_000;
 /// ms. The pause after the first call of several that failed.
-pub const MIN_RETRY_PAUSE: Ms = 500;
+pub const MIN_RETRY_BACKOFF: Ms = 500;
 /// ms. The longest pause after a call that failed.
-pub const MAX_RETRY_PAUSE: Ms = 8_000;
+pub const MAX_RETRY_BACKOFF: Ms = 8_000;
 /// ms. A call whose outcome was not heard so long after its lease's end was lost by the runtime.
 const LOST_CALL_TIMEOUT: Ms = 1_000;
 
@@ -68,7 +68,7 @@
     /// The newest window whose report the platform has accepted from this daemon: reports are sent oldest first.
     accepted_through: Option<u64>,
     /// ms. How long the next call waits if another one fails; 0 after a success.
-    retry_pause: Ms,
+    retry_backoff: Ms,
     next_call_at: Ms,
 }
 
@@ -103,15 +103,15 @@
         let is_lost = |call: &CallInFlight| now >= call.lease_until + LOST_CALL_TIMEOUT;
         if self.call.as_ref().is_some_and(is_lost) {
             self.call = None;
-            self.pause(now);
+            self.back_off(now);
         }
         self.call.is_none() && now >= self.next_call_at
     }
 
     /// Waits after a failed call, longer each time.
-    fn pause(&mut self, now: Ms) {
-        self.retry_pause = (self.retry_pause * 2).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
-        self.next_call_at = now + self.retry_pause;
+    fn back_off(&mut self, now: Ms) {
+        self.retry_backoff = (self.retry_backoff * 2).clamp(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF);
+        self.next_call_at = now + self.retry_backoff;
     }
 
     /// The oldest committed report that the platform has not accepted.
@@ -155,7 +155,7 @@
             return;
         }
         let next_window = self.next_usage_window(now, wall_ms);
-        self.usage.forget_before(next_window);
+        self.usage.drop_before(next_window);
         let Some((epoch, until)) = self.registers.held_until(USAGE_KEY, now) else {
             return;
         };
@@ -203,8 +203,8 @@
             return false;
         };
         let complete_at = (now + COUNT_DELAY).saturating_sub(since_end);
-        let patience = bounds.usage_delay.saturating_sub(CLOSING_MARGIN);
-        since_end >= patience || self.usage_heard_through(now) >= complete_at
+        let max_wait = bounds.usage_delay.saturating_sub(CLOSING_MARGIN);
+        since_end >= max_wait || self.usage_received_through(now) >= complete_at
     }
 
     /// Commits the reports of windows that can be closed, and that reports were accepted. The log is compared with the
@@ -281,9 +281,9 @@
         match outcome {
             CallOutcome::Accepted => {
                 reports.accepted_through = reports.accepted_through.max(Some(call.window));
-                reports.retry_pause = 0;
+                reports.retry_backoff = 0;
             }
-            CallOutcome::RateLimited | CallOutcome::Failed => reports.pause(now),
+            CallOutcome::RateLimited | CallOutcome::Failed => reports.back_off(now),
             CallOutcome::Superseded => {
                 let text = format!("epoch {}", call.epoch);
                 out.push(log_event(events::PLATFORM_CALL_SUPERSEDED, USAGE_KEY, text));
--- a/coordination/src/control/usage_table.rs
+++ b/coordination/src/control/usage_table.rs
@@ -97,15 +97,15 @@
     }
 
     /// Forgets windows before this one.
-    pub fn forget_before(&mut self, window: u64) {
+    pub fn drop_before(&mut self, window: u64) {
         let kept = self.windows.split_off(&window);
-        let forgotten = std::mem::replace(&mut self.windows, kept);
-        if !forgotten.is_empty() {
-            self.forget_unused_sources();
+        let dropped = std::mem::replace(&mut self.windows, kept);
+        if !dropped.is_empty() {
+            self.drop_unused_sources();
         }
     }
 
-    fn forget_unused_sources(&mut self) {
+    fn drop_unused_sources(&mut self) {
         let counts = self.windows.values().flat_map(BTreeMap::values).flatten();
         let used: BTreeSet<u32> = counts.map(|counted| counted.source_number).collect();
         self.source_numbers
@@ -118,7 +118,7 @@
     pub fn observe_wall_clock(&mut self, now: Ms, wall_ms: u64) {
         self.wall_clock.observe(now, wall_ms);
         if let Some(windows) = self.kept_usage_windows(now) {
-            self.usage.forget_before(*windows.start());
+            self.usage.drop_before(*windows.start());
         }
     }
 
@@ -142,8 +142,8 @@
     ///
     /// An edge that was heard from within the delay of usage reports, or that gossip has for live, is waited for: it may be
     /// back before the report is due. An edge that falls silent so stops this time from rising until then.
-    pub fn usage_heard_through(&self, now: Ms) -> Ms {
-        let heard_until = |name: &Name| {
+    pub fn usage_received_through(&self, now: Ms) -> Ms {
+        let received_until = |name: &Name| {
             let follower = self.followers.get(name);
             follower
                 .and_then(|follower| follower.counters_heard_until)
@@ -155,7 +155,7 @@
             .chain(self.followers.live(now))
             .map(|follower| &follower.node.name);
         let live = self.membership.live(NodeRole::Edge).map(|edge| &edge.name);
-        let earliest = heard.chain(live).map(heard_until).min();
+        let earliest = heard.chain(live).map(received_until).min();
         earliest.unwrap_or(0).saturating_sub(USAGE_LATENCY)
     }
 
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -5,7 +5,7 @@
 use coordination::{
     Effect, Effects, Ms,
     control::{
-        Caller, Control, ControlConfig, DISTANT_LOG_INTERVAL, FLEET_DISCOVERY_TIME, SPEC_KEY,
+        Caller, Control, ControlConfig, FLEET_DISCOVERY_TIME, REMOTE_ROUTING_LOG_INTERVAL, SPEC_KEY,
     },
     edge_agent::{EdgeAgent, POLL_INTERVAL, RULE_DURATION},
     membership::SHUFFLE_INTERVAL,
@@ -328,7 +328,7 @@
     topology.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     expect_that!(logged(&mut topology, "a"), eq(1));
     expect_that!(logged(&mut topology, "a"), eq(0));
-    topology.run(DISTANT_LOG_INTERVAL);
+    topology.run(REMOTE_ROUTING_LOG_INTERVAL);
     expect_that!(logged(&mut topology, "a"), eq(1));
     // Whatever a caller calls its region, it fills no memory and no log.
     expect_that!(logged(&mut topology, "nowhere"), eq(0));
--- a/coordination/tests/usage.rs
+++ b/coordination/tests/usage.rs
@@ -289,7 +289,7 @@
                 bench.restart_agent();
             }
             bench.run(333, RATE);
-            let heard_through = bench.control.usage_heard_through(bench.now);
+            let heard_through = bench.control.usage_received_through(bench.now);
             let heard = bench.counted_usage();
             for (window, tenants) in bench.true_usage(heard_through) {
                 for (tenant, began) in tenants {
@@ -307,20 +307,20 @@
 fn the_time_heard_through_follows_the_polls_and_waits_for_an_edge_that_is_cut_off() {
     let mut bench = Bench::counting_usage(1, TENANTS);
     bench.run(5_000, RATE);
-    let lag = bench.now - bench.control.usage_heard_through(bench.now);
+    let lag = bench.now - bench.control.usage_received_through(bench.now);
     let longest_lag = USAGE_LATENCY + REPORT_INTERVAL + POLL_INTERVAL + TICK_INTERVAL + LATENCY;
     expect_that!(lag, all!(ge(USAGE_LATENCY), le(longest_lag)));
     bench.is_partitioned = true;
     bench.run(1_000, RATE);
-    let at_cut = bench.control.usage_heard_through(bench.now);
+    let at_cut = bench.control.usage_received_through(bench.now);
     bench.run(18_000, RATE);
-    expect_that!(bench.control.usage_heard_through(bench.now), eq(at_cut));
+    expect_that!(bench.control.usage_received_through(bench.now), eq(at_cut));
     bench.is_partitioned = false;
     bench.run(3_000, RATE);
-    let lag = bench.now - bench.control.usage_heard_through(bench.now);
+    let lag = bench.now - bench.control.usage_received_through(bench.now);
     expect_that!(lag, le(longest_lag));
     bench.restart_control();
-    expect_that!(bench.control.usage_heard_through(bench.now), eq(0));
+    expect_that!(bench.control.usage_received_through(bench.now), eq(0));
 }
 
 /// Guards against usage that costs more bytes than the aim: 1 KB/s for each edge and each control daemon that keeps it.
--- a/coordination/tests/usage_reports.rs
+++ b/coordination/tests/usage_reports.rs
@@ -107,22 +107,29 @@
             .collect()
     }
 
-    /// Windows whose reports are off by more than `tolerance`, a part of the truth.
-    fn windows_off_by(&self, tolerance: f64) -> Vec<u64> {
-        let is_off = |(window, report): &(u64, &coordination::platform_call::UsageReport)| {
-            let counts = report.counts.iter();
-            let reported: BTreeMap<String, u64> = counts
-                .map(|count| (count.tenant.clone(), count.count))
-                .collect();
-            let truth = self.edges.truth_of(*window);
-            let is_near = |tenant: &String, count: u64| {
-                let reported = reported.get(tenant).copied().unwrap_or(0);
-                reported.abs_diff(count) as f64 <= tolerance * count as f64
+    /// Windows whose reports are off by more than `tolerance`, a part of the expected.
+    fn inaccurate_windows(&self, tolerance: f64) -> Vec<u64> {
+        let is_inaccurate =
+            |(window, report): &(u64, &coordination::platform_call::UsageReport)| {
+                let counts = report.counts.iter();
+                let reported: BTreeMap<String, u64> = counts
+                    .map(|count| (count.tenant.clone(), count.count))
+                    .collect();
+                let expected = self.edges.truth_of(*window);
+                let is_within_tolerance = |tenant: &String, count: u64| {
+                    let reported = reported.get(tenant).copied().unwrap_or(0);
+                    reported.abs_diff(count) as f64 <= tolerance * count as f64
+                };
+                reported.len() != expected.len()
+                    || !expected
+                        .iter()
+                        .all(|(t, count)| is_within_tolerance(t, *count))
             };
-            reported.len() != truth.len() || !truth.iter().all(|(t, count)| is_near(t, *count))
-        };
         let reports = self.fleet.platform.reports_by_window().into_iter();
-        reports.filter(is_off).map(|(window, _)| window).collect()
+        reports
+            .filter(is_inaccurate)
+            .map(|(window, _)| window)
+            .collect()
     }
 
     fn violations(&self) -> Vec<String> {
@@ -135,7 +142,7 @@
     }
 
     /// Nothing that must never be seen was, and every window that is due has its report.
-    fn expect_sound(&self, label: &str) {
+    fn expect_no_violations(&self, label: &str) {
         expect_that!(self.violations(), is_empty(), "{label}");
         expect_that!(self.missing_windows(), is_empty(), "{label}");
     }
@@ -159,54 +166,54 @@
     })
 }
 
-/// A moment in the life of a report.
+/// A stage in the life of a report.
 #[derive(Clone, Copy, Debug)]
-enum Moment {
+enum ReportStage {
     /// Its write is in flight.
-    WhileItIsCommitted,
+    Committing,
     /// It is committed, and its call waits for its turn.
-    BeforeItIsSent,
+    CallQueued,
     /// The call is on its way to the platform.
-    WhileItIsOnItsWay,
+    CallInFlight,
     /// The platform has acted and the answer is on its way.
-    BeforeItsAnswer,
+    ResponseInFlight,
     /// The answer has arrived.
-    AfterItsAnswer,
+    ResponseReceived,
 }
 
-const MOMENTS: [Moment; 5] = [
-    Moment::WhileItIsCommitted,
-    Moment::BeforeItIsSent,
-    Moment::WhileItIsOnItsWay,
-    Moment::BeforeItsAnswer,
-    Moment::AfterItsAnswer,
+const REPORT_STAGES: [ReportStage; 5] = [
+    ReportStage::Committing,
+    ReportStage::CallQueued,
+    ReportStage::CallInFlight,
+    ReportStage::ResponseInFlight,
+    ReportStage::ResponseReceived,
 ];
 
 impl UsageFleet {
-    /// Runs to a moment of the next report, and gives the daemon whose report it is.
-    fn run_to(&mut self, moment: Moment) -> usize {
+    /// Runs to a stage of the next report, and gives the daemon whose report it is.
+    fn run_to_stage(&mut self, stage: ReportStage) -> usize {
         self.fleet.platform.pacing = 100;
         self.fleet.platform.latency = 100;
         let holder = self.wait_for_holder();
         let arrived = self.fleet.platform.arrivals.len();
-        match moment {
-            Moment::WhileItIsCommitted => self.run_until("a write", |fleet| {
+        match stage {
+            ReportStage::Committing => self.run_until("a write", |fleet| {
                 let control = fleet.control(holder);
                 control.is_some_and(|control| control.registers.has_pending_writes(USAGE_KEY))
             }),
-            Moment::BeforeItIsSent => {
+            ReportStage::CallQueued => {
                 self.run_until("a call that waits", |fleet| fleet.platform.waiting > 0);
             }
-            Moment::WhileItIsOnItsWay => {
+            ReportStage::CallInFlight => {
                 self.run_until("a call on its way", |fleet| fleet.platform.on_their_way > 0);
             }
-            Moment::BeforeItsAnswer | Moment::AfterItsAnswer => {
+            ReportStage::ResponseInFlight | ReportStage::ResponseReceived => {
                 self.run_until("an arrival", |fleet| {
                     fleet.platform.arrivals.len() > arrived
                 });
             }
         }
-        if matches!(moment, Moment::AfterItsAnswer) {
+        if matches!(stage, ReportStage::ResponseReceived) {
             self.run(101);
         }
         holder
@@ -219,8 +226,8 @@
     for seed in 0..3 {
         let mut usage = UsageFleet::with_bounds(seed, bounds());
         usage.run(90_000);
-        usage.expect_sound(&format!("seed {seed}"));
-        expect_that!(usage.windows_off_by(0.0), is_empty(), "seed {seed}");
+        usage.expect_no_violations(&format!("seed {seed}"));
+        expect_that!(usage.inaccurate_windows(0.0), is_empty(), "seed {seed}");
         let reports = usage.fleet.platform.accepted_reports();
         let windows: Vec<u64> = reports.iter().map(|(_, report)| report.window).collect();
         let first = UsageFleet::first_window();
@@ -234,85 +241,85 @@
     }
 }
 
-/// Guards against two reports of a window, and a lost one, where the holder dies at any moment of a report's life.
+/// Guards against two reports of a window, and a lost one, where the holder dies at any stage of a report's life.
 #[gtest]
 fn a_killed_holders_reports_are_sent_on_as_they_were_committed() {
-    for (seed, moment) in (0..).zip(MOMENTS) {
+    for (seed, stage) in (0..).zip(REPORT_STAGES) {
         let mut usage = UsageFleet::reporting(seed);
-        let holder = usage.run_to(moment);
+        let holder = usage.run_to_stage(stage);
         usage.fleet.kill(holder);
         usage.run(8_000);
         usage.fleet.start(holder);
         usage.run(40_000);
-        let label = format!("{moment:?}");
-        usage.expect_sound(&label);
-        expect_that!(usage.windows_off_by(0.0), is_empty(), "{label}");
+        let label = format!("{stage:?}");
+        usage.expect_no_violations(&label);
+        expect_that!(usage.inaccurate_windows(0.0), is_empty(), "{label}");
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
     }
 }
 
 /// Guards against a holder that was frozen and calls the platform when it wakes, though its lease has ended.
 #[gtest]
-fn a_frozen_holder_sends_nothing_when_it_wakes() {
-    for (seed, moment) in (10..).zip(MOMENTS) {
+fn a_suspended_holder_sends_nothing_after_it_resumes() {
+    for (seed, stage) in (10..).zip(REPORT_STAGES) {
         let mut usage = UsageFleet::reporting(seed);
-        let holder = usage.run_to(moment);
-        let frozen_at = usage.fleet.now;
-        usage.fleet.daemons[holder].suspended_until = frozen_at + 20_000;
+        let holder = usage.run_to_stage(stage);
+        let suspended_at = usage.fleet.now;
+        usage.fleet.daemons[holder].suspended_until = suspended_at + 20_000;
         usage.run(60_000);
-        let label = format!("{moment:?}");
-        usage.expect_sound(&label);
+        let label = format!("{stage:?}");
+        usage.expect_no_violations(&label);
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
-        let epoch_before = |arrival: &&Arrival| arrival.at <= frozen_at;
+        let epoch_before = |arrival: &&Arrival| arrival.at <= suspended_at;
         let arrivals = &usage.fleet.platform.arrivals;
         let old_epoch = arrivals
             .iter()
             .rfind(epoch_before)
             .map(|arrival| arrival.epoch);
-        let awakened = arrivals
-            .iter()
-            .filter(|arrival| arrival.at > frozen_at + 20_000 && Some(arrival.epoch) == old_epoch);
-        expect_that!(awakened.count(), eq(0), "{label}");
+        let sent_after_resume = arrivals.iter().filter(|arrival| {
+            arrival.at > suspended_at + 20_000 && Some(arrival.epoch) == old_epoch
+        });
+        expect_that!(sent_after_resume.count(), eq(0), "{label}");
     }
 }
 
 /// Guards against a holder that is cut off from the other daemons, still reaches the platform, and goes on beside the next
 /// holder; and against one that is lost to the platform only.
 #[gtest]
-fn a_holder_that_is_cut_off_stops_before_the_next_one_starts() {
-    for (seed, moment) in (20..).zip(MOMENTS) {
+fn a_partitioned_holder_stops_before_the_next_one_starts() {
+    for (seed, stage) in (20..).zip(REPORT_STAGES) {
         let mut usage = UsageFleet::reporting(seed);
-        let holder = usage.run_to(moment);
+        let holder = usage.run_to_stage(stage);
         usage.fleet.partitioned.insert(addr(holder));
         usage.run(30_000);
         usage.fleet.partitioned.clear();
         usage.run(30_000);
-        let label = format!("{moment:?}");
-        usage.expect_sound(&label);
+        let label = format!("{stage:?}");
+        usage.expect_no_violations(&label);
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
     }
 }
 
 /// Guards against a term that outlives a partition in one direction: the others do not hear the holder, it hears them.
 #[gtest]
-fn a_holder_that_nobody_hears_stops_before_the_next_one_starts() {
-    for (seed, moment) in (30..).zip(MOMENTS) {
+fn a_holder_whose_messages_are_lost_stops_before_the_next_one_starts() {
+    for (seed, stage) in (30..).zip(REPORT_STAGES) {
         let mut usage = UsageFleet::reporting(seed);
-        let holder = usage.run_to(moment);
-        let silent = addr(holder);
-        usage.fleet.delivers = Box::new(move |from, _, _| *from != silent);
+        let holder = usage.run_to_stage(stage);
+        let holder_addr = addr(holder);
+        usage.fleet.delivers = Box::new(move |from, _, _| *from != holder_addr);
         usage.run(30_000);
         usage.fleet.delivers = Box::new(|_, _, _| true);
         usage.run(30_000);
-        let label = format!("{moment:?}");
-        usage.expect_sound(&label);
+        let label = format!("{stage:?}");
+        usage.expect_no_violations(&label);
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
     }
 }
 
 /// Guards against a report that is made anew, with other counts, because the answer to the first was lost.
 #[gtest]
-fn a_report_whose_answer_was_lost_is_repeated_exactly() {
+fn a_report_whose_response_was_lost_is_resent_unchanged() {
     let mut usage = UsageFleet::reporting(40);
     usage.fleet.platform.condition = Condition::AnswersLost;
     usage.run(15_000);
@@ -322,7 +329,7 @@
     usage.fleet.platform.condition = Condition::Working;
     usage.fleet.start(holder);
     usage.run(40_000);
-    usage.expect_sound("answers lost");
+    usage.expect_no_violations("answers lost");
     let reports = usage.fleet.platform.accepted_reports();
     let windows = usage.fleet.platform.reports_by_window();
     expect_that!(reports.len(), gt(windows.len()));
@@ -330,17 +337,17 @@
 
 /// Guards against a second report of a window after every process died between its commit and its sending.
 #[gtest]
-fn a_total_loss_between_commit_and_sending_changes_no_report() {
-    for (seed, moment) in (50..).zip(MOMENTS) {
+fn a_restart_of_all_daemons_changes_no_committed_report() {
+    for (seed, stage) in (50..).zip(REPORT_STAGES) {
         let mut usage = UsageFleet::reporting(seed);
-        let holder = usage.run_to(moment);
+        let holder = usage.run_to_stage(stage);
         let logged = usage.log(holder);
         (0..DAEMONS).for_each(|index| usage.fleet.kill(index));
         usage.run(800);
         (0..DAEMONS).for_each(|index| usage.fleet.start(index));
         usage.run(50_000);
-        let label = format!("{moment:?}");
-        usage.expect_sound(&label);
+        let label = format!("{stage:?}");
+        usage.expect_no_violations(&label);
         let reported = usage.fleet.platform.reports_by_window();
         for report in &logged.unaccepted {
             expect_that!(reported.get(&report.window), some(eq(&report)), "{label}");
@@ -350,10 +357,10 @@
 
 /// Guards against an epoch that is made again, or a log that is forgotten, by daemons whose disks were lost.
 #[gtest]
-fn two_wiped_disks_bring_back_neither_a_fence_nor_a_report() {
-    for (seed, moment) in (60..).zip(MOMENTS) {
+fn two_wiped_disks_repeat_no_epoch_and_lose_no_report() {
+    for (seed, stage) in (60..).zip(REPORT_STAGES) {
         let mut usage = UsageFleet::reporting(seed);
-        let holder = usage.run_to(moment);
+        let holder = usage.run_to_stage(stage);
         let other = (holder + 1) % DAEMONS;
         for index in [holder, other] {
             usage.fleet.wipe(index);
@@ -363,8 +370,8 @@
             usage.fleet.start(index);
         }
         usage.run(60_000);
-        let label = format!("{moment:?}");
-        usage.expect_sound(&label);
+        let label = format!("{stage:?}");
+        usage.expect_no_violations(&label);
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
     }
 }
@@ -374,7 +381,7 @@
 
 /// Again and again the holder's disk hangs just after it acted, for so long that it gives its keys up: another daemon takes
 /// the role over at once, and the former holder is back soon after.
-fn disturb_holders(role_pause: Ms, seed: u64) -> UsageFleet {
+fn run_with_hung_disks(role_pause: Ms, seed: u64) -> UsageFleet {
     let bounds = Bounds {
         role_pause,
         ..bounds()
@@ -401,7 +408,7 @@
 #[gtest]
 fn holders_do_not_alternate_within_the_role_pause() {
     for seed in 70..74 {
-        let usage = disturb_holders(LONG_LEASE, seed);
+        let usage = run_with_hung_disks(LONG_LEASE, seed);
         expect_that!(
             usage.violations_within(LONG_LEASE),
             is_empty(),
@@ -417,7 +424,7 @@
 #[gtest]
 fn holders_alternate_without_the_role_pause() {
     let alternate = |seed| {
-        !disturb_holders(0, seed)
+        !run_with_hung_disks(0, seed)
             .violations_within(LONG_LEASE)
             .is_empty()
     };
@@ -458,12 +465,12 @@
         expect_that!(arrival.epoch, gt(former_epoch));
         expect_that!(arrival.at, ge(refused[0].at + 3_000));
     }
-    usage.expect_sound("superseded");
+    usage.expect_no_violations("superseded");
 }
 
 /// Guards against a platform that is down being called without end, and against reports that are lost meanwhile.
 #[gtest]
-fn a_platform_that_is_down_is_called_ever_less_often_and_then_caught_up() {
+fn calls_back_off_while_the_platform_is_down_and_catch_up_later() {
     for condition in [Condition::Down, Condition::RateLimiting] {
         let mut usage = UsageFleet::reporting(100);
         usage.fleet.platform.condition = condition;
@@ -473,18 +480,18 @@
         expect_that!(calls, le(16), "{condition:?}");
         usage.fleet.platform.condition = Condition::Working;
         usage.run(30_000);
-        usage.expect_sound(&format!("{condition:?}"));
+        usage.expect_no_violations(&format!("{condition:?}"));
         let reports = usage.fleet.platform.accepted_reports();
         let windows: Vec<u64> = reports.iter().map(|(_, report)| report.window).collect();
         expect_true!(windows.is_sorted());
-        expect_that!(usage.windows_off_by(0.0), is_empty(), "{condition:?}");
+        expect_that!(usage.inaccurate_windows(0.0), is_empty(), "{condition:?}");
     }
 }
 
 /// Guards against a log that grows without end while the platform is down, and against windows that are lost once it
 /// works.
 #[gtest]
-fn a_long_outage_of_the_platform_fills_the_log_to_its_bound_only() {
+fn the_log_stays_bounded_during_a_long_platform_outage() {
     let mut usage = UsageFleet::reporting(110);
     usage.fleet.platform.condition = Condition::Down;
     usage.run((UNACCEPTED_REPORTS_MAX as Ms + 8) * WINDOW);
@@ -495,8 +502,8 @@
     );
     usage.fleet.platform.condition = Condition::Working;
     usage.run(40_000);
-    usage.expect_sound("after an outage");
-    expect_that!(usage.windows_off_by(0.0), is_empty());
+    usage.expect_no_violations("after an outage");
+    expect_that!(usage.inaccurate_windows(0.0), is_empty());
     expect_that!(usage.log(holder).unaccepted.len(), le(1));
 }
 
@@ -508,8 +515,8 @@
     usage.run(60_000);
     (0..DAEMONS).for_each(|index| usage.fleet.start(index));
     usage.run(60_000);
-    usage.expect_sound("control was down");
-    expect_that!(usage.windows_off_by(0.0), is_empty());
+    usage.expect_no_violations("control was down");
+    expect_that!(usage.inaccurate_windows(0.0), is_empty());
 }
 
 /// Guards against an endless series of reports of windows that nobody asks for any more.
@@ -548,7 +555,7 @@
         let due = (report.window + 1) * WINDOW + DELAY - WALL_START;
         expect_that!(at, lt(due));
     }
-    usage.expect_sound("cut off");
+    usage.expect_no_violations("cut off");
 }
 
 /// Guards against calls to the platform while operators have switched all automatic action off.
@@ -566,7 +573,7 @@
         .fleet
         .write_until_accepted(KILL_SWITCH_KEY, b"false", 10_000);
     usage.run(40_000);
-    usage.expect_sound("after the kill switch");
+    usage.expect_no_violations("after the kill switch");
 }
 
 /// Guards against calls, and a key, where usage is not counted.
@@ -606,7 +613,7 @@
 
 /// Guards against a call that a daemon decided on, and that has its turn only after the lease ended.
 #[gtest]
-fn a_call_whose_turn_comes_too_late_is_dropped() {
+fn a_queued_call_is_dropped_after_its_lease_ends() {
     let mut usage = UsageFleet::reporting(180);
     usage.fleet.platform.pacing = 4_000;
     let arrived = usage.fleet.platform.arrivals.len();
@@ -615,5 +622,5 @@
     expect_that!(usage.fleet.platform.arrivals.len(), eq(arrived));
     usage.fleet.platform.pacing = 0;
     usage.run(40_000);
-    usage.expect_sound("after long pacing");
+    usage.expect_no_violations("after long pacing");
 }
--- a/coordination/tests/wall_clock.rs
+++ b/coordination/tests/wall_clock.rs
@@ -8,16 +8,16 @@
 /// ms. Between two observations.
 const TICK: Ms = 50;
 
-/// Observes a time of day that is wrong by `step` while `stepped` says so; gives by how much the prediction is wrong at
-/// most from `judged_from` on.
-fn worst_error(end: Ms, judged_from: Ms, step: i64, stepped: impl Fn(Ms) -> bool) -> u64 {
+/// Observes a time of day that is wrong by `step` while `is_stepped` says so; gives by how much the prediction is wrong at
+/// most from `checked_from` on.
+fn worst_error(end: Ms, checked_from: Ms, step: i64, is_stepped: impl Fn(Ms) -> bool) -> u64 {
     let mut clock = WallClock::default();
     let mut worst = 0;
     for now in (0..end).step_by(TICK as usize) {
-        let observed_step = if stepped(now) { step } else { 0 };
+        let observed_step = if is_stepped(now) { step } else { 0 };
         clock.observe(now, (WALL_START + now).saturating_add_signed(observed_step));
         let predicted = clock.wall_ms(now).unwrap();
-        if now >= judged_from {
+        if now >= checked_from {
             worst = worst.max(predicted.abs_diff(WALL_START + now));
         }
     }
@@ -30,8 +30,8 @@
     for step in [-5_000, -500, 500, 5_000] {
         for duration in [3_000, 5_500, 9_000] {
             for began_at in (25_000..100_000).step_by(3_333) {
-                let stepped = |now: Ms| (began_at..began_at + duration).contains(&now);
-                let worst = worst_error(150_000, 0, step, stepped);
+                let is_stepped = |now: Ms| (began_at..began_at + duration).contains(&now);
+                let worst = worst_error(150_000, 0, step, is_stepped);
                 expect_that!(worst, eq(0), "{step} for {duration} from {began_at}");
             }
         }
@@ -41,14 +41,14 @@
 /// Guards against a prediction that holds on to a time of day that was set right.
 #[gtest]
 fn a_time_of_day_that_was_set_right_is_followed_within_half_a_minute() {
-    let stepped = |now: Ms| now < 70_000;
-    expect_that!(worst_error(200_000, 102_000, 5_000, stepped), eq(0));
-    expect_that!(worst_error(200_000, 70_000, 5_000, stepped), eq(5_000));
+    let is_stepped = |now: Ms| now < 70_000;
+    expect_that!(worst_error(200_000, 102_000, 5_000, is_stepped), eq(0));
+    expect_that!(worst_error(200_000, 70_000, 5_000, is_stepped), eq(5_000));
 }
 
 /// Guards against a process that trusts one wrong sample after it stood still for minutes.
 #[gtest]
-fn a_process_that_stood_still_keeps_its_samples() {
+fn a_suspended_process_keeps_its_samples() {
     let mut clock = WallClock::default();
     for now in (0..30_000).step_by(TICK as usize) {
         clock.observe(now, WALL_START + now);
