--- a/coordination/src/control/context_placement.rs
+++ b/coordination/src/control/context_placement.rs
@@ -1,4 +1,4 @@
-//! Copies of shared context, for the services whose singleton role is held here.
+//! Places context copies for the services whose singleton role this daemon holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,10 +14,11 @@
     register::{CONTEXT_PREFIX, Expect, ROLLOUT_PREFIX, USAGE_KEY},
 };
 
-/// ms. A record of copies is not written again before: each write is a sync and a message to every edge.
+/// Minimum interval between writes of a service's context record, in ms: each write is synced to disk and sent to every
+/// edge.
 pub const CONTEXT_WRITE_INTERVAL: Ms = 3_000;
 
-/// What is known for deciding a service's copies of shared context, while its singleton role is held here.
+/// State for placing a service's context copies, kept while this daemon holds the singleton role.
 #[derive(Clone, Debug)]
 pub(super) struct ContextRole {
     held_since: Ms,
@@ -25,23 +26,23 @@
     demand: FleetDemand,
 }
 
-/// Demand for shared chains by region.
+/// Demand for shared prompt chains by region.
 type RegionalDemand = BTreeMap<(String, PromptChain), DemandCount>;
 
-/// What a service's next record of copies is decided from.
+/// Inputs for a service's next context record.
 struct ContextDecision<'a> {
     spec: &'a Spec,
     service: &'a ServiceSpec,
     context_spec: &'a ContextSpec,
     rollout: &'a RolloutRecord,
     demand: RegionalDemand,
-    /// The role was acquired so lately that not all edges have reported their demand.
+    /// Whether the role was acquired too recently for all edges to have reported their demand.
     is_new_holder: bool,
 }
 
 impl Control {
-    /// Keys of the singleton roles that this daemon wants to hold, as far as it is the one to: each service's rollout, and
-    /// its copies of shared context where they are on; and the usage reports where usage is counted.
+    /// Returns the keys of the singleton roles that this daemon acquires where it is next in order: each service's
+    /// rollout, its context placement if that is on, and usage reporting if usage is counted.
     pub(super) fn wanted_roles(&self) -> Vec<Name> {
         let mut keys = vec![];
         if self.config.bounds.usage_window > 0 {
@@ -61,14 +62,14 @@
         keys
     }
 
-    /// Takes an edge's demand for a service's shared chains, if its copies are decided here.
+    /// Records an edge's demand for a service's shared chains, if this daemon places the service's context copies.
     pub(super) fn on_context_demand(&mut self, from: &Name, demand: ContextDemand, now: Ms) {
         if let Some(role) = self.context_roles.get_mut(&*demand.service) {
             role.demand.merge_report(from, demand.chains.0, now);
         }
     }
 
-    /// Decides where copies of popular shared context are kept, for the services whose singleton role is held here.
+    /// Updates the placement of popular shared context for the services whose singleton role this daemon holds.
     pub(super) fn place_contexts(&mut self, spec: &Spec, now: Ms, out: &mut Effects) {
         for service in &spec.services {
             self.place_context(spec, service, now, out);
@@ -110,7 +111,7 @@
         self.update_context(&decision, &key, now, out);
     }
 
-    /// Clears the record of copies of a service that has them switched off.
+    /// Clears the context record of a service whose context placement is off.
     fn disable_context(&mut self, service: &ServiceSpec, key: &Name, now: Ms, out: &mut Effects) {
         let committed = self
             .state_table
@@ -143,7 +144,8 @@
         })
     }
 
-    /// Demand for a service's shared chains, and whether the role was acquired so lately that it is incomplete.
+    /// Returns the demand for a service's shared chains, and whether it is incomplete because the role was acquired
+    /// recently.
     fn context_demand(&mut self, service: &str, now: Ms) -> Option<(RegionalDemand, bool)> {
         let role = self.context_roles.get_mut(service)?;
         let (followers, regions) = (&self.followers, &self.config.regions);
@@ -158,7 +160,7 @@
         ))
     }
 
-    /// Writes a service's next record of copies if it differs from the committed one.
+    /// Writes a service's next context record if it differs from the committed one.
     fn update_context(
         &mut self,
         decision: &ContextDecision,
@@ -225,7 +227,7 @@
         context::next_record(old.unwrap_or(&empty), &inputs)
     }
 
-    /// Replicas that may keep copies: in use, not draining, and in no evacuated zone.
+    /// Returns the replicas that may hold context copies: in use, not draining, and not in an evacuated zone.
     fn context_replicas(&self, rollout: &RolloutRecord) -> Vec<PlacedReplica> {
         let in_use: BTreeSet<&String> = rollout
             .groups
--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: which edges a caller is sent to.
+//! The directory: selects the edges to which a caller sends its requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,22 +10,22 @@
     regions, rendezvous::rendezvous_order, timing::NODE_TIMEOUT,
 };
 
-/// ms. A control daemon names edges to callers only when every agent had time for three polls: a short list would send
-/// everybody to a few edges.
+/// Time after its start for which a control daemon resolves no hosts, in ms. Every agent has time for three polls: an
+/// incomplete list would send all callers to a few edges.
 pub const FLEET_DISCOVERY_TIME: Ms = 1_500;
-/// ms. That a region's callers are sent so far beyond it, or nowhere, is logged this often while it lasts.
+/// Interval between log entries, in ms, while a region's callers are sent to other regions or nowhere.
 pub const REMOTE_ROUTING_LOG_INTERVAL: Ms = 60_000;
-/// ms. An edge that was not heard from for so long is most likely gone: that the directory names it all the same is logged.
+/// Time without a message from an edge, in ms, after which the edge is most likely down; listing it is then logged.
 const UNREACHABLE_EDGE_AFTER: Ms = 3_000;
-/// ms. It is logged this often while it lasts.
+/// Interval between log entries, in ms, while unreachable edges are listed.
 const UNREACHABLE_LOG_INTERVAL: Ms = 2_000;
-/// Addresses of edges in one answer to a caller.
+/// Maximum number of edge addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// Who asks the directory, and for which host.
+/// A caller that queries the directory for a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
-    /// The host whose requests the caller has, as its URLs spell it.
+    /// The host to which the caller sends requests, as spelled in its URLs.
     pub host: &'a str,
     /// The caller's zone.
     pub zone: &'a str,
@@ -33,16 +33,16 @@
     pub region: &'a str,
 }
 
-/// How far from the caller the edges of an answer may be.
+/// How far from the caller the edges of a resolution may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reach {
     /// The caller's zone.
     Zone,
     /// The caller's region.
     Region,
-    /// The caller's region and the homes of the host's routes.
+    /// The caller's region and the home regions of the host's routes.
     Homes,
-    /// Every edge, whatever its region.
+    /// All edges, whatever their region.
     Fleet,
 }
 
@@ -57,12 +57,12 @@
     }
 }
 
-/// Where a host's requests may be carried, besides the caller's own region.
+/// Regions, in addition to the caller's own, to which a host's requests may be sent.
 #[derive(PartialEq)]
 enum HomeRegions<'a> {
-    /// None of its routes has homes.
+    /// No route of the host has home regions.
     Unrestricted,
-    /// These regions alone: none where its routes have no home in common, or where no spec is known.
+    /// Only these regions: none if the host's routes have no home region in common, or if no spec is known.
     Regions(BTreeSet<&'a str>),
 }
 
@@ -75,18 +75,18 @@
     }
 }
 
-/// An answer of the directory.
+/// The edges selected for a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resolution {
-    /// Addresses of edges, the first to be tried first.
+    /// Addresses of edges, in the order in which the caller should try them.
     pub addresses: Vec<String>,
-    /// How far from the caller they may be.
+    /// How far from the caller the edges may be.
     pub reach: Reach,
     unreachable: Unreachable,
 }
 
-/// Edges of an answer that were not heard from for `UNREACHABLE_EDGE_AFTER`, and the longest time that any edge in it was
-/// not heard from.
+/// The number of edges in a resolution from which nothing was received for `UNREACHABLE_EDGE_AFTER`, and the longest
+/// time for which nothing was received from any of its edges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Unreachable {
     edges: usize,
@@ -106,36 +106,36 @@
     }
 }
 
-/// An edge that serves, and how long ago it was last heard from.
+/// An edge that serves, and the time since a message from it was last received.
 #[derive(Clone, Copy)]
 struct ServingEdge<'a> {
     node: &'a Node,
     time_since_received: Ms,
 }
 
-/// Why the directory names no edge.
+/// Why a host was not resolved to any edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unresolved {
-    /// This daemon has not heard from the fleet for long enough yet.
+    /// This daemon has not been up for long enough to know the fleet.
     Starting,
-    /// No edge serves where the host's requests may be carried.
+    /// No edge serves in the regions to which the host's requests may be sent.
     NoEdge,
 }
 
-/// Answers of the directory by how they were chosen, since this daemon started.
+/// Resolutions by reach since this daemon started.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResolutionCounts {
     by_reach: BTreeMap<Reach, u64>,
     unresolved: u64,
-    /// Answers that name unreachable edges.
+    /// Resolutions that list unreachable edges.
     unreachable: u64,
-    /// When such an answer was last logged.
+    /// When a resolution with unreachable edges was last logged.
     unreachable_logged_at: Option<Ms>,
-    /// When it was last logged how far a region's callers are sent, `None` for nowhere.
+    /// When it was last logged how far a region's callers are sent; `None` as reach stands for nowhere.
     remote_routing_logged_at: BTreeMap<(Name, Option<Reach>), Option<Ms>>,
 }
 
-/// Whether something that is logged once an interval is to be logged now; if so, `logged_at` becomes `now`.
+/// Returns whether an entry that is logged once per interval is due; if so, sets `logged_at` to `now`.
 fn is_log_due(logged_at: &mut Option<Ms>, interval: Ms, now: Ms) -> bool {
     let is_due = logged_at.is_none_or(|at| now.saturating_sub(at) >= interval);
     if is_due {
@@ -145,7 +145,7 @@
 }
 
 impl ResolutionCounts {
-    /// The counts by the names under which monitoring knows them.
+    /// Returns the counts with the names under which they are exported to monitoring.
     pub(super) fn rows(&self) -> [(&'static str, u64); 6] {
         let count = |reach| self.by_reach.get(&reach).copied().unwrap_or(0);
         [
@@ -158,8 +158,8 @@
         ]
     }
 
-    fn count(&mut self, answer: &Result<Resolution, Unresolved>) {
-        match answer {
+    fn count(&mut self, result: &Result<Resolution, Unresolved>) {
+        match result {
             Ok(resolution) => {
                 *self.by_reach.entry(resolution.reach).or_default() += 1;
                 self.unreachable += u64::from(resolution.unreachable.edges > 0);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Whether it is to be logged that an answer names unreachable edges.
+    /// Returns whether to log that a resolution lists unreachable edges.
     fn unreachable_log_due(&mut self, unreachable: Unreachable, now: Ms) -> bool {
         unreachable.edges > 0
             && is_log_due(
@@ -178,7 +178,8 @@
             )
     }
 
-    /// Whether it is to be logged how far a region's callers are sent: a region with one edge is so for ever.
+    /// Returns whether to log how far a region's callers are sent. Entries are rate-limited, since a region with one
+    /// edge is always in this state.
     fn remote_routing_log_due(&mut self, region: &str, reach: Option<Reach>, now: Ms) -> bool {
         is_log_due(
             self.remote_routing_logged_at
@@ -191,45 +192,43 @@
 }
 
 impl Control {
-    /// Addresses of edges for a caller: near ones first, but never only one of many, as that one may just have gone.
-    /// Beyond its region only where the host's routes may be carried, however few edges serve.
-    ///
-    /// # Errors
-    /// Where this daemon does not know the fleet yet, and where no edge serves that the caller may use.
+    /// Returns addresses of edges for a caller, near ones first, but never just one of many, as that one may just have
+    /// failed. Remote edges are returned only in regions to which the host's requests may be sent, however few edges
+    /// serve.
     pub fn resolve(
         &mut self,
         caller: Caller,
         now: Ms,
     ) -> (Result<Resolution, Unresolved>, Effects) {
-        let answer = self.edges_for(caller, now);
-        self.resolution_counts.count(&answer);
+        let result = self.edges_for(caller, now);
+        self.resolution_counts.count(&result);
         let mut effects = vec![];
-        if self.is_remote_routing_log_due(caller, &answer, now) {
-            effects.push(self.log_remote_routing(caller, &answer, now));
+        if self.is_remote_routing_log_due(caller, &result, now) {
+            effects.push(self.log_remote_routing(caller, &result, now));
         }
-        let unreachable = answer
+        let unreachable = result
             .as_ref()
             .map_or(Unreachable::default(), |resolution| resolution.unreachable);
         if self.resolution_counts.unreachable_log_due(unreachable, now) {
             effects.push(self.log_unreachable(caller, unreachable, now));
         }
-        (answer, effects)
+        (result, effects)
     }
 
-    /// Whether it is to be logged that a caller is sent beyond its region, or nowhere.
+    /// Returns whether to log that a caller is sent to another region, or nowhere.
     fn is_remote_routing_log_due(
         &mut self,
         caller: Caller,
-        answer: &Result<Resolution, Unresolved>,
+        result: &Result<Resolution, Unresolved>,
         now: Ms,
     ) -> bool {
-        let reach = match answer {
+        let reach = match result {
             Ok(resolution) if resolution.reach <= Reach::Region => return false,
             Err(Unresolved::Starting) => return false,
             Ok(resolution) => Some(resolution.reach),
             Err(Unresolved::NoEdge) => None,
         };
-        // A region that no zone is in is a caller's mistake, of which there may be any number.
+        // A region without zones is a mistake of the caller, and there may be any number of such names.
         let mut regions = self.config.regions.values();
         regions.any(|region| region == caller.region)
             && self
@@ -245,7 +244,8 @@
         log_event(events::UNREACHABLE_EDGES_LISTED, caller.region, text)
     }
 
-    /// How long ago an edge was last heard from at least, by its own polls or by gossip.
+    /// Returns the time since an edge last polled or made its newest known heartbeat, whichever is more recent. A
+    /// message that may have waited while this process was suspended counts from the start of the suspension.
     pub(super) fn time_since_received(&self, edge: &Node, now: Ms) -> Ms {
         let by_poll = self
             .followers
@@ -262,10 +262,10 @@
     fn log_remote_routing(
         &self,
         caller: Caller,
-        answer: &Result<Resolution, Unresolved>,
+        result: &Result<Resolution, Unresolved>,
         now: Ms,
     ) -> Effect {
-        let text = match answer {
+        let text = match result {
             Ok(resolution) => format!(
                 "host={} reach={} edges={}",
                 caller.host,
@@ -289,10 +289,10 @@
         )
     }
 
-    /// Edges that serve, as far as this daemon knows. All live edges poll a daemon that is in contact, so that it takes
-    /// those which it does not hear from for gone, whatever part of the fleet they are. Otherwise it may be this daemon
-    /// that is cut off, and it goes by gossip, for no longer than an edge may serve out of contact without its serving
-    /// rule's permission.
+    /// Returns the edges that serve, as far as this daemon knows. All live edges poll a daemon that is in contact, so
+    /// it considers edges from which it receives nothing to be down, whatever part of the fleet they are. Otherwise
+    /// this daemon may itself be partitioned, and it relies on gossip, for no longer than an edge may serve out of
+    /// contact without permission under its serving rule.
     fn serving_edges(&self, now: Ms) -> Vec<ServingEdge<'_>> {
         let is_in_contact = self.in_touch(now);
         let max_time_since_received = if is_in_contact {
@@ -336,7 +336,7 @@
         })
     }
 
-    /// The edges to choose from for a caller, and how far they may be.
+    /// Returns the candidate edges for a caller, and how far from it they may be.
     fn select_edges<'a>(
         &'a self,
         caller: Caller,
@@ -356,7 +356,8 @@
         if same_region.len() > 1 {
             return (same_region, Reach::Region);
         }
-        // A body is not carried where it has no home for the sake of a choice, nor for the want of any edge.
+        // Request bodies are not sent outside the home regions, neither to offer a choice of edges nor if no edge
+        // serves there.
         let homes = self.home_regions(caller.host);
         let remote = remote
             .into_iter()
@@ -369,7 +370,8 @@
         (same_region.into_iter().chain(remote).collect(), reach)
     }
 
-    /// Regions in which all routes of a host may be carried. The directory is not asked for one route, so that each binds.
+    /// Returns the regions to which requests of all routes of a host may be sent. A directory query names no route, so
+    /// every route's home regions apply.
     fn home_regions(&self, host: &str) -> HomeRegions<'_> {
         let Some(spec) = self.parsed.spec() else {
             return HomeRegions::Regions(BTreeSet::new());
--- a/coordination/src/control/rollouts.rs
+++ b/coordination/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! The rollout loops of the singleton roles that are held here.
+//! Runs the rollout loops of the services whose singleton roles this daemon holds.
 
 use std::{
     cell::OnceCell,
@@ -19,19 +19,19 @@
     version_health::VersionHealth,
 };
 
-/// ms. The rollout loop's period.
+/// Interval between passes over all rollout loops, in ms.
 const ROLLOUT_INTERVAL: Ms = 300;
-/// ms. A loop that has not run for this long raises its alert; a handover takes a tenth of it.
+/// Time without a run after which a loop raises its alert, in ms. A handover takes a tenth of it.
 const ROLLOUT_STALLED_AFTER: Ms = 60_000;
 
-/// Rollout loops by service, and the records that they write.
+/// The rollout loops by service, and the writes of their records that are in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rollouts {
     loops: BTreeMap<String, RolloutLoop>,
     next_pass_at: Ms,
-    /// When this daemon last ran each service's loop, or first was the one to run it.
+    /// When this daemon last ran each service's loop, or became responsible for running it.
     ran_at: BTreeMap<String, Ms>,
-    /// Services whose loops have raised the alert that they do not run.
+    /// Services whose loops have raised the alert that they are not running.
     stalled: BTreeSet<String>,
     /// Services whose records are being written, by the write's token.
     record_writes: BTreeMap<u64, String>,
@@ -42,26 +42,26 @@
         self.loops.get(service)
     }
 
-    /// A service's loop, which begins at `now` if there is none.
+    /// Returns a service's loop, and starts one at `now` if there is none.
     pub(super) fn get_or_start(&mut self, service: &str, now: Ms) -> &mut RolloutLoop {
         self.loops
             .entry(service.to_string())
             .or_insert_with(|| RolloutLoop::new(now))
     }
 
-    /// Forgets what was counted for a service.
+    /// Drops a service's health counters.
     pub(super) fn reset_health(&mut self, service: &str) {
         if let Some(rollout) = self.loops.get_mut(service) {
             rollout.health = VersionHealth::default();
         }
     }
 
-    /// Loops that have raised the alert that they do not run.
+    /// Returns how many loops have raised the alert that they are not running.
     pub(super) fn stalled_count(&self) -> usize {
         self.stalled.len()
     }
 
-    /// Whether a write is one of a rollout record.
+    /// Returns whether the write with this token writes a rollout record.
     pub(super) fn is_record_write(&self, token: u64) -> bool {
         self.record_writes.contains_key(&token)
     }
@@ -76,7 +76,7 @@
             .any(|written| written == service)
     }
 
-    /// Whether a pass over all loops is due; if so, the next one is due an interval later.
+    /// Returns whether a pass over all loops is due; if so, schedules the next one an interval later.
     fn start_pass_if_due(&mut self, now: Ms) -> bool {
         if now < self.next_pass_at {
             return false;
@@ -95,7 +95,8 @@
         self.stalled.remove(service);
     }
 
-    /// For how long a loop that this daemon should run has not run, where that is so long that the alert is raised now.
+    /// Returns how long a loop that this daemon should run has been idle, if that exceeds the limit and the alert is
+    /// raised now.
     fn newly_stalled_for(&mut self, service: &str, now: Ms) -> Option<Ms> {
         let ran_at = *self.ran_at.entry(service.to_string()).or_insert(now);
         let idle = now.saturating_sub(ran_at);
@@ -104,25 +105,25 @@
     }
 }
 
-/// What all loops of one pass are run with.
+/// Inputs shared by all loops of one pass.
 struct RolloutPass<'a> {
     spec: &'a Spec,
     platform: &'a PlatformList,
     /// Replicas whose termination was announced.
     draining: &'a BTreeSet<String>,
     now: Ms,
-    /// s. The time of day.
+    /// Wall-clock time, in s.
     wall_clock_s: u64,
 }
 
-/// A service's newest committed record, or the one that it begins with, and the version of its key.
+/// A service's newest committed record, or its initial one, and the version of the record's key.
 struct CurrentRecord {
     record: Arc<RolloutRecord>,
-    /// 0 where none is committed.
+    /// 0 if no record is committed.
     version: u64,
 }
 
-/// Streams by replica and version; those of a replica over all versions are under the empty version.
+/// Open streams by replica and version. The sum over all versions of a replica has the empty version.
 type OpenStreamSums<'a> = BTreeMap<(&'a str, &'a str), u64>;
 
 fn sum_open_streams<'a>(followers: impl Iterator<Item = &'a Follower>) -> OpenStreamSums<'a> {
@@ -146,7 +147,7 @@
     }
 }
 
-/// Logs what a pass has changed in a service's record.
+/// Logs the changes that a pass has made to a service's record.
 fn log_changes(service: &str, old: &RolloutRecord, next: &RolloutRecord, out: &mut Effects) {
     if next.phase != old.phase {
         let text = format!("{:?} to {:?}", old.phase, next.phase);
@@ -161,7 +162,7 @@
     }
 }
 
-/// Whether an order may be carried out: unloads need a flag that a majority of disks already holds.
+/// Returns whether an order may be sent: an unload needs a flag that is already synced on a majority of disks.
 fn is_permitted(order: &Order, committed: &RolloutRecord) -> bool {
     let Order::Replica {
         action: OrderAction::Unload,
@@ -178,12 +179,13 @@
 }
 
 impl Control {
-    /// Runs the rollout loops of the singleton roles held here. `wall_clock_s`: the time of day.
+    /// Runs the rollout loops of the singleton roles held by this daemon. `wall_clock_s`: wall-clock time, in s.
     pub fn run_rollouts(&mut self, now: Ms, wall_clock_s: u64) -> Effects {
         if !self.is_settled || self.kill_switch_on() || !self.rollouts.start_pass_if_due(now) {
             return vec![];
         }
-        // The daemon next in order for a role keeps the evidence too, and judges by it at once.
+        // The daemon that is next in order for a role also keeps health counters, so that it can judge versions as soon
+        // as it acquires the role.
         for rollout in self.rollouts.loops.values_mut() {
             rollout.health.tick(now);
         }
@@ -214,7 +216,7 @@
         self.finish(now, out)
     }
 
-    /// Runs one service's loop, if its singleton role is held here.
+    /// Runs a service's loop if this daemon holds its singleton role.
     fn run_rollout(&mut self, service: &ServiceSpec, pass: &RolloutPass, out: &mut Effects) {
         let (now, name) = (pass.now, &service.name);
         let key = Name(format!("{ROLLOUT_PREFIX}{name}"));
@@ -225,13 +227,13 @@
                 .observe_plan(plan, now, pass.wall_clock_s);
         }
         let Some((epoch, until)) = self.registers.held_until(&key, now) else {
-            // Timings of a role that is not held are worth nothing when it comes back.
+            // Timings from before the lease was lost are invalid when it is acquired again.
             if let Some(rollout) = self.rollouts.loops.get_mut(name) {
                 rollout.on_lease_lost(now);
             }
             return;
         };
-        // One write of a record at a time; orders follow only committed records.
+        // Only one write of a record is in progress at a time; orders follow only committed records.
         if self.rollouts.is_record_being_written(name) {
             return;
         }
@@ -262,7 +264,7 @@
         }
     }
 
-    /// One step of a service's loop over its current record.
+    /// Runs one step of a service's loop on its current record.
     fn step_rollout(
         &mut self,
         service: &ServiceSpec,
@@ -305,8 +307,8 @@
         step
     }
 
-    /// Writes a service's next record if it is new. It is compared with the version that it was computed from: another
-    /// lease holder's record is never overwritten.
+    /// Writes a service's next record if it has changed. The write is conditional on the version from which the record
+    /// was computed: another lease holder's record is never overwritten.
     fn write_record(
         &mut self,
         service: &str,
@@ -328,7 +330,8 @@
         }
     }
 
-    /// Keys of drained replicas that are gone and that this daemon owns: it clears them.
+    /// Returns the keys of draining replicas that are no longer listed, as far as this daemon owns them: the caller
+    /// clears them.
     fn removed_draining_keys(&self, pass: &RolloutPass) -> Vec<Name> {
         let is_listed = |id: &String| {
             pass.platform
@@ -343,8 +346,8 @@
             .collect()
     }
 
-    /// Raises the alert when a loop that this daemon should run has not run for long: no replica list, no lease, or a
-    /// kill switch that was left on.
+    /// Raises the alert if a loop that this daemon should run has not run for long: there is no replica list or no
+    /// lease, or the kill switch was left on.
     pub(super) fn detect_stalled_loops(
         &mut self,
         now: Ms,
@@ -355,7 +358,7 @@
         for service in &spec.services {
             let key = format!("{ROLLOUT_PREFIX}{}", service.name);
             let owner = self.registers.preferred_owner(&key, live);
-            // Where no voter can own the key nobody runs the loop.
+            // If no voter can own the key, no daemon runs the loop.
             let runs_elsewhere = owner.is_some_and(|voter| voter.name != self.config.name);
             if runs_elsewhere || !self.registers.members.voting {
                 self.rollouts.clear_run(&service.name);
--- a/coordination/src/control/usage_reports.rs
+++ b/coordination/src/control/usage_reports.rs
@@ -1,9 +1,9 @@
-//! Usage reports to the platform, by the holder of the singleton role `usage`.
+//! Usage reports to the platform, sent by the holder of the singleton role `usage`.
 //!
-//! A window's report is committed to the role's key before it is sent, and everybody who sends it sends exactly that: as
-//! the key is written with a comparison, there is one report for a window whoever holds the role, and a repeated one does
-//! no harm. Windows are closed and sent oldest first. Those in which no daemon held the role are reported late, from the
-//! counts that the edges still have.
+//! A window's report is committed to the role's key before it is sent, and every holder sends it exactly as committed.
+//! Writes of the key are conditional on its version, so there is one report per window whoever holds the role, and
+//! sending it again is harmless. Windows are closed and reported oldest first. Windows during which no daemon held the
+//! role are reported late, from the counts that the edges still have.
 
 use wire_messages::{Blob, Name};
 
@@ -20,28 +20,28 @@
     state_table::{VersionStamp, version_stamp},
 };
 
-/// ms. A window is closed so long before its report is due, whether or not all edges were heard: time for a commit, a call
-/// and its repetition.
+/// Time before a report is due at which its window is closed even if counts of some edges are missing, in ms: enough
+/// for a commit, a call and one retry.
 pub const CLOSING_MARGIN: Ms = 3_000;
-/// ms. Counts of a window may arrive so long after its end: proxies report to their agents, agents poll, and the time of day
-/// differs a little between machines.
+/// Time after a window's end within which its counts arrive, in ms: proxies report to their agents, agents poll, and
+/// the wall clocks of machines differ a little.
 const COUNT_DELAY: Ms = 1_000;
-/// ms. The pause after the first call of several that failed.
+/// Backoff after the first of several failed calls, in ms.
 pub const MIN_RETRY_BACKOFF: Ms = 500;
-/// ms. The longest pause after a call that failed.
+/// Maximum backoff after a failed call, in ms.
 pub const MAX_RETRY_BACKOFF: Ms = 8_000;
-/// ms. A call whose outcome was not heard so long after its lease's end was lost by the runtime.
+/// Time after the end of a call's lease, in ms, after which a call without an outcome counts as lost by the runtime.
 const LOST_CALL_TIMEOUT: Ms = 1_000;
 
-/// The time for which this daemon holds the role under one epoch.
+/// The period during which this daemon holds the role under one epoch.
 #[derive(Clone, Copy, Debug)]
 struct Term {
     epoch: u64,
-    /// When this daemon first saw that it holds the role under this epoch.
+    /// When this daemon first observed that it holds the role under this epoch.
     began_at: Ms,
 }
 
-/// A report on its way to the platform.
+/// A report whose call to the platform is in flight.
 #[derive(Clone, Copy, Debug)]
 struct CallInFlight {
     id: u64,
@@ -50,30 +50,30 @@
     lease_until: Ms,
 }
 
-/// The committed log, decoded once a change.
+/// The committed log, decoded once per change.
 #[derive(Clone, Debug, Default)]
 struct DecodedLog {
     stamp: VersionStamp,
     log: UsageLog,
 }
 
-/// The state of the role at this daemon.
+/// State of usage reporting at this daemon.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageReports {
     term: Option<Term>,
     committed: DecodedLog,
-    /// Token of the log's write that is in progress.
+    /// Token of the log write in progress.
     log_write: Option<u64>,
     call: Option<CallInFlight>,
     /// The newest window whose report the platform has accepted from this daemon: reports are sent oldest first.
     accepted_through: Option<u64>,
-    /// ms. How long the next call waits if another one fails; 0 after a success.
+    /// Backoff after the last failed call, in ms; 0 after a success.
     retry_backoff: Ms,
     next_call_at: Ms,
 }
 
 impl UsageReports {
-    /// Whether a write is one of the log.
+    /// Returns whether the write with this token writes the log.
     pub(super) fn is_log_write(&self, token: u64) -> bool {
         self.log_write == Some(token)
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The time at which the present term began; it begins now if the epoch is new.
+    /// Returns when the current term began; starts a new term now if the epoch is new.
     fn term_began_at(&mut self, epoch: u64, now: Ms) -> Ms {
         match self.term {
             Some(term) if term.epoch == epoch => term.began_at,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether a call may be made now: one at a time, and after a pause where one has failed.
+    /// Returns whether a call may be made now: one at a time, and only after the backoff if the last one failed.
     fn may_call(&mut self, now: Ms) -> bool {
         let is_lost = |call: &CallInFlight| now >= call.lease_until + LOST_CALL_TIMEOUT;
         if self.call.as_ref().is_some_and(is_lost) {
@@ -108,13 +108,13 @@
         self.call.is_none() && now >= self.next_call_at
     }
 
-    /// Waits after a failed call, longer each time.
+    /// Delays the next call after a failure, doubling the backoff up to its maximum.
     fn back_off(&mut self, now: Ms) {
         self.retry_backoff = (self.retry_backoff * 2).clamp(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF);
         self.next_call_at = now + self.retry_backoff;
     }
 
-    /// The oldest committed report that the platform has not accepted.
+    /// Returns the oldest committed report that the platform has not accepted.
     fn oldest_unaccepted(&self) -> Option<&UsageReport> {
         let reports = &self.committed.log.unaccepted;
         reports
@@ -122,14 +122,15 @@
             .find(|report| self.accepted_through < Some(report.window))
     }
 
-    /// The call with this id, if it is the one in flight.
+    /// Removes and returns the call in flight if it has this id.
     fn take_call(&mut self, id: u64) -> Option<CallInFlight> {
         self.call.take_if(|call| call.id == id)
     }
 }
 
 impl Control {
-    /// Makes the calls to the platform of the singleton roles held here. `wall_ms`: ms since the start of 1970.
+    /// Makes the platform calls of the singleton roles held by this daemon. `wall_ms`: wall-clock time, in ms since
+    /// 1970.
     pub fn run_platform_roles(&mut self, now: Ms, wall_ms: u64) -> Effects {
         if !self.is_settled || self.kill_switch_on() || self.was_suspended(now) {
             return vec![];
@@ -141,7 +142,7 @@
         self.finish(now, out)
     }
 
-    /// Takes the outcome of a call to the platform.
+    /// Handles the outcome of a call to the platform.
     pub fn on_platform_call_finished(&mut self, id: u64, outcome: CallOutcome, now: Ms) -> Effects {
         let mut out = Vec::new();
         if let Some(call) = self.usage_reports.take_call(id) {
@@ -167,8 +168,8 @@
         self.send_usage_report(epoch, until, now, out);
     }
 
-    /// Decodes the committed log if it has changed. Returns whether it can be read: beside a log that cannot, another
-    /// report might be made for a window that has one.
+    /// Decodes the committed log if it has changed, and returns whether it is readable. With an unreadable log, a
+    /// window that already has a report might get another one.
     fn decode_usage_log(&mut self) -> bool {
         let Some(change) = self.state_table.get(USAGE_KEY) else {
             return true;
@@ -183,8 +184,8 @@
         true
     }
 
-    /// The window to be closed next: the one behind the log; before there is a log the first one that began after this
-    /// daemon's start.
+    /// Returns the next window to close: the one after the log's last, or without a log the first one that began after
+    /// this daemon's start.
     fn next_usage_window(&self, now: Ms, wall_ms: u64) -> u64 {
         let length = self.config.bounds.usage_window;
         let logged = self.usage_reports.committed.log.next_window;
@@ -195,7 +196,7 @@
         logged.max((wall_ms / length).saturating_sub(LATE_WINDOWS_MAX))
     }
 
-    /// Whether a window's counts are as complete as they will be.
+    /// Returns whether a window's counts are as complete as they will be.
     fn is_usage_complete(&self, window: u64, now: Ms, wall_ms: u64) -> bool {
         let bounds = &self.config.bounds;
         let window_end = (window + 1).saturating_mul(bounds.usage_window);
@@ -207,8 +208,8 @@
         since_end >= max_wait || self.usage_received_through(now) >= complete_at
     }
 
-    /// Commits the reports of windows that can be closed, and that reports were accepted. The log is compared with the
-    /// version that the next one was computed from: another holder's reports are never overwritten.
+    /// Commits the reports of windows that can be closed, and drops accepted reports. The write is conditional on the
+    /// version from which the log was computed: another holder's reports are never overwritten.
     fn write_usage_log(&mut self, first_window: u64, now: Ms, wall_ms: u64, out: &mut Effects) {
         let key: Name = USAGE_KEY.into();
         if self.usage_reports.log_write.is_some() || self.registers.has_pending_writes(&key) {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Sends the oldest committed report that the platform has not accepted, exactly as it is committed.
+    /// Sends the oldest committed report that the platform has not accepted, exactly as committed.
     fn send_usage_report(&mut self, epoch: u64, until: Ms, now: Ms, out: &mut Effects) {
         if !self.usage_reports.may_call(now) {
             return;
--- a/coordination/src/control/usage_table.rs
+++ b/coordination/src/control/usage_table.rs
@@ -1,4 +1,4 @@
-//! Usage by tenant and window, as the edges report it.
+//! Usage by tenant and window, as reported by the edges.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,8 +10,8 @@
 use super::Control;
 use crate::{Ms, membership::NodeRole, usage::kept_windows};
 
-/// ms. Longest time that a report of a proxy and the poll that carries it are assumed to be on their way, besides the time
-/// that the report waits for the poll.
+/// Maximum time for which a proxy's report and the poll that carries it are assumed to be in flight, in ms, without the
+/// time for which the report waits for the poll.
 pub const USAGE_LATENCY: Ms = 250;
 
 /// One incarnation of a proxy.
@@ -21,28 +21,28 @@
     proxy_incarnation: u64,
 }
 
-/// What a source counted in one cell.
+/// The count that a source reported for one tenant and window.
 #[derive(Clone, Copy, Debug)]
 struct SourceCount {
     source_number: u32,
     count: u64,
 }
 
-/// Counts of one window by tenant. Few sources serve one tenant in one window, so that a list of them is searched.
+/// Counts of one window by tenant. A tenant has few sources per window, so a linear search is enough.
 type WindowCounts = BTreeMap<Name, Vec<SourceCount>>;
 
-/// Requests that began to run, by window, tenant and source. Of each source the largest count is kept, so that a resend
-/// counts nothing twice; a proxy that restarts is another source, whose counts add up with those before.
+/// Requests that began to run, by window, tenant and source. The largest count of each source is kept, so resent counts
+/// are not added twice. A restarted proxy is a new source, whose counts are added to those of the earlier one.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
     windows: BTreeMap<u64, WindowCounts>,
-    /// Names of sources are kept once, as each has many counts.
+    /// The names of a source are stored only once, as each source has many counts.
     source_numbers: BTreeMap<UsageSource, u32>,
     last_source_number: u32,
 }
 
 impl UsageTable {
-    /// Takes cumulative counts of one incarnation of the proxy beside an agent.
+    /// Records cumulative counts of one incarnation of the proxy colocated with an agent.
     pub fn record(&mut self, agent: &Name, proxy_incarnation: u64, usage: Vec<TenantUsage>) {
         if usage.is_empty() {
             return;
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Requests that began to run in a window, by tenant.
+    /// Returns the requests that began to run in a window, by tenant.
     pub fn counts(&self, window: u64) -> BTreeMap<Name, u64> {
         let tenants = self.windows.get(&window).into_iter().flatten();
         tenants
@@ -91,12 +91,12 @@
             .collect()
     }
 
-    /// Windows in which something was counted, oldest first.
+    /// Returns the windows that have counts, oldest first.
     pub fn windows(&self) -> impl Iterator<Item = u64> {
         self.windows.keys().copied()
     }
 
-    /// Forgets windows before this one.
+    /// Drops the windows before this one.
     pub fn drop_before(&mut self, window: u64) {
         let kept = self.windows.split_off(&window);
         let dropped = std::mem::replace(&mut self.windows, kept);
@@ -114,7 +114,7 @@
 }
 
 impl Control {
-    /// Observes the time of day, in ms since 1970; to be called at least once a second.
+    /// Observes the wall clock, in ms since 1970. Must be called at least once a second.
     pub fn observe_wall_clock(&mut self, now: Ms, wall_ms: u64) {
         self.wall_clock.observe(now, wall_ms);
         if let Some(windows) = self.kept_usage_windows(now) {
@@ -122,26 +122,28 @@
         }
     }
 
-    /// The time of day in ms since 1970, without steps that are taken back; none before it was observed.
+    /// Returns the wall-clock time in ms since 1970, without steps that are reverted; `None` before the first
+    /// observation.
     pub fn wall_ms(&self, now: Ms) -> Option<u64> {
         self.wall_clock.wall_ms(now)
     }
 
-    /// Usage as far as this daemon has heard; it hears of usage only where it holds the role of reporting it, or is next
-    /// to acquire it.
+    /// Returns the usage received so far. Only the daemon that holds the usage reporting role and the one that is next
+    /// to acquire it receive usage.
     pub fn usage(&self) -> &UsageTable {
         &self.usage
     }
 
-    /// Whether this daemon keeps usage counts.
+    /// Returns whether this daemon keeps usage counts.
     pub fn keeps_usage(&self) -> bool {
         self.counters.keeps_usage()
     }
 
-    /// The time up to which every live edge's usage is here, 0 if nothing is known of one of them.
+    /// Returns the time up to which usage was received from every live edge, 0 if nothing is known of one of them.
     ///
-    /// An edge that was heard from within the delay of usage reports, or that gossip has for live, is waited for: it may be
-    /// back before the report is due. An edge that falls silent so stops this time from rising until then.
+    /// An edge from which something was received within the delay of usage reports, or that gossip considers live, is
+    /// waited for, as it may be back before the report is due. An unreachable edge thus holds this time back until
+    /// then.
     pub fn usage_received_through(&self, now: Ms) -> Ms {
         let received_until = |name: &Name| {
             let follower = self.followers.get(name);
@@ -149,17 +151,17 @@
                 .and_then(|follower| follower.counters_heard_until)
                 .unwrap_or(0)
         };
-        let heard = self
+        let recent = self
             .followers
             .polled_within(self.config.bounds.usage_delay, now)
             .chain(self.followers.live(now))
             .map(|follower| &follower.node.name);
         let live = self.membership.live(NodeRole::Edge).map(|edge| &edge.name);
-        let earliest = heard.chain(live).map(received_until).min();
+        let earliest = recent.chain(live).map(received_until).min();
         earliest.unwrap_or(0).saturating_sub(USAGE_LATENCY)
     }
 
-    /// Accepts usage from an agent, whether or not what it follows is complete: of each count the largest is kept.
+    /// Records usage from an agent, even if earlier usage from it is missing: the largest value of each count is kept.
     pub(super) fn accept_usage(&mut self, agent: &Name, reports: Vec<ProxyUsage>, now: Ms) {
         if !self.keeps_usage() {
             return;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Windows whose counts are kept; none before the time of day was observed.
+    /// Returns the windows whose counts are kept; `None` before the first observation of the wall clock.
     fn kept_usage_windows(&self, now: Ms) -> Option<RangeInclusive<u64>> {
         kept_windows(&self.config.bounds, self.wall_clock.wall_ms(now)?)
     }
--- a/coordination/src/wall_clock.rs
+++ b/coordination/src/wall_clock.rs
@@ -1,29 +1,28 @@
-//! The time of day, as it follows from the monotonic clock.
+//! Wall-clock time derived from the monotonic clock.
 
 use std::collections::VecDeque;
 
 use crate::Ms;
 
-/// ms. Between two samples of the time of day.
+/// Interval between samples of the wall clock, in ms.
 const SAMPLE_INTERVAL: Ms = 1_000;
-/// Samples that are kept. A step of the time of day that is taken back within half as many intervals changes nothing.
+/// Number of samples kept. A step of the wall clock that is reverted within half as many intervals has no effect.
 const SAMPLE_COUNT: usize = 60;
 
 /// One observation of both clocks.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     taken_at: Ms,
-    /// ms. Time of day less monotonic time.
+    /// Wall-clock time minus monotonic time, in ms.
     offset_ms: i64,
 }
 
-/// Predicts the time of day from the monotonic clock, so that it does not follow a time of day that steps and steps
-/// back.
+/// Predicts wall-clock time from the monotonic clock, so that temporary steps of the wall clock have no effect.
 ///
 /// The prediction is the monotonic time plus the median offset between the two clocks over the last 60 samples, one a
-/// second. It follows a lasting step after half a minute. Where the rates of the clocks differ by a part `r`, it is wrong
-/// by up to 30 s times `r`: 15 ms at 500 parts in a million. In its first seconds it knows no better than its few samples:
-/// a process that starts during a step predicts by the stepped time until half its samples are right.
+/// second. It follows a lasting step after half a minute. If the rates of the clocks differ by a fraction `r`, its
+/// error is up to 30 s times `r`: 15 ms at 500 parts per million. In the first seconds it relies on few samples: a
+/// process that starts during a step predicts the stepped time until half its samples are correct.
 #[derive(Clone, Debug, Default)]
 pub struct WallClock {
     samples: VecDeque<Sample>,
@@ -31,7 +30,8 @@
 }
 
 impl WallClock {
-    /// Observes the time of day, in ms since 1970. To be called at least once a second; more calls change nothing.
+    /// Observes the wall clock, in ms since 1970. Must be called at least once a second; more frequent calls have no
+    /// effect.
     pub fn observe(&mut self, now: Ms, wall_ms: u64) {
         let is_due = |last: &Sample| now >= last.taken_at.saturating_add(SAMPLE_INTERVAL);
         if !self.samples.back().is_none_or(is_due) {
@@ -47,7 +47,7 @@
         self.median_offset_ms = Some(self.median_offset());
     }
 
-    /// The time of day, in ms since 1970, at a time of the monotonic clock; none before the first observation.
+    /// Returns the wall-clock time, in ms since 1970, at a monotonic time; `None` before the first observation.
     pub fn wall_ms(&self, at: Ms) -> Option<u64> {
         let offset_ms = self.median_offset_ms?;
         Some((at as i64).saturating_add(offset_ms).max(0) as u64)
--- a/coordination/tests/usage_reports.rs
+++ b/coordination/tests/usage_reports.rs
@@ -1,5 +1,6 @@
-//! Usage reports to the platform, by real control daemons over a network that is partitioned, disks that sync and are
-//! lost, and a platform that is down, answers late or not at all: one report a window, under rising fencing tokens.
+//! Tests of usage reports to the platform, with real control daemons, a network with partitions, disks that sync and
+//! are lost, and a platform that is down, responds late or does not respond: there is one report per window, under
+//! rising fencing tokens.
 
 mod fleet;
 
@@ -20,9 +21,9 @@
 };
 use googletest::prelude::*;
 
-/// ms. Length of a window.
+/// Length of a window, in ms.
 const WINDOW: Ms = 5_000;
-/// ms. A report is due so long after its window's end.
+/// Time after a window's end at which its report is due, in ms.
 const DELAY: Ms = 10_000;
 const DAEMONS: usize = 5;
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// Daemons, edges that count, and a platform.
+/// A fleet of control daemons, edges that count usage, and a platform.
 struct UsageFleet {
     fleet: Fleet,
     edges: UsageEdges,
@@ -49,7 +50,7 @@
         UsageFleet { fleet, edges }
     }
 
-    /// One that has reported some windows.
+    /// Returns a fleet that has reported some windows.
     fn reporting(seed: u64) -> Self {
         UsageFleet::reporting_with(seed, bounds())
     }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Runs until a condition holds, at most two minutes.
+    /// Runs until a condition holds, for at most two minutes.
     fn run_until(&mut self, what: &str, condition: impl Fn(&Fleet) -> bool) {
         for _ in 0..120_000 {
             if condition(&self.fleet) {
@@ -76,14 +77,14 @@
             }
             self.run(1);
         }
-        panic!("never seen: {what}");
+        panic!("timed out waiting for {what}");
     }
 
     fn holder(&self) -> Option<usize> {
         holder(&self.fleet)
     }
 
-    /// The daemon that reports, waited for.
+    /// Runs until a daemon holds the role, and returns its index.
     fn wait_for_holder(&mut self) -> usize {
         self.run_until("a holder", |fleet| holder(fleet).is_some());
         self.holder().unwrap()
@@ -93,12 +94,12 @@
         (WALL_START + self.fleet.now) / WINDOW
     }
 
-    /// The first whole window since the system's start.
+    /// Returns the first whole window after the system's start.
     fn first_window() -> u64 {
         WALL_START.div_ceil(WINDOW)
     }
 
-    /// Windows between the first whole one and those whose reports are not due yet that have no report.
+    /// Returns the windows from the first whole one on whose reports are due and missing.
     fn missing_windows(&self) -> Vec<u64> {
         let reported = self.fleet.platform.reports_by_window();
         let due_before = self.current_window() - DELAY / WINDOW;
@@ -107,7 +108,7 @@
             .collect()
     }
 
-    /// Windows whose reports are off by more than `tolerance`, a part of the expected.
+    /// Returns the windows whose reports differ from the expected counts by more than the fraction `tolerance`.
     fn inaccurate_windows(&self, tolerance: f64) -> Vec<u64> {
         let is_inaccurate =
             |(window, report): &(u64, &coordination::platform_call::UsageReport)| {
@@ -136,18 +137,18 @@
         self.violations_within(bounds().role_pause)
     }
 
-    /// What was seen that must never be, where holders may not alternate within `lease`.
+    /// Returns the violations that the platform observed; holders must not alternate within `lease`.
     fn violations_within(&self, lease: Ms) -> Vec<String> {
         self.fleet.platform.violations(lease)
     }
 
-    /// Nothing that must never be seen was, and every window that is due has its report.
+    /// Checks that there are no violations, and that every window that is due has its report.
     fn expect_no_violations(&self, label: &str) {
         expect_that!(self.violations(), is_empty(), "{label}");
         expect_that!(self.missing_windows(), is_empty(), "{label}");
     }
 
-    /// The usage log as a daemon knows it.
+    /// Returns the usage log as known to a daemon.
     fn log(&self, index: usize) -> UsageLog {
         let value = self.fleet.value(index, USAGE_KEY);
         value
@@ -166,18 +167,18 @@
     })
 }
 
-/// A stage in the life of a report.
+/// A stage of committing and sending a report.
 #[derive(Clone, Copy, Debug)]
 enum ReportStage {
-    /// Its write is in flight.
+    /// The report's write is in flight.
     Committing,
-    /// It is committed, and its call waits for its turn.
+    /// The report is committed, and its call is queued.
     CallQueued,
-    /// The call is on its way to the platform.
+    /// The call to the platform is in flight.
     CallInFlight,
-    /// The platform has acted and the answer is on its way.
+    /// The platform has acted, and its response is in flight.
     ResponseInFlight,
-    /// The answer has arrived.
+    /// The response has arrived.
     ResponseReceived,
 }
 
@@ -190,7 +191,7 @@
 ];
 
 impl UsageFleet {
-    /// Runs to a stage of the next report, and gives the daemon whose report it is.
+    /// Runs until the next report reaches a stage, and returns the daemon that makes the report.
     fn run_to_stage(&mut self, stage: ReportStage) -> usize {
         self.fleet.platform.pacing = 100;
         self.fleet.platform.latency = 100;
@@ -202,13 +203,13 @@
                 control.is_some_and(|control| control.registers.has_pending_writes(USAGE_KEY))
             }),
             ReportStage::CallQueued => {
-                self.run_until("a call that waits", |fleet| fleet.platform.waiting > 0);
+                self.run_until("a queued call", |fleet| fleet.platform.waiting > 0);
             }
             ReportStage::CallInFlight => {
-                self.run_until("a call on its way", |fleet| fleet.platform.on_their_way > 0);
+                self.run_until("a call in flight", |fleet| fleet.platform.on_their_way > 0);
             }
             ReportStage::ResponseInFlight | ReportStage::ResponseReceived => {
-                self.run_until("an arrival", |fleet| {
+                self.run_until("the arrival of a call", |fleet| {
                     fleet.platform.arrivals.len() > arrived
                 });
             }
@@ -220,7 +221,7 @@
     }
 }
 
-/// Guards against windows that are missed, reported twice or counted wrongly while nothing fails.
+/// Guards against windows that are missed, reported twice or counted wrongly in the absence of failures.
 #[gtest]
 fn each_window_is_reported_once_in_time_with_its_counts() {
     for seed in 0..3 {
@@ -233,7 +234,7 @@
         let first = UsageFleet::first_window();
         let expected: Vec<u64> = (first..first + windows.len() as u64).collect();
         expect_that!(windows, eq(&expected), "seed {seed}");
-        // The first holder waits a lease, and its pause.
+        // The first holder waits for a lease duration and the role pause.
         for (at, report) in reports.into_iter().filter(|(at, _)| *at > 20_000) {
             let due = (report.window + 1) * WINDOW + DELAY - WALL_START;
             expect_that!(at, lt(due), "seed {seed}: window {}", report.window);
@@ -241,7 +242,7 @@
     }
 }
 
-/// Guards against two reports of a window, and a lost one, where the holder dies at any stage of a report's life.
+/// Guards against a second report of a window, and a lost one, if the holder is killed at any stage of a report.
 #[gtest]
 fn a_killed_holders_reports_are_sent_on_as_they_were_committed() {
     for (seed, stage) in (0..).zip(REPORT_STAGES) {
@@ -258,7 +259,7 @@
     }
 }
 
-/// Guards against a holder that was frozen and calls the platform when it wakes, though its lease has ended.
+/// Guards against a suspended holder that calls the platform when it resumes, though its lease has ended.
 #[gtest]
 fn a_suspended_holder_sends_nothing_after_it_resumes() {
     for (seed, stage) in (10..).zip(REPORT_STAGES) {
@@ -272,19 +273,19 @@
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
         let epoch_before = |arrival: &&Arrival| arrival.at <= suspended_at;
         let arrivals = &usage.fleet.platform.arrivals;
-        let old_epoch = arrivals
+        let epoch = arrivals
             .iter()
             .rfind(epoch_before)
             .map(|arrival| arrival.epoch);
-        let sent_after_resume = arrivals.iter().filter(|arrival| {
-            arrival.at > suspended_at + 20_000 && Some(arrival.epoch) == old_epoch
-        });
+        let sent_after_resume = arrivals
+            .iter()
+            .filter(|arrival| arrival.at > suspended_at + 20_000 && Some(arrival.epoch) == epoch);
         expect_that!(sent_after_resume.count(), eq(0), "{label}");
     }
 }
 
-/// Guards against a holder that is cut off from the other daemons, still reaches the platform, and goes on beside the next
-/// holder; and against one that is lost to the platform only.
+/// Guards against a holder that is partitioned from the other daemons, still reaches the platform, and continues
+/// alongside the next holder; and against a holder that loses only the platform.
 #[gtest]
 fn a_partitioned_holder_stops_before_the_next_one_starts() {
     for (seed, stage) in (20..).zip(REPORT_STAGES) {
@@ -300,7 +301,8 @@
     }
 }
 
-/// Guards against a term that outlives a partition in one direction: the others do not hear the holder, it hears them.
+/// Guards against a term that outlives a one-way partition: the holder receives messages from the others, but they
+/// receive none from it.
 #[gtest]
 fn a_holder_whose_messages_are_lost_stops_before_the_next_one_starts() {
     for (seed, stage) in (30..).zip(REPORT_STAGES) {
@@ -317,7 +319,7 @@
     }
 }
 
-/// Guards against a report that is made anew, with other counts, because the answer to the first was lost.
+/// Guards against a report that is computed again, with other counts, because the response to the first was lost.
 #[gtest]
 fn a_report_whose_response_was_lost_is_resent_unchanged() {
     let mut usage = UsageFleet::reporting(40);
@@ -329,13 +331,13 @@
     usage.fleet.platform.condition = Condition::Working;
     usage.fleet.start(holder);
     usage.run(40_000);
-    usage.expect_no_violations("answers lost");
+    usage.expect_no_violations("responses lost");
     let reports = usage.fleet.platform.accepted_reports();
     let windows = usage.fleet.platform.reports_by_window();
     expect_that!(reports.len(), gt(windows.len()));
 }
 
-/// Guards against a second report of a window after every process died between its commit and its sending.
+/// Guards against a second report of a window after all processes were killed between its commit and its sending.
 #[gtest]
 fn a_restart_of_all_daemons_changes_no_committed_report() {
     for (seed, stage) in (50..).zip(REPORT_STAGES) {
@@ -355,7 +357,7 @@
     }
 }
 
-/// Guards against an epoch that is made again, or a log that is forgotten, by daemons whose disks were lost.
+/// Guards against a repeated epoch or a lost log after daemons lost their disks.
 #[gtest]
 fn two_wiped_disks_repeat_no_epoch_and_lose_no_report() {
     for (seed, stage) in (60..).zip(REPORT_STAGES) {
@@ -376,11 +378,11 @@
     }
 }
 
-/// ms. A platform's lease that is longer than the leases of keys, within which a role may change hands twice.
+/// Duration of a platform lease, in ms. It exceeds the leases of keys, so a role may change hands twice within it.
 const LONG_LEASE: Ms = 6_000;
 
-/// Again and again the holder's disk hangs just after it acted, for so long that it gives its keys up: another daemon takes
-/// the role over at once, and the former holder is back soon after.
+/// Hangs the holder's disk repeatedly just after it made a call, for so long that it relinquishes its keys: another
+/// daemon acquires the role at once, and the former holder is back soon after.
 fn run_with_hung_disks(role_pause: Ms, seed: u64) -> UsageFleet {
     let bounds = Bounds {
         role_pause,
@@ -390,7 +392,7 @@
     for round in 0..6 {
         usage.fleet.platform.condition = Condition::Working;
         usage.run(20_000);
-        // Whoever holds the role has something to send.
+        // Ensures that any holder has a report to send.
         usage.fleet.platform.condition = Condition::AnswersLost;
         let arrived = usage.fleet.platform.arrivals.len();
         usage.run_until("a call", |fleet| fleet.platform.arrivals.len() > arrived);
@@ -404,7 +406,7 @@
     usage
 }
 
-/// Guards against a former holder that takes the role back at once, so that holders act in the order A, B, A.
+/// Guards against a former holder that acquires the role again at once, so that holders act in the order A, B, A.
 #[gtest]
 fn holders_do_not_alternate_within_the_role_pause() {
     for seed in 70..74 {
@@ -420,7 +422,7 @@
     }
 }
 
-/// Shows that the checker sees alternating holders: without the pause there are some.
+/// Verifies that the checker detects alternating holders: without the pause there are some.
 #[gtest]
 fn holders_alternate_without_the_role_pause() {
     let alternate = |seed| {
@@ -431,7 +433,7 @@
     expect_true!((70..74).any(alternate));
 }
 
-/// Guards against a new holder that calls before edges could tell it anything, and its predecessor's calls have ended.
+/// Guards against a new holder that calls before edges could report to it and its predecessor's calls have ended.
 #[gtest]
 fn a_new_holder_waits_the_role_pause() {
     let mut usage = UsageFleet::reporting(80);
@@ -446,7 +448,7 @@
     expect_that!(first.unwrap().at, ge(acquired_at + 3_000));
 }
 
-/// Guards against a holder that goes on under an epoch that the platform has refused, or at once under another one.
+/// Guards against a holder that continues under an epoch that the platform has refused, or at once under another one.
 #[gtest]
 fn a_superseded_holder_ends_its_term() {
     let mut usage = UsageFleet::reporting(90);
@@ -468,7 +470,7 @@
     usage.expect_no_violations("superseded");
 }
 
-/// Guards against a platform that is down being called without end, and against reports that are lost meanwhile.
+/// Guards against unlimited calls to a platform that is down, and against reports that are lost during the outage.
 #[gtest]
 fn calls_back_off_while_the_platform_is_down_and_catch_up_later() {
     for condition in [Condition::Down, Condition::RateLimiting] {
@@ -488,7 +490,7 @@
     }
 }
 
-/// Guards against a log that grows without end while the platform is down, and against windows that are lost once it
+/// Guards against a log that grows without bound while the platform is down, and against windows that are lost once it
 /// works.
 #[gtest]
 fn the_log_stays_bounded_during_a_long_platform_outage() {
@@ -507,7 +509,7 @@
     expect_that!(usage.log(holder).unaccepted.len(), le(1));
 }
 
-/// Guards against windows that are never reported because no daemon ran while they ended.
+/// Guards against windows that are never reported because no daemon was running when they ended.
 #[gtest]
 fn windows_during_which_control_was_down_are_reported_late() {
     let mut usage = UsageFleet::reporting(120);
@@ -519,13 +521,13 @@
     expect_that!(usage.inaccurate_windows(0.0), is_empty());
 }
 
-/// Guards against an endless series of reports of windows that nobody asks for any more.
+/// Guards against an endless series of reports of windows that are too old to be of use.
 #[gtest]
 fn windows_that_are_far_too_old_are_skipped() {
     let mut usage = UsageFleet::reporting(130);
     (0..DAEMONS).for_each(|index| usage.fleet.kill(index));
     let stopped_in = usage.current_window();
-    // Nobody runs, and edges need not report in between.
+    // No daemon runs, and edges need not report in the meantime.
     usage.fleet.run((LATE_WINDOWS_MAX + 40) * WINDOW);
     (0..DAEMONS).for_each(|index| usage.fleet.start(index));
     let started_in = usage.current_window();
@@ -540,7 +542,7 @@
     expect_that!(late.first(), some(ge(&(started_in - LATE_WINDOWS_MAX))));
 }
 
-/// Guards against an edge that is cut off holding the reports of all others up beyond the time at which they are due.
+/// Guards against an unreachable edge that delays the reports of all others past the time at which they are due.
 #[gtest]
 fn a_window_is_closed_in_time_without_an_edge_that_is_cut_off() {
     let mut usage = UsageFleet::reporting(140);
@@ -555,7 +557,7 @@
         let due = (report.window + 1) * WINDOW + DELAY - WALL_START;
         expect_that!(at, lt(due));
     }
-    usage.expect_no_violations("cut off");
+    usage.expect_no_violations("unreachable edge");
 }
 
 /// Guards against calls to the platform while operators have switched all automatic action off.
@@ -576,7 +578,7 @@
     usage.expect_no_violations("after the kill switch");
 }
 
-/// Guards against calls, and a key, where usage is not counted.
+/// Guards against calls, and a key, if usage is not counted.
 #[gtest]
 fn nothing_is_reported_where_usage_is_not_counted() {
     let uncounted = Bounds {
@@ -590,7 +592,7 @@
     expect_false!((0..DAEMONS).any(has_key));
 }
 
-/// Guards against a log of usage that is sent to every edge at each change.
+/// Guards against a usage log that is sent to every edge at each change.
 #[gtest]
 fn the_usage_log_is_not_sent_to_edges() {
     use std::{cell::RefCell, rc::Rc};
@@ -611,7 +613,7 @@
     expect_that!(*sent.borrow(), not(contains(eq(USAGE_KEY))));
 }
 
-/// Guards against a call that a daemon decided on, and that has its turn only after the lease ended.
+/// Guards against a queued call that is sent after its lease has ended.
 #[gtest]
 fn a_queued_call_is_dropped_after_its_lease_ends() {
     let mut usage = UsageFleet::reporting(180);
--- a/coordination/tests/wall_clock.rs
+++ b/coordination/tests/wall_clock.rs
@@ -1,15 +1,15 @@
-//! The time of day as it follows from the monotonic clock.
+//! Tests of the wall-clock time derived from the monotonic clock.
 
 use coordination::{Ms, wall_clock::WallClock};
 use googletest::prelude::*;
 
-/// ms since 1970 at monotonic time 0.
+/// Wall-clock time at monotonic time 0, in ms since 1970.
 const WALL_START: u64 = 1_767_225_602_345;
-/// ms. Between two observations.
+/// Interval between observations, in ms.
 const TICK: Ms = 50;
 
-/// Observes a time of day that is wrong by `step` while `is_stepped` says so; gives by how much the prediction is wrong at
-/// most from `checked_from` on.
+/// Observes a wall clock that is off by `step` whenever `is_stepped` returns true, and returns the largest error of the
+/// prediction from `checked_from` on.
 fn worst_error(end: Ms, checked_from: Ms, step: i64, is_stepped: impl Fn(Ms) -> bool) -> u64 {
     let mut clock = WallClock::default();
     let mut worst = 0;
@@ -24,7 +24,7 @@
     worst
 }
 
-/// Guards against counts that move to another window while the time of day is wrong.
+/// Guards against counts that move to another window while the wall clock is wrong.
 #[gtest]
 fn a_time_of_day_that_steps_and_steps_back_is_not_followed() {
     for step in [-5_000, -500, 500, 5_000] {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Guards against a prediction that holds on to a time of day that was set right.
+/// Guards against a prediction that never follows a wall clock that was corrected.
 #[gtest]
 fn a_time_of_day_that_was_set_right_is_followed_within_half_a_minute() {
     let is_stepped = |now: Ms| now < 70_000;
@@ -46,7 +46,7 @@
     expect_that!(worst_error(200_000, 70_000, 5_000, is_stepped), eq(5_000));
 }
 
-/// Guards against a process that trusts one wrong sample after it stood still for minutes.
+/// Guards against a process that trusts one wrong sample after it was suspended for minutes.
 #[gtest]
 fn a_suspended_process_keeps_its_samples() {
     let mut clock = WallClock::default();
@@ -60,7 +60,7 @@
     }
 }
 
-/// Guards against counts in window 0 before the time of day is known.
+/// Guards against counts in window 0 before the wall-clock time is known.
 #[gtest]
 fn nothing_is_predicted_before_the_first_observation() {
     let mut clock = WallClock::default();
