--- a/coordination/tests/usage_reports.rs
+++ b/coordination/tests/usage_reports.rs
@@ -273,13 +273,13 @@
         expect_that!(usage.fleet.platform.falling_fences(), is_empty(), "{label}");
         let epoch_before = |arrival: &&Arrival| arrival.at <= suspended_at;
         let arrivals = &usage.fleet.platform.arrivals;
-        let old_epoch = arrivals
+        let epoch = arrivals
             .iter()
             .rfind(epoch_before)
             .map(|arrival| arrival.epoch);
-        let sent_after_resume = arrivals.iter().filter(|arrival| {
-            arrival.at > suspended_at + 20_000 && Some(arrival.epoch) == old_epoch
-        });
+        let sent_after_resume = arrivals
+            .iter()
+            .filter(|arrival| arrival.at > suspended_at + 20_000 && Some(arrival.epoch) == epoch);
         expect_that!(sent_after_resume.count(), eq(0), "{label}");
     }
 }
