--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -1,9 +1,9 @@
-//! The rollout loop of one service: a reconciler that reads what is desired and what is reported, computes the next
-//! rollout record and orders only the difference. It is a function of its inputs and a little memory of timing;
-//! whatever must outlive the lease is in the record.
+//! The rollout loop of one service: a reconciler that reads the desired and the reported state, computes the next
+//! rollout record and orders only the difference. Its result depends only on its inputs and some timing state; state
+//! that must outlive the lease is in the record.
 //!
-//! Two variants share the record and its phases. Where the product starts and loads replicas itself, the phases
-//! `canary`, `shifting` and `unloading` below apply; where the platform places versions, `placed` does.
+//! Two variants share the record and its phases. If the product starts and loads replicas itself, the modules
+//! `canary`, `shifting` and `unloading` implement the phases; if the platform places versions, `placed` does.
 
 use std::collections::BTreeMap;
 
@@ -31,39 +31,39 @@
 pub use inputs::{RolloutInputs, VersionedPlan};
 pub use orders::Order;
 
-use alerts::ProgressWatch;
+use alerts::StallDetector;
 use groups::{is_in_progress, placed_replica};
 use orders::OrderLimiter;
 use placed::PlacementState;
 use view::RolloutView;
 
-/// ms. A new lease holder waits so long for the reports of all replicas; some may be unreachable.
+/// Time that a new lease holder waits for the reports of all replicas, in ms; some may be unreachable.
 const REPORT_COLLECTION_TIME: Ms = 2_000;
-/// Replicas that retire in one step, at least; the source's value.
+/// Minimum number of replicas that retire in one step; value from the source.
 const MIN_STEP_REPLICAS: usize = 3;
-/// Percent of a service that retires in one step when that is more; the source's value.
+/// Percentage of a service's replicas that retires in one step if that is more; value from the source.
 const STEP_PERCENT: usize = 5;
-/// ms. Streams that are draining may end for this long after the longest time limit.
+/// Time added to the longest time limit for draining streams to end, in ms.
 const DRAIN_MARGIN: Ms = 2_000;
 
-/// Memory of one loop, lost with its lease; everything that must last is in the record.
+/// In-memory state of one loop, lost with its lease; durable state is in the record.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutLoop {
-    /// What edges counted of the service's versions. Kept when the lease is lost.
+    /// Request counts of the service's versions, reported by edges. Kept when the lease is lost.
     pub health: VersionHealth,
-    /// Every replica reported or was given up: decisions of this loop rest on complete inputs.
+    /// Whether every replica has reported or its wait has timed out, so that decisions rest on complete inputs.
     pub has_all_reports: bool,
-    /// A version that was judged bad since this was last taken.
+    /// A version judged bad since this field was last taken.
     pub bad_version: Option<String>,
     lease_since: Ms,
     phase_since: Ms,
-    /// Since when a canary and its baseline both get requests.
+    /// When the canary and its baseline both began to receive requests.
     canary_since: Option<Ms>,
-    /// When each replica's new version was first seen ready.
+    /// When each replica's new version was first reported as ready.
     ready_since: BTreeMap<String, Ms>,
-    /// When each retiring replica's retirement began.
+    /// When each retiring replica began to retire.
     retiring_since: BTreeMap<String, Ms>,
-    progress: ProgressWatch,
+    stall_detector: StallDetector,
     orders: OrderLimiter,
     placed: PlacementState,
 }
@@ -71,9 +71,9 @@
 /// The outcome of one pass of the loop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStep {
-    /// The record to write, where it differs from the one that was read.
+    /// The next record, to be written if it differs from the previous one.
     pub record: RolloutRecord,
-    /// What to order once the record is committed.
+    /// Orders to send once the record is committed.
     pub orders: Vec<Order>,
 }
 
@@ -86,7 +86,7 @@
     }
 }
 
-/// The record of a service that has none yet.
+/// Returns the first record of a service.
 pub fn initial_record(service: &ServiceSpec) -> RolloutRecord {
     RolloutRecord {
         service: service.name.clone(),
@@ -105,7 +105,7 @@
 }
 
 impl RolloutLoop {
-    /// A loop whose lease begins at `now`.
+    /// Creates a loop whose lease begins at `now`.
     pub fn new(now: Ms) -> Self {
         let mut health = VersionHealth::default();
         health.restart(now);
@@ -119,12 +119,12 @@
         RolloutLoop {
             lease_since: now,
             phase_since: now,
-            progress: ProgressWatch::new(now),
+            stall_detector: StallDetector::new(now),
             ..RolloutLoop::default()
         }
     }
 
-    /// The lease is not held here: all timing is forgotten, the evidence is kept.
+    /// Resets all timing when the lease is lost, and keeps the health counts.
     pub fn on_lease_lost(&mut self, now: Ms) {
         *self = RolloutLoop {
             health: std::mem::take(&mut self.health),
@@ -133,7 +133,7 @@
         };
     }
 
-    /// One pass of the loop.
+    /// Runs one pass of the loop.
     pub fn step(&mut self, previous: &RolloutRecord, inputs: &RolloutInputs) -> RolloutStep {
         self.health.tick(inputs.now);
         match inputs.service.mode {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// One pass where the product starts and loads replicas itself.
+    /// Runs one pass for a service whose replicas the product starts and loads itself.
     fn step_managed(&mut self, previous: &RolloutRecord, inputs: &RolloutInputs) -> RolloutStep {
         let view = RolloutView::new(inputs);
         let mut record = previous.clone();
@@ -168,7 +168,7 @@
         self.reconcile_replicas(&record, &view, &mut orders);
         self.update_forecast(&mut record, &view);
         self.raise_alerts(&mut record, plan, &view);
-        // Read only: everything is computed and nothing is done.
+        // Read-only mode computes everything and applies nothing.
         if inputs.service.mode == ServiceMode::ReadOnly {
             return RolloutStep::without_orders(previous.clone());
         }
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Whether replicas may not have reported yet only because the lease is new: a holder that acted now would take
-    /// those for lost.
+    /// Whether some replicas may not have reported yet only because the lease is new; acting now would treat them as
+    /// lost.
     fn awaits_reports(&self, view: &RolloutView) -> bool {
         view.inputs.now.saturating_sub(self.lease_since) < REPORT_COLLECTION_TIME
             && view
@@ -202,7 +202,7 @@
                 .any(|replica| view.report(&replica.id).is_none())
     }
 
-    /// Takes the share from a bad version at once. What the edges counted is known before replicas report.
+    /// Removes the share of a bad version at once: the edges' counts arrive before the replicas' reports.
     fn revert_before_reports(&mut self, record: &mut RolloutRecord, now: Ms) {
         if !is_in_progress(record.phase) || !self.reverts_bad_target(record, now) {
             return;
@@ -214,11 +214,11 @@
         }
     }
 
-    /// Begins a new plan, or reverts what a replaced one began.
+    /// Starts a new plan, or reverts the rollout of a replaced one.
     fn adopt_plan(&mut self, record: &mut RolloutRecord, plan: Option<VersionedPlan>, now: Ms) {
         let is_same_target =
             plan.is_some_and(|plan| Some(&plan.plan.target) == record.target.as_ref());
-        // Two plans for one service: the accepted one is current, and what the other began is reverted first.
+        // Another plan was accepted for this service: the rollout of the replaced one is reverted first.
         if is_in_progress(record.phase) && !is_same_target {
             return self.enter_phase(record, RolloutPhase::Reverting, now);
         }
@@ -236,14 +236,14 @@
         self.canary_since = None;
         self.ready_since.clear();
         self.retiring_since.clear();
-        // What the canary showed still counts while the version shifts and bakes.
+        // The counts of the canary phase still apply while the version shifts and bakes.
         if !matches!(phase, RolloutPhase::Shifting | RolloutPhase::Baking) {
             self.health.restart(now);
         }
     }
 
-    /// Reverts at once if the target is worse than the stable version; whether it did. Without a target there is
-    /// nothing to go on with either.
+    /// Reverts at once if the target is worse than the stable version. Returns whether the caller must stop: after a
+    /// revert, and without a target.
     fn reverts_bad_target(&mut self, record: &mut RolloutRecord, now: Ms) -> bool {
         let Some(target) = record.target.clone() else {
             return true;
--- a/coordination/src/rollout/alerts.rs
+++ b/coordination/src/rollout/alerts.rs
@@ -5,42 +5,42 @@
 use super::{RolloutLoop, RolloutView, VersionedPlan};
 use crate::Ms;
 
-/// ms. A loop step that has not moved for this long raises the stuck alert.
+/// Time without progress after which the stuck alert is raised, in ms.
 const STUCK_ALERT_AFTER: Ms = 60_000;
 
-/// What changes while a rollout moves.
+/// Values that change while a rollout progresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RolloutShape {
+pub(super) struct ProgressSnapshot {
     pub(super) phase: RolloutPhase,
     pub(super) retiring: usize,
-    /// How much the target has: replicas, or percent.
+    /// Replicas of the target, or its share in percent.
     pub(super) target: usize,
 }
 
-/// Notices when a rollout stops moving.
+/// Detects that a rollout makes no progress.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ProgressWatch {
-    shape: Option<RolloutShape>,
+pub(super) struct StallDetector {
+    last: Option<ProgressSnapshot>,
     progressed_at: Ms,
 }
 
-impl ProgressWatch {
+impl StallDetector {
     pub(super) fn new(now: Ms) -> Self {
-        ProgressWatch {
-            shape: None,
+        StallDetector {
+            last: None,
             progressed_at: now,
         }
     }
 
-    /// Counts as progress whatever the shape is: the rollout waits for good reason.
-    pub(super) fn touch(&mut self, now: Ms) {
+    /// Records progress although nothing changed, because the rollout waits on purpose.
+    pub(super) fn mark_progress(&mut self, now: Ms) {
         self.progressed_at = now;
     }
 
-    /// Takes note of the shape; whether it has not moved for too long. `may_rest`: it need not move.
-    pub(super) fn is_stuck(&mut self, shape: RolloutShape, may_rest: bool, now: Ms) -> bool {
-        if self.shape != Some(shape) || may_rest {
-            self.shape = Some(shape);
+    /// Records the snapshot and returns whether it has not changed for too long. `may_wait`: no change is expected.
+    pub(super) fn is_stuck(&mut self, snapshot: ProgressSnapshot, may_wait: bool, now: Ms) -> bool {
+        if self.last != Some(snapshot) || may_wait {
+            self.last = Some(snapshot);
             self.progressed_at = now;
         }
         now.saturating_sub(self.progressed_at) > STUCK_ALERT_AFTER
@@ -55,20 +55,20 @@
         view: &RolloutView,
     ) {
         let now = view.inputs.now;
-        let shape = RolloutShape {
+        let snapshot = ProgressSnapshot {
             phase: record.phase,
             retiring: record.retiring.len(),
             target: record.groups.last().map_or(0, |group| group.replicas.len()),
         };
-        // A canary that waits for requests is not stuck; one that waits for its weights is.
-        let may_rest = record.phase == RolloutPhase::Steady || self.canary_since.is_some();
-        if self.progress.is_stuck(shape, may_rest, now) {
+        // A canary that waits for requests is not stuck; one that waits for its weights to load is.
+        let may_wait = record.phase == RolloutPhase::Steady || self.canary_since.is_some();
+        if self.stall_detector.is_stuck(snapshot, may_wait, now) {
             record.alerts.push("stuck".into());
         }
         if plan.is_some_and(|plan| view.inputs.wall_clock_s > plan.plan.complete_by) {
             record.alerts.push("plan_late".into());
         } else if plan.is_some_and(|plan| record.forecast > plan.plan.complete_by) {
-            // Before the time has passed, so that operators can still choose: no step is hurried for it.
+            // Raised before the deadline so that operators can still decide; no step is sped up for it.
             record.alerts.push("plan_at_risk".into());
         }
         self.raise_stable_fails(record, now);
@@ -78,7 +78,7 @@
         record.since_ms = 0;
     }
 
-    /// Nothing is there to turn to, or it is for operators to decide: they must know at once.
+    /// Raises an alert if the stable version fails: either there is no version to revert to, or operators must decide.
     pub(super) fn raise_stable_fails(&self, record: &mut RolloutRecord, now: Ms) {
         if self.health.fails(&record.stable, now) {
             record.alerts.push("stable_fails".into());
@@ -86,8 +86,8 @@
     }
 }
 
-/// Whether a replica has a version loaded that nobody wants and no rollout accounts for: it stays until a flag allows
-/// its unload.
+/// Whether a replica has loaded a version that is neither stable nor the target: it stays until a flag allows its
+/// unload.
 fn has_stray_version(record: &RolloutRecord, view: &RolloutView) -> bool {
     let is_wanted =
         |version: &str| version == record.stable || Some(version) == record.target.as_deref();
--- a/coordination/src/rollout/canary.rs
+++ b/coordination/src/rollout/canary.rs
@@ -1,5 +1,5 @@
-//! The canary phase: a few replicas of each zone load the target beside a baseline of as many that keep the stable
-//! version, until enough requests have shown that the target is no worse.
+//! The canary phase: a few replicas of each zone load the target, next to a baseline of equal size that keeps the
+//! stable version, until enough requests show that the target is no worse.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 use super::{Order, RolloutLoop, RolloutView, groups::group};
 use crate::Ms;
 
-/// ms. A canary takes at least this long, so that slow failures show.
+/// Minimum duration of a canary, in ms, so that slow failures show.
 pub(super) const MIN_CANARY_TIME: Ms = 3_000;
-/// Requests a canary must have ended before it can pass: at 10% that is a few hundred of the service.
+/// Requests that must have ended on a canary before it can pass; at 10%, a few hundred requests of the service.
 pub(super) const MIN_CANARY_REQUESTS: u64 = 20;
-/// Requests that it must have ended on each lane that has any: of six on a lane that mostly fails one or more fail.
+/// Requests that must have ended on each lane with traffic: on a lane that mostly fails, at least one of six fails.
 pub(super) const MIN_CANARY_REQUESTS_PER_LANE: u64 = 6;
-/// ms. A canary without enough requests passes after this long, if nothing failed and no lane has traffic that
-/// the canary has not had: a quiet service must not block.
+/// Time after which a canary without enough requests passes, in ms, if no request failed and the canary has covered
+/// every lane with traffic: a service with little traffic must not block.
 pub(super) const QUIET_CANARY_TIME: Ms = 60_000;
-/// ms. So does one that has had too little of a rare lane. The rarer lane of the smaller deployment ends nine in
-/// it; in half of it it once ended one, and a version bad there went by.
+/// Time after which a canary with too few requests of a rare lane passes, in ms. The rarer lane of the smaller
+/// deployment ends nine requests in it; with half the time it once ended one, and a version bad on it passed.
 pub(super) const RARE_LANE_CANARY_TIME: Ms = 120_000;
 
 /// Replicas of the canary and of its baseline.
@@ -29,7 +29,7 @@
 }
 
 impl RolloutLoop {
-    /// Loads the canary, gives it its share once it is ready, and goes on to shifting once it has shown enough.
+    /// Loads the canary, assigns its share once it is ready, and enters the shifting phase once it has passed.
     pub(super) fn step_canary(
         &mut self,
         record: &mut RolloutRecord,
@@ -61,15 +61,15 @@
             )];
             return;
         }
-        // Canary and baseline start in the same record, so that they get the same traffic.
-        let began = *self.canary_since.get_or_insert(now);
+        // Canary and baseline start in the same record so that they receive the same traffic.
+        let started_at = *self.canary_since.get_or_insert(now);
         assign_canary_share(record, view, &target, chosen, &stable_replicas);
-        if self.has_canary_passed(record, view, &target, now - began) {
+        if self.has_canary_passed(record, view, &target, now - started_at) {
             self.enter_phase(record, RolloutPhase::Shifting, now);
         }
     }
 
-    /// Whether a canary of this age has shown enough, or there is nothing that it could be shown by.
+    /// Whether a canary of this age has ended enough requests, or waited long enough without traffic, to pass.
     fn has_canary_passed(
         &self,
         record: &RolloutRecord,
@@ -78,22 +78,22 @@
         age: Ms,
     ) -> bool {
         let (now, stable, health) = (view.inputs.now, &record.stable, &self.health);
-        // A lane that only the stable version has had says nothing of the target yet.
+        // A lane with requests on the stable version only gives no evidence about the target.
         let has_tried_lanes = view.inputs.service.lanes.iter().all(|lane| {
             health.ended_on(target, &lane.name, now) >= MIN_CANARY_REQUESTS_PER_LANE
                 || health.ended_on(stable, &lane.name, now) == 0
         });
-        let passes_quietly = health.failed(target, now) == 0
+        let passes_by_age = health.failed(target, now) == 0
             && (age >= QUIET_CANARY_TIME && has_tried_lanes || age >= RARE_LANE_CANARY_TIME);
         let has_enough_requests = age >= MIN_CANARY_TIME
             && health.ended(target, now) >= MIN_CANARY_REQUESTS
             && has_tried_lanes;
-        passes_quietly || has_enough_requests && !health.is_suspicious(target, stable, now)
+        passes_by_age || has_enough_requests && !health.is_suspicious(target, stable, now)
     }
 }
 
-/// A canary in each zone: home regions keep callers inside their zones, so one zone's canary never serves the others'
-/// callers. Replicas already on the target come first.
+/// Chooses a canary in each zone: home regions keep clients inside their zones, so one zone's canary never serves the
+/// clients of others. Replicas that already have the target are chosen first.
 fn choose_canary(view: &RolloutView, stable_replicas: &[String], target: &str) -> CanaryReplicas {
     let mut by_zone: BTreeMap<&str, Vec<&String>> = BTreeMap::new();
     for id in stable_replicas {
@@ -112,7 +112,7 @@
     chosen
 }
 
-/// Canary and baseline get the same share, all other replicas the rest.
+/// Assigns equal shares to canary and baseline, and the rest to all other replicas.
 fn assign_canary_share(
     record: &mut RolloutRecord,
     view: &RolloutView,
--- a/coordination/src/rollout/exposure.rs
+++ b/coordination/src/rollout/exposure.rs
@@ -1,5 +1,5 @@
-//! How much of a service a version on trial may get while nobody knows whether it is bad: a part of all
-//! requests between the release plan and its deadline, and some besides, whenever the version turns bad.
+//! Limits the requests that a version may receive before it is proven: a fraction of all requests between the release
+//! plan and its deadline plus a fixed slack, no matter when the version begins to fail.
 
 use super::VersionedPlan;
 use crate::{
@@ -8,31 +8,31 @@
     version_health::{SentCounts, VersionHealth},
 };
 
-/// Part of the exposure bound that is used; the rest is for what edges do until they hear of a partition.
+/// Fraction of the exposure bound that is used; the rest covers what edges send until they detect a partition.
 const EXPOSURE_BUDGET_USED: f64 = 0.8;
-/// ms. Window over which the request rate is taken.
+/// Window over which the request rate is computed, in ms.
 pub(super) const REQUEST_RATE_WINDOW: Ms = 4_000;
-/// Part of the request rate that is counted on to go on.
+/// Fraction of the current request rate that is assumed to continue.
 const PESSIMISTIC_RATE_FACTOR: f64 = 0.7;
-/// ms. A plan's deadline comes in whole seconds and is compared with another clock.
+/// Tolerance for a plan's deadline, in ms: it is in whole seconds and compared with another clock.
 const DEADLINE_SKEW: Ms = 1_000;
 
-/// A release plan as this daemon came to know it. Every daemon notes it, whoever has the lease.
+/// A release plan as observed by this daemon. Every daemon records it, with or without the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct AcceptedPlan {
     /// Version under which the plan was committed.
     pub(super) version: u64,
     pub(super) target: String,
-    /// When this daemon learned of it.
+    /// When this daemon observed the plan.
     pub(super) accepted_at: Ms,
-    /// By this daemon's monotonic clock: the wall clock may step.
+    /// Deadline by this daemon's monotonic clock: the wall clock may step.
     pub(super) deadline: Ms,
     sent_before: SentCounts,
 }
 
 impl AcceptedPlan {
-    /// `is_fresh`: the plan has only just been committed, so that the time it was given then is left now, whatever the
-    /// wall clock says.
+    /// Records a plan. `is_fresh`: the plan was committed just now, so all of its time is left, regardless of the wall
+    /// clock.
     pub(super) fn new(
         VersionedPlan { version, plan }: VersionedPlan,
         health: &VersionHealth,
@@ -54,15 +54,15 @@
         }
     }
 
-    /// Percent of the requests that the target may have from now to the deadline, so that the whole stays inside the
-    /// bound even if it was bad all along. After the deadline nothing is bounded any more.
+    /// Returns the percentage of requests that the target may receive from now to the deadline so that the total stays
+    /// within the bound even if it was bad from the start. After the deadline there is no bound.
     pub(super) fn max_share_percent(
         &self,
         bounds: &Bounds,
         health: &VersionHealth,
         now: Ms,
     ) -> u32 {
-        // The deadline comes in whole seconds, and another clock ends it.
+        // The deadline is in whole seconds and checked against another clock.
         let left_s = (self.deadline + DEADLINE_SKEW).saturating_sub(now) as f64 / 1_000.0;
         let expected = health.request_rate(REQUEST_RATE_WINDOW, now) * left_s;
         if left_s <= 0.0 || expected < 1.0 {
@@ -71,7 +71,7 @@
         let sent = health.sent(&self.target);
         let sent_to_all = sent.all.saturating_sub(self.sent_before.all) as f64;
         let sent_to_target = sent.version.saturating_sub(self.sent_before.version) as f64;
-        // Traffic may ebb: only a part of what is expected is counted on.
+        // Traffic may decrease, so only a fraction of the expected requests is assumed.
         let allowed = EXPOSURE_BUDGET_USED
             * (bounds.canary_share * (sent_to_all + PESSIMISTIC_RATE_FACTOR * expected)
                 + bounds.canary_slack);
--- a/coordination/src/rollout/forecast.rs
+++ b/coordination/src/rollout/forecast.rs
@@ -1,20 +1,20 @@
-//! When a rollout will be complete.
+//! Forecast of a rollout's completion time.
 
 use remote_calls::{GroupRole, RolloutPhase, RolloutRecord};
 
 use super::{RolloutLoop, RolloutView, canary::QUIET_CANARY_TIME, groups::group_replicas};
 use crate::Ms;
 
-/// ms. One step of loading, warming up and retiring, where none has been seen yet: half of what either deployment
-/// took in its first rollouts, and more than a warm-up.
+/// Assumed duration of one step of loading, warming up and retiring before any has completed, in ms: half of what
+/// either deployment took in its first rollouts, and more than a warm-up.
 const DEFAULT_STEP_TIME: Ms = 8_000;
-/// ms. Unloading and clearing its flag.
+/// Assumed duration of unloading and clearing its flag, in ms.
 const DEFAULT_UNLOAD_TIME: Ms = 2_000;
-/// s. A forecast is written anew only when it has moved by more: each write is a sync on a majority of disks.
+/// Change above which a forecast is written again, in s: each write is a sync on a majority of disks.
 pub(super) const FORECAST_MIN_CHANGE_S: u64 = 10;
 
 impl RolloutLoop {
-    /// Writes when the rollout will be complete, in seconds since 1970; 0 where none is in progress.
+    /// Records when the rollout will be complete, in seconds since 1970; 0 if none is in progress.
     pub(super) fn update_forecast(&self, record: &mut RolloutRecord, view: &RolloutView) {
         let Some(left) = self.time_left(record, view) else {
             record.forecast = 0;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// ms. Time to the rollout's completion, by the steps that this phase has taken so far; none where none is
+    /// Estimates the time to the rollout's completion from this phase's steps so far, in ms; `None` if no rollout is
     /// to be completed.
     fn time_left(&self, record: &RolloutRecord, view: &RolloutView) -> Option<Ms> {
         let now = view.inputs.now;
--- a/coordination/src/rollout/groups.rs
+++ b/coordination/src/rollout/groups.rs
@@ -1,10 +1,10 @@
-//! Groups of a rollout record: which replicas serve which version, with what share of the requests.
+//! Groups of a rollout record: the replicas that serve a version, and their share of the requests.
 
 use remote_calls::{
     GroupRecord, GroupRole, PlacedReplica, PlatformReplica, RolloutPhase, RolloutRecord,
 };
 
-/// A group whose version may not be unloaded.
+/// Creates a group whose version may not be unloaded.
 pub(super) fn group(
     role: GroupRole,
     version: &str,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Replicas of the group with this role and version.
+/// Returns the replicas of the group with this role and version.
 pub fn group_replicas<'a>(
     record: &'a RolloutRecord,
     role: GroupRole,
@@ -33,7 +33,7 @@
         .map_or(&[], |group| &group.replicas)
 }
 
-/// Percent of the service's requests that a version's groups have together.
+/// Returns the total share of a version's groups, in percent of the service's requests.
 pub(super) fn version_share(record: &RolloutRecord, version: &str) -> u32 {
     record
         .groups
@@ -51,7 +51,7 @@
         .any(|group| group.allow_unload && group.version == version)
 }
 
-/// Whether a target is on its way to replace the stable version.
+/// Whether a rollout of a target is in progress.
 pub(super) fn is_in_progress(phase: RolloutPhase) -> bool {
     matches!(
         phase,
@@ -59,7 +59,7 @@
     )
 }
 
-/// A replica as the record lists it for edges.
+/// Converts a platform replica to its entry in the record, which edges read.
 pub(super) fn placed_replica(replica: &PlatformReplica) -> PlacedReplica {
     PlacedReplica {
         id: replica.id.clone(),
--- a/coordination/src/rollout/inputs.rs
+++ b/coordination/src/rollout/inputs.rs
@@ -1,4 +1,4 @@
-//! What one pass of the loop reads.
+//! Inputs of one pass of the rollout loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,13 @@
 /// A release plan and the version under which it was committed.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionedPlan<'a> {
-    /// Version of the plan's key; a plan that is ordered again has a newer one.
+    /// Version of the plan's key; a repeated plan has a newer one.
     pub version: u64,
-    /// What was ordered.
+    /// The release plan.
     pub plan: &'a ReleasePlan,
 }
 
-/// What one pass of the loop reads.
+/// Inputs of one pass of the rollout loop.
 pub struct RolloutInputs<'a> {
     /// The current spec.
     pub spec: &'a Spec,
@@ -25,13 +25,13 @@
     pub plan: Option<VersionedPlan<'a>>,
     /// Replicas of all services, as the platform lists them.
     pub replica_list: &'a [PlatformReplica],
-    /// Newest report of each replica, and when it was asked for.
+    /// Newest report of each replica, and when it was requested.
     pub reports: &'a BTreeMap<String, (ReplicaReport, Ms)>,
-    /// Replicas that the platform announced to stop.
+    /// Replicas that the platform has announced it will stop.
     pub draining: &'a BTreeSet<String>,
-    /// When the platform was asked for the list.
+    /// When the list was requested from the platform.
     pub list_requested_at: Ms,
-    /// Streams that proxies still have open on a replica's version; without one, on all of its versions.
+    /// Streams that proxies have open on a replica's version; on all of its versions if the version is empty.
     pub open_streams: &'a dyn Fn(&str, &str) -> u64,
     /// Version of the current record.
     pub record_version: u64,
@@ -41,6 +41,6 @@
     pub bounds: &'a Bounds,
     /// This daemon's monotonic time.
     pub now: Ms,
-    /// Seconds since 1970, to compare completion times with.
+    /// Wall-clock time in seconds since 1970, compared with completion times.
     pub wall_clock_s: u64,
 }
--- a/coordination/src/rollout/orders.rs
+++ b/coordination/src/rollout/orders.rs
@@ -7,49 +7,49 @@
 use super::{RolloutLoop, RolloutView};
 use crate::Ms;
 
-/// ms. A replica that takes longer to load counts as late, and its start is not repeated before.
+/// Time after which a load counts as late, in ms; the order to a replica that does not report is not repeated earlier.
 pub(super) const LOAD_TIMEOUT: Ms = 15_000;
-/// ms. The same order to the same replica is not repeated before; replicas take orders at once and work on.
+/// Minimum interval between equal orders to a replica, in ms; replicas accept orders at once and execute them later.
 pub(super) const ORDER_REPEAT_INTERVAL: Ms = 1_000;
-/// Part of the load timeout after which a replica that reports, and does not load, is ordered again.
+/// Number of times per load timeout that the order to a replica that reports but does not load is repeated.
 const LOAD_REPEATS_PER_TIMEOUT: Ms = 5;
 
 /// A command to a replica or to the platform, under the lease of the service's rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Has a replica load or unload a version.
+    /// Orders a replica to load or unload a version.
     Replica {
         /// The replica's id.
         id: String,
-        /// Where it takes orders.
+        /// Address that accepts orders.
         addr: String,
-        /// What to do.
+        /// The action.
         action: OrderAction,
-        /// With which version.
+        /// The version to load or unload.
         version: String,
     },
-    /// Has the platform start a replica.
+    /// Asks the platform to start a replica.
     Start {
-        /// Where.
+        /// Zone of the new replica.
         zone: String,
         /// The version that it loads first.
         version: String,
     },
-    /// Has the platform drain and stop a replica.
+    /// Asks the platform to drain and stop a replica.
     Drain {
         /// The replica's id.
         id: String,
     },
 }
 
-/// Suppresses repetitions of an order until it has gone without effect for a while.
+/// Suppresses repetitions of an order until a minimum interval has passed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OrderLimiter {
     ordered_at: BTreeMap<String, Ms>,
 }
 
 impl OrderLimiter {
-    /// Whether the order of this key is due; if so, it counts as given now.
+    /// Returns whether the order with this key is due, and if so records it as sent now.
     pub(super) fn admit(&mut self, key: String, interval: Ms, now: Ms) -> bool {
         let is_repetition = self
             .ordered_at
@@ -82,7 +82,7 @@
         let Some(replica) = view.usable.iter().find(|replica| replica.id == id) else {
             return;
         };
-        // A replica that reports it is loading has taken the order, however late it gets ready.
+        // A replica that reports it is loading has accepted the order, even if it becomes ready late.
         if action == OrderAction::Load && view.has_loaded(id, version) {
             return;
         }
--- a/coordination/src/rollout/placed.rs
+++ b/coordination/src/rollout/placed.rs
@@ -1,6 +1,6 @@
-//! The loop of a service whose versions the platform places: it starts new replicas beside old ones and stops
-//! them, this loop moves shares and withdraws replicas. The platform's list is all it reads of replicas, and it gives
-//! no orders, as daemons cannot load or unload here.
+//! The rollout loop of a service whose versions the platform places: the platform starts new replicas next to old ones
+//! and stops replicas; the loop moves shares and withdraws replicas. It reads the platform's list instead of replica
+//! reports, and sends no orders, as daemons cannot load or unload weights here.
 
 use std::collections::BTreeSet;
 
@@ -29,18 +29,18 @@
 use sides::Sides;
 
 impl RolloutLoop {
-    /// One pass: the next record.
+    /// Runs one pass and returns the next record.
     pub(super) fn step_placed(
         &mut self,
         previous: &RolloutRecord,
         inputs: &RolloutInputs,
     ) -> RolloutStep {
         self.observe_plan(inputs.plan, inputs.now, inputs.wall_clock_s);
-        // A list from before the lease was acquired may be older than the one by which the last holder wrote.
+        // A list from before the lease was acquired may be older than the one behind the last holder's record.
         if inputs.list_requested_at < self.lease_since {
             return RolloutStep::without_orders(previous.clone());
         }
-        // The list is all that this loop waits for.
+        // The list is the only input that this loop waits for.
         self.has_all_reports = true;
         let listed: Vec<&PlatformReplica> = inputs
             .replica_list
@@ -70,7 +70,8 @@
         RolloutStep::without_orders(record)
     }
 
-    /// Usable replicas that came less than the engine's warm-up time ago, or warm up by the platform's word.
+    /// Returns usable replicas that were first listed less than the engine's warm-up time ago, or that the platform
+    /// reports as warming up.
     fn warming_up_replicas<'a>(
         &self,
         usable: &[&'a PlatformReplica],
@@ -85,7 +86,7 @@
             .collect()
     }
 
-    /// Sorts the usable replicas by side. Replicas of a plan that waits are on neither.
+    /// Assigns the usable replicas to the sides. Replicas of a pending plan are on neither.
     fn split_sides<'a>(
         &self,
         record: &RolloutRecord,
@@ -95,19 +96,19 @@
     ) -> Sides<'a> {
         let warming_up = self.warming_up_replicas(&usable, inputs);
         let target = record.target.clone().unwrap_or_default();
-        // What a plan names is on trial until it is completed, before it is adopted and after it failed too.
-        let waiting_plan = inputs.plan.filter(|plan| {
+        // A plan's target is a candidate until the plan is completed, also before its adoption and after its failure.
+        let pending_plan = inputs.plan.filter(|plan| {
             !is_in_progress(record.phase)
                 && (plan.version != record.plan_version || plan.version == record.failed_plan)
         });
-        let is_on_trial = |replica: &&PlatformReplica| {
+        let is_candidate = |replica: &&PlatformReplica| {
             (record.target.is_some() && replica.version == target)
-                || waiting_plan.is_some_and(|waiting| {
-                    replica.version == waiting.plan.target && replica.version != record.stable
+                || pending_plan.is_some_and(|pending| {
+                    replica.version == pending.plan.target && replica.version != record.stable
                 })
         };
-        let (on_trial, old): (Vec<_>, Vec<_>) = usable.into_iter().partition(is_on_trial);
-        let new = on_trial
+        let (candidates, old): (Vec<_>, Vec<_>) = usable.into_iter().partition(is_candidate);
+        let new = candidates
             .into_iter()
             .filter(|replica| replica.version == target)
             .collect();
@@ -128,7 +129,7 @@
     }
 }
 
-/// Replicas that run, are not to stop, and belong to no version that was retired.
+/// Returns running replicas that are not about to stop and belong to no retired version.
 fn usable_replicas<'a>(
     listed: Vec<&'a PlatformReplica>,
     retired: &[GroupRecord],
@@ -146,7 +147,7 @@
         .collect()
 }
 
-/// Both sides' replicas as the record lists them, by id, so that a replica's change of side alone is no change here.
+/// Returns both sides' replicas for the record, sorted by id so that a mere change of side does not change the list.
 fn record_replicas(sides: &Sides) -> Vec<PlacedReplica> {
     let mut replicas: Vec<PlacedReplica> = sides
         .old
--- a/coordination/src/rollout/placed/adoption.rs
+++ b/coordination/src/rollout/placed/adoption.rs
@@ -1,4 +1,4 @@
-//! Release plans: how each daemon learns of one, when the lease holder adopts it, and which versions it has retired.
+//! Release plans: their observation by each daemon, their adoption by the lease holder, and the retired versions.
 
 use remote_calls::{GroupRecord, GroupRole, PlatformReplica, RolloutPhase, RolloutRecord};
 
@@ -9,14 +9,14 @@
 };
 use crate::Ms;
 
-/// ms. A version that is planned again waits so long for its former replicas to leave the list.
+/// Time that a version that is planned again waits for its former replicas to leave the list, in ms.
 const REPLICA_REMOVAL_TIME: Ms = 10_000;
 
 impl RolloutLoop {
-    /// Takes note of a plan, whoever has the lease: its deadline and counts run by this daemon's own clock, and
-    /// evidence from before it is about other replicas.
+    /// Records a plan, with or without the lease: its deadline and counts use this daemon's own clock, and earlier
+    /// counts concern other replicas.
     pub fn observe_plan(&mut self, plan: Option<VersionedPlan>, now: Ms, wall_clock_s: u64) {
-        // What is there at the first look may have been ordered long ago.
+        // A plan that is present at the first observation may be old.
         let is_fresh = std::mem::replace(&mut self.placed.has_observed_plans, true);
         let Some(plan) = plan else {
             self.placed.accepted_plan = None;
@@ -26,7 +26,7 @@
         if accepted.is_some_and(|accepted| accepted.version == plan.version) {
             return;
         }
-        // A process that has just started got the counts of the last half minute, which are of the plan's own replicas.
+        // A process that has just started received the counts of the last half minute, from the plan's own replicas.
         if is_fresh && accepted.is_none_or(|accepted| accepted.target != plan.plan.target) {
             self.health.restart(now);
         }
@@ -39,14 +39,14 @@
         ));
     }
 
-    /// Groups that may be unloaded and whose replicas are still listed; they get nothing, whatever comes.
+    /// Returns groups that may be unloaded and whose replicas are still listed; they receive no requests in any phase.
     pub(super) fn retired_groups(
         &self,
         record: &RolloutRecord,
         listed: &[&PlatformReplica],
         inputs: &RolloutInputs,
     ) -> Vec<GroupRecord> {
-        // A flag of a rollout that is not completed yet may have to be taken back.
+        // The flag of a rollout that is not completed yet may have to be cleared.
         if record.phase == RolloutPhase::Baking {
             return vec![];
         }
@@ -55,14 +55,14 @@
                 plan.version != record.failed_plan && plan.plan.target == version
             })
         };
-        let has_waited = self.placed.accepted_plan.as_ref().is_some_and(|plan| {
+        let has_removal_time_passed = self.placed.accepted_plan.as_ref().is_some_and(|plan| {
             inputs.now.saturating_sub(plan.accepted_at) >= REPLICA_REMOVAL_TIME
         });
         let mut retired = vec![];
         for group in record.groups.iter().filter(|group| group.allow_unload) {
             let is_planned = is_planned_again(&group.version);
-            // Planned again, a version's new replicas are others than those that were to go.
-            if is_planned && has_waited {
+            // The new replicas of a version that is planned again differ from those that were about to stop.
+            if is_planned && has_removal_time_passed {
                 continue;
             }
             let replicas = remaining_replicas(group, is_planned, listed);
@@ -76,7 +76,7 @@
         retired
     }
 
-    /// Adopts a new plan, or reverts what a replaced one began.
+    /// Adopts a new plan, or reverts the rollout of a replaced one.
     pub(super) fn adopt_placed_plan(
         &mut self,
         record: &mut RolloutRecord,
@@ -99,18 +99,18 @@
                 .target
                 .as_ref()
                 .is_none_or(|target| is_unload_allowed(previous, target));
-        // Replicas that were to go for good must not pass for those of the new plan.
+        // Retired replicas must not be taken for replicas of the new plan.
         let is_retired = retired.iter().any(|group| group.version == plan.target);
         if !has_reverted || usable.is_empty() || is_retired {
             return;
         }
         record.target = Some(plan.target.clone());
         record.plan_version = version;
-        self.placed.forget_drains();
+        self.placed.clear_drains();
         self.begin_placed_rollout(record, &plan.target, usable, inputs.now);
     }
 
-    /// The accepted plan is current, and what another began is reverted first.
+    /// Continues if the accepted plan has the rollout's target; otherwise reverts the rollout first.
     fn follow_plan_in_progress(&mut self, record: &mut RolloutRecord, inputs: &RolloutInputs) {
         let current = inputs
             .plan
@@ -123,8 +123,8 @@
         self.placed.share_changed_in = inputs.record_version + 1;
     }
 
-    /// Enters the phase in which a rollout of `target` begins: none where all replicas have it, and no canary where
-    /// it is the stable version.
+    /// Enters the first phase of a rollout of `target`: none if all replicas have it, and no canary if it is the stable
+    /// version.
     fn begin_placed_rollout(
         &mut self,
         record: &mut RolloutRecord,
@@ -137,7 +137,7 @@
             .filter(|replica| replica.version == target && replica.loaded)
             .count();
         if on_target == usable.len() {
-            // Everything is on it already: there is nothing to move.
+            // All replicas already have the target.
             record.stable = target.into();
             record.target = None;
             self.enter_phase(record, RolloutPhase::Steady, now);
@@ -151,8 +151,8 @@
     }
 }
 
-/// Replicas of a retired group that are still listed: those that it named where its version is planned again, else all
-/// of its version.
+/// Returns the replicas of a retired group that are still listed: only the group's own if its version is planned again,
+/// otherwise all of its version.
 fn remaining_replicas(
     group: &GroupRecord,
     is_planned_again: bool,
--- a/coordination/src/rollout/placed/alerts.rs
+++ b/coordination/src/rollout/placed/alerts.rs
@@ -1,11 +1,11 @@
-//! Forecast and alerts where the platform places versions.
+//! Forecast and alerts of services whose versions the platform places.
 
 use remote_calls::RolloutRecord;
 
 use super::{
     super::{
         RolloutLoop,
-        alerts::RolloutShape,
+        alerts::ProgressSnapshot,
         forecast::FORECAST_MIN_CHANGE_S,
         groups::{is_in_progress, version_share},
     },
@@ -18,14 +18,14 @@
     pub(super) fn raise_placed_alerts(&mut self, record: &mut RolloutRecord, sides: &Sides) {
         let now = sides.inputs.now;
         let is_in_progress = is_in_progress(record.phase);
-        let shape = RolloutShape {
+        let snapshot = ProgressSnapshot {
             phase: record.phase,
             retiring: record.retiring.len(),
             target: version_share(record, &sides.target) as usize,
         };
-        // A canary that waits for requests is not stuck; one that waits for its weights is.
-        let may_rest = !is_in_progress || self.canary_since.is_some();
-        if self.progress.is_stuck(shape, may_rest, now) {
+        // A canary that waits for requests is not stuck; one that waits for its weights to load is.
+        let may_wait = !is_in_progress || self.canary_since.is_some();
+        if self.stall_detector.is_stuck(snapshot, may_wait, now) {
             record.alerts.push("stuck".into());
         }
         let time_left = placed_time_left(record, sides);
@@ -41,13 +41,13 @@
     }
 }
 
-/// ms. Time that the steps still take.
+/// Estimates the duration of the remaining steps, in ms.
 fn placed_time_left(record: &RolloutRecord, sides: &Sides) -> Ms {
     let remaining = sides.old.len().saturating_sub(record.retiring.len());
     remaining.div_ceil(sides.step_size()) as Ms * DEFAULT_SHIFT_TIME
 }
 
-/// Writes when the rollout will be complete, in seconds since 1970; 0 where none is in progress.
+/// Records when the rollout will be complete, in seconds since 1970; 0 if none is in progress.
 fn update_placed_forecast(record: &mut RolloutRecord, sides: &Sides, time_left: Ms) {
     let forecast = if is_in_progress(record.phase) {
         sides.inputs.wall_clock_s + time_left / 1_000
--- a/coordination/src/rollout/placed/baking.rs
+++ b/coordination/src/rollout/placed/baking.rs
@@ -1,5 +1,5 @@
-//! The baking phase where the platform places versions: the target has everything, the old side drains, and the
-//! rollout is completed once its replicas may be stopped.
+//! The baking phase if the platform places versions: the target receives all requests, the old side drains, and the
+//! rollout is completed once the old replicas may be stopped.
 
 use std::collections::BTreeSet;
 
@@ -15,13 +15,13 @@
 };
 use crate::Ms;
 
-/// ms. For how long doubt may delay a completion: what has just turned bad is condemned sooner, and a plan has its
-/// deadline.
+/// Maximum delay of a completion by recent failures, in ms: a version that starts to fail is judged bad sooner than
+/// that, and the plan has a deadline.
 const MAX_COMPLETION_DELAY: Ms = 4_000;
 
 impl RolloutLoop {
-    /// The flag that allows the old versions' unload is set once the old side has no share and no stream, and the
-    /// rollout is completed only after that is committed: the platform stops the old replicas at once then.
+    /// Sets the flag that allows the old versions' unload once the old side has no share and no stream, and completes
+    /// the rollout only after the flag is committed: the platform then stops the old replicas at once.
     pub(super) fn step_placed_baking(&mut self, record: &mut RolloutRecord, sides: &Sides) {
         let now = sides.inputs.now;
         if self.reverts_bad_placed_target(record, sides) {
@@ -29,7 +29,7 @@
         }
         let warm = sides.warm_new_replicas();
         if warm.is_empty() {
-            // Nobody is left to carry it: the old side does again.
+            // No replica is left to serve the target: the old side serves again.
             record.retiring.clear();
             self.enter_phase(record, RolloutPhase::Shifting, now);
             return self.step_placed_shifting(record, sides);
@@ -43,8 +43,8 @@
         let is_drained = self.is_old_side_drained(sides, is_allowed);
         let is_completable = self.is_completable(sides, is_allowed || is_drained);
         assign_all_to_target(record, sides, &warm, old_versions, is_completable);
-        // A flag that was forced ends what the old side still gets. One edge that never reports cannot delay this
-        // for ever.
+        // A flag set after the drain limit ends the requests to the old side, and the same limit applies again here:
+        // one edge that never reports cannot delay the completion forever.
         let may_stop_old = is_drained
             || self
                 .placed
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether no old replica has streams, as far as edges report. `is_allowed`: the flag is committed.
+    /// Whether no old replica has streams, according to the edges' reports. `is_allowed`: the flag is committed.
     fn is_old_side_drained(&mut self, sides: &Sides, is_allowed: bool) -> bool {
         let now = sides.inputs.now;
         let was_just_allowed = is_allowed && self.placed.unload_allowed_since.is_none();
@@ -68,8 +68,8 @@
         for replica in &sides.old {
             let is_drained = self.placed.is_drained(&replica.id, sides);
             all_drained &= is_drained;
-            // An edge that suspects the target sends to the old side until it sees the flag: streams there end from
-            // when all have seen it.
+            // An edge that suspects the target sends requests to the old side until it sees the flag: the drain begins
+            // when all edges have seen it.
             if was_just_allowed && !is_drained {
                 self.placed
                     .begin_drain(&replica.id, sides.inputs.record_version, now);
@@ -78,8 +78,8 @@
         all_drained
     }
 
-    /// Whether the target has baked long enough and gives no reason to wait. `may_unload`: the old side is drained, or
-    /// the flag is committed.
+    /// Whether the target has baked long enough and has no recent failures to wait for. `may_unload`: the old side is
+    /// drained, or the flag is committed.
     fn is_completable(&mut self, sides: &Sides, may_unload: bool) -> bool {
         let now = sides.inputs.now;
         let phase_age = now.saturating_sub(self.phase_since);
@@ -87,8 +87,8 @@
             && phase_age >= sides.inputs.spec.bake_ms;
         self.placed.completable_since =
             has_baked.then(|| self.placed.completable_since.unwrap_or(now));
-        // The platform stops the old replicas on this word, and nothing is left to turn back to: a version that has
-        // just begun to fail is looked at a little longer.
+        // After completion the platform stops the old replicas and a revert is impossible: a version that has just
+        // begun to fail is observed a little longer.
         let has_waited = self
             .placed
             .completable_since
--- a/coordination/src/rollout/placed/canary.rs
+++ b/coordination/src/rollout/placed/canary.rs
@@ -1,5 +1,5 @@
-//! The canary phase where the platform places versions: a few replicas of the target get a share that keeps the
-//! exposure bound, beside a baseline of as many old ones.
+//! The canary phase if the platform places versions: a few replicas of the target receive a share within the exposure
+//! bound, next to a baseline of as many old replicas.
 
 use std::collections::BTreeSet;
 
@@ -20,10 +20,10 @@
 };
 use crate::version_health::Verdict;
 
-/// Percent of a service that a canary may take at most where its time is short.
+/// Maximum percentage of a service that a canary may receive if time is short.
 pub(super) const MAX_SHORT_CANARY_PERCENT: u32 = 8;
-/// Requests that a canary must have ended where all that is to come stays inside the exposure bound.
-const MIN_LIGHT_CANARY_REQUESTS: u64 = 3;
+/// Requests that must have ended on a canary if all requests to come are within the exposure bound.
+const MIN_BOUNDED_CANARY_REQUESTS: u64 = 3;
 
 impl RolloutLoop {
     pub(super) fn step_placed_canary(&mut self, record: &mut RolloutRecord, sides: &Sides) {
@@ -38,7 +38,7 @@
             .min(MAX_SHORT_CANARY_PERCENT);
         let chosen = choose_placed_canary(sides, &record.stable, max_percent);
         if chosen.canary.is_empty() {
-            // Replicas that report late are waited for.
+            // Waits until replicas of the target are listed as loaded.
             self.canary_since = None;
             self.placed.comparable_since = None;
             let old = replica_ids(&sides.old);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Canary and baseline start in the same record, so that they get the same traffic.
+    /// Starts canary and baseline in the same record so that they receive the same traffic.
     fn begin_placed_canary(&mut self, previous_share: u32, sides: &Sides) {
         if self.canary_since.is_some() {
             return;
@@ -72,13 +72,13 @@
         let now = sides.inputs.now;
         self.canary_since = Some(now);
         self.placed.share_changed_at = now;
-        // A canary that the last holder began goes on, and with it what it showed.
+        // A canary that the previous lease holder began continues, and its counts are kept.
         if previous_share == 0 {
             self.health.restart(now);
         }
     }
 
-    /// Percent that the target may have: none without a plan, all if it is no trial.
+    /// Returns the maximum share of the target in percent: 0 without a plan, 100 if the target is proven.
     pub(super) fn exposure_limit(&self, sides: &Sides) -> u32 {
         if sides.is_proven() {
             return 100;
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Whether a canary has shown enough, or there is nothing that it could be shown by.
+    /// Whether a canary has ended enough requests, or waited long enough without traffic, to pass.
     fn has_placed_canary_passed(&self, sides: &Sides, exposure_limit: u32) -> bool {
         let (now, target, health) = (sides.inputs.now, &sides.target, &self.health);
         let age = self
@@ -106,16 +106,16 @@
         if ended >= MIN_CANARY_REQUESTS && has_tried_lanes {
             return true;
         }
-        // Where all that is to come stays inside the bound, or the plan's deadline has passed, less will do.
-        let is_light = exposure_limit == 100
-            && (ended >= MIN_LIGHT_CANARY_REQUESTS
+        // Fewer requests suffice if all requests to come are within the bound, or the plan's deadline has passed.
+        let is_bounded = exposure_limit == 100
+            && (ended >= MIN_BOUNDED_CANARY_REQUESTS
                 || health.request_rate(REQUEST_RATE_WINDOW, now) < 1.0);
         let has_waited =
             age >= QUIET_CANARY_TIME && has_tried_lanes || age >= RARE_LANE_CANARY_TIME;
-        health.failed(target, now) == 0 && (is_light || has_waited)
+        health.failed(target, now) == 0 && (is_bounded || has_waited)
     }
 
-    /// Reverts at once if the target is worse than the others; whether it did.
+    /// Reverts at once if the target is worse than the other versions. Returns whether it reverted.
     pub(super) fn reverts_bad_placed_target(
         &mut self,
         record: &mut RolloutRecord,
@@ -140,8 +140,8 @@
     }
 }
 
-/// A canary in each zone: home regions keep callers inside their zones, so one zone's canary never serves the others'
-/// callers.
+/// Chooses a canary in each zone: home regions keep clients inside their zones, so one zone's canary never serves the
+/// clients of others.
 fn choose_placed_canary(sides: &Sides, stable: &str, max_percent: u32) -> CanaryReplicas {
     let zones: BTreeSet<&str> = sides.old.iter().map(|old| old.zone.as_str()).collect();
     let mut chosen = CanaryReplicas::default();
@@ -161,7 +161,7 @@
     chosen
 }
 
-/// Former members of the group stay it; then come warm replicas, so that caches say little.
+/// Prefers former members of the group, then warmed-up replicas, so that cache state affects the comparison little.
 fn choose_replicas(
     sides: &Sides,
     mut candidates: Vec<&PlatformReplica>,
@@ -185,7 +185,7 @@
     let mut rest = replica_ids(&sides.old);
     rest.retain(|id| !chosen.baseline.contains(id));
     let old_share = 100 - canary_share;
-    // The baseline keeps its replicas' part of what the old side has: their caches stay in use.
+    // The baseline keeps its replicas' fraction of the old side's share so that their caches stay in use.
     let baseline_share = if rest.is_empty() {
         old_share
     } else {
--- a/coordination/src/rollout/placed/reverting.rs
+++ b/coordination/src/rollout/placed/reverting.rs
@@ -1,4 +1,5 @@
-//! The reverting phase where the platform places versions: the old side has everything again while the target drains.
+//! The reverting phase if the platform places versions: the old side receives all requests again while the target
+//! drains.
 
 use remote_calls::{GroupRole, RolloutPhase, RolloutRecord};
 
@@ -9,8 +10,8 @@
 };
 
 impl RolloutLoop {
-    /// The old side has everything again, withdrawn replicas too. The flag that allows the target's unload means that
-    /// it has neither share nor stream.
+    /// Assigns all requests to the old side again, including withdrawn replicas. The flag that allows the target's
+    /// unload means that the target has neither a share nor a stream.
     pub(super) fn step_placed_reverting(&mut self, record: &mut RolloutRecord, sides: &Sides) {
         let now = sides.inputs.now;
         record.retiring.clear();
--- a/coordination/src/rollout/placed/sides.rs
+++ b/coordination/src/rollout/placed/sides.rs
@@ -1,4 +1,4 @@
-//! Both sides of a rollout: the target's replicas and all others.
+//! The two sides of a rollout: the target's replicas (new side) and all others (old side).
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,18 @@
 use super::super::{DRAIN_MARGIN, MIN_STEP_REPLICAS, RolloutInputs, STEP_PERCENT};
 use crate::Ms;
 
-/// Percent of its slots that a side of a rollout may have taken before it is to carry no more.
+/// Percentage of a side's slots that may be in use before its share must not grow.
 const MAX_SIDE_LOAD_PERCENT: u64 = 70;
 
-/// Both sides of a rollout, and the record that it starts from.
+/// Both sides of a rollout, and the record that the pass starts from.
 pub(super) struct Sides<'a> {
     pub(super) inputs: &'a RolloutInputs<'a>,
     pub(super) previous: &'a RolloutRecord,
-    /// The version that is rolled out; empty without one.
+    /// The target version; empty without one.
     pub(super) target: String,
     /// Replicas of the target.
     pub(super) new: Vec<&'a PlatformReplica>,
-    /// Replicas of all versions that are not on trial.
+    /// Replicas of all versions but the target and the target of a pending plan.
     pub(super) old: Vec<&'a PlatformReplica>,
     pub(super) warming_up: BTreeSet<&'a str>,
     /// Version of the newest record that every edge in contact has seen.
@@ -26,7 +26,7 @@
 }
 
 impl<'a> Sides<'a> {
-    /// Streams that proxies have open on a replica.
+    /// Returns the number of streams that proxies have open on a replica.
     pub(super) fn open_streams(&self, id: &str) -> u64 {
         (self.inputs.open_streams)(id, "")
     }
@@ -35,7 +35,7 @@
         self.warming_up.contains(id)
     }
 
-    /// Loaded replicas of the target that are not warming up.
+    /// Returns loaded replicas of the target that are not warming up.
     pub(super) fn warm_new_replicas(&self) -> Vec<&'a PlatformReplica> {
         self.new
             .iter()
@@ -44,7 +44,8 @@
             .collect()
     }
 
-    /// How long streams on what is withdrawn may still run: the longest time limit of a lane or a path, and a margin.
+    /// Returns how long streams on withdrawn replicas may still run: the longest time limit of a lane or a path, and a
+    /// margin.
     pub(super) fn drain_limit(&self) -> Ms {
         let service = self.inputs.service;
         let paths = self.inputs.spec.paths.iter();
@@ -55,22 +56,22 @@
         path_limits.chain(lane_limits).max().unwrap_or(0) + DRAIN_MARGIN
     }
 
-    /// Replicas that one step withdraws.
+    /// Returns the number of replicas that one step withdraws.
     pub(super) fn step_size(&self) -> usize {
         MIN_STEP_REPLICAS.max(self.old.len() * STEP_PERCENT / 100)
     }
 
-    /// Whether the target needs no trial: it is the stable version.
+    /// Whether the target needs no canary because it is the stable version.
     pub(super) fn is_proven(&self) -> bool {
         self.target == self.previous.stable
     }
 
-    /// Percent that the target's warm replicas can carry: as much as their part of the old side's slots, or what
-    /// leaves them capacity.
+    /// Returns the share in percent that the target's warmed-up replicas can serve: their slots relative to the old
+    /// side's, or more if the load leaves them free slots.
     pub(super) fn share_capacity(&self, warm: &[&PlatformReplica]) -> u32 {
         let old_zones: BTreeSet<&str> = self.old.iter().map(|old| old.zone.as_str()).collect();
-        // Zone by zone: home regions may keep a zone's requests in it. A zone where no new replica is started is
-        // served by others.
+        // Computed per zone, as home regions may keep a zone's requests in it. Zones without new replicas are served by
+        // other zones.
         let shared_zones = old_zones
             .into_iter()
             .filter(|zone| self.new.iter().any(|new| new.zone == *zone));
@@ -81,17 +82,17 @@
             .unwrap_or(0)
     }
 
-    /// The same of one zone, or of all together.
+    /// Returns the share capacity of one zone, or of all zones together.
     fn share_capacity_in(&self, warm: &[&PlatformReplica], zone: Option<&str>) -> u32 {
-        let is_here = |replica: &&&PlatformReplica| zone.is_none_or(|zone| replica.zone == zone);
-        let warm_slots = count_slots(warm.iter().filter(is_here));
+        let is_in_zone = |replica: &&&PlatformReplica| zone.is_none_or(|zone| replica.zone == zone);
+        let warm_slots = count_slots(warm.iter().filter(is_in_zone));
         if warm_slots == 0 {
             return 0;
         }
-        let old = self.old.iter().filter(is_here);
+        let old = self.old.iter().filter(is_in_zone);
         let old_slots = count_slots(old.clone());
         let open_streams: u64 = old
-            .chain(self.new.iter().filter(is_here))
+            .chain(self.new.iter().filter(is_in_zone))
             .map(|replica| self.open_streams(&replica.id))
             .sum();
         let by_slots = warm_slots * 100 / old_slots.max(1);
@@ -102,14 +103,14 @@
     }
 }
 
-/// Requests that replicas run at once; one at least on each.
+/// Returns the number of requests that replicas run concurrently; at least one on each.
 fn count_slots<'a>(replicas: impl Iterator<Item = &'a &'a PlatformReplica>) -> u64 {
     replicas
         .map(|replica| u64::from(replica.slots.max(1)))
         .sum()
 }
 
-/// The replicas' ids.
+/// Returns the replicas' ids.
 pub(super) fn replica_ids(replicas: &[&PlatformReplica]) -> Vec<String> {
     replicas.iter().map(|replica| replica.id.clone()).collect()
 }
--- a/coordination/src/rollout/placed/steady.rs
+++ b/coordination/src/rollout/placed/steady.rs
@@ -1,4 +1,4 @@
-//! No rollout is in progress: all replicas that stay are one group.
+//! The steady phase if the platform places versions: all replicas that are not retired form one group.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 };
 
 impl RolloutLoop {
-    /// `has_retired_all`: nothing that was retired is listed any more.
+    /// Assigns all requests to the old side. `has_retired_all`: no retired replica is listed any more.
     pub(super) fn step_placed_steady(
         &mut self,
         record: &mut RolloutRecord,
@@ -32,8 +32,8 @@
     }
 }
 
-/// Where no replica has the stable version any more, the version of most becomes stable: releases of the platform's
-/// own replace replicas one by one, without any plan.
+/// Makes the most common version stable if no replica has the stable version any more: the platform's own releases
+/// replace replicas one by one, without a plan.
 fn follow_platform_release(record: &mut RolloutRecord, sides: &Sides) {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for replica in &sides.old {
--- a/coordination/src/rollout/placed/withdrawal.rs
+++ b/coordination/src/rollout/placed/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Withdrawal of old replicas: each gets no share any more and drains, while its streams may still run.
+//! Withdrawal of old replicas: a withdrawn replica has no share and drains while its streams may still run.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,27 @@
 use super::{super::RolloutLoop, Sides};
 use crate::Ms;
 
-/// ms. Least time that a step waits for streams that do not end, however late the plan.
+/// Minimum time that a step waits for streams that do not end, in ms, even if little time is left for the plan.
 const MIN_STREAM_WAIT: Ms = 3_000;
 
 /// Old replicas of a zone.
 #[derive(Default)]
 struct OldZone<'a> {
     total: usize,
-    /// Those that are not withdrawn.
+    /// Replicas that are not withdrawn.
     serving: Vec<&'a str>,
 }
 
 impl OldZone<'_> {
-    /// Part of its replicas that still serve, in thousandths.
+    /// Returns the fraction of replicas that still serve, in thousandths.
     fn serving_permille(&self) -> usize {
         self.serving.len() * 1_000 / self.total
     }
 }
 
 impl RolloutLoop {
-    /// Whether a step has to wait for streams of withdrawn replicas; each gets as long as the deadline and the time
-    /// limits allow.
+    /// Whether a step must wait for streams of withdrawn replicas, each for as long as the deadline and the time limits
+    /// allow.
     pub(super) fn awaits_withdrawn_streams(
         &mut self,
         record: &mut RolloutRecord,
@@ -47,11 +47,11 @@
         awaits_streams
     }
 
-    /// ms. How long a step may wait for streams: its part of the time to the deadline.
+    /// Returns how long a step may wait for streams, in ms: its part of the time to the deadline.
     fn max_stream_wait(&self, record: &RolloutRecord, sides: &Sides) -> Ms {
         let limit = sides.drain_limit();
         let time_left = self.placed.deadline().saturating_sub(sides.inputs.now);
-        // A plan that is late already is not hurried: nothing is to be won by it.
+        // A plan that is already late is not sped up, as that gains nothing.
         if time_left == 0 {
             return limit;
         }
@@ -60,7 +60,7 @@
         (time_left / steps_left).clamp(MIN_STREAM_WAIT.min(limit), limit)
     }
 
-    /// Takes back withdrawals, the last first, until `required` old replicas serve.
+    /// Restores withdrawn replicas, the last first, until `required` old replicas serve.
     pub(super) fn restore_withdrawn(
         &mut self,
         record: &mut RolloutRecord,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Withdraws a step of old replicas, evenly over the zones, until `required` are left. `is_last`: the old side has
-    /// no share any more; until then a zone keeps one replica, as home regions may send requests there.
+    /// Withdraws one step of old replicas, evenly over the zones, until `required` are left. `is_last`: the old side
+    /// has no share; until then a zone keeps one replica, as home regions may send requests there.
     pub(super) fn withdraw_step(
         &mut self,
         record: &mut RolloutRecord,
@@ -100,7 +100,7 @@
     }
 }
 
-/// The last replica of the zone that has the largest part of its old replicas left.
+/// Returns the last replica of the zone with the largest fraction of its old replicas left.
 fn next_to_withdraw(record: &RolloutRecord, sides: &Sides, min_serving: usize) -> Option<String> {
     let mut zones: BTreeMap<&str, OldZone> = BTreeMap::new();
     for replica in &sides.old {
--- a/coordination/src/rollout/reconciliation.rs
+++ b/coordination/src/rollout/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of the replicas with the spec: missing ones are started, surplus ones drained, and those without
-//! the wanted version load it.
+//! Reconciliation of the replicas with the spec: starts missing replicas, drains surplus ones, and loads the wanted
+//! version where it is not loaded.
 
 use remote_calls::{
     OrderAction, PlatformReplica, PlatformReplicaState, RolloutPhase, RolloutRecord, ZoneCount,
@@ -8,7 +8,7 @@
 use super::{Order, RolloutLoop, RolloutView, orders::LOAD_TIMEOUT};
 use crate::Ms;
 
-/// ms. Starts and drains in a zone are not repeated before: the platform's list shows their effect sooner.
+/// Minimum interval between equal starts or drains in a zone, in ms: the platform's list shows their effect sooner.
 const PLATFORM_ORDER_INTERVAL: Ms = LOAD_TIMEOUT / 3;
 
 impl RolloutLoop {
@@ -18,15 +18,16 @@
         view: &RolloutView,
         orders: &mut Vec<Order>,
     ) {
-        let shifts = matches!(record.phase, RolloutPhase::Shifting | RolloutPhase::Baking);
+        let is_target_wanted =
+            matches!(record.phase, RolloutPhase::Shifting | RolloutPhase::Baking);
         let wanted = match &record.target {
-            Some(target) if shifts => target,
+            Some(target) if is_target_wanted => target,
             _ => &record.stable,
         };
         for zone in &view.inputs.service.zones {
             self.reconcile_zone(zone, wanted, record.phase, view, orders);
         }
-        if shifts {
+        if is_target_wanted {
             return;
         }
         for replica in &view.usable {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Starts what a zone lacks, or drains a replica that it has too many.
+    /// Starts missing replicas of a zone, or drains a surplus one.
     fn reconcile_zone(
         &mut self,
         zone: &ZoneCount,
@@ -60,7 +61,7 @@
         if present.len() <= required || phase != RolloutPhase::Steady {
             return;
         }
-        // One at a time, the last by name, so that a shrunken spec never empties a zone.
+        // Drains one at a time, the last by name, so that a reduced spec never empties a zone.
         if let Some(surplus) = present.iter().max_by_key(|replica| &replica.id) {
             let id = surplus.id.clone();
             self.orders
@@ -69,8 +70,8 @@
     }
 }
 
-/// The service's replicas in a zone, but for those that are draining. Started ones count though they have not
-/// reported yet: a late load is not a missing replica.
+/// Returns the service's replicas in a zone that are not draining. Started replicas count before their first report: a
+/// late load is not a missing replica.
 fn replicas_in_zone<'a>(view: &RolloutView<'a>, zone: &str) -> Vec<&'a PlatformReplica> {
     view.inputs
         .replica_list
--- a/coordination/src/rollout/shifting.rs
+++ b/coordination/src/rollout/shifting.rs
@@ -1,4 +1,4 @@
-//! The shifting phase: step by step replicas load the target beside the stable version, warm up, and retire from the
+//! The shifting phase: in steps, replicas load the target next to the stable version, warm up, and retire from the
 //! stable version once their zone keeps its floor without them.
 
 use std::collections::BTreeSet;
@@ -8,18 +8,18 @@
 use super::{Order, RolloutLoop, RolloutView, groups::group, orders::ORDER_REPEAT_INTERVAL};
 use crate::{Ms, timing::SLOW_START_DURATION};
 
-/// Where each replica is on its way from the stable version to the target.
+/// Progress of the replicas from the stable version to the target.
 struct ShiftProgress {
     target: String,
     /// Replicas that have the target ready.
     on_target: Vec<String>,
-    /// Replicas that load the target.
+    /// Replicas that are loading the target.
     loading: Vec<String>,
-    /// Replicas that have the stable version ready and do not retire from it.
+    /// Replicas that have the stable version ready and are not retiring from it.
     on_stable: Vec<String>,
-    /// Replicas that have both ready and do not retire yet.
+    /// Replicas that have both versions ready and are not retiring.
     on_both: Vec<String>,
-    /// Retiring replicas that are not drained.
+    /// Number of retiring replicas that are not drained.
     draining_count: usize,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Counts retiring replicas whose stable version has ended its streams, or has had the longest time for it.
+    /// Counts retiring replicas whose streams on the stable version have ended or exceeded the drain limit.
     fn count_drained(&mut self, record: &mut RolloutRecord, view: &RolloutView) -> usize {
         let (now, limit) = (view.inputs.now, view.drain_limit());
         record
@@ -105,15 +105,16 @@
         drained
     }
 
-    /// Loads the target beside the stable version, on replicas chosen evenly over the zones.
+    /// Loads the target next to the stable version, on replicas distributed evenly over the zones.
     fn load_next_step(
         &mut self,
         progress: &ShiftProgress,
         view: &RolloutView,
         orders: &mut Vec<Order>,
     ) {
-        let ahead = progress.loading.len() + progress.on_both.len() + progress.draining_count;
-        let capacity = view.step_size().saturating_sub(ahead);
+        let in_transition =
+            progress.loading.len() + progress.on_both.len() + progress.draining_count;
+        let capacity = view.step_size().saturating_sub(in_transition);
         let mut candidates: Vec<&String> = progress
             .on_stable
             .iter()
@@ -121,16 +122,16 @@
             .collect();
         candidates.sort_by_key(|id| {
             let zone = view.zone(id);
-            let begun = progress.on_target.iter().chain(&progress.loading);
-            let begun_in_zone = begun.filter(|other| view.zone(other) == zone).count();
-            (begun_in_zone, id.to_string())
+            let started = progress.on_target.iter().chain(&progress.loading);
+            let started_in_zone = started.filter(|other| view.zone(other) == zone).count();
+            (started_in_zone, id.to_string())
         });
         for id in candidates.into_iter().take(capacity) {
             self.order_replica(view, id, OrderAction::Load, &progress.target, orders);
         }
     }
 
-    /// Replicas that came back without weights get the target only.
+    /// Loads only the target on replicas that restarted without weights.
     fn load_empty_replicas(
         &mut self,
         record: &RolloutRecord,
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Retires replicas from the stable version, at most a step at a time and never below a zone's floor of warm ones.
+    /// Retires replicas from the stable version, at most one step at a time and never below a zone's floor of warmed-up
+    /// replicas.
     fn retire_next_step(
         &mut self,
         record: &mut RolloutRecord,
@@ -156,22 +158,22 @@
         view: &RolloutView,
     ) {
         let now = view.inputs.now;
-        let mut left = view.step_size();
+        let mut remaining = view.step_size();
         let mut retired: BTreeSet<&String> = BTreeSet::new();
         for id in &progress.on_both {
-            if left > 0
+            if remaining > 0
                 && self.is_warmed_up(id, now)
                 && self.keeps_floor_without(id, &retired, progress, view)
             {
                 retired.insert(id);
                 record.retiring.push(id.clone());
                 self.retiring_since.insert(id.clone(), now);
-                left -= 1;
+                remaining -= 1;
             }
         }
     }
 
-    /// Whether a replica's zone keeps its floor, and one replica at least, once this one retires too.
+    /// Whether a replica's zone keeps its floor, and at least one replica, once this one retires too.
     fn keeps_floor_without(
         &self,
         id: &String,
@@ -204,7 +206,7 @@
     }
 }
 
-/// Each version's share is its part of the replicas that serve.
+/// Assigns each version a share equal to its fraction of the serving replicas.
 fn assign_shares(record: &mut RolloutRecord, progress: ShiftProgress) {
     let (stable, target) = (progress.on_stable, progress.on_target);
     let serving = (stable.len() + target.len()).max(1);
--- a/coordination/src/rollout/tests.rs
+++ b/coordination/src/rollout/tests.rs
@@ -12,7 +12,7 @@
 };
 use crate::{Ms, bounds::Bounds};
 
-struct Bench {
+struct Fixture {
     spec: Spec,
     platform: Vec<PlatformReplica>,
     reports: BTreeMap<String, (ReplicaReport, Ms)>,
@@ -21,8 +21,8 @@
     now: Ms,
 }
 
-/// One zone of two replicas with a floor of one; a canary of a quiet service passes by time.
-fn new_bench(mode: &str) -> Bench {
+/// One zone of two replicas with a floor of one. There is no traffic, so a canary passes by time.
+fn new_fixture(mode: &str) -> Fixture {
     let spec: Spec = serde_json::from_value(json!({"zones": [{"name": "a"}], "tiers": [], "canary_percent": 10, "bake_ms": 5000,
         "services": [{"name": "s", "version": "v1", "mode": mode, "lanes": [{"name": "l", "time_limit_ms": 1000, "expected_ms": 10}],
             "zones": [{"zone": "a", "replicas": 2, "floor": 1}]}]}))
@@ -32,7 +32,7 @@
         {"id": "a-2", "zone": "a", "addr": "y", "service": "s", "version": "v1", "state": "running"}]))
     .unwrap();
     let record = initial_record(&spec.services[0]);
-    let mut bench = Bench {
+    let mut fixture = Fixture {
         spec,
         platform,
         reports: BTreeMap::new(),
@@ -40,12 +40,12 @@
         record,
         now: 0,
     };
-    bench.load("a-1", &["v1"]);
-    bench.load("a-2", &["v1"]);
-    bench
+    fixture.load("a-1", &["v1"]);
+    fixture.load("a-2", &["v1"]);
+    fixture
 }
 
-impl Bench {
+impl Fixture {
     fn load(&mut self, id: &str, versions: &[&str]) {
         let loaded: Vec<_> = versions
             .iter()
@@ -55,8 +55,8 @@
         self.reports
             .insert(id.into(), (serde_json::from_value(r).unwrap(), self.now));
     }
-    /// Has a replica carry an order out at once.
-    fn obey(&mut self, order: &Order) {
+    /// Applies an order to its replica at once.
+    fn apply_order(&mut self, order: &Order) {
         let Order::Replica {
             id,
             action,
@@ -75,8 +75,8 @@
         let versions: Vec<&str> = versions.iter().map(String::as_str).collect();
         self.load(id, &versions);
     }
-    /// Passes of the loop until `ms` have gone by; replicas obey at once if `obey`. Gives all orders.
-    fn run(&mut self, ms: Ms, plan: Option<&ReleasePlan>, obey: bool) -> Vec<Order> {
+    /// Runs the loop for `ms` and returns all orders; replicas apply them at once if `apply_orders`.
+    fn run(&mut self, ms: Ms, plan: Option<&ReleasePlan>, apply_orders: bool) -> Vec<Order> {
         let (mut all, until) = (vec![], self.now + ms);
         while self.now < until {
             self.now += 300;
@@ -105,10 +105,14 @@
                     .filter(|g| g.share_percent > 0)
                     .any(|g| !g.replicas.is_empty())
             };
-            assert!(serving(&self.record), "nobody serves: {:?}", self.record);
-            if obey {
+            assert!(
+                serving(&self.record),
+                "no replica serves requests: {:?}",
+                self.record
+            );
+            if apply_orders {
                 for order in &orders {
-                    self.obey(order);
+                    self.apply_order(order);
                 }
             }
             all.extend(orders);
@@ -126,13 +130,14 @@
     }
 }
 
-/// A region with two replicas: the whole way, load before retire, never both retired at once before the new is warm.
+/// A full rollout in a zone with two replicas: replicas load the target before they retire, and never both retire
+/// before the target has warmed up.
 #[gtest]
-fn a_plan_is_carried_through_in_a_zone_of_two() {
-    let mut bench = new_bench("reconcile");
-    let orders = bench.run(120_000, Some(&plan(600)), true);
+fn a_plan_completes_in_a_zone_with_two_replicas() {
+    let mut fixture = new_fixture("reconcile");
+    let orders = fixture.run(120_000, Some(&plan(600)), true);
     expect_that!(
-        (bench.record.phase, bench.record.stable.as_str()),
+        (fixture.record.phase, fixture.record.stable.as_str()),
         eq((RolloutPhase::Steady, "v2"))
     );
     let of = |a: OrderAction| {
@@ -148,40 +153,40 @@
             .position(|o| matches!(o, Order::Replica { action, .. } if *action == a))
     };
     expect_that!(first(OrderAction::Load), lt(first(OrderAction::Unload)));
-    expect_that!(bench.record.alerts, is_empty());
+    expect_that!(fixture.record.alerts, is_empty());
 }
 
 #[gtest]
-fn modes_do_what_they_say_and_alerts_are_raised() {
+fn passive_modes_change_nothing_and_alerts_are_raised() {
     for mode in ["ignore", "read_only"] {
-        let mut bench = new_bench(mode);
-        let mut r = bench.record.clone();
+        let mut fixture = new_fixture(mode);
+        let mut r = fixture.record.clone();
         r.groups = vec![group(GroupRole::Stable, "v1", 100, vec!["a-1".into()])];
-        bench.record = r.clone();
-        expect_that!(bench.run(10_000, Some(&plan(600)), true), is_empty());
-        expect_that!(bench.record, eq(&r));
+        fixture.record = r.clone();
+        expect_that!(fixture.run(10_000, Some(&plan(600)), true), is_empty());
+        expect_that!(fixture.record, eq(&r));
     }
-    // Half a minute is not enough: an alert is raised at the start, long before it has passed.
-    let mut bench = new_bench("reconcile");
-    bench.run(2_000, Some(&plan(30)), true);
+    // Half a minute is too short for the rollout: an alert is raised at the start, long before the deadline.
+    let mut fixture = new_fixture("reconcile");
+    fixture.run(2_000, Some(&plan(30)), true);
     expect_that!(
-        bench.record.alerts,
+        fixture.record.alerts,
         container_eq(["plan_at_risk".to_string()])
     );
-    expect_that!(bench.record.forecast, gt(30));
-    // Replicas never load the new version: the loop is stuck, and the plan's time passes.
-    let mut bench = new_bench("reconcile");
-    bench.run(70_000, Some(&plan(30)), false);
+    expect_that!(fixture.record.forecast, gt(30));
+    // Replicas never load the new version: the loop is stuck and the plan's deadline passes.
+    let mut fixture = new_fixture("reconcile");
+    fixture.run(70_000, Some(&plan(30)), false);
     expect_that!(
-        bench.record.alerts,
+        fixture.record.alerts,
         container_eq(["stuck".to_string(), "plan_late".to_string()])
     );
-    // A version nobody asked for waits for a flag: an alert is raised, and it is not unloaded.
-    let mut bench = new_bench("reconcile");
-    bench.load("a-1", &["v0", "v1"]);
-    expect_that!(bench.run(5_000, None, true), is_empty());
+    // A version that is neither stable nor a target raises an alert, and is not unloaded without the flag.
+    let mut fixture = new_fixture("reconcile");
+    fixture.load("a-1", &["v0", "v1"]);
+    expect_that!(fixture.run(5_000, None, true), is_empty());
     expect_that!(
-        bench.record.alerts,
+        fixture.record.alerts,
         container_eq(["unload_waits".to_string()])
     );
 }
--- a/coordination/src/rollout/unloading.rs
+++ b/coordination/src/rollout/unloading.rs
@@ -1,12 +1,12 @@
-//! The end of a rollout: baking, in which the stable version stays loaded without a share, and unloading of whichever
-//! version is no longer wanted, after a completion or a reversal.
+//! The end of a rollout: baking, in which the stable version stays loaded without a share, and unloading of the
+//! unwanted version after a completion or a revert.
 
 use remote_calls::{GroupRole, OrderAction, RolloutPhase, RolloutRecord, ZoneCount};
 
 use super::{Order, RolloutLoop, RolloutView, groups::group, orders::ORDER_REPEAT_INTERVAL};
 
 impl RolloutLoop {
-    /// Keeps the stable version loaded while the target has everything: turning back needs no load.
+    /// Keeps the stable version loaded while the target receives all requests, so that a revert needs no load.
     pub(super) fn step_baking(&mut self, record: &mut RolloutRecord, view: &RolloutView) {
         let now = view.inputs.now;
         if self.reverts_bad_target(record, now) {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Unloads `target`, which is no longer wanted, once it serves nothing. The flag that allows it is set here,
-    /// because the rollout was completed or reverted, and cleared when nothing reports the version.
+    /// Unloads `target`, the unwanted version, once it serves no requests. Sets the flag that allows the unload, as the
+    /// rollout was completed or reverted, and clears it when no replica reports the version.
     pub(super) fn step_unloading(
         &mut self,
         record: &mut RolloutRecord,
@@ -54,12 +54,12 @@
             let is_drained = phase_age > ORDER_REPEAT_INTERVAL
                 && view.open_streams(id, &unwanted) == 0
                 || phase_age > view.drain_limit();
-            // Nothing is unloaded where the stable version is not ready, or streams have time left.
+            // No unload while the stable version is not ready or streams are within their time limit.
             if is_drained && view.is_ready(id, &stable) {
                 self.order_replica(view, id, OrderAction::Unload, &unwanted, orders);
             }
         }
-        // The flag was written in an earlier record before anything could be unloaded under it.
+        // The flag was committed in an earlier record before any unload was ordered under it.
         let is_done = loaded.is_empty() && phase_age > ORDER_REPEAT_INTERVAL;
         let mut unwanted_group = group(GroupRole::Stable, &unwanted, 0, loaded);
         unwanted_group.allow_unload = true;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Reverts a completed version that turns bad while the former one can still carry every zone.
+    /// Reverts a completed version that starts to fail while the former one still has every zone's floor ready.
     fn revert_completed_version(&mut self, record: &mut RolloutRecord, view: &RolloutView) {
         let now = view.inputs.now;
         let Some(former) = record.target.clone() else {
@@ -86,8 +86,8 @@
         }
         let remaining = view.ready_replicas(&former);
         let keeps_floor = |count: &ZoneCount| {
-            let here = remaining.iter().filter(|id| view.zone(id) == count.zone);
-            here.count() >= count.floor as usize
+            let in_zone = remaining.iter().filter(|id| view.zone(id) == count.zone);
+            in_zone.count() >= count.floor as usize
         };
         if !view.inputs.service.zones.iter().all(keeps_floor) {
             return;
--- a/coordination/src/rollout/view.rs
+++ b/coordination/src/rollout/view.rs
@@ -1,4 +1,4 @@
-//! Replicas of the service as the platform lists them and as they report themselves.
+//! View of the service's replicas, combined from the platform's list and the replicas' reports.
 
 use remote_calls::{
     GroupRole, LoadedWeights, PlatformReplica, PlatformReplicaState, ReplicaReport, RolloutRecord,
@@ -7,10 +7,10 @@
 use super::{DRAIN_MARGIN, MIN_STEP_REPLICAS, RolloutInputs, STEP_PERCENT, groups::group};
 use crate::{Ms, timing::REPORT_MAX_AGE};
 
-/// One pass's inputs, and the replicas that it may use.
+/// The inputs of one pass and the replicas that it may use.
 pub(super) struct RolloutView<'a> {
     pub(super) inputs: &'a RolloutInputs<'a>,
-    /// Replicas of the service that run and are not draining.
+    /// Running replicas of the service that are not draining.
     pub(super) usable: Vec<&'a PlatformReplica>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl RolloutView<'_> {
-    /// A replica's report, unless it is too old to act on.
+    /// Returns a replica's report unless it is too old.
     pub(super) fn report(&self, id: &str) -> Option<&ReplicaReport> {
         let (report, requested_at) = self.inputs.reports.get(id)?;
         (self.inputs.now.saturating_sub(*requested_at) <= REPORT_MAX_AGE).then_some(report)
@@ -58,7 +58,7 @@
         self.loaded_version(id, version).is_some()
     }
 
-    /// Open streams of a replica's version, as the replica or the proxies report them, whichever are more.
+    /// Returns the open streams of a replica's version: the larger of the replica's and the proxies' counts.
     pub(super) fn open_streams(&self, id: &str, version: &str) -> u64 {
         let reported = self
             .loaded_version(id, version)
@@ -66,7 +66,7 @@
         reported.max((self.inputs.open_streams)(id, version))
     }
 
-    /// Usable replicas that have a version ready.
+    /// Returns usable replicas that have a version ready.
     pub(super) fn ready_replicas(&self, version: &str) -> Vec<String> {
         self.usable
             .iter()
@@ -75,7 +75,7 @@
             .collect()
     }
 
-    /// Usable replicas that have a version loaded or loading.
+    /// Returns usable replicas that have a version loaded or loading.
     pub(super) fn loaded_replicas(&self, version: &str) -> Vec<String> {
         self.usable
             .iter()
@@ -84,18 +84,18 @@
             .collect()
     }
 
-    /// How long streams on what retires may still run: the longest lane's time limit and a margin.
+    /// Returns how long streams on retiring replicas may still run: the longest time limit of a lane, and a margin.
     pub(super) fn drain_limit(&self) -> Ms {
         let lanes = self.inputs.service.lanes.iter();
         lanes.map(|lane| lane.time_limit_ms).max().unwrap_or(0) + DRAIN_MARGIN
     }
 
-    /// Replicas that one step takes.
+    /// Returns the number of replicas in one step.
     pub(super) fn step_size(&self) -> usize {
         MIN_STEP_REPLICAS.max(self.usable.len() * STEP_PERCENT / 100)
     }
 
-    /// Zone of a usable replica; empty for any other.
+    /// Returns the zone of a usable replica; empty for any other.
     pub(super) fn zone(&self, id: &str) -> &str {
         self.usable
             .iter()
@@ -103,7 +103,7 @@
             .map_or("", |replica| replica.zone.as_str())
     }
 
-    /// Gives everything to the stable version's replicas.
+    /// Assigns all requests to the stable version's replicas.
     pub(super) fn assign_all_to_stable(&self, record: &mut RolloutRecord) {
         let stable = record.stable.clone();
         record.retiring.clear();
--- a/coordination/src/rollout_status.rs
+++ b/coordination/src/rollout_status.rs
@@ -1,4 +1,4 @@
-//! The status of the newest release plan of a service, as operators see it.
+//! Status of a service's newest release plan, as reported to operators.
 
 use remote_calls::{ReleasePlan, RolloutPhase, RolloutRecord};
 
@@ -7,16 +7,16 @@
 /// The status of a release plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutStatus {
-    /// Nothing was planned, or what was is in progress.
+    /// There is no plan, or its rollout is in progress.
     InService,
-    /// The target carries everything; the old replicas may be stopped at once.
+    /// The target receives all requests; the old replicas may be stopped at once.
     Completed,
-    /// The target carries nothing; its replicas may go.
+    /// The target receives no requests; its replicas may be stopped.
     Reverted,
 }
 
-/// Whether `new` repeats the current plan: as long as that is in progress or its deadline has not passed. The wall
-/// clock alone would not do: where it is ahead, a plan repeated there would begin anew, with all its counts.
+/// Whether `new` repeats the current plan while that is in progress or its deadline has not passed. The wall clock
+/// alone is not enough: if it is ahead, a repeated plan would start again and reset its counts.
 pub fn is_repeated_plan(
     record: Option<&RolloutRecord>,
     current: VersionedPlan,
@@ -28,7 +28,7 @@
             || rollout_status(record, Some(current)) == RolloutStatus::InService)
 }
 
-/// The status of the newest plan of a service by its rollout record.
+/// Returns the status of a service's newest plan, as derived from the rollout record.
 pub fn rollout_status(
     record: Option<&RolloutRecord>,
     plan: Option<VersionedPlan>,
@@ -36,18 +36,18 @@
     let Some(VersionedPlan { version, plan }) = plan else {
         return RolloutStatus::InService;
     };
-    // A record that is older or newer than the plan proves nothing of it: replicas are stopped on this word.
+    // A record of an older or newer plan proves nothing about this one, and replicas are stopped by this status.
     let Some(record) = record.filter(|record| record.plan_version == version) else {
         return RolloutStatus::InService;
     };
-    let is_at_rest = matches!(record.phase, RolloutPhase::Steady | RolloutPhase::Unloading);
+    let is_idle = matches!(record.phase, RolloutPhase::Steady | RolloutPhase::Unloading);
     let is_unload_allowed = record
         .groups
         .iter()
         .any(|group| group.version == plan.target && group.allow_unload);
     match record.failed_plan == version {
-        true if is_at_rest || is_unload_allowed => RolloutStatus::Reverted,
-        false if is_at_rest => RolloutStatus::Completed,
+        true if is_idle || is_unload_allowed => RolloutStatus::Reverted,
+        false if is_idle => RolloutStatus::Completed,
         _ => RolloutStatus::InService,
     }
 }
