--- a/coordination/src/proxy/version_guard.rs
+++ b/coordination/src/proxy/version_guard.rs
@@ -57,7 +57,7 @@
         let Some(health) = self.health_by_service.get(service) else {
             return RecentOutcomes::default();
         };
-        let counts = health.recent(version, lane, cached, now);
+        let counts = health.recent_counts(version, lane, cached, now);
         RecentOutcomes {
             ended: counts.ended,
             failed: counts.failed,
@@ -97,7 +97,7 @@
         } else {
             health.judge(judged.version, judged.stable, now)
         };
-        if verdict == Verdict::Fine {
+        if verdict == Verdict::Healthy {
             return false;
         }
         let previous = self
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -248,7 +248,11 @@
         let Some(target) = record.target.clone() else {
             return true;
         };
-        if self.health.judge_all(&target, &record.stable, now) == Verdict::Fine {
+        if self
+            .health
+            .judge_since_restart(&target, &record.stable, now)
+            == Verdict::Healthy
+        {
             return false;
         }
         self.bad_version = Some(target);
--- a/coordination/src/rollout/alerts.rs
+++ b/coordination/src/rollout/alerts.rs
@@ -80,7 +80,7 @@
 
     /// Nothing is there to turn to, or it is for operators to decide: they must know at once.
     pub(super) fn raise_stable_fails(&self, record: &mut RolloutRecord, now: Ms) {
-        if self.health.fails(&record.stable, now) {
+        if self.health.is_failing(&record.stable, now) {
             record.alerts.push("stable_fails".into());
         }
     }
--- a/coordination/src/rollout/placed/baking.rs
+++ b/coordination/src/rollout/placed/baking.rs
@@ -94,7 +94,9 @@
             .completable_since
             .is_some_and(|since| now.saturating_sub(since) >= MAX_COMPLETION_DELAY);
         has_baked
-            && (has_waited || sides.is_proven() || !self.health.just_failed(&sides.target, now))
+            && (has_waited
+                || sides.is_proven()
+                || !self.health.has_excess_recent_failures(&sides.target, now))
     }
 }
 
--- a/coordination/src/rollout/placed/canary.rs
+++ b/coordination/src/rollout/placed/canary.rs
@@ -127,7 +127,7 @@
             || self
                 .health
                 .judge_placed(&sides.target, comparable_since, now)
-                == Verdict::Fine
+                == Verdict::Healthy
         {
             return false;
         }
--- a/coordination/src/rollout/unloading.rs
+++ b/coordination/src/rollout/unloading.rs
@@ -81,7 +81,7 @@
         let Some(former) = record.target.clone() else {
             return;
         };
-        if record.phase != RolloutPhase::Unloading || !self.health.fails(&record.stable, now) {
+        if record.phase != RolloutPhase::Unloading || !self.health.is_failing(&record.stable, now) {
             return;
         }
         let remaining = view.ready_replicas(&former);
--- a/coordination/src/version_health.rs
+++ b/coordination/src/version_health.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Nothing speaks against it yet.
-    Fine,
+    Healthy,
     /// It is worse than what it was compared with.
-    Bad,
+    Unhealthy,
 }
 
 /// What edges counted of one service's versions.
@@ -70,7 +70,7 @@
     }
 
     /// What a version's requests on one lane and with one cache warmth counted in the longest window.
-    pub fn recent(&self, version: &str, lane: &str, cached: bool, now: Ms) -> OutcomeCounts {
+    pub fn recent_counts(&self, version: &str, lane: &str, cached: bool, now: Ms) -> OutcomeCounts {
         let key = CounterKey {
             version: version.into(),
             lane: lane.into(),
--- a/coordination/src/version_health/baseline_verdict.rs
+++ b/coordination/src/version_health/baseline_verdict.rs
@@ -31,7 +31,7 @@
     }
 
     /// The same over all since the last restart too, for whoever restarts it with each rollout.
-    pub fn judge_all(&self, new: &str, old: &str, now: Ms) -> Verdict {
+    pub fn judge_since_restart(&self, new: &str, old: &str, now: Ms) -> Verdict {
         self.judge_over(Some(SINCE_RESTART), new, old, now)
     }
 
@@ -42,10 +42,10 @@
         for lane in lanes {
             let comparison = Comparison { new, old, lane };
             if self.fails_more(&comparison, extra_window, now) || self.is_slower(&comparison, now) {
-                return Verdict::Bad;
+                return Verdict::Unhealthy;
             }
         }
-        Verdict::Fine
+        Verdict::Healthy
     }
 
     fn fails_more(&self, comparison: &Comparison, extra_window: Option<Ms>, now: Ms) -> bool {
@@ -94,7 +94,7 @@
     }
 
     /// Whether a version fails by itself, over all lanes or on one, with nothing to compare it with.
-    pub fn fails(&self, version: &str, now: Ms) -> bool {
+    pub fn is_failing(&self, version: &str, now: Ms) -> bool {
         let is_bad = |counts: &OutcomeCounts| {
             counts.failed >= MIN_FAILURES
                 && counts.failed * 100 >= counts.ended * FAILURE_PERCENT_ALONE
--- a/coordination/src/version_health/placed_verdict.rs
+++ b/coordination/src/version_health/placed_verdict.rs
@@ -155,7 +155,7 @@
             let is_slow =
                 || comparable_window.is_some_and(|window| self.is_slow(comparison, window, now));
             if self.fails_more_than_others(comparison, now) || is_slow() {
-                return Verdict::Bad;
+                return Verdict::Unhealthy;
             }
         }
         let is_late = comparable_window.is_some_and(|window| {
@@ -163,7 +163,11 @@
                 .into_iter()
                 .any(|cached| self.is_first_chunk_late(version, cached, window, now))
         });
-        if is_late { Verdict::Bad } else { Verdict::Fine }
+        if is_late {
+            Verdict::Unhealthy
+        } else {
+            Verdict::Healthy
+        }
     }
 
     fn compare(
@@ -317,7 +321,7 @@
 
     /// Whether a version has failed just now more than the others do. What may be a crash counts too: a version that
     /// has just turned bad looks like one.
-    pub fn just_failed(&self, version: &str, now: Ms) -> bool {
+    pub fn has_excess_recent_failures(&self, version: &str, now: Ms) -> bool {
         self.windows.lanes_of(version).into_iter().any(|lane| {
             let comparison = Comparison {
                 version,
--- a/coordination/src/version_health/tests.rs
+++ b/coordination/src/version_health/tests.rs
@@ -35,26 +35,26 @@
         tally("v1", "a", true, 100, 1, 0),
         tally("v2", "a", true, 10, 0, 0),
     ];
-    expect_that!(verdict(&fine), eq(Verdict::Fine));
+    expect_that!(verdict(&fine), eq(Verdict::Healthy));
     let lane = [
         tally("v1", "a", true, 500, 0, 0),
         tally("v2", "a", true, 50, 0, 0),
         tally("v1", "b", true, 20, 0, 0),
         tally("v2", "b", true, 1, 3, 0),
     ];
-    expect_that!(verdict(&lane), eq(Verdict::Bad));
+    expect_that!(verdict(&lane), eq(Verdict::Unhealthy));
     // The canary is slow only where its cache is cold, as the baseline's cold requests are too.
     let cold = [
         tally("v1", "a", true, 90, 0, 0),
         tally("v1", "a", false, 10, 0, 9),
         tally("v2", "a", false, 10, 0, 9),
     ];
-    expect_that!(verdict(&cold), eq(Verdict::Fine));
+    expect_that!(verdict(&cold), eq(Verdict::Healthy));
     let slow = [
         tally("v1", "a", true, 90, 0, 1),
         tally("v2", "a", true, 10, 0, 6),
     ];
-    expect_that!(verdict(&slow), eq(Verdict::Bad));
+    expect_that!(verdict(&slow), eq(Verdict::Unhealthy));
 }
 
 #[gtest]
@@ -66,9 +66,9 @@
     h.add_counters(&"e1".into(), 2, &[tally("v2", "a", true, 12, 0, 0)]);
     expect_that!(h.ended("v2", 10), eq(22));
     h.add_counters(&"e1".into(), 2, &[tally("v2", "a", true, 12, 5, 0)]);
-    expect_that!(h.judge("v2", "v1", 100), eq(Verdict::Bad));
+    expect_that!(h.judge("v2", "v1", 100), eq(Verdict::Unhealthy));
     (0..400).for_each(|i| h.tick(i * 250));
-    expect_that!(h.judge("v2", "v1", 100_000), eq(Verdict::Fine));
+    expect_that!(h.judge("v2", "v1", 100_000), eq(Verdict::Healthy));
 }
 
 /// First pieces on a lane, each after so many ms.
@@ -98,7 +98,7 @@
         firsts("v2", "long", false, 9, 400),
         firsts("v2", "short", false, 4, 90),
     ];
-    expect_that!(beside(&mix), eq(Verdict::Fine));
+    expect_that!(beside(&mix), eq(Verdict::Healthy));
     // One lane is slow.
     let lane = [
         mix[1].clone(),
@@ -106,7 +106,7 @@
         firsts("v2", "long", false, 9, 400),
         firsts("v2", "short", false, 14, 270),
     ];
-    expect_that!(beside(&lane), eq(Verdict::Bad));
+    expect_that!(beside(&lane), eq(Verdict::Unhealthy));
     // All are, each with too few to tell by itself.
     let each = (0..6).flat_map(|l| {
         let ms = 50 << l;
@@ -115,5 +115,5 @@
             firsts("v2", &format!("l{l}"), false, 3, 4 * ms),
         ]
     });
-    expect_that!(beside(&each.collect::<Vec<_>>()), eq(Verdict::Bad));
+    expect_that!(beside(&each.collect::<Vec<_>>()), eq(Verdict::Unhealthy));
 }
--- a/coordination/src/version_health/tests/trials.rs
+++ b/coordination/src/version_health/tests/trials.rs
@@ -209,7 +209,7 @@
             && health.has_tried_all_lanes("v2", CANARY_REQUESTS_PER_LANE, now)
             && !is_doubted;
         outcome.passed_at = outcome.passed_at.or(has_shown_enough.then_some(now));
-        outcome.is_condemned |= health.judge_placed("v2", Some(0), now) == Verdict::Bad;
+        outcome.is_condemned |= health.judge_placed("v2", Some(0), now) == Verdict::Unhealthy;
     }
 }
 
