--- a/coordination/src/claims.rs
+++ b/coordination/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims of run-once requests. A request id names three edges and the incarnation of each; an
-//! attempt may run only when a majority of the three has granted it. A holder of a later
-//! incarnation has forgotten its grants and abstains. A majority may also void an id, which is what
-//! makes the answer "not run" final.
+//! Claims of run-once requests. A request id names three edges, the claim's holders, and the
+//! incarnation of each; an attempt may run only if a majority of them has granted it the claim. A
+//! holder in a later incarnation has lost its grants and abstains. A majority may also void an id,
+//! which makes the answer "not run" final.
 
 mod claimer;
 mod grants;
@@ -11,16 +11,16 @@
 pub use grants::ClaimGrants;
 pub use request_id::{CALLER_KEY_PREFIX, ClaimHolder, holders, is_caller_key, mint_request_id};
 
-/// What a holder replies to a claim, and how a claim ends for the proxy that asked for it.
+/// Reply of a holder to a claim, and outcome of a claim for the proxy that requested it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimState {
-    /// The attempt may run, or the id is void as was asked.
+    /// The attempt may run, or the id is void as requested.
     Granted,
     /// Another attempt has the claim and may be running.
     HeldByOther,
-    /// The id is void: no attempt of it will ever run.
+    /// The id is void: no attempt of the request will ever run.
     Voided,
-    /// A holder that cannot know what it granted; as the outcome of a claim: it got no majority.
+    /// As a reply, the holder may have lost earlier grants; as an outcome, the claim got no majority.
     Abstained,
 }
 
@@ -34,7 +34,7 @@
 pub const ABSTAINED: u8 = ClaimState::Abstained.to_byte();
 
 impl ClaimState {
-    /// The byte on the wire.
+    /// Returns the byte on the wire.
     pub const fn to_byte(self) -> u8 {
         match self {
             ClaimState::Granted => 0,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Reads the byte on the wire. An unknown one decides nothing, just as an abstention.
+    /// Parses the byte on the wire. An unknown byte counts as an abstention.
     pub const fn from_byte(byte: u8) -> Self {
         match byte {
             0 => ClaimState::Granted,
--- a/coordination/src/claims/claimer.rs
+++ b/coordination/src/claims/claimer.rs
@@ -1,4 +1,4 @@
-//! The claiming side: asks the holders for the local proxy and counts their replies.
+//! Claiming side: sends the local proxy's claims to the holders and counts their replies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,17 +7,18 @@
 use super::{ClaimHolder, ClaimState, holders, is_caller_key};
 use crate::{Effects, Ms, effect::send};
 
-/// Longest wait for a claim's majority: many round trips inside a country, and short enough to void
-/// after it.
+/// Time limit for a claim's majority, in ms: many round trips within a country, and short enough
+/// to leave time for voiding the id afterwards.
 pub const CLAIM_TIMEOUT: Ms = 300;
 
-/// The proxy that waits for a claim, and its own token for it.
+/// Proxy that waits for a claim, and its token for the claim.
 #[derive(Clone, Debug)]
 struct Requester {
     addr: Name,
     token: u64,
 }
 
+/// Claim that waits for replies from its holders.
 #[derive(Clone, Debug)]
 struct PendingClaim {
     holders: BTreeSet<Name>,
@@ -35,8 +36,7 @@
             .count()
     }
 
-    /// How the claim ends by the replies so far; none while those that are missing may still decide
-    /// it.
+    /// Returns the outcome by the replies so far; none while missing replies may still decide it.
     fn outcome(&self) -> Option<ClaimState> {
         let decided = [ClaimState::Granted, ClaimState::Voided]
             .into_iter()
@@ -45,7 +45,7 @@
         decided.or_else(|| is_complete.then(|| self.undecided_outcome()))
     }
 
-    /// How the claim ends without a majority: another attempt's claim is reported, as that attempt
+    /// Returns the outcome without a majority. Another attempt's claim is reported, as that attempt
     /// may run.
     fn undecided_outcome(&self) -> ClaimState {
         if self.count(ClaimState::HeldByOther) > 0 {
@@ -64,18 +64,18 @@
     }
 }
 
-/// A claim that ended.
+/// Outcome of a claim, for its requester.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimEnded {
-    /// Address of the proxy that asked for the claim.
+    /// Address of the proxy that requested the claim.
     pub requester: Name,
-    /// The proxy's token for it.
+    /// The proxy's token for the claim.
     pub token: u64,
-    /// How it ended.
+    /// Outcome of the claim.
     pub state: ClaimState,
 }
 
-/// Claims that are pending for the local proxy.
+/// Pending claims of the local proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Claimer {
     pending: BTreeMap<u64, PendingClaim>,
@@ -83,8 +83,8 @@
 }
 
 impl Claimer {
-    /// Asks the id's holders, or every known edge for a caller's key. `edges` are all that are
-    /// known, this one among them. A claim that nobody can grant ends at once.
+    /// Sends a claim to the id's holders, or to every known edge for a caller's key. `edges` are
+    /// all known edges, including this one. A claim without holders ends at once.
     pub fn request(
         &mut self,
         proxy: &Name,
@@ -112,9 +112,9 @@
             .filter_map(|holder| edges.iter().find(|edge| edge.name == holder.name));
         out.extend(known_holders.map(|edge| send(&edge.addr, self.claim(request))));
         let claim = PendingClaim {
-            // A majority of those that the id names, also if some of them are unknown here: an id
-            // that was minted where only one edge was known dies with that edge, which then
-            // abstains, and that is still safe.
+            // A majority of the holders in the id, even if some of them are unknown here. If only
+            // one edge was known when the id was minted, no claim on it is granted after that edge
+            // restarts and abstains, which is still safe.
             quorum: holders.len() / 2 + 1,
             holders: holders.into_iter().map(|holder| holder.name).collect(),
             replies: BTreeMap::new(),
@@ -137,10 +137,10 @@
         }
     }
 
-    /// Counts a holder's reply; gives the claim if that decided it.
+    /// Counts a holder's reply; returns the claim if the reply decided it.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "handlers take ownership of the message they receive"
     )]
     pub fn on_reply(&mut self, from: &Name, reply: ClaimReply) -> Option<ClaimEnded> {
         let claim = self.pending.get_mut(&reply.token)?;
@@ -154,7 +154,7 @@
         Some(claim.ended(state))
     }
 
-    /// Ends the claims that got no majority in time.
+    /// Ends claims whose deadline has passed without a majority.
     pub fn tick(&mut self, now: Ms) -> Vec<ClaimEnded> {
         let expired: Vec<u64> = self
             .pending
--- a/coordination/src/claims/grants.rs
+++ b/coordination/src/claims/grants.rs
@@ -1,4 +1,4 @@
-//! A holder's side of claims: what this edge has granted, in memory only.
+//! Holder's side of claims: grants of this edge, kept in memory only.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,27 +11,28 @@
     events,
 };
 
-/// How long grants are remembered: five times the longest time left that a lane may give a request.
+/// Retention time of grants, in ms: five times the longest time budget that a lane may set for a
+/// request.
 const GRANT_RETENTION: Ms = 600_000;
-/// By how much a key's age may be wrong, as its caller reports it: the drift of two machines'
-/// clocks over ten minutes.
+/// Margin for error in a key's age as reported by the caller, in ms: the drift between two
+/// machines' clocks over ten minutes.
 const KEY_AGE_MARGIN: Ms = 5_000;
 
-/// What one request was granted to.
+/// Grant of one request to an attempt.
 #[derive(Clone, Debug)]
 struct Grant {
     attempt: u64,
     is_void: bool,
 }
 
-/// A granted request in the order of expiry.
+/// Granted request and time of its grant, by which it expires.
 #[derive(Clone, Debug)]
 struct GrantedRequest {
     granted_at: Ms,
     request: Name,
 }
 
-/// What this edge has granted since it started.
+/// Grants of this edge since it started.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimGrants {
     started_at: Ms,
@@ -40,7 +41,7 @@
 }
 
 impl ClaimGrants {
-    /// A holder that started at `started_at` and remembers nothing from before.
+    /// Creates a holder that started at `started_at` and has no earlier grants.
     pub fn new(started_at: Ms) -> Self {
         ClaimGrants {
             started_at,
@@ -48,20 +49,20 @@
         }
     }
 
-    /// Replies to a claim; `me` is this edge in its present incarnation.
+    /// Replies to a claim; `this_edge` is this edge in its current incarnation.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "handlers take ownership of the message they receive"
     )]
     pub fn on_claim(
         &mut self,
-        me: &Node,
+        this_edge: &Node,
         claimer_addr: &Name,
         claim: Claim,
         now: Ms,
         out: &mut Effects,
     ) {
-        let state = if self.remembers_all_grants_of(me, &claim, now) {
+        let state = if self.has_all_grants_of(this_edge, &claim, now) {
             self.grant(&claim, now)
         } else {
             let request = claim.request.to_string();
@@ -75,13 +76,13 @@
         out.push(send(claimer_addr, reply));
     }
 
-    /// Whether this incarnation would know of any earlier grant of the request. An id names the
-    /// incarnation. A key does not: its caller reports how long ago it first used it, by its own
-    /// clock, and a holder that started later may have forgotten a grant.
-    fn remembers_all_grants_of(&self, me: &Node, claim: &Claim, now: Ms) -> bool {
+    /// Returns whether this incarnation still has any earlier grant of the request. An id names the
+    /// incarnation. A key does not: its caller reports the time since the key's first use by its
+    /// own clock, and a holder that started after that may have lost a grant.
+    fn has_all_grants_of(&self, this_edge: &Node, claim: &Claim, now: Ms) -> bool {
         if !is_caller_key(&claim.request) {
             return holders(&claim.request)
-                .is_some_and(|holders| holders.contains(&ClaimHolder::of(me)));
+                .is_some_and(|holders| holders.contains(&ClaimHolder::of(this_edge)));
         }
         let uptime = now.saturating_sub(self.started_at);
         claim.key_age_ms == 0
@@ -89,14 +90,14 @@
     }
 
     fn grant(&mut self, claim: &Claim, now: Ms) -> ClaimState {
-        self.forget_expired(now);
+        self.remove_expired(now);
         let is_void = claim.void != 0;
         let Some(grant) = self.by_request.get_mut(&claim.request) else {
             self.insert(claim, now);
             return ClaimState::Granted;
         };
-        // An attempt may turn its own claim into a void, as it knows that it has not run; never
-        // back.
+        // An attempt may turn its own claim into a void, as it knows that it has not run, but not
+        // a void into a claim.
         if grant.attempt == claim.attempt && (is_void || !grant.is_void) {
             grant.is_void |= is_void;
             return ClaimState::Granted;
@@ -120,7 +121,7 @@
         });
     }
 
-    fn forget_expired(&mut self, now: Ms) {
+    fn remove_expired(&mut self, now: Ms) {
         let is_expired =
             |oldest: &GrantedRequest| now.saturating_sub(oldest.granted_at) > GRANT_RETENTION;
         while self.by_age.front().is_some_and(is_expired) {
--- a/coordination/src/claims/request_id.rs
+++ b/coordination/src/claims/request_id.rs
@@ -1,23 +1,22 @@
-//! Request ids, which name the holders of their claims, and keys that callers choose themselves.
+//! Request ids, which name the holders of their claims, and keys chosen by callers.
 
 use wire_messages::{Name, Node};
 
 use crate::rendezvous::rendezvous_order;
 
-/// Claims on a caller's own key begin with this.
+/// Prefix of a caller's key in claims.
 pub const CALLER_KEY_PREFIX: &str = "k:";
-/// Holders of one claim: a majority of three survives the loss of one of them.
+/// Number of holders of one claim: a majority of three tolerates the loss of one.
 const CLAIM_HOLDER_COUNT: usize = 3;
-/// Hexadecimal digits of an id's random part.
+/// Number of hexadecimal digits in an id's random part.
 const RANDOM_PART_DIGITS: usize = 16;
 
-/// An edge that grants claims on an id, in the incarnation in which it was alive when the id was
-/// minted.
+/// Edge that grants claims on an id, in its incarnation at the time the id was minted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimHolder {
     /// Name of the edge's agent.
     pub name: Name,
-    /// The incarnation that remembers the grants.
+    /// Incarnation that has the grants in memory.
     pub incarnation: u64,
 }
 
@@ -29,7 +28,7 @@
         }
     }
 
-    /// Reads `name.incarnation`, the incarnation in hexadecimal digits.
+    /// Parses `name.incarnation`, with the incarnation in hexadecimal digits.
     fn parse(text: &str) -> Option<Self> {
         let (name, incarnation) = text.rsplit_once('.')?;
         Some(ClaimHolder {
@@ -39,12 +38,12 @@
     }
 }
 
-/// Whether a claim is on a key of the caller's choice, which names no holders.
+/// Returns whether a claim is on a caller's key, which names no holders.
 pub fn is_caller_key(request: &str) -> bool {
     request.starts_with(CALLER_KEY_PREFIX)
 }
 
-/// A request id: the random part, then `~name.incarnation` for each holder.
+/// Mints a request id: the random part, then `~name.incarnation` for each holder.
 pub fn mint_request_id(random: u64, edges: Vec<Node>) -> String {
     let random_part = format!("{random:016x}");
     rendezvous_order(&random_part, edges, |edge| &edge.name)
@@ -55,7 +54,8 @@
         })
 }
 
-/// The holders that an id names; none if no proxy of this system minted it.
+/// Returns the holders named in an id; none if the id is malformed, so not minted by a proxy of this
+/// system.
 pub fn holders(request: &str) -> Option<Vec<ClaimHolder>> {
     let mut parts = request.split('~');
     let random_part = parts.next()?;
--- a/coordination/src/claims/tests.rs
+++ b/coordination/src/claims/tests.rs
@@ -16,18 +16,18 @@
         .collect()
 }
 
-/// Whether the holder grants the claim.
-fn grants(holder: &mut ClaimGrants, me: &Node, claim: Claim, now: u64) -> bool {
+/// Returns whether the holder grants the claim.
+fn grants(holder: &mut ClaimGrants, this_edge: &Node, claim: Claim, now: u64) -> bool {
     let mut effects = vec![];
-    holder.on_claim(me, &"p".into(), claim, now, &mut effects);
+    holder.on_claim(this_edge, &"p".into(), claim, now, &mut effects);
     effects.iter().any(|effect| {
         matches!(effect, Effect::Send { msg: Message::ClaimReply(reply), .. }
             if reply.state == ClaimState::Granted.to_byte())
     })
 }
 
-/// Every schedule of two attempts, a void and a holder's restart: one attempt at most runs, and
-/// none after a void was reported.
+/// Random schedules of two attempts, a void and restarts of holders: at most one of the three gets
+/// a majority, so no attempt runs once a void was reported.
 #[gtest]
 fn at_most_one_attempt_runs_and_none_after_a_void() {
     for seed in 0..2_000 {
@@ -51,7 +51,7 @@
         for (attempt, void, name) in claims {
             let (node, holder) = nodes.get_mut(&name).unwrap();
             if rng.u8(..) < 25 {
-                // The holder restarts: a new incarnation that remembers nothing.
+                // The holder restarts in a new incarnation without its grants.
                 node.incarnation += 100;
                 *holder = ClaimGrants::default();
             }
@@ -65,20 +65,20 @@
             let is_granted = grants(holder, node, claim, 5);
             *granted.entry(attempt).or_default() += usize::from(is_granted);
         }
-        let winners = granted.values().filter(|count| **count >= 2).count();
-        expect_that!(winners, le(1), "seed {seed}: {granted:?}");
+        let claims_with_majority = granted.values().filter(|count| **count >= 2).count();
+        expect_that!(claims_with_majority, le(1), "seed {seed}: {granted:?}");
     }
 }
 
-/// A key is claimed on a majority of all edges; one that started after the key was first used
-/// abstains.
+/// Attempts claim a key on a majority of all edges, some of which restart between the attempts; an
+/// edge that started after the key's first use must abstain, so that at most one attempt runs.
 #[gtest]
-fn a_key_runs_once_over_restarts_of_its_holders() {
+fn a_key_runs_at_most_once_across_restarts_of_its_holders() {
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = edges();
         let mut holders: Vec<ClaimGrants> = all.iter().map(|_| ClaimGrants::new(0)).collect();
-        let mut won = 0;
+        let mut wins = 0;
         let first_used_at = 100_000;
         for attempt in 1..=3u64 {
             let now = first_used_at + attempt * 20_000;
@@ -103,9 +103,9 @@
                 };
                 granted += usize::from(grants(holder, node, claim, now));
             }
-            won += usize::from(granted > all.len() / 2);
+            wins += usize::from(granted > all.len() / 2);
         }
-        expect_that!(won, le(1), "seed {seed}");
+        expect_that!(wins, le(1), "seed {seed}");
     }
 }
 
--- a/coordination/src/version_health/baseline_verdict.rs
+++ b/coordination/src/version_health/baseline_verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a version against one other that serves the same requests beside it, and on a version alone.
+//! Verdict on a version against one other version that serves the same requests concurrently, and on a version alone.
 
 use wire_messages::Name;
 
@@ -9,14 +9,14 @@
 };
 use crate::Ms;
 
-/// Failures of a version before it may be called bad: two can be chance.
+/// Failures required before a version can be unhealthy: two can be chance.
 const MIN_FAILURES: u64 = 3;
-/// Percent by which a version's failure rate must exceed the other's.
+/// Percentage points by which a version's failure rate must exceed the other's.
 const FAILURE_MARGIN_PERCENT: u64 = 10;
-/// Percent of ended requests that a version may fail on when there is no other to compare it with.
+/// Percentage of failed requests from which a version is unhealthy when there is no other version to compare it with.
 const FAILURE_PERCENT_ALONE: u64 = 20;
 
-/// The versions that are compared, on one lane or over all.
+/// Versions to compare, on one lane or over all lanes.
 struct Comparison<'a> {
     new: &'a str,
     old: &'a str,
@@ -24,20 +24,27 @@
 }
 
 impl VersionHealth {
-    /// Judges `new` against `old`, lane by lane. Failures are compared over all caches, as a cold cache
-    /// makes nothing fail; slowness only between caches of like warmth.
+    /// Judges `new` against `old`, lane by lane. Failures are compared over cached and uncached requests together, as
+    /// an empty cache causes no failures; slowness is compared separately for each.
     pub fn judge(&self, new: &str, old: &str, now: Ms) -> Verdict {
-        self.judge_over(None, new, old, now)
+        self.judge_with_window(None, new, old, now)
     }
 
-    /// The same over all since the last restart too, for whoever restarts it with each rollout.
+    /// Same as [`VersionHealth::judge`], but also over the time since the last restart, for callers that restart the
+    /// counts with each rollout.
     pub fn judge_since_restart(&self, new: &str, old: &str, now: Ms) -> Verdict {
-        self.judge_over(Some(SINCE_RESTART), new, old, now)
+        self.judge_with_window(Some(SINCE_RESTART), new, old, now)
     }
 
-    /// Judges over all windows and one more.
-    fn judge_over(&self, extra_window: Option<Ms>, new: &str, old: &str, now: Ms) -> Verdict {
-        // Few failures on each of several lanes are many together; all on one lane are many there.
+    /// Judges over all windows and `extra_window`.
+    fn judge_with_window(
+        &self,
+        extra_window: Option<Ms>,
+        new: &str,
+        old: &str,
+        now: Ms,
+    ) -> Verdict {
+        // A few failures on each of several lanes show only in the sum, failures on a single lane only on that lane.
         let lanes = std::iter::once(None).chain(self.windows.lanes_of(new).into_iter().map(Some));
         for lane in lanes {
             let comparison = Comparison { new, old, lane };
@@ -53,15 +60,16 @@
             self.sum_on(version, comparison.lane, None, window, now)
                 .failures()
         };
-        let old_over_long = failures(comparison.old, LONG_WINDOW);
+        let old_long_term = failures(comparison.old, LONG_WINDOW);
         HEALTH_WINDOWS
             .into_iter()
             .chain(extra_window)
             .any(|window| {
                 let new = failures(comparison.new, window);
                 let old = failures(comparison.old, window);
-                // What befalls both versions in one window is no fault of the new one, nor is what the old one always has.
-                is_worse(new, old) && is_worse(new, old_over_long)
+                // Failures that affect both versions in one window, or the old version all the time, are not caused by
+                // the new one.
+                is_worse(new, old) && is_worse(new, old_long_term)
             })
     }
 
@@ -72,12 +80,12 @@
                     .slowness()
             };
             let (new, old) = (slowness(comparison.new), slowness(comparison.old));
-            // Without a like cache on the other side nothing can be said about slowness.
+            // Slowness can't be judged without requests of the same cache state on the old version.
             old.ended >= MIN_FAILURES && is_worse(new, old)
         })
     }
 
-    /// What a version counted, on one lane or all, with one cache warmth or any.
+    /// Sums a version's counts, on one lane or all, for cached, uncached or all requests.
     fn sum_on(
         &self,
         version: &str,
@@ -87,13 +95,13 @@
         now: Ms,
     ) -> OutcomeCounts {
         self.windows.sum(now, window, |key| {
-            key.is_of(version)
+            key.has_version(version)
                 && lane.is_none_or(|lane| key.lane == *lane)
                 && cached.is_none_or(|cached| key.cached == cached)
         })
     }
 
-    /// Whether a version fails by itself, over all lanes or on one, with nothing to compare it with.
+    /// Returns whether a version fails too often, over all lanes or on one, without comparing it to another version.
     pub fn is_failing(&self, version: &str, now: Ms) -> bool {
         let is_bad = |counts: &OutcomeCounts| {
             counts.failed >= MIN_FAILURES
@@ -109,7 +117,8 @@
         })
     }
 
-    /// Whether what failed of `new` since the last restart is too little to judge it by and too much to trust it.
+    /// Returns whether the failure rate of `new` on any lane exceeds that of `old` since the last restart, even with
+    /// too few failures for a verdict.
     pub fn is_suspicious(&self, new: &str, old: &str, now: Ms) -> bool {
         self.windows.lanes_of(new).into_iter().any(|lane| {
             let failures = |version: &str| {
@@ -122,7 +131,7 @@
     }
 }
 
-/// Whether a rate exceeds the other's by the margin, on enough bad ends.
+/// Returns whether `new` has enough bad outcomes and exceeds `old` by the margin.
 fn is_worse(new: Rate, old: Rate) -> bool {
     new.bad >= MIN_FAILURES && new.exceeds(old, FAILURE_MARGIN_PERCENT)
 }
--- a/coordination/src/version_health/counts.rs
+++ b/coordination/src/version_health/counts.rs
@@ -1,20 +1,20 @@
-//! Counts of outcomes, and rates that are compared.
+//! Outcome counts, and rates to compare.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Ms;
 
-/// Parts of a doubling in a time's logarithm: a twentieth of a time is more than any comparison needs.
+/// Units of `log_ms` per doubling. One unit is about a twentieth of the time, more precise than any comparison needs.
 pub(super) const LOG_UNITS_PER_DOUBLING: f64 = 16.0;
 
-/// Makes a set of counts that are added and subtracted field by field.
+/// Defines `OutcomeCounts`, whose fields are added and subtracted one by one.
 macro_rules! counts {
     ($($(#[$doc:meta])* $count:ident),* $(,)?) => {
-        /// What was counted of requests of one kind.
+        /// Outcome counts of a set of requests.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct OutcomeCounts {
             $($(#[$doc])* pub $count: u64,)*
-            /// Replicas that failed, by `replica_bit`.
+            /// Bit set of the replicas that failed, by `replica_bit`.
             pub failed_replicas: u64,
         }
 
@@ -39,24 +39,24 @@
 counts! {
     /// Requests sent to replicas.
     sent,
-    /// Requests that ended, well or not.
+    /// Requests that succeeded or failed.
     ended,
     /// Requests that failed.
     failed,
-    /// Requests that ended well but late.
+    /// Requests that succeeded but were slow.
     slow,
     /// First chunks received.
     first_chunks,
-    /// Sum of `log_ms` of the times to the first chunks.
+    /// Sum of `log_ms` of the times to first chunk.
     first_chunk_log_sum,
-    /// Reports that brought first chunks.
+    /// Reports that included first chunks.
     first_chunk_reports,
-    /// Over these reports the sum of the square of each one's sum of `log_ms`, divided by its first chunks.
+    /// Sum over these reports of the squared sum of `log_ms`, divided by the report's first chunks.
     first_chunk_square_sum,
 }
 
 impl OutcomeCounts {
-    /// What one report adds, with what its first chunks tell of the spread of all.
+    /// Treats these counts as one report and fills in the fields for the variance between reports.
     pub(super) fn as_report(self) -> OutcomeCounts {
         if self.first_chunks == 0 {
             return self;
@@ -69,9 +69,10 @@
         }
     }
 
-    /// Variance of `log_ms` of the times to the first chunks, as far as both sides together tell, each about its own
-    /// mean: between reports, as the mean of few chunks spreads the more the fewer they are. A few reports of one side
-    /// may happen to be alike. 0 where there are too few reports to tell.
+    /// Estimates the variance of `log_ms` of the times to first chunk, pooled over both sides, each about its own mean.
+    /// It is derived from the variance between reports, weighted by their chunks: the fewer the chunks, the more their
+    /// mean varies. Both sides are pooled because a few reports of one side may be alike by chance. Returns 0 if there
+    /// are too few reports.
     pub(super) fn pooled_first_chunk_log_variance(&self, other: &OutcomeCounts) -> f64 {
         let sides = [self, other].map(OutcomeCounts::first_chunk_log_deviation);
         let degrees: u64 = sides.iter().map(|side| side.degrees_of_freedom).sum();
@@ -109,25 +110,25 @@
     }
 }
 
-/// How far values lie from their mean.
+/// Deviation of values from their mean.
 #[derive(Clone, Copy, Default)]
 struct Deviation {
-    /// Sum of the squares of their distances.
+    /// Sum of squared deviations.
     square_sum: f64,
-    /// How many of these are free.
+    /// Degrees of freedom of that sum.
     degrees_of_freedom: u64,
 }
 
-/// Requests sent to replicas.
+/// Requests sent to replicas of all versions and of one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentCounts {
-    /// Of all versions.
+    /// Requests sent to all versions.
     pub all: u64,
-    /// Of one version.
+    /// Requests sent to the one version.
     pub version: u64,
 }
 
-/// Requests that ended, and how many of them were bad.
+/// Ended requests, and how many of them had a bad outcome (failed or slow).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Rate {
     pub(super) ended: u64,
@@ -135,21 +136,21 @@
 }
 
 impl Rate {
-    /// Whether this rate exceeds the other's by more than so many percent of the requests.
+    /// Returns whether this rate exceeds the other by more than `margin_percent` percentage points.
     pub(super) fn exceeds(self, other: Rate, margin_percent: u64) -> bool {
         let other_ended = other.ended.max(1);
         self.bad * 100 * other_ended > (other.bad * 100 + margin_percent * other_ended) * self.ended
     }
 }
 
-/// The bit of a replica that failed. Replicas are distinguished only as far as it takes to see whether there is
-/// more than one.
+/// Returns the bit of a replica in `failed_replicas`. Replicas may share a bit: the set only has to show whether more
+/// than one replica failed.
 pub fn replica_bit(replica: &str) -> u64 {
     1 << (xxh3_64(replica.as_bytes()) % 64)
 }
 
-/// A time as its logarithm, in sixteenths of a doubling. Sums of these compare versions by geometric means, which
-/// a few long prompts hardly move.
+/// Returns the logarithm of a time in sixteenths of a doubling. Sums of these compare versions by geometric mean,
+/// which a few long prompts hardly change.
 pub fn log_ms(ms: Ms) -> u64 {
     ((ms.max(1) as f64).log2() * LOG_UNITS_PER_DOUBLING).round() as u64
 }
--- a/coordination/src/version_health/sources.rs
+++ b/coordination/src/version_health/sources.rs
@@ -1,4 +1,4 @@
-//! Edges that report counters: what each reported last, so that only the difference is added.
+//! Sources of counters: the last report of each edge, so that only the difference is added.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use super::{counts::OutcomeCounts, windows::KeyIndex};
 
-/// Counters of one key are reported by group.
+/// Counters of one key are reported separately for each group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupKey {
     key: KeyIndex,
     group: u8,
 }
 
-/// What one edge reported last.
+/// Last report of one edge.
 #[derive(Clone, Debug)]
 pub(super) struct CounterSource {
     incarnation: u64,
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Whether this is the same incarnation of the source. A later one counts from nought.
-    pub(super) fn is_of(&self, incarnation: u64) -> bool {
+    /// Returns whether the source still runs in this incarnation. A new incarnation counts from 0.
+    pub(super) fn has_incarnation(&self, incarnation: u64) -> bool {
         self.incarnation == incarnation
     }
 
-    /// Takes a key's cumulative counters over; what they add, unless they are older than those that are known. Of what
-    /// a source counted before its first report only its last half minute is evidence.
+    /// Stores a key's cumulative counters and returns the difference to the stored ones; none if the report is older.
+    /// Of the counts before a source's first report, only its last 30 s are used as evidence.
     pub(super) fn advance(
         &mut self,
         key: KeyIndex,
@@ -48,7 +48,7 @@
         };
         let counts = cumulative_counts(reported);
         let known = self.last.get(&group_key).copied().unwrap_or_default();
-        // Counts only rise in an incarnation: lower ones are late.
+        // Counts only rise within an incarnation: lower ones belong to an older report.
         if counts.sent + counts.ended < known.sent + known.ended {
             return None;
         }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Counts since the edge's start.
+/// Returns the counts since the edge started.
 fn cumulative_counts(reported: &OutcomeCounters) -> OutcomeCounts {
     OutcomeCounts {
         sent: reported.sent,
@@ -75,10 +75,10 @@
     }
 }
 
-/// Counts of the edge's last half minute.
+/// Returns the counts of the edge's last 30 s.
 fn recent_counts(reported: &OutcomeCounters) -> OutcomeCounts {
-    // Which replicas failed is reported since the edge's start only; without them what comes in one report is one
-    // crash.
+    // Failed replicas are reported only since the edge's start. Without them all failures of one report would look
+    // like one crash.
     let failed_replicas = if reported.recent_failed > 0 {
         reported.failed_replicas
     } else {
--- a/coordination/src/version_health/tests/trials.rs
+++ b/coordination/src/version_health/tests/trials.rs
@@ -1,90 +1,93 @@
-//! Trials of a version that behaves just like the other: how often it is condemned all the same, and how long it takes
-//! until it has shown enough.
+//! Trials of a version that behaves like the other: how often it is judged unhealthy by mistake, and how long a canary
+//! takes to pass.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use googletest::prelude::*;
 use wire_messages::OutcomeCounters;
 
-use super::{Verdict, VersionHealth, log_ms, tally};
+use super::{Verdict, VersionHealth, log_ms, outcome_counters};
 use crate::Ms;
 
 const TRIALS: u64 = 200;
 const LANES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const EDGES: [&str; 3] = ["e1", "e2", "e3"];
-/// Requests a second of the service.
+/// Requests per second of the service.
 const REQUEST_RATE: u64 = 10;
-/// Percent of them that the version on trial gets in a canary.
+/// Percentage of the requests that the tested version gets in a canary.
 const CANARY_PERCENT: u64 = 8;
-/// Requests of the old version before the trial begins.
-const EARLIER_REQUESTS: u64 = 200;
-/// ms. How long a trial lasts, and how often the version is judged.
-const TRIAL_TIME: Ms = 60_000;
-const LOOK_INTERVAL: Ms = 300;
+/// Requests of the old version before the trial starts.
+const INITIAL_REQUESTS: u64 = 200;
+/// Duration of a trial, in ms.
+const TRIAL_DURATION: Ms = 60_000;
+/// Interval between verdicts on the version, in ms.
+const CHECK_INTERVAL: Ms = 300;
+/// Interval between the edges' reports, in ms.
 const REPORT_INTERVAL: Ms = 100;
-/// ms. How often counts are forgotten, where they are.
-const FORGETTING_INTERVAL: Ms = 10_000;
-/// ms. What edges report to a daemon that hears of them for the first time.
-const RECENT: Ms = 30_000;
-/// What a canary must have ended, over all and on each lane.
+/// Interval between resets of the counts in ms, if there are any.
+const RESET_INTERVAL: Ms = 10_000;
+/// Period of recent outcomes that edges report to a daemon that is new to them, in ms.
+const RECENT_PERIOD: Ms = 30_000;
+/// Ended requests that a canary needs over all lanes.
 const CANARY_REQUESTS: u64 = 20;
+/// Ended requests that a canary needs on each lane.
 const CANARY_REQUESTS_PER_LANE: u64 = 6;
 
-/// How the requests of both versions go.
+/// Behaviour of the requests of both versions.
 #[derive(Clone, Copy, Debug)]
-struct LikeBehaviour {
-    /// Percent of the requests that fail.
-    failing: u64,
-    /// Percent of the requests whose first chunk takes 10 to 350 ms; all others take 2 ms.
-    delayed: u64,
+struct RequestBehaviour {
+    /// Percentage of the requests that fail.
+    failing_percent: u64,
+    /// Percentage of the requests whose first chunk takes 10 to 350 ms; all others take 2 ms.
+    delayed_percent: u64,
 }
 
-/// Whether what was counted is forgotten now and then.
+/// When the counts are reset during a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Forgetting {
+enum CountReset {
     Never,
-    /// As at each new phase of a release.
+    /// Periodically, as at each new phase of a release.
     AtPhases,
-    /// As when another daemon takes over, which hears of each edge's last half minute.
+    /// Periodically, as when another daemon takes over and receives each edge's last 30 s.
     AtTakeovers,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct TrialPlan {
-    behaviour: LikeBehaviour,
-    /// Percent of the requests that the version on trial gets.
-    share: u64,
-    forgetting: Forgetting,
+    behaviour: RequestBehaviour,
+    /// Percentage of the requests that the tested version gets.
+    share_percent: u64,
+    count_reset: CountReset,
 }
 
 impl TrialPlan {
-    fn canary(behaviour: LikeBehaviour) -> TrialPlan {
+    fn canary(behaviour: RequestBehaviour) -> TrialPlan {
         TrialPlan {
             behaviour,
-            share: CANARY_PERCENT,
-            forgetting: Forgetting::Never,
+            share_percent: CANARY_PERCENT,
+            count_reset: CountReset::Never,
         }
     }
 }
 
-/// What became of a version on trial.
+/// Result of one trial.
 #[derive(Clone, Copy, Default)]
 struct Outcome {
-    is_condemned: bool,
-    /// ms. When it had shown what a canary must.
+    is_unhealthy: bool,
+    /// Time at which the version met the conditions of a canary, in ms.
     passed_at: Option<Ms>,
-    looks: u32,
-    doubted_looks: u32,
+    checks: u32,
+    suspicious_checks: u32,
 }
 
-/// A request that ended.
+/// One ended request.
 #[derive(Clone, Copy)]
 struct EndedRequest {
     at: Ms,
     failed: bool,
 }
 
-/// What one edge counted of one version on one lane.
+/// Counters of one edge for one version and lane.
 struct EdgeCounters {
     row: OutcomeCounters,
     recent: VecDeque<EndedRequest>,
@@ -93,13 +96,17 @@
 impl EdgeCounters {
     fn new(version: &str, lane: &str) -> EdgeCounters {
         EdgeCounters {
-            row: tally(version, lane, true, 0, 0, 0),
+            row: outcome_counters(version, lane, true, 0, 0, 0),
             recent: VecDeque::new(),
         }
     }
 
     fn reported(&mut self, now: Ms) -> OutcomeCounters {
-        while self.recent.front().is_some_and(|r| now - r.at > RECENT) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|r| now - r.at > RECENT_PERIOD)
+        {
             self.recent.pop_front();
         }
         OutcomeCounters {
@@ -134,32 +141,32 @@
         run
     }
 
-    fn play(mut self) -> Outcome {
-        for _ in 0..EARLIER_REQUESTS {
+    fn run(mut self) -> Outcome {
+        for _ in 0..INITIAL_REQUESTS {
             self.request("v1", 0);
         }
-        for now in (0..TRIAL_TIME).step_by(REPORT_INTERVAL as usize) {
-            if now > 0 && now.is_multiple_of(FORGETTING_INTERVAL) {
-                self.forget(now);
+        for now in (0..TRIAL_DURATION).step_by(REPORT_INTERVAL as usize) {
+            if now > 0 && now.is_multiple_of(RESET_INTERVAL) {
+                self.reset(now);
             }
             for _ in 0..REQUEST_RATE * REPORT_INTERVAL / 1_000 {
-                let is_tried = now > 0 && self.rng.u64(0..100) < self.plan.share;
-                self.request(if is_tried { "v2" } else { "v1" }, now);
+                let is_tested_version = now > 0 && self.rng.u64(0..100) < self.plan.share_percent;
+                self.request(if is_tested_version { "v2" } else { "v1" }, now);
             }
             self.report(now);
             self.health.tick(now);
-            if now > 0 && now.is_multiple_of(LOOK_INTERVAL) {
-                self.look(now);
+            if now > 0 && now.is_multiple_of(CHECK_INTERVAL) {
+                self.check(now);
             }
         }
         self.outcome
     }
 
-    fn forget(&mut self, now: Ms) {
-        match self.plan.forgetting {
-            Forgetting::Never => {}
-            Forgetting::AtPhases => self.health.restart(now),
-            Forgetting::AtTakeovers => {
+    fn reset(&mut self, now: Ms) {
+        match self.plan.count_reset {
+            CountReset::Never => {}
+            CountReset::AtPhases => self.health.restart(now),
+            CountReset::AtTakeovers => {
                 self.health = VersionHealth::default();
                 self.health.restart(now);
             }
@@ -174,7 +181,7 @@
             .entry((edge, version, lane))
             .or_insert_with(|| EdgeCounters::new(version, lane));
         let behaviour = self.plan.behaviour;
-        let failed = self.rng.u64(0..100) < behaviour.failing;
+        let failed = self.rng.u64(0..100) < behaviour.failing_percent;
         counters.recent.push_back(EndedRequest { at: now, failed });
         let row = &mut counters.row;
         row.sent += 1;
@@ -183,14 +190,14 @@
             row.failed_replicas |= 1 << self.rng.u32(0..3);
             return;
         }
-        let is_delayed = self.rng.u64(0..100) < behaviour.delayed;
+        let is_delayed = self.rng.u64(0..100) < behaviour.delayed_percent;
         let time = if is_delayed { self.rng.u64(10..350) } else { 2 };
         row.succeeded += 1;
         row.first_chunks += 1;
         row.first_chunk_log_sum += log_ms(time);
     }
 
-    /// One edge after another reports all that it counted.
+    /// Each edge in turn reports all its counters.
     fn report(&mut self, now: Ms) {
         for edge in EDGES {
             let own = self.counters.iter_mut().filter(|(key, _)| key.0 == edge);
@@ -200,89 +207,105 @@
         }
     }
 
-    fn look(&mut self, now: Ms) {
+    fn check(&mut self, now: Ms) {
         let (health, outcome) = (&self.health, &mut self.outcome);
-        let is_doubted = health.is_suspicious_placed("v2", now);
-        outcome.looks += 1;
-        outcome.doubted_looks += u32::from(is_doubted);
-        let has_shown_enough = health.ended("v2", now) >= CANARY_REQUESTS
+        let is_suspicious = health.is_suspicious_placed("v2", now);
+        outcome.checks += 1;
+        outcome.suspicious_checks += u32::from(is_suspicious);
+        let has_passed = health.ended("v2", now) >= CANARY_REQUESTS
             && health.has_tried_all_lanes("v2", CANARY_REQUESTS_PER_LANE, now)
-            && !is_doubted;
-        outcome.passed_at = outcome.passed_at.or(has_shown_enough.then_some(now));
-        outcome.is_condemned |= health.judge_placed("v2", Some(0), now) == Verdict::Unhealthy;
+            && !is_suspicious;
+        outcome.passed_at = outcome.passed_at.or(has_passed.then_some(now));
+        outcome.is_unhealthy |= health.judge_placed("v2", Some(0), now) == Verdict::Unhealthy;
     }
 }
 
 fn outcomes(plan: TrialPlan) -> Vec<Outcome> {
     (1..=TRIALS)
-        .map(|seed| TrialRun::new(seed, plan).play())
+        .map(|seed| TrialRun::new(seed, plan).run())
         .collect()
 }
 
-/// What came of all trials of a plan.
+/// Results of all trials of a plan.
 struct Summary {
-    condemned: usize,
-    /// Percent of the looks that doubted the version.
-    doubted: u32,
+    unhealthy: usize,
+    /// Percentage of the checks at which the version was suspicious.
+    suspicious: u32,
 }
 
 fn summary(plan: TrialPlan) -> Summary {
     let outcomes = outcomes(plan);
-    let condemned = outcomes.iter().filter(|o| o.is_condemned).count();
-    let doubted: u32 = outcomes.iter().map(|o| o.doubted_looks).sum();
-    let looks: u32 = outcomes.iter().map(|o| o.looks).sum();
-    let doubted = 100 * doubted / looks;
-    println!("{plan:?}: {condemned} of {TRIALS} condemned, doubted {doubted}% of the time");
-    Summary { condemned, doubted }
+    let unhealthy = outcomes.iter().filter(|o| o.is_unhealthy).count();
+    let suspicious: u32 = outcomes.iter().map(|o| o.suspicious_checks).sum();
+    let checks: u32 = outcomes.iter().map(|o| o.checks).sum();
+    let suspicious = 100 * suspicious / checks;
+    println!("{plan:?}: {unhealthy} of {TRIALS} unhealthy, suspicious {suspicious}% of the time");
+    Summary {
+        unhealthy,
+        suspicious,
+    }
 }
 
 #[gtest]
-fn a_version_that_is_like_the_other_is_seldom_condemned() {
-    for (failing, delayed) in [(0, 0), (12, 0), (0, 30), (12, 30)] {
-        let plan = TrialPlan::canary(LikeBehaviour { failing, delayed });
-        let Summary { condemned, doubted } = summary(plan);
-        expect_that!(condemned, le(2), "{plan:?}");
-        expect_that!(doubted, le(15), "{plan:?}");
+fn a_version_like_the_other_is_rarely_unhealthy() {
+    for (failing_percent, delayed_percent) in [(0, 0), (12, 0), (0, 30), (12, 30)] {
+        let plan = TrialPlan::canary(RequestBehaviour {
+            failing_percent,
+            delayed_percent,
+        });
+        let Summary {
+            unhealthy,
+            suspicious,
+        } = summary(plan);
+        expect_that!(unhealthy, le(2), "{plan:?}");
+        expect_that!(suspicious, le(15), "{plan:?}");
     }
 }
 
 #[gtest]
-fn a_version_that_is_like_the_other_is_seldom_condemned_though_counts_are_forgotten() {
-    let every = [
-        Forgetting::Never,
-        Forgetting::AtPhases,
-        Forgetting::AtTakeovers,
+fn a_version_like_the_other_is_rarely_unhealthy_when_counts_are_reset() {
+    let all_resets = [
+        CountReset::Never,
+        CountReset::AtPhases,
+        CountReset::AtTakeovers,
     ];
-    for forgetting in every {
-        // The less the others have the less is known to trust a version by.
-        for (share, most_doubted) in [(CANARY_PERCENT, 15), (50, 25), (92, 45)] {
-            for (failing, delayed) in [(12, 0), (0, 30)] {
+    for count_reset in all_resets {
+        // The smaller the others' share, the less is known of their rate and the longer a version is suspicious.
+        for (share_percent, max_suspicious) in [(CANARY_PERCENT, 15), (50, 25), (92, 45)] {
+            for (failing_percent, delayed_percent) in [(12, 0), (0, 30)] {
                 let plan = TrialPlan {
-                    behaviour: LikeBehaviour { failing, delayed },
-                    share,
-                    forgetting,
+                    behaviour: RequestBehaviour {
+                        failing_percent,
+                        delayed_percent,
+                    },
+                    share_percent,
+                    count_reset,
                 };
-                let Summary { condemned, doubted } = summary(plan);
-                expect_that!(condemned, le(2), "{plan:?}");
-                expect_that!(doubted, le(most_doubted), "{plan:?}");
+                let Summary {
+                    unhealthy,
+                    suspicious,
+                } = summary(plan);
+                expect_that!(unhealthy, le(2), "{plan:?}");
+                expect_that!(suspicious, le(max_suspicious), "{plan:?}");
             }
         }
     }
 }
 
-/// A service with little traffic on many lanes takes its time, whatever its plan asks: a version may be bad on one lane.
+/// A service with little traffic on many lanes needs this long whatever its plan says, as a version may be unhealthy on
+/// one lane only.
 #[gtest]
 fn a_canary_of_a_quiet_service_with_five_lanes_takes_most_of_a_minute() {
-    let outcomes = outcomes(TrialPlan::canary(LikeBehaviour {
-        failing: 12,
-        delayed: 30,
+    let outcomes = outcomes(TrialPlan::canary(RequestBehaviour {
+        failing_percent: 12,
+        delayed_percent: 30,
     }));
     let mut passed_after: Vec<Ms> = outcomes
         .iter()
-        .map(|outcome| outcome.passed_at.unwrap_or(TRIAL_TIME))
+        .map(|outcome| outcome.passed_at.unwrap_or(TRIAL_DURATION))
         .collect();
     passed_after.sort_unstable();
     let median = passed_after[passed_after.len() / 2];
-    println!("median {median} ms, least {} ms", passed_after[0]);
-    expect_that!(median, all![ge(30_000), le(TRIAL_TIME)]);
+    println!("median {median} ms, minimum {} ms", passed_after[0]);
+    expect_that!(median, all![ge(30_000), le(TRIAL_DURATION)]);
 }
--- a/coordination/src/version_health/windows.rs
+++ b/coordination/src/version_health/windows.rs
@@ -1,4 +1,4 @@
-//! Counts over time: sums since this process counts, since the last restart, and within windows.
+//! Counts over time: sums since this process started counting, since the last restart, and within windows.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,17 +7,17 @@
 use super::counts::OutcomeCounts;
 use crate::Ms;
 
-/// ms. Windows that failure rates are taken over: short ones show a version that has just turned, long ones
-/// a quiet service's.
+/// Windows over which failure rates are computed, in ms: short ones detect a version that has just become unhealthy,
+/// long ones an unhealthy version of a service with little traffic.
 pub(crate) const HEALTH_WINDOWS: [Ms; 6] = [1_000, 2_000, 4_000, 8_000, 16_000, 30_000];
-/// ms. The longest window.
+/// Longest window, in ms.
 pub(super) const LONG_WINDOW: Ms = HEALTH_WINDOWS[HEALTH_WINDOWS.len() - 1];
-/// No window: all since the last restart. A rare lane's failures come too far apart for any window.
+/// No window: everything since the last restart. Failures on a rarely used lane are too far apart for any window.
 pub(super) const SINCE_RESTART: Ms = Ms::MAX;
-/// ms. Spacing of remembered sums.
+/// Minimum time between the ends of stored windows, in ms.
 const WINDOW_SPACING: Ms = 250;
 
-/// What requests are counted by.
+/// Key by which requests are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CounterKey {
     pub(super) version: Name,
@@ -34,12 +34,12 @@
         }
     }
 
-    pub(super) fn is_of(&self, version: &str) -> bool {
+    pub(super) fn has_version(&self, version: &str) -> bool {
         &*self.version == version
     }
 }
 
-/// A key by its number: keys are many and their names long.
+/// Index of a key, used in its place because there are many keys and their names are long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct KeyIndex(u32);
 
@@ -49,19 +49,19 @@
     }
 }
 
-/// What was added to one key.
+/// Counts added to one key.
 #[derive(Clone, Copy, Debug)]
 struct Addition {
     key: KeyIndex,
     counts: OutcomeCounts,
 }
 
-/// What was added between the end of the window before and this one's. Nothing is kept of a key that nothing was
-/// added to: most lanes rest most of the time.
+/// Counts added between the end of the previous window and the end of this one. Keys without additions are not stored:
+/// most lanes are idle most of the time.
 #[derive(Clone, Debug)]
 struct EndedWindow {
     ended_at: Ms,
-    /// By key, in order.
+    /// Sorted by key.
     additions: Vec<Addition>,
 }
 
@@ -73,24 +73,24 @@
     }
 }
 
-/// Counts by key, over time.
+/// Counts by key over time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CounterWindows {
     keys: BTreeMap<CounterKey, KeyIndex>,
     /// Sums over all sources, by key.
     totals: Vec<OutcomeCounts>,
-    /// Totals at the last restart: nothing before it counts.
+    /// Totals at the last restart, to subtract from `totals`.
     restart_totals: Vec<OutcomeCounts>,
     ended: VecDeque<EndedWindow>,
-    /// How many of these had ended at the last restart, the one that it ended last.
+    /// Number of `ended` windows from before the last restart, including the one that the restart ended.
     ended_before_restart: usize,
-    /// Added since the last window ended.
+    /// Counts added since the last window ended.
     current: BTreeMap<KeyIndex, OutcomeCounts>,
 }
 
 impl CounterWindows {
-    /// A key's number, new if the key is.
-    pub(super) fn index_of(&mut self, key: CounterKey) -> KeyIndex {
+    /// Returns a key's index; adds the key if it is new.
+    pub(super) fn index_or_insert(&mut self, key: CounterKey) -> KeyIndex {
         let next = KeyIndex(self.totals.len() as u32);
         let index = *self.keys.entry(key).or_insert(next);
         if index == next {
@@ -115,7 +115,7 @@
             return;
         }
         self.end_window(now);
-        // One that is older than the longest window stays: it is that window's beginning.
+        // One window older than the longest window stays, as it marks where that window starts.
         let is_old = |window: &EndedWindow| now.saturating_sub(window.ended_at) > LONG_WINDOW;
         while self.ended.get(1).is_some_and(is_old) {
             self.ended.pop_front();
@@ -134,72 +134,72 @@
         });
     }
 
-    /// Begins anew. What was counted before stays known to `sum_across_restarts` alone.
+    /// Excludes earlier counts from all sums but `total` and `sum_across_restarts`.
     pub(super) fn restart(&mut self, now: Ms) {
         self.end_window(now);
         self.ended_before_restart = self.ended.len();
         self.restart_totals = self.totals.clone();
     }
 
-    /// The oldest window that matters after the last restart: the one that the restart ended, while it is remembered.
+    /// Returns the position of the oldest relevant window: the one that the last restart ended, while it is stored.
     fn first_position(&self) -> usize {
         self.ended_before_restart.saturating_sub(1)
     }
 
-    /// ms since the oldest window that matters ended; 0 without any.
+    /// Returns the time since the oldest relevant window ended, in ms; 0 if there is none.
     pub(super) fn age(&self, now: Ms) -> Ms {
         self.ended
             .get(self.first_position())
             .map_or(0, |window| now.saturating_sub(window.ended_at))
     }
 
-    /// Lanes on which a version was counted.
+    /// Returns the lanes on which a version has counts.
     pub(super) fn lanes_of(&self, version: &str) -> Vec<&Name> {
-        let keys = self.keys.keys().filter(|key| key.is_of(version));
+        let keys = self.keys.keys().filter(|key| key.has_version(version));
         let mut lanes: Vec<&Name> = keys.map(|key| &key.lane).collect();
         lanes.dedup();
         lanes
     }
 
-    /// Lanes on which any version was counted.
+    /// Returns the lanes on which any version has counts.
     pub(super) fn all_lanes(&self) -> BTreeSet<&Name> {
         self.keys.keys().map(|key| &key.lane).collect()
     }
 
-    /// Counts since this process counts, of keys that are picked.
-    pub(super) fn total(&self, picks: impl Fn(&CounterKey) -> bool) -> OutcomeCounts {
+    /// Sums the selected keys' counts since this process started counting.
+    pub(super) fn total(&self, selects: impl Fn(&CounterKey) -> bool) -> OutcomeCounts {
         self.keys
             .iter()
-            .filter(|(key, _)| picks(key))
+            .filter(|(key, _)| selects(key))
             .map(|(_, index)| self.totals[index.position()])
             .fold(OutcomeCounts::default(), OutcomeCounts::plus)
     }
 
-    /// Counts within the last `window` ms, of keys that are picked.
+    /// Sums the selected keys' counts within the last `window` ms.
     pub(super) fn sum(
         &self,
         now: Ms,
         window: Ms,
-        picks: impl Fn(&CounterKey) -> bool,
+        selects: impl Fn(&CounterKey) -> bool,
     ) -> OutcomeCounts {
-        let is_picked = self.are_picked(picks);
+        let is_selected = self.selection(selects);
         let mut sum = OutcomeCounts::default();
         self.visit(now, window, |key, counts| {
-            if is_picked[key.position()] {
+            if is_selected[key.position()] {
                 sum = sum.plus(counts);
             }
         });
         sum
     }
 
-    /// Counts within the last `window` ms, of keys that are picked, those from before the last restart too.
+    /// Sums the selected keys' counts within the last `window` ms, including counts from before the last restart.
     pub(super) fn sum_across_restarts(
         &self,
         now: Ms,
         window: Ms,
-        picks: impl Fn(&CounterKey) -> bool,
+        selects: impl Fn(&CounterKey) -> bool,
     ) -> OutcomeCounts {
-        let is_picked = self.are_picked(picks);
+        let is_selected = self.selection(selects);
         let first = self
             .last_ended_before(now, window)
             .map_or(0, |before| before + 1);
@@ -208,23 +208,23 @@
             .flat_map(|window| &window.additions)
             .map(|addition| (addition.key, addition.counts))
             .chain(self.current.iter().map(|(key, counts)| (*key, *counts)))
-            .filter(|(key, _)| is_picked[key.position()])
+            .filter(|(key, _)| is_selected[key.position()])
             .fold(OutcomeCounts::default(), |sum, (_, counts)| {
                 sum.plus(counts)
             })
     }
 
-    /// Of each key, by its number, whether it is picked.
-    fn are_picked(&self, picks: impl Fn(&CounterKey) -> bool) -> Vec<bool> {
-        let mut is_picked = vec![false; self.totals.len()];
+    /// Returns for each key index whether the key is selected.
+    fn selection(&self, selects: impl Fn(&CounterKey) -> bool) -> Vec<bool> {
+        let mut is_selected = vec![false; self.totals.len()];
         for (key, index) in &self.keys {
-            is_picked[index.position()] = picks(key);
+            is_selected[index.position()] = selects(key);
         }
-        is_picked
+        is_selected
     }
 
-    /// What a version counted on each lane within the last `window` ms, in one go over all that was counted: lanes are
-    /// many.
+    /// Sums a version's counts on each lane within the last `window` ms, in one pass over all counts because there are
+    /// many lanes.
     pub(super) fn sums_by_lane(
         &self,
         now: Ms,
@@ -233,7 +233,7 @@
     ) -> BTreeMap<&Name, OutcomeCounts> {
         let mut lanes: Vec<Option<&Name>> = vec![None; self.totals.len()];
         for (key, index) in &self.keys {
-            if key.is_of(version) {
+            if key.has_version(version) {
                 lanes[index.position()] = Some(&key.lane);
             }
         }
@@ -247,7 +247,7 @@
         sums
     }
 
-    /// What one key counted within the last `window` ms.
+    /// Sums one key's counts within the last `window` ms.
     pub(super) fn sum_of_key(&self, key: &CounterKey, now: Ms, window: Ms) -> OutcomeCounts {
         let Some(key) = self.keys.get(key).copied() else {
             return OutcomeCounts::default();
@@ -262,8 +262,8 @@
             .fold(OutcomeCounts::default(), OutcomeCounts::plus)
     }
 
-    /// The last window that had ended when the given one began: what came after it lies in the given one. None if the
-    /// last restart came later.
+    /// Returns the position of the last stored window that ended before the last `window` ms; all later additions lie
+    /// within them. None if the last restart was later.
     fn window_start(&self, now: Ms, window: Ms) -> Option<usize> {
         self.last_ended_before(now, window)
             .filter(|position| *position >= self.first_position())
@@ -281,7 +281,7 @@
         self.totals[position].minus(before.unwrap_or_default())
     }
 
-    /// Gives all that was counted within the last `window` ms.
+    /// Passes all counts within the last `window` ms to the visitor.
     fn visit(&self, now: Ms, window: Ms, mut visitor: impl FnMut(KeyIndex, OutcomeCounts)) {
         let Some(start) = self.window_start(now, window) else {
             for index in 0..self.totals.len() as u32 {
@@ -299,15 +299,16 @@
         }
     }
 
-    /// Most failures that came within `burst` ms of each other in the last `window` ms, of keys that are picked.
-    pub(super) fn worst_burst(
+    /// Returns the largest number of the selected keys' failures within `burst` ms of each other in the last `window`
+    /// ms.
+    pub(super) fn largest_burst(
         &self,
         now: Ms,
         window: Ms,
         burst: Ms,
-        picks: impl Fn(&CounterKey) -> bool,
+        selects: impl Fn(&CounterKey) -> bool,
     ) -> u64 {
-        let failures = self.cumulative_failures(now, window, picks);
+        let failures = self.cumulative_failures(now, window, selects);
         let bursts = failures.iter().enumerate().map(|(i, first)| {
             let last = failures[i..]
                 .iter()
@@ -319,24 +320,24 @@
         bursts.max().unwrap_or(0)
     }
 
-    fn pick_keys(&self, picks: impl Fn(&CounterKey) -> bool) -> BTreeSet<KeyIndex> {
+    fn selected_keys(&self, selects: impl Fn(&CounterKey) -> bool) -> BTreeSet<KeyIndex> {
         self.keys
             .iter()
-            .filter(|(key, _)| picks(key))
+            .filter(|(key, _)| selects(key))
             .map(|(_, index)| *index)
             .collect()
     }
 
-    /// Failures from the window's beginning to the end of each remembered window in it, and to now.
+    /// Returns the failures from the start of the last `window` ms to the end of each stored window in it, and to now.
     fn cumulative_failures(
         &self,
         now: Ms,
         window: Ms,
-        picks: impl Fn(&CounterKey) -> bool,
+        selects: impl Fn(&CounterKey) -> bool,
     ) -> Vec<FailuresUntil> {
-        let picked = self.pick_keys(picks);
+        let selected = self.selected_keys(selects);
         let failed = |key: &KeyIndex, counts: &OutcomeCounts| {
-            if picked.contains(key) {
+            if selected.contains(key) {
                 counts.failed
             } else {
                 0
@@ -348,7 +349,7 @@
         let mut sum = 0;
         let mut failures: Vec<FailuresUntil> = vec![];
         for ended in self.ended.iter().skip(start) {
-            // What the first window brought lies before all that is compared.
+            // Additions of the first window precede the compared time.
             if !failures.is_empty() {
                 let additions = ended.additions.iter();
                 sum += additions
@@ -369,7 +370,7 @@
     }
 }
 
-/// Failures that were counted until a time.
+/// Failures counted up to a time.
 struct FailuresUntil {
     at: Ms,
     sum: u64,
