--- a/coordination/src/rollout/alerts.rs
+++ b/coordination/src/rollout/alerts.rs
@@ -80,7 +80,7 @@
 
     /// Raises an alert if the stable version fails: either there is no version to revert to, or operators must decide.
     pub(super) fn raise_stable_fails(&self, record: &mut RolloutRecord, now: Ms) {
-        if self.health.fails(&record.stable, now) {
+        if self.health.is_failing(&record.stable, now) {
             record.alerts.push("stable_fails".into());
         }
     }
