--- a/coordination/src/context/demand.rs
+++ b/coordination/src/context/demand.rs
@@ -1,5 +1,5 @@
-//! How often shared chains are requested: on an edge a heavy-hitter summary (filtered space-saving) that decays, in
-//! bounded memory; on the lease holder the totals of all edges' summaries by region.
+//! Counts how often shared chains are requested: on an edge in a decaying heavy-hitter summary (filtered space-saving)
+//! of bounded memory; on the lease holder as totals of all edges' summaries by region.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -9,34 +9,35 @@
 use super::{DemandCount, PromptChain};
 use crate::Ms;
 
-/// Chains that an edge counts: a summary of so many errs by at most a 128th of the recent requests.
+/// Number of chains that an edge tracks: the error of a summary of this size is at most a 128th of the recent requests.
 pub const TRACKED_CHAINS_MAX: usize = 128;
-/// Counting units of one request: counts decay as whole numbers.
+/// Counting units per request; counts decay as integers.
 const REQUEST_UNITS: u64 = 256;
-/// A request counts half after this long: some requests of a popular chain lie within it, and daily load moves slower.
+/// Half-life of a counted request, in ms: long enough to include several requests of a popular chain, and short
+/// compared with daily changes of load.
 pub const DEMAND_HALF_LIFE: Ms = 15_000;
-/// Counts decay in steps of this length.
+/// Interval between decay steps, in ms.
 const DECAY_INTERVAL: Ms = 1_000;
-/// Shortest interval between two reports of an edge.
+/// Minimum interval between two reports of an edge, in ms.
 pub const DEMAND_REPORT_INTERVAL_MIN: Ms = 1_000;
-/// Interval between two reports for each edge of the fleet: with [`REPORTED_CHAINS_MAX`] the lease holder receives 50 KB
-/// a second at most.
+/// Interval between two reports of an edge, in ms per edge of the fleet: with [`REPORTED_CHAINS_MAX`], the lease holder
+/// receives at most 50 KB per second.
 const DEMAND_REPORT_INTERVAL_PER_EDGE: Ms = 25;
-/// Chains in one report.
+/// Maximum number of chains in one report.
 pub const REPORTED_CHAINS_MAX: usize = 32;
-/// An edge's report counts no more after this long, several report intervals of the largest fleets.
+/// Age at which an edge's report is dropped, in ms: several report intervals of the largest fleets.
 pub const DEMAND_REPORT_MAX_AGE: Ms = 30_000;
 
-/// Fraction of a count that is left after some time.
+/// Returns the fraction of a count that remains after `elapsed` ms.
 fn decay_factor(elapsed: Ms) -> f64 {
     0.5f64.powf(elapsed as f64 / DEMAND_HALF_LIFE as f64)
 }
 
-/// What one edge counts for one service.
+/// Demand that one edge counts for one service.
 #[derive(Clone)]
 pub struct LocalDemand {
     requests: FilteredSpaceSaving<PromptChain>,
-    /// Chains that were assumed to be cached and were prefilled again; bounded like the requests.
+    /// Chains that were assumed to be cached but were prefilled again; limited to as many as `requests`.
     cache_misses: BTreeMap<PromptChain, f64>,
     decayed_at: Ms,
     reported_at: Ms,
@@ -53,7 +54,7 @@
     }
 }
 
-/// A chain with the bounds of how often it was requested, in counting units.
+/// A chain with its estimated number of requests and the error of the estimate, in counting units.
 #[derive(Clone, Copy, Debug)]
 struct EstimatedCount {
     chain: PromptChain,
@@ -68,7 +69,7 @@
         self.requests.insert(chain, REQUEST_UNITS);
     }
 
-    /// Counts a chain that was assumed to be cached and was not.
+    /// Counts a chain that was assumed to be cached but was not.
     pub fn count_miss(&mut self, chain: PromptChain, now: Ms) {
         self.decay(now);
         *self.cache_misses.entry(chain).or_default() += REQUEST_UNITS as f64;
@@ -102,14 +103,14 @@
         self.cache_misses.retain(|_, count| *count >= 1.0);
     }
 
-    /// Whether a report is due: each lease holder bears the same, however large its fleet.
+    /// Returns whether a report is due. The load on each lease holder does not depend on the size of its fleet.
     pub fn is_due(&self, edge_count: usize, now: Ms) -> bool {
         let interval =
             DEMAND_REPORT_INTERVAL_MIN.max(DEMAND_REPORT_INTERVAL_PER_EDGE * edge_count as Ms);
         now >= self.reported_at + interval
     }
 
-    /// The most requested chains. A report replaces the one before, so it may be lost or arrive twice.
+    /// Returns the most requested chains. A report replaces the previous one, so it may be lost or delivered twice.
     pub fn report(&mut self, now: Ms) -> Vec<ChainDemand> {
         self.reported_at = now;
         self.decay(now);
@@ -123,7 +124,7 @@
             })
             .filter(|count| count.estimate > count.overcount_max)
             .collect();
-        // Of equal counts the lower chain goes first, so that every process reports alike.
+        // The lower chain goes first among equal counts, so that every process reports the same order.
         counts.sort_unstable_by_key(|count| {
             (Reverse(count.estimate - count.overcount_max), count.chain)
         });
@@ -162,7 +163,7 @@
 }
 
 impl FleetDemand {
-    /// Takes an edge's report in place of its last one.
+    /// Replaces the newest report of an edge.
     pub fn merge_report(&mut self, edge: &Name, chains: Vec<ChainDemand>, now: Ms) {
         self.by_edge.insert(
             edge.clone(),
@@ -173,7 +174,8 @@
         );
     }
 
-    /// Totals by region and chain. Only what is certain counts: an estimate's error never leads to a copy.
+    /// Returns the totals by region and chain. Counts only the guaranteed part of an estimate, so that its error never
+    /// causes a copy.
     pub fn totals(
         &mut self,
         region_of_edge: &dyn Fn(&Name) -> Option<String>,
@@ -186,7 +188,7 @@
             let Some(region) = region_of_edge(edge) else {
                 continue;
             };
-            // The counts have decayed since the report came.
+            // The counts have decayed since the report was received.
             let requests_per_unit =
                 decay_factor(now.saturating_sub(report.received_at)) / REQUEST_UNITS as f64;
             for demand in &report.chains {
--- a/coordination/src/context/mod.rs
+++ b/coordination/src/context/mod.rs
@@ -1,5 +1,5 @@
-//! Popular shared context: how often shared prefixes of prompts are requested (`demand`), where copies of them are to be
-//! kept ready (`planner`), and the copies of a proxy's own region (`placed_context`).
+//! Popular shared context: how often shared prefixes of prompts are requested (`demand`), which regions keep copies of
+//! them (`planner`), and the copies in a proxy's own region (`placed_context`).
 
 pub(crate) mod demand;
 mod placed_context;
@@ -14,26 +14,26 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The unit in which demand is counted: a shared chain for one version of weights, requested with the same homes.
-/// A block's id depends on its place in the chain, so the chain's digest stands for all blocks of it.
+/// The unit in which demand is counted: a shared chain for one version of the weights, requested with the same home
+/// regions. A block's id depends on its position in the chain, so the chain's digest identifies all of its blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PromptChain {
-    /// Digest of the version's name.
+    /// Digest of the version name.
     pub version: u64,
-    /// Digest of the homes, see [`homes_digest`].
+    /// Digest of the home regions, see [`homes_digest`].
     pub homes: u64,
     /// Digest of the chain's blocks.
     pub chain: u64,
-    /// Tokens of all its blocks.
+    /// Total tokens of the blocks.
     pub tokens: u32,
 }
 
-/// Digest of a name, as it goes on the wire.
+/// Returns the digest of a name that is sent in messages.
 pub fn name_digest(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Digest of a lane's homes, in any order; 0 where any region may serve.
+/// Returns the digest of a lane's home regions, regardless of their order; 0 if any region may serve the lane.
 pub fn homes_digest(homes: &[String]) -> u64 {
     let mut sorted: Vec<&str> = homes.iter().map(String::as_str).collect();
     sorted.sort_unstable();
--- a/coordination/src/context/placed_context.rs
+++ b/coordination/src/context/placed_context.rs
@@ -1,4 +1,4 @@
-//! Context copies that are kept ready in a proxy's own region, as the records have them.
+//! Context copies that are kept in a proxy's own region, according to the context records.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,18 @@
 /// A service's copies in one region.
 #[derive(Clone, Debug, Default)]
 struct ServiceCopies {
-    /// The version of weights that they are for.
+    /// Version of the weights to which the copies belong.
     version: String,
-    /// Numbers of the replicas that have each chain.
+    /// Numbers of the replicas that hold each chain.
     replicas_by_chain: BTreeMap<u64, Vec<u64>>,
 }
 
-/// Replicas that keep a chain ready for one version of weights.
+/// Replicas that hold a copy of a chain for one version of the weights.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainCopies<'a> {
-    /// Version of the weights that the copies belong to.
+    /// Version of the weights to which the copies belong.
     pub version: &'a str,
-    /// Numbers of the incarnations of the replicas that keep a copy.
+    /// Numbers of the incarnations of the replicas that hold a copy.
     pub replica_numbers: &'a [u64],
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl PlacedContext {
-    /// Takes the copies of a record's service in `region`.
+    /// Replaces the copies of a service by those of its record that are in `region`.
     pub fn set(&mut self, record: &ContextRecord, region: &str) {
         let replicas_by_chain = record
             .parts
@@ -51,17 +51,17 @@
         );
     }
 
-    /// Copies are switched off for a service.
+    /// Removes the copies of a service for which they are disabled.
     pub fn remove(&mut self, service: &str) {
         self.by_service.remove(service);
     }
 
-    /// Whether copies are kept for a service at all.
+    /// Returns whether copies are enabled for a service.
     pub fn is_enabled(&self, service: &str) -> bool {
         self.by_service.contains_key(service)
     }
 
-    /// The copies of a chain in this region.
+    /// Returns the copies of a chain in this region.
     pub fn replicas(&self, service: &str, chain: u64) -> Option<ChainCopies<'_>> {
         let copies = self.by_service.get(service)?;
         let replica_numbers = copies.replicas_by_chain.get(&chain)?;
--- a/coordination/src/context/planner.rs
+++ b/coordination/src/context/planner.rs
@@ -1,4 +1,5 @@
-//! Which chains get a copy where, by the demand that edges reported: a pure function from the old record to the next.
+//! Decides which chains get a copy in which region, by the demand that edges reported: a pure function from the old
+//! record to the next.
 
 use std::{
     cmp::{Ordering, Reverse},
@@ -18,44 +19,46 @@
     rendezvous::rendezvous_weight_of,
 };
 
-/// A copy is planned for this long: less than a cache keeps what is requested so often.
+/// Planned lifetime of a copy, in ms: shorter than a cache keeps a chain that is requested this often.
 const COPY_LIFETIME: Ms = 30_000;
-/// Copies in one record: with their ids it takes some ten KB, which each edge gets at each change.
+/// Maximum number of copies in one record: with their ids they take some ten KB, which each edge receives at each
+/// change.
 pub const CONTEXT_COPIES_MAX: usize = 128;
-/// A copy is dropped when its value falls below this fraction of what it takes to have it made.
+/// Value of a copy, as a fraction of the value required to create it, below which the copy is dropped.
 const DROP_VALUE_FRACTION: f64 = 0.25;
-/// Requests in the demand window that one replica takes besides its other work: three a second, a fifth of what it
-/// prefills.
+/// Requests in the demand window that one replica can serve in addition to its other work: three per second, a fifth of
+/// what it prefills.
 const REQUESTS_PER_COPY: f64 = 64.0;
-/// Tokens of a prompt that are its own, where only its chain is known.
+/// Assumed tokens of a prompt outside the shared chain, where only the chain is known.
 const OWN_TOKENS_ASSUMED: u32 = 2_000;
 
-/// How often a region requests a chain, decaying, and how often the chain was assumed to be cached there and was not.
+/// How often a region requests a chain, and how often the chain was assumed to be cached there but was not; both decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandCount {
     /// Requests for the chain in the window.
     pub requests: f64,
-    /// Of these, those that found it missing where a copy was expected.
+    /// Requests in the window that found the chain missing where a copy was expected.
     pub cache_misses: f64,
 }
 
-/// What the decision goes by.
+/// Inputs of the placement decision.
 pub struct PlacementInputs<'a> {
-    /// The service's settings of shared context.
+    /// The service's settings for shared context.
     pub spec: &'a ContextSpec,
-    /// Tokens that a replica's cache can hold.
+    /// Capacity of a replica's cache, in tokens.
     pub cache_tokens: u64,
-    /// The current version of weights.
+    /// The current version of the weights.
     pub version: &'a str,
-    /// Replicas that may be used: none that drains or is in an evacuated zone.
+    /// Usable replicas: none that is draining or in an evacuated zone.
     pub replicas: &'a [PlacedReplica],
-    /// Region of a zone.
+    /// Returns the region of a zone.
     pub region: &'a dyn Fn(&str) -> String,
-    /// Regions by the digest of a lane's homes; a digest that is not there gets no copies.
+    /// Home regions by the digest of a lane's home regions; chains with an unknown digest get no copies.
     pub homes: &'a BTreeMap<u64, Vec<String>>,
     /// Demand by region and chain.
     pub demand: &'a BTreeMap<(String, PromptChain), DemandCount>,
-    /// A lease holder that took over lately has not heard all edges: missing demand does not mean that there is none.
+    /// Whether reports of some edges may be missing because the lease was acquired recently: missing demand is then not
+    /// taken for zero demand.
     pub is_incomplete: bool,
 }
 
@@ -72,7 +75,7 @@
 }
 
 impl ProposedCopy<'_> {
-    /// What exists goes before what would have to be prefilled.
+    /// Returns the priority. Existing copies precede those that would have to be prefilled.
     fn priority(&self) -> f64 {
         self.value
             * if self.current.is_some() {
@@ -82,7 +85,7 @@
             }
     }
 
-    /// The most valuable first.
+    /// Orders copies by descending priority.
     fn order(&self, other: &Self) -> Ordering {
         other
             .priority()
@@ -91,7 +94,7 @@
     }
 }
 
-/// ms that one request saves where a copy is near.
+/// Returns the time that one request saves with a copy in its region, in ms.
 fn saved_ms_per_request(tokens: u32) -> f64 {
     f64::from(tokens.saturating_add(OWN_TOKENS_ASSUMED))
         * BYTES_PER_TOKEN
@@ -99,18 +102,18 @@
         + CROSS_REGION_ROUND_TRIP_MS
 }
 
-/// ms that a copy saves in its lifetime, against those that it costs to prefill once.
+/// Returns the time that a copy saves in its lifetime, relative to the cost of prefilling it once.
 fn copy_value(chain: &PromptChain, count: &DemandCount) -> f64 {
     let window_ms = DEMAND_HALF_LIFE as f64 / std::f64::consts::LN_2;
     let windows = COPY_LIFETIME as f64 / window_ms;
     let prefill_cost_ms = repeated_prefill_cost_ms(chain.tokens);
-    // Each cache miss prefilled the chain again, which undoes what other requests saved.
+    // Each cache miss prefilled the chain again, which offsets the savings of other requests.
     (count.requests * saved_ms_per_request(chain.tokens) - count.cache_misses * prefill_cost_ms)
         * windows
         / prefill_cost_ms
 }
 
-/// The next record. It differs from the old one only where that is worth a change.
+/// Returns the next record. Changes the old one only where the benefit justifies it.
 pub fn next_record(old: &ContextRecord, inputs: &PlacementInputs) -> ContextRecord {
     let empty = ContextRecord {
         service: old.service.clone(),
@@ -136,7 +139,7 @@
     }
 }
 
-/// Copies that exist. Those for another version hold nothing that this one could use.
+/// Returns the existing copies. Copies for another version are of no use to this one.
 fn current_copies<'a>(old: &'a ContextRecord, inputs: &PlacementInputs) -> CurrentCopies<'a> {
     if old.version != inputs.version {
         return CurrentCopies::new();
@@ -147,7 +150,7 @@
         .collect()
 }
 
-/// Copies for which no edge has reported demand yet.
+/// Returns the existing copies for which no edge has reported demand yet.
 fn unreported_copies<'a>(
     current: &CurrentCopies<'a>,
     inputs: &PlacementInputs,
@@ -182,7 +185,7 @@
     current: &CurrentCopies<'a>,
     inputs: &PlacementInputs<'a>,
 ) -> Option<ProposedCopy<'a>> {
-    // Demand for another version tells how popular the chain is, but what its replicas had cached is gone.
+    // Demand for another version shows how popular the chain is, but the cache contents of its replicas are lost.
     if chain.version != name_digest(inputs.version) || !may_have_copy(region, chain, inputs) {
         return None;
     }
@@ -202,7 +205,8 @@
     })
 }
 
-/// Whether a region may have a copy: it is one of the homes, and not the region where the chain is served anyway.
+/// Returns whether a region may have a copy: it is one of the home regions and not the region that serves the chain
+/// anyway.
 fn may_have_copy(region: &str, chain: &PromptChain, inputs: &PlacementInputs) -> bool {
     let Some(homes) = inputs.homes.get(&chain.homes) else {
         return false;
@@ -221,7 +225,7 @@
     is_home(region) && first_in_order.is_some_and(|(_, first_region)| first_region != region)
 }
 
-/// Places the copies in their order, as far as the replicas and the record have room.
+/// Places the copies in order of priority, as far as the replicas and the record have space.
 fn place_copies(proposed: &[ProposedCopy], inputs: &PlacementInputs) -> Vec<StandingPart> {
     let mut capacity = CacheCapacity {
         tokens_per_replica: inputs.cache_tokens * u64::from(inputs.spec.share_percent) / 100,
@@ -240,19 +244,19 @@
             });
         }
     }
-    // In one order, so that a record differs only where copies do.
+    // A fixed order, so that records differ only where copies do.
     copies.sort_by(|a, b| (&a.region, a.chain).cmp(&(&b.region, b.chain)));
     copies
 }
 
-/// Room for context copies in the caches of the replicas.
+/// Space for context copies in the caches of the replicas.
 struct CacheCapacity<'a> {
     tokens_per_replica: u64,
     used_tokens: BTreeMap<&'a str, u64>,
 }
 
 impl<'a> CacheCapacity<'a> {
-    /// Takes the tokens if the replica has room for them, and says whether it did.
+    /// Reserves the tokens if the replica has space for them, and returns whether it did.
     fn try_reserve(&mut self, replica_id: &'a str, tokens: u64) -> bool {
         let used = self.used_tokens.entry(replica_id).or_default();
         let has_room = *used + tokens <= self.tokens_per_replica;
@@ -263,7 +267,8 @@
     }
 }
 
-/// Replicas for a copy: those that have it first, then by the chain's agreed order, as far as there is room.
+/// Returns the replicas for a copy: first those that already hold it, then by the chain's agreed order, as far as there
+/// is space.
 fn place_copy<'a>(
     copy: &ProposedCopy,
     inputs: &PlacementInputs<'a>,
--- a/coordination/src/placement/cost.rs
+++ b/coordination/src/placement/cost.rs
@@ -1,6 +1,6 @@
-//! The cost model: what it would cost to send a request to a replica, in ms of waiting or what is worth as much.
+//! The cost model: the expected cost of sending a request to a replica, in ms of waiting time or an equivalent.
 //!
-//! The sums are evaluated in a fixed order. Proxies and the simulator must agree on them to the last bit.
+//! The terms are summed in a fixed order: proxies and the simulator must compute the same results to the last bit.
 
 use remote_calls::PathKind;
 
@@ -16,42 +16,44 @@
     rendezvous::rendezvous_weight_of,
 };
 
-/// ms. What each request that runs or waits on a replica costs the next one.
+/// Cost that each running or waiting request on a replica adds for the next one, in ms.
 const REQUEST_LOAD_COST_MS: f64 = 4.0;
-/// ms. What a full replica costs: more than any round trip.
+/// Cost of a full replica, in ms; higher than any round trip.
 const FULL_REPLICA_COST_MS: f64 = 600.0;
-/// ms. What the last free slot of a replica costs; with half of its slots taken it is a sixteenth of that.
+/// Cost of the last free slot of a replica, in ms; with half of its slots in use the cost is a sixteenth of that.
 const LAST_SLOT_COST_MS: f64 = 300.0;
-/// ms. What it costs to exceed the rate that the replica would bear if it turned cold now.
+/// Cost of exceeding the rate that the replica could serve if it were warming up, in ms.
 const EXCESS_RATE_COST_MS: f64 = 60.0;
-/// How many times rather a prompt with a long prefill goes to a replica in a region that no more urgent, home-bound
-/// requests depend on: these wait behind it elsewhere, and have nowhere else to go.
+/// How many times more often a prompt with a long prefill goes to a replica in a region that no more urgent, home-bound
+/// requests depend on. In other regions such requests would wait behind it, and no other replicas may serve them.
 const UNCONTENDED_REGION_WEIGHT: f64 = 2.0;
-/// ms. Cost of a step down a prompt's agreed order of replicas, so that all proxies overflow to the same one.
+/// Cost of each step down the agreed order of replicas for a prompt, in ms, so that all proxies overflow to the same
+/// replica.
 const ORDER_STEP_COST_MS: f64 = 3.0;
-/// Steps down the agreed order that are charged at most.
+/// Maximum number of steps down the agreed order that are charged.
 const CHARGED_ORDER_STEPS_MAX: usize = 8;
-/// ms. What opening a connection costs besides the round trip: the replica's work, and a price.
+/// Cost of opening a connection in addition to the round trip, in ms: the work of the replica and a surcharge.
 pub const CONNECT_COST_MS: f64 = 2.0;
-/// ms. Cost of one proxy of the region having lately been failed by a replica: more than another replica beside it.
+/// Cost for each proxy of the region for which the replica recently failed, in ms; higher than the extra cost of
+/// another replica nearby.
 const SUSPICION_COST_MS: f64 = 80.0;
-/// Fraction of a replica's slots that may be taken while a context copy is prefilled on it: prefilling ahead takes no
-/// slots from callers.
+/// Maximum fraction of a replica's slots in use at which a context copy is prefilled on it, so that prefilling ahead of
+/// demand takes no slots from callers.
 const PREFILL_AHEAD_LOAD_MAX: f64 = 0.5;
 
-/// What counts for one request at all replicas alike.
+/// The inputs of the cost of one request that are the same for all replicas.
 struct CostModel {
     policy: Policy,
     averages: ServiceAverages,
-    /// ms that a failed attempt costs the request.
+    /// Cost of a failed attempt for the request, in ms.
     failure_cost_ms: f64,
-    /// Attempts a second that a replica would bear from this proxy if it were cold; 0 where that is not bounded.
-    cold_rate: f64,
+    /// Attempts per second that a replica could accept from this proxy while warming up; 0 if unlimited.
+    slow_start_rate: f64,
     now: Ms,
 }
 
 impl CostModel {
-    /// ms until a first chunk would come from a replica that had all its slots free.
+    /// Returns the expected time to the first chunk if all slots of the replica were free, in ms.
     fn response_ms(&self, replica: &ScoredReplica) -> f64 {
         let view = &replica.entry.view;
         let round_trip_ms = replica.zone.round_trip_ms;
@@ -71,7 +73,7 @@
         round_trip_ms + lag_ms + view.pending_prefill_ms(self.now) + connect_ms
     }
 
-    /// ms that failures there are expected to cost.
+    /// Returns the expected cost of failures of the replica, in ms.
     fn failure_ms(&self, view: &ReplicaView) -> f64 {
         let suspicion_ms = if self.policy.is_enabled(Mechanism::Doubt) {
             view.suspicion.level(self.now) * SUSPICION_COST_MS
@@ -86,7 +88,7 @@
         suspicion_ms + risk_ms
     }
 
-    /// ms that the requests there cost the next one.
+    /// Returns the cost that the requests on the replica add for the next one, in ms.
     fn load_ms(&self, view: &ReplicaView, load: f64) -> f64 {
         let requests_ms = if self.policy.is_enabled(Mechanism::Load) {
             load * REQUEST_LOAD_COST_MS
@@ -96,7 +98,8 @@
         if !self.policy.is_enabled(Mechanism::Filling) {
             return requests_ms;
         }
-        // Waiting for a slot begins well before all are taken: requests come in clumps, and batches slow down.
+        // Requests wait for a slot well before all slots are in use: they arrive in bursts, and larger batches are
+        // slower.
         let slots_taken = load / f64::from(view.slots.max(1));
         let filling_ms = if slots_taken > 1.0 {
             FULL_REPLICA_COST_MS * slots_taken
@@ -106,19 +109,21 @@
         requests_ms + filling_ms
     }
 
-    /// Any replica may turn cold unnoticed: what it would bear then is not exceeded while others can take the request.
+    /// Returns the cost of exceeding the slow-start rate, in ms. Any replica may restart unnoticed and be warming up,
+    /// so that rate is not exceeded while other replicas can take the request.
     fn excess_rate_ms(&self, view: &ReplicaView) -> f64 {
         let next_rate = view.attempts_per_second(self.now) + 1.0;
-        if self.cold_rate > 0.0 && next_rate > self.cold_rate {
-            EXCESS_RATE_COST_MS * next_rate / self.cold_rate
+        if self.slow_start_rate > 0.0 && next_rate > self.slow_start_rate {
+            EXCESS_RATE_COST_MS * next_rate / self.slow_start_rate
         } else {
             0.0
         }
     }
 }
 
-/// ms that a failed attempt costs its request. Where a retry may follow, it is a whole attempt elsewhere that prefills
-/// the prompt from its beginning; where none may, no less than the time in which the request earns its value.
+/// Returns the cost of a failed attempt for its request, in ms. If a retry may follow, it is the cost of a whole
+/// attempt on another replica, which prefills the prompt from the start. Otherwise it is at least
+/// `expected_ms`, the time within which the request is of value.
 fn failure_cost_ms(request: &PlacementRequest) -> f64 {
     let retry_ms = repeated_prefill_cost_ms(request.head.tokens.0) + CONNECT_COST_MS;
     let may_retry = matches!(
@@ -132,22 +137,23 @@
     }
 }
 
-/// Where the shared prefix of a prompt should be served.
+/// Costs that depend on where the shared prefix of a prompt is served.
 struct PrefixCosts {
-    /// Digest of the shared prefix; `None` if the prompt shares nothing.
+    /// Digest of the shared prefix; `None` if the prompt has none.
     chain: Option<u64>,
-    /// Cost of prefilling the shared prefix where it is not cached.
+    /// Cost of prefilling the shared prefix on a replica that has not cached it.
     repeated_prefill_ms: f64,
-    /// Cost of carrying the request to another region.
+    /// Cost of transferring the request to another region.
     cross_region_ms: f64,
-    /// Some replica has the shared prefix cached.
+    /// Whether any replica has the shared prefix cached.
     is_cached_somewhere: bool,
-    /// Every region may have its own replica for this prefix, since carrying costs more than a prefill.
+    /// Whether each region may have its own replica for this prefix, because a transfer costs more than a prefill.
     is_regional: bool,
 }
 
 impl Placement {
-    /// Fills in the cost of each replica. Leaves their order as it is: of equal costs the first wins.
+    /// Sets the cost of each replica. Keeps their order, because the first of several replicas with equal cost is
+    /// chosen.
     pub(super) fn score(
         &self,
         service: &str,
@@ -162,7 +168,7 @@
             policy: self.policy,
             averages: self.averages(service),
             failure_cost_ms: failure_cost_ms(request),
-            cold_rate: self.cold_rate(service),
+            slow_start_rate: self.slow_start_rate(service),
             now,
         };
         for (step, index) in order.into_iter().enumerate() {
@@ -183,7 +189,7 @@
         }
     }
 
-    /// Works out what holds for the prompt's shared prefix, and marks the replicas that have it.
+    /// Computes the costs for the prompt's shared prefix and marks the replicas that have it.
     fn prefix_costs(
         &self,
         service: &str,
@@ -199,7 +205,7 @@
             0.0
         };
         let chain = prefix_chain(&request.head.prefix_blocks);
-        // Popular prefixes have copies, which go before all other replicas for the requests of their region.
+        // Replicas with a context copy of a popular prefix precede all others for requests of their region.
         let copies = chain.and_then(|chain| self.placed_context.replicas(service, chain));
         for replica in replicas.iter_mut() {
             let number = replica.entry.view.number;
@@ -216,12 +222,12 @@
             repeated_prefill_ms,
             cross_region_ms,
             is_cached_somewhere: replicas.iter().any(|replica| replica.is_cached),
-            // A prefix that is dear to prefill again has one replica among all regions.
+            // A prefix that is expensive to prefill again has a single replica across all regions.
             is_regional: repeated_prefill_ms < cross_region_ms + nearest_round_trip_ms(replicas),
         }
     }
 
-    /// Adds what the agreed order and a missing prefix cost.
+    /// Adds the cost of the position in the agreed order and of a missing prefix.
     fn add_prefix_cost(
         &self,
         mut cost_ms: f64,
@@ -235,19 +241,19 @@
         if is_ordered {
             cost_ms += step.min(CHARGED_ORDER_STEPS_MAX) as f64 * ORDER_STEP_COST_MS;
         }
-        // The first caller has a planned copy prefilled, as long as that takes no slots from others.
+        // The first request for a planned copy prefills it, as long as that takes no slots from other requests.
         let prefills_copy = replica.has_placed_copy
             && load <= f64::from(replica.entry.view.slots) * PREFILL_AHEAD_LOAD_MAX;
-        // Where no replica is known to have the prefix, the first in order is assumed to: some proxy sent it there or
-        // will.
-        let is_first_guess = !prefix.is_cached_somewhere && step == 0 && is_ordered;
-        if !replica.is_cached && !is_first_guess && !is_local_copy && !prefills_copy {
+        // If no replica is known to have the prefix, the first in order is assumed to have it: another proxy has sent
+        // it there or will do so.
+        let is_assumed_cached = !prefix.is_cached_somewhere && step == 0 && is_ordered;
+        if !replica.is_cached && !is_assumed_cached && !is_local_copy && !prefills_copy {
             cost_ms += prefix.repeated_prefill_ms;
         }
         cost_ms
     }
 
-    /// The replica that should get this region's own copy of a prefix, if the region should have one.
+    /// Returns the replica that should hold this region's own copy of a prefix, if the region should have one.
     fn local_copy(
         &self,
         service: &str,
@@ -264,8 +270,8 @@
             .find(|index| !replicas[*index].zone.is_remote)
     }
 
-    /// Where a prefix is requested so often that carrying the requests away costs more than prefilling it once, this
-    /// region has a copy of its own. Where copies are decided centrally, that decision counts.
+    /// Returns whether this region should have its own copy of a prefix: it is requested so often that transferring the
+    /// requests costs more than prefilling it once. A central decision on copies takes precedence.
     fn wants_local_copy(
         &self,
         service: &str,
@@ -291,8 +297,8 @@
                 * self.prefix_reuse.requests_per_prefix()
     }
 
-    /// Attempts a second that this proxy may send a replica that might be cold; 0 where that is not bounded.
-    fn cold_rate(&self, service: &str) -> f64 {
+    /// Returns the attempts per second that this proxy may send to a replica that might be warming up; 0 if unlimited.
+    fn slow_start_rate(&self, service: &str) -> f64 {
         let rate = self
             .engines
             .get(service)
@@ -301,7 +307,7 @@
         rate.unwrap_or(0.0) * self.bounds.cold_over / self.edge_count() as f64
     }
 
-    /// ms that a prompt takes to prefill at a replica.
+    /// Returns the time to prefill a prompt on a replica, in ms.
     pub(super) fn prefill_ms_at(replica: &ScoredReplica, request: &PlacementRequest) -> f64 {
         let cached_tokens = if replica.is_cached {
             token_count(shared_prefix(&request.head.prefix_blocks))
@@ -319,7 +325,7 @@
         .fold(f64::MAX, f64::min)
 }
 
-/// How a replica ranks in the agreed order; the highest goes first.
+/// Rank of a replica in the agreed order; the highest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AgreedRank {
     has_placed_copy: bool,
@@ -328,9 +334,9 @@
     index: usize,
 }
 
-/// Indexes of the replicas in the order on which all proxies agree for a prefix: placed copies first; then, where each
-/// region has its own, replicas of this region. A prompt with a long prefill comes first on a replica in an uncontended
-/// region [`UNCONTENDED_REGION_WEIGHT`] times as often as on another.
+/// Returns the indexes of the replicas in the order on which all proxies agree for a prefix: replicas with a context
+/// copy first; then, if each region has its own replica, those of this region. A prompt with a long prefill has a
+/// replica of an uncontended region in first place [`UNCONTENDED_REGION_WEIGHT`] times as often as another.
 fn agreed_order(replicas: &[ScoredReplica], chain: Option<u64>, is_regional: bool) -> Vec<usize> {
     let weight = |replica: &ScoredReplica| {
         let hash = chain.map_or(0, |chain| {
@@ -356,7 +362,7 @@
     ranks.into_iter().map(|rank| rank.index).collect()
 }
 
-/// The hash as it would be if it were the highest of so many draws, with no further draws made.
+/// Returns the hash as if it were the maximum of `draws` independent draws, computed from one draw.
 fn highest_of_draws(hash: u64, draws: f64) -> u64 {
     let fraction = (hash as f64 / u64::MAX as f64).powf(1.0 / draws);
     (fraction * u64::MAX as f64) as u64
--- a/coordination/src/placement/events.rs
+++ b/coordination/src/placement/events.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts, and what other proxies report of theirs.
+//! Updates of the placement state by the outcomes of this proxy's attempts and by reports of other proxies.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
     policy::Mechanism,
 };
 
-/// Suspicion from which on a further failure is not reported: others know.
+/// Suspicion level from which on further failures are not reported, because the other proxies already know of them.
 const SUSPICION_REPORTED_MAX: f64 = 1.5;
-/// A replica that failed for so long has most likely restarted and is cold.
+/// A replica that failed for this long has most likely restarted and is warming up.
 const RESTART_AFTER: Ms = 400;
-/// Stands for any replica in the prefix cache, where it is recorded which prefixes were requested at all.
+/// Placeholder replica number in the prefix cache, under which all requested prefixes are recorded.
 const ANY_REPLICA: u64 = 0;
 
 impl Placement {
     // ---- attempts of this proxy ----
 
-    /// An attempt goes to the chosen replica.
+    /// Records that an attempt was sent to the chosen replica.
     pub fn on_sent(&mut self, candidate: &Candidate, head: &RequestHead, now: Ms) {
         let Some(entry) = self.replicas.get_mut(&candidate.id) else {
             return;
@@ -36,7 +36,7 @@
         }
         let blocks: Vec<u64> = cacheable_blocks(shared_prefix(&head.prefix_blocks)).collect();
         self.record_cached(number, &blocks, now);
-        // A short prefill delays nobody, and its blocks are sent again soon or do not matter.
+        // A short prefill delays no other request, and its blocks are either sent again soon or not worth reporting.
         if self.peer_reports.accepts_prefill(candidate.prefill_ms) {
             self.peer_reports.add_prefill(Prefill {
                 replica_number: number,
@@ -50,14 +50,14 @@
         for block in blocks {
             self.prefix_cache.insert(replica_number, *block, now);
         }
-        // The last block stands for the whole chain, wherever it is cached.
+        // The last block identifies the whole chain, on any replica.
         if let Some(last) = blocks.last() {
             let is_new = self.prefix_cache.insert(ANY_REPLICA, *last, now);
             self.prefix_reuse.record(is_new);
         }
     }
 
-    /// A connection to a replica was opened; it took so long.
+    /// Records that a connection to a replica opened, and how long that took.
     pub fn on_connected(&mut self, id: &str, took: Ms) {
         let Some(entry) = self.replicas.get(id) else {
             return;
@@ -68,7 +68,7 @@
             .on_response(self.latency.region(zone), zone);
     }
 
-    /// A connection to a replica did not open in time.
+    /// Records that a connection to a replica did not open in time.
     pub fn on_unreachable(&mut self, id: &str, now: Ms) {
         if let Some(entry) = self.replicas.get(id) {
             self.reachability
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A response's head came.
+    /// Processes the head of a response.
     pub fn on_response_head(
         &mut self,
         service: &str,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The first chunk of an attempt came, `late_ms` later than expected.
+    /// Records that the first chunk of an attempt arrived `late_ms` later than expected.
     pub fn on_first_chunk(&mut self, id: &str, prefill_ms: f64, late_ms: f64, now: Ms) {
         let Some(entry) = self.replicas.get_mut(id) else {
             return;
@@ -127,8 +127,8 @@
             .on_first_chunk(prefill_ms, late_ms, averages, now);
     }
 
-    /// An attempt is over. `unfinished_prefill_ms`: its prefill, if no first chunk has come. `failed`: the replica is at
-    /// fault.
+    /// Records that an attempt ended. `unfinished_prefill_ms`: its prefill time, if no first chunk was received.
+    /// `failed`: it failed through the replica's fault.
     pub fn on_attempt_ended(
         &mut self,
         id: &str,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// A replica failed a request of this proxy after `took` ms: it is suspected, and its region is told.
+    /// Suspects a replica that failed a request of this proxy after `took` ms, and queues a report to the region.
     pub fn suspect(&mut self, id: &str, took: Ms, now: Ms) {
         let Some(entry) = self.replicas.get_mut(id) else {
             return;
@@ -164,14 +164,15 @@
         suspicion.extend_for(took);
     }
 
-    /// A replica completed a request by named service.
+    /// Records that a replica completed a request by named service.
     pub fn on_success(&mut self, id: &str) {
         if let Some(entry) = self.replicas.get_mut(id) {
             entry.view.suspicion.on_success();
         }
     }
 
-    /// A replica prefilled blocks again that were assumed to be cached: they were evicted, or never there.
+    /// Removes blocks that a replica prefilled although they were assumed to be cached: they were evicted or never
+    /// cached.
     pub fn on_prefix_missed(&mut self, id: &str, blocks: &[u64]) {
         let Some(entry) = self.replicas.get(id) else {
             return;
@@ -181,9 +182,9 @@
         }
     }
 
-    /// Another incarnation is at the address: the replica is gone, whatever the record still says.
+    /// Removes a replica whose address now serves another incarnation, even if the record still lists it.
     pub fn remove_replaced(&mut self, id: &str) {
-        // Until the record says so, other proxies would go there for it too.
+        // Other proxies keep sending requests for it to the address until the record changes.
         if let Some(entry) = self.replicas.get(id) {
             self.peer_reports.add_failing(entry.view.number);
         }
@@ -192,7 +193,7 @@
 
     // ---- reports to and from other proxies ----
 
-    /// Prompts to report to other proxies now, by the region of the replicas.
+    /// Returns the prefills to report to other proxies now, by the region of the replicas.
     pub fn take_prefills(&mut self, now: Ms) -> BTreeMap<Name, Vec<Prefill>> {
         let is_enabled = self.policy.is_enabled(Mechanism::ToldReadings);
         let edge_count = self.edge_count();
@@ -211,14 +212,14 @@
         by_region
     }
 
-    /// Replicas that failed here, to report now to the other proxies of the region: they share the network to them.
+    /// Returns the failed replicas to report now to the other proxies of the region, which use the same network paths.
     pub fn take_failing(&mut self, now: Ms) -> Vec<u64> {
         let is_enabled = self.policy.is_enabled(Mechanism::Doubt);
         let edge_count = self.edge_count();
         self.peer_reports.take_failing(is_enabled, edge_count, now)
     }
 
-    /// A replica failed another proxy, which is in `reporter_zone`.
+    /// Records that a replica failed a request of another proxy, which is in `reporter_zone`.
     pub fn on_peer_failure(
         &mut self,
         replica_number: u64,
@@ -226,7 +227,7 @@
         reporter_zone: &str,
         now: Ms,
     ) {
-        // From another region it may be the network that fails.
+        // A failure seen from another region may be a network failure.
         if self.latency.is_remote(reporter_zone) {
             return;
         }
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Another proxy sent a long prompt.
+    /// Records that another proxy sent a long prompt.
     pub fn on_peer_prefill(&mut self, prefill: &Prefill, now: Ms) {
         let Some(id) = self.replica_ids.get(&prefill.replica_number) else {
             return;
--- a/coordination/src/placement/home_bound_demand.rs
+++ b/coordination/src/placement/home_bound_demand.rs
@@ -1,25 +1,25 @@
-//! Which regions more urgent requests depend on. Requests that are bound to home regions have no other replicas to go
-//! to, and wait behind the long prompts that are prefilled there.
+//! Regions on which more urgent, home-bound requests depend. Only replicas in their home regions may serve such
+//! requests, so they wait behind long prompts that are prefilled there.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use remote_calls::PathSpec;
 
-/// One kind of home-bound request: where it may go, and how urgent it is.
+/// A kind of home-bound request: its home regions and its urgency.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HomeBoundLane {
     rank: u32,
     home_regions: Vec<String>,
 }
 
-/// Home-bound requests of each service, as the spec's paths have them.
+/// Home-bound requests of each service, derived from the paths of the spec.
 #[derive(Clone, Debug, Default)]
 pub struct HomeBoundDemand {
     by_service: BTreeMap<String, BTreeSet<HomeBoundLane>>,
 }
 
 impl HomeBoundDemand {
-    /// Reads the lanes that are bound to homes and send requests to a service.
+    /// Collects the home-bound lanes of each service that receives their requests.
     pub fn new(lanes: &[PathSpec]) -> Self {
         let mut by_service: BTreeMap<String, BTreeSet<HomeBoundLane>> = BTreeMap::new();
         for lane in lanes.iter().filter(|lane| !lane.homes.is_empty()) {
@@ -36,7 +36,7 @@
         HomeBoundDemand { by_service }
     }
 
-    /// Whether requests more urgent than `rank` are bound to a set of homes that this region is one of.
+    /// Returns whether requests more urgent than `rank` have this region among their home regions.
     pub fn has_more_urgent(&self, service: &str, rank: u32, region: &str) -> bool {
         let lanes = self.by_service.get(service).into_iter().flatten();
         lanes
--- a/coordination/src/placement/mod.rs
+++ b/coordination/src/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Where a request that came by host and path goes: to the replica with the least expected cost, in ms of waiting or
-//! what is worth as much.
+//! Chooses the replica for a request that was routed by host and path: the one with the least expected cost, in ms of
+//! waiting time or an equivalent.
 //!
-//! [`Placement`] is what one proxy knows of all replicas. [`Placement::choose`] narrows the replicas of a service down to
-//! those that may take a request (`selection`) and weighs them (`cost`); callers then report what became of each
-//! attempt (`events`), and what other proxies reported of theirs (`peer_reports`).
+//! [`Placement`] holds what one proxy knows about all replicas. [`Placement::choose`] filters the replicas of a service
+//! (`selection`) and compares their costs (`cost`). Callers then report the outcome of each attempt (`events`) and the
+//! reports received from other proxies (`peer_reports`).
 
 mod cost;
 mod edge_set;
@@ -55,10 +55,10 @@
 use prefix_reuse::PrefixReuse;
 use reachability::Reachability;
 
-/// Connections that one proxy may open to a replica at least, however many proxies share it.
+/// Minimum number of connections that one proxy may open to a replica, regardless of how many proxies share it.
 const CONNECTIONS_MIN: usize = 2;
 
-/// One replica of the current list.
+/// A replica of the current list.
 #[derive(Clone, Debug)]
 struct ReplicaEntry {
     service: String,
@@ -67,33 +67,33 @@
     view: ReplicaView,
 }
 
-/// What one proxy knows of the replicas, and by which it places requests.
+/// What one proxy knows about the replicas, and the state by which it places requests.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     replicas: BTreeMap<String, ReplicaEntry>,
-    /// Ids of replicas by the numbers of their incarnations.
+    /// Replica ids by the number of their incarnation.
     replica_ids: BTreeMap<u64, String>,
     engines: BTreeMap<String, EngineSpec>,
     averages_by_service: BTreeMap<String, ServiceAverages>,
     prefix_cache: PrefixCache,
     prefix_reuse: PrefixReuse,
-    /// Copies of popular shared context that are ready in this region.
+    /// Copies of popular shared context that are available in this region.
     placed_context: PlacedContext,
     reachability: Reachability,
     edges: EdgeSet,
     peer_reports: PeerReports,
-    /// Round trips to zones, as far as they are known.
+    /// Round-trip times to zones, as far as known.
     pub latency: NetworkLatency,
-    /// Bounds that placement keeps to.
+    /// Limits that placement observes.
     pub bounds: Bounds,
-    /// Mechanisms that are in force.
+    /// Enabled mechanisms.
     pub policy: Policy,
     /// Regions that home-bound requests depend on.
     pub home_bound: HomeBoundDemand,
 }
 
 impl Placement {
-    /// `own_name` is the edge's, `regions` gives the region of each zone.
+    /// Creates an empty placement state. `own_name` is the name of the edge, `regions` maps each zone to its region.
     pub fn new(
         own_name: &str,
         zone: &str,
@@ -110,22 +110,22 @@
 
     // ---- configuration and membership ----
 
-    /// Takes the names of all edges that serve callers, this one's among them.
+    /// Replaces the names of all edges that serve callers, including this one.
     pub fn set_edges(&mut self, names: Vec<String>, own_name: &str, now: Ms) {
         self.edges.set(names, own_name, now);
     }
 
-    /// Edges that share what is bounded over all of them; at least one.
+    /// Returns the number of edges that share fleet-wide limits; at least one.
     pub fn edge_count(&self) -> usize {
         self.edges.count()
     }
 
-    /// Takes what the engine of a service's replicas can bear.
+    /// Sets the limits of the engine that runs a service's replicas.
     pub fn set_engine(&mut self, service: &str, engine: &EngineSpec) {
         self.engines.insert(service.into(), engine.clone());
     }
 
-    /// Takes the replicas of a service as its record has them. `previous_ids`: those of the record before.
+    /// Applies the replicas of a service's record. `previous_ids`: the replicas of the previous record.
     pub fn set_replicas(
         &mut self,
         service: &str,
@@ -147,7 +147,7 @@
             .engines
             .get(service)
             .map_or((0, 0), |engine| (engine.cold_ms, engine.slots));
-        // A replica whose slots nobody told is like its service's others, not full.
+        // A replica with an unknown number of slots gets the service's default; 0 slots would count as full.
         let slots = if replica.slots > 0 {
             replica.slots
         } else {
@@ -163,7 +163,7 @@
                 version: replica.version.clone(),
                 view: ReplicaView::new(number, &replica.zone, slots),
             });
-        // What other weights had cached is of no use to these.
+        // The cache contents of another version of the weights are of no use.
         if entry.version != replica.version {
             self.prefix_cache.remove_replica(number);
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Takes a service's copies of shared context; `None` where they are switched off.
+    /// Sets a service's copies of shared context; `None` if they are disabled.
     pub fn set_context(&mut self, service: &str, record: Option<&ContextRecord>) {
         match record.filter(|_| self.policy.is_enabled(Mechanism::ContextCopies)) {
             Some(record) => self.placed_context.set(record, self.latency.own_region()),
@@ -192,12 +192,12 @@
 
     // ---- queries ----
 
-    /// Whether a service's popular shared context is kept ready in regions that request it.
+    /// Returns whether copies of a service's popular shared context are kept in the regions that request it.
     pub fn has_context(&self, service: &str) -> bool {
         self.placed_context.is_enabled(service)
     }
 
-    /// ms by which a replica's first chunks lately arrive late.
+    /// Returns the recent delay of a replica's first chunks, in ms.
     pub fn first_chunk_lag_ms(&self, id: &str, now: Ms) -> f64 {
         self.replicas.get(id).map_or(0.0, |entry| {
             entry
@@ -206,18 +206,18 @@
         })
     }
 
-    /// The zone of a replica, if it is known.
+    /// Returns the zone of a replica, if known.
     pub fn zone_of(&self, id: &str) -> Option<&str> {
         self.replicas.get(id).map(|entry| entry.view.zone.as_str())
     }
 
-    /// Round trip to a replica in whole ms, as far as is known.
+    /// Returns the round-trip time to a replica in whole ms, as far as known.
     pub fn round_trip_ms(&self, id: &str) -> Ms {
         self.zone_of(id)
             .map_or(0, |zone| self.latency.round_trip_ms(zone).ceil() as Ms)
     }
 
-    /// Connections that this proxy may open to one replica: its share of what the replica accepts from all.
+    /// Returns the maximum number of connections from this proxy to one replica: its share of the replica's limit.
     pub fn max_connections(&self, service: &str) -> usize {
         let accepted = self
             .engines
@@ -226,12 +226,12 @@
         if accepted == 0 {
             usize::MAX
         } else {
-            // A fifth is left to proxies that do not know of each other yet.
+            // A fifth is reserved for proxies that do not know of each other yet.
             (accepted * 4 / 5 / self.edge_count()).max(CONNECTIONS_MIN)
         }
     }
 
-    /// Whether a replica lately failed requests of the region.
+    /// Returns whether a replica recently failed requests of the region.
     pub fn is_suspected(&self, id: &str, now: Ms) -> bool {
         self.replicas.get(id).is_some_and(|entry| {
             entry.view.suspicion.level(now) >= suspicion::SUSPICION_AVOID_THRESHOLD
--- a/coordination/src/placement/peer_reports.rs
+++ b/coordination/src/placement/peer_reports.rs
@@ -1,5 +1,5 @@
-//! What other proxies are to be told: long prompts that were sent, and replicas that failed. Both go out at intervals
-//! that grow with the fleet, so that each agent forwards the same however large its fleet.
+//! Reports to other proxies: long prompts that were sent, and replicas that failed. Both are sent at intervals that are
+//! proportional to the number of edges, so that the load on each agent does not depend on the size of the fleet.
 
 use std::{collections::BTreeSet, mem};
 
@@ -7,17 +7,17 @@
 
 use crate::Ms;
 
-/// Interval between two failure reports, for each edge. Failures are few, and each that is not reported costs another
-/// request.
+/// Interval between two failure reports, in ms per edge. Failures are rare, and each unreported one makes another
+/// request fail.
 const FAILURE_REPORT_INTERVAL_PER_EDGE: Ms = 2;
-/// Interval between two prefill reports, for each edge.
+/// Interval between two prefill reports, in ms per edge.
 const PREFILL_REPORT_INTERVAL_PER_EDGE: Ms = 8;
-/// Shortest prefill that is reported, in ms: a shorter one makes nobody late.
+/// Minimum duration of a reported prefill, in ms; shorter ones delay no other request.
 const REPORTED_PREFILL_MIN_MS: f64 = 30.0;
-/// Prompts in one report; a proxy's share of long ones in a second is a tenth of it.
+/// Maximum number of prompts in one report, ten times the number of long prompts that a proxy sends per second.
 const REPORTED_PREFILLS_MAX: usize = 64;
 
-/// Reports that were not sent yet.
+/// Pending reports.
 #[derive(Clone, Debug, Default)]
 pub struct PeerReports {
     prefills: Vec<Prefill>,
@@ -27,22 +27,22 @@
 }
 
 impl PeerReports {
-    /// Whether a prompt that takes so long to prefill is worth a report, and there is room for one.
+    /// Returns whether a prefill of this duration is worth a report and the report has space for it.
     pub fn accepts_prefill(&self, prefill_ms: f64) -> bool {
         prefill_ms >= REPORTED_PREFILL_MIN_MS && self.prefills.len() < REPORTED_PREFILLS_MAX
     }
 
-    /// Adds a prompt that was sent.
+    /// Queues a report of a prompt that was sent.
     pub fn add_prefill(&mut self, prefill: Prefill) {
         self.prefills.push(prefill);
     }
 
-    /// Adds a replica that failed.
+    /// Queues a report of a replica that failed.
     pub fn add_failing(&mut self, replica_number: u64) {
         self.failing_replicas.insert(replica_number);
     }
 
-    /// Prompts to report now; none before the interval is over. Where reports are disabled they are dropped.
+    /// Returns the prompts to report now; none before the interval has passed. Drops them if reports are disabled.
     pub fn take_prefills(&mut self, is_enabled: bool, edge_count: usize, now: Ms) -> Vec<Prefill> {
         if now < self.prefills_taken_at + PREFILL_REPORT_INTERVAL_PER_EDGE * edge_count as Ms {
             return vec![];
@@ -54,7 +54,8 @@
         mem::take(&mut self.prefills)
     }
 
-    /// Failing replicas to report now; none before the interval is over. Where reports are disabled they are dropped.
+    /// Returns the failing replicas to report now; none before the interval has passed. Drops them if reports are
+    /// disabled.
     pub fn take_failing(&mut self, is_enabled: bool, edge_count: usize, now: Ms) -> Vec<u64> {
         if now < self.failures_taken_at + FAILURE_REPORT_INTERVAL_PER_EDGE * edge_count as Ms {
             return vec![];
--- a/coordination/src/placement/prefix_cache.rs
+++ b/coordination/src/placement/prefix_cache.rs
@@ -1,30 +1,30 @@
-//! Which prefix blocks were lately sent to which replica, so that they are likely in its KV cache.
-//! Memory is bounded: blocks unused for longest are forgotten first.
+//! Tracks which prefix blocks were recently sent to which replica and are therefore likely in its KV cache. Memory is
+//! bounded: the least recently sent blocks are evicted first.
 
 use std::collections::BTreeMap;
 
 use crate::Ms;
 
-/// How long a prefix is assumed to stay in a replica's cache.
+/// Time for which a prefix is assumed to remain in a replica's cache, in ms.
 pub(crate) const PREFIX_CACHE_TTL: Ms = 120_000;
-/// Cached blocks remembered; at some hundred bytes each, more would be too dear.
+/// Maximum number of tracked blocks; at some hundred bytes each, more would take too much memory.
 const CACHED_BLOCKS_MAX: usize = 8_000;
 
-/// One block in the cache of one incarnation of a replica.
+/// A block in the cache of one incarnation of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CachedBlock {
     replica_number: u64,
     block: u64,
 }
 
-/// A proxy's assumption of what replicas have cached.
+/// What a proxy assumes to be in the replicas' caches.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     last_sent_at: BTreeMap<CachedBlock, Ms>,
 }
 
 impl PrefixCache {
-    /// Records that a block was sent to a replica. Says whether it was not known to be cached there.
+    /// Records that a block was sent to a replica. Returns whether it was not assumed to be cached there.
     pub fn insert(&mut self, replica_number: u64, block: u64, now: Ms) -> bool {
         let key = CachedBlock {
             replica_number,
@@ -40,7 +40,7 @@
         is_new
     }
 
-    /// Evicts many blocks at once, so that it is seldom done and each request pays little for it.
+    /// Evicts many blocks at once, so that evictions are rare and their amortized cost per request is low.
     fn evict_oldest_quarter(&mut self) {
         let mut sent_times: Vec<Ms> = self.last_sent_at.values().copied().collect();
         sent_times.sort_unstable();
@@ -48,7 +48,7 @@
         self.last_sent_at.retain(|_, sent_at| *sent_at > cutoff);
     }
 
-    /// Whether a block is assumed to be cached at a replica.
+    /// Returns whether a block is assumed to be cached on a replica.
     pub fn contains(&self, replica_number: u64, block: u64, now: Ms) -> bool {
         let key = CachedBlock {
             replica_number,
@@ -59,7 +59,7 @@
             .is_some_and(|sent_at| now.saturating_sub(*sent_at) < PREFIX_CACHE_TTL)
     }
 
-    /// A block turned out not to be cached.
+    /// Removes a block that turned out not to be cached.
     pub fn remove_block(&mut self, replica_number: u64, block: u64) {
         self.last_sent_at.remove(&CachedBlock {
             replica_number,
@@ -67,7 +67,7 @@
         });
     }
 
-    /// A replica is gone or runs other weights: nothing of before is cached there.
+    /// Removes all blocks of a replica that is gone or runs another version of the weights.
     pub fn remove_replica(&mut self, replica_number: u64) {
         self.last_sent_at
             .retain(|cached, _| cached.replica_number != replica_number);
--- a/coordination/src/placement/replica_view.rs
+++ b/coordination/src/placement/replica_view.rs
@@ -1,78 +1,82 @@
-//! One replica as a proxy sees it: what is open there, what its responses reported, whether it responds at all.
+//! A proxy's view of one replica: open attempts, idle connections, reported load, and whether it responds.
 
 use std::collections::VecDeque;
 
 use super::{ServiceAverages, TokenBucket, suspicion::Suspicion};
 use crate::{Ms, exchange::ResponseSignals};
 
-/// A replica on which attempts wait for their first chunk and which sends nothing for longer is unresponsive: new
-/// requests go elsewhere.
+/// Time without any data from a replica, while attempts wait for their first chunk, after which it counts as
+/// unresponsive and gets no new requests, in ms.
 const UNRESPONSIVE_AFTER: Ms = 900;
-/// Backoff after a first failure; it doubles with each further one in a row.
+/// Backoff after the first failure, in ms; it doubles with each consecutive failure.
 const FAILURE_BACKOFF_MIN: Ms = 250;
-/// Longest backoff after failures in a row.
+/// Maximum backoff after consecutive failures, in ms.
 const FAILURE_BACKOFF_MAX: Ms = 2_000;
-/// Doublings after which the backoff is at its longest for certain; bounds the shift.
+/// Maximum number of doublings, at which the backoff has reached its maximum; bounds the shift.
 const BACKOFF_DOUBLINGS_MAX: u32 = 8;
-/// A connection that was idle for longer may have been closed by its peer: requests that run at most once take none.
+/// Maximum age of an idle connection, in ms: after that its peer may have closed it, so requests that run at most once
+/// do not use it.
 pub const IDLE_CONNECTION_MAX_AGE: Ms = 900;
-/// ms in which a replica's reported load decays by e towards the average of its service.
+/// Time constant with which a replica's reported load decays towards the average of its service, in ms.
 const LOAD_DECAY_MS: f64 = 1_500.0;
-/// Weight of a new first-chunk lag against all before.
+/// Weight of a new first-chunk lag in the estimate.
 const FIRST_CHUNK_LAG_WEIGHT: f64 = 0.2;
-/// Most ms that a first-chunk lag counts.
+/// Maximum first-chunk lag that is recorded, in ms.
 pub(crate) const FIRST_CHUNK_LAG_MAX_MS: f64 = 400.0;
-/// ms in which a replica's lag decays by e towards the average of its service: what made it late is over by then.
+/// Time constant with which a replica's lag decays towards the average of its service, in ms: the cause of the lag is
+/// over by then.
 const FIRST_CHUNK_LAG_DECAY_MS: f64 = 5_000.0;
-/// Most ms of prefill that count for prompts of other proxies: beyond it they have most likely gone elsewhere or failed.
+/// Maximum pending prefill that is assumed for prompts of other proxies, in ms: beyond it these have most likely failed
+/// or been sent to other replicas.
 const PEER_PREFILL_MAX_MS: f64 = 4_000.0;
-/// ms in which the rate of this proxy's own attempts decays by e, so that the sum of recent attempts is a rate a second.
+/// Time constant with which the rate of this proxy's own attempts decays, in ms; with this value the decayed sum of
+/// recent attempts is a rate per second.
 const ATTEMPT_RATE_DECAY_MS: f64 = 1_000.0;
-/// Tokens that the slow start bucket saves up: attempts at a cold replica never come in bursts.
+/// Depth of the slow-start token bucket: attempts on a replica that is warming up never come in bursts.
 const SLOW_START_BUCKET_DEPTH: f64 = 1.0;
 
-/// Load that a response reported.
+/// Load reported in a response.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLoad {
     running: u32,
     waiting: u32,
-    /// Attempts of this proxy that were open then.
+    /// This proxy's open attempts when the report arrived.
     open_attempts: u32,
     at: Ms,
 }
 
-/// One incarnation of a replica.
+/// State of one incarnation of a replica.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaView {
-    /// Number of this incarnation, for tables keyed by it.
+    /// Number of this incarnation, used as a table key.
     pub number: u64,
-    /// Zone that the replica runs in.
+    /// Zone of the replica.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that the replica runs concurrently.
     pub slots: u32,
-    /// How far its failures are known.
+    /// How strongly the replica is suspected of failing.
     pub suspicion: Suspicion,
-    /// Attempts of this proxy that are open there, and those of them that wait for their first chunk.
+    /// This proxy's open attempts, and how many of them wait for their first chunk.
     open_attempts: u32,
     awaiting_first_chunk: u32,
-    /// ms of prefill that the waiting attempts still need.
+    /// Pending prefill of the waiting attempts, in ms.
     own_prefill_ms: f64,
-    /// Time in ms, with fractions, until which prompts of other proxies are prefilled there.
+    /// Time until which prompts of other proxies are prefilled, in ms with fractions.
     peer_prefill_until_ms: f64,
     reported_load: Option<ReportedLoad>,
-    /// When connections became idle, oldest first.
+    /// Times at which connections became idle, oldest first.
     idle_since: VecDeque<Ms>,
     /// Recent attempts of this proxy, decayed as of `sent_at`.
     attempt_rate: f64,
     sent_at: Ms,
-    /// ms by which first chunks arrived later than expected, and when the newest of them came.
+    /// Delay of first chunks relative to the expected time, in ms, and the time of the newest first chunk.
     first_chunk_lag_ms: f64,
     first_chunk_at: Option<Ms>,
-    /// Failures in a row, until when nothing is sent after them, and when the first of them was.
+    /// Consecutive failures, the end of the backoff after them, and the time of the first of them.
     failures: u32,
     backoff_until: Ms,
     failing_since: Option<Ms>,
-    /// Since when some attempt waits without a sign of life, and when the replica last gave one.
+    /// Time since which some attempt has waited without any data, and the time of the last data from the replica.
     waiting_since: Option<Ms>,
     last_response_at: Ms,
     slow_start_until: Ms,
@@ -80,7 +84,7 @@
 }
 
 impl ReplicaView {
-    /// A replica of which nothing is known but its zone and number of slots.
+    /// Creates the view of a replica of which only the zone and the number of slots are known.
     pub fn new(number: u64, zone: &str, slots: u32) -> Self {
         ReplicaView {
             number,
@@ -92,7 +96,7 @@
 
     // ---- attempts of this proxy ----
 
-    /// An attempt goes to the replica; its prompt takes `prefill_ms` to prefill.
+    /// Records that an attempt was sent, whose prompt takes `prefill_ms` to prefill.
     pub fn on_sent(&mut self, prefill_ms: f64, now: Ms) {
         self.idle_since.pop_back();
         self.open_attempts += 1;
@@ -104,7 +108,7 @@
         self.draw_slow_start(now);
     }
 
-    /// The first chunk of an attempt came `late_ms` later than expected.
+    /// Records that the first chunk of an attempt arrived `late_ms` later than expected.
     pub fn on_first_chunk(
         &mut self,
         prefill_ms: f64,
@@ -117,10 +121,10 @@
         self.first_chunk_lag_ms = (lag_ms + (late_ms - lag_ms) * FIRST_CHUNK_LAG_WEIGHT)
             .clamp(0.0, FIRST_CHUNK_LAG_MAX_MS);
         self.first_chunk_at = Some(now);
-        self.record_sign_of_life(now);
+        self.record_activity(now);
     }
 
-    /// An attempt is over. `unfinished_prefill_ms`: its prefill, if no first chunk has come.
+    /// Records that an attempt ended. `unfinished_prefill_ms`: its prefill time, if no first chunk was received.
     pub fn on_attempt_ended(&mut self, unfinished_prefill_ms: Option<f64>) {
         self.open_attempts = self.open_attempts.saturating_sub(1);
         if let Some(prefill_ms) = unfinished_prefill_ms {
@@ -136,7 +140,7 @@
         self.own_prefill_ms = (self.own_prefill_ms - prefill_ms).max(0.0);
     }
 
-    /// Attempts a second that this proxy lately sent there.
+    /// Returns the recent rate of this proxy's attempts, per second.
     pub fn attempts_per_second(&self, now: Ms) -> f64 {
         let elapsed = now.saturating_sub(self.sent_at) as f64;
         self.attempt_rate * (-elapsed / ATTEMPT_RATE_DECAY_MS).exp()
@@ -144,7 +148,7 @@
 
     // ---- idle connections ----
 
-    /// A response is complete, and its connection is idle from now on.
+    /// Records that a response is complete and its connection has become idle.
     pub fn on_connection_idle(&mut self, now: Ms) {
         self.idle_since.push_back(now);
         while self
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Whether an idle connection should be available.
+    /// Returns whether an idle connection should be available.
     pub fn has_idle_connection(&self, now: Ms) -> bool {
         self.idle_since
             .back()
@@ -165,29 +169,29 @@
 
     // ---- prefill ----
 
-    /// Another proxy sent a prompt that takes this long to prefill.
+    /// Records that another proxy sent a prompt that takes this long to prefill.
     pub fn on_peer_prefill(&mut self, prefill_ms: f64, now: Ms) {
-        // Prompts are prefilled one after the other; no report counts for more than the longest prefill that may be due.
+        // Prompts are prefilled one after the other. The sum is capped at the longest prefill that may be pending.
         let now = now as f64;
         self.peer_prefill_until_ms =
             (self.peer_prefill_until_ms.max(now) + prefill_ms).min(now + PEER_PREFILL_MAX_MS);
     }
 
-    /// ms of prefill that are still due there, as far as is known.
+    /// Returns the known pending prefill, in ms.
     pub fn pending_prefill_ms(&self, now: Ms) -> f64 {
         self.own_prefill_ms + (self.peer_prefill_until_ms - now as f64).max(0.0)
     }
 
     // ---- responses ----
 
-    fn record_sign_of_life(&mut self, now: Ms) {
+    fn record_activity(&mut self, now: Ms) {
         self.last_response_at = now;
         self.waiting_since = (self.awaiting_first_chunk > 0).then_some(now);
     }
 
-    /// A response's head came.
+    /// Processes the head of a response.
     pub fn on_response_head(&mut self, signals: &ResponseSignals, now: Ms) {
-        self.record_sign_of_life(now);
+        self.record_activity(now);
         if let Some((running, waiting, slots)) = signals.load {
             self.reported_load = Some(ReportedLoad {
                 running,
@@ -201,8 +205,8 @@
         }
     }
 
-    /// ms by which a first chunk is likely to be late. A replica that was not used lately is assumed to be like the
-    /// others, so that one that is new to all proxies draws no crowd.
+    /// Returns the expected delay of a first chunk, in ms. A replica that was not used recently is assumed to be like
+    /// the others, so that one that is new to all proxies does not attract all requests.
     pub fn first_chunk_lag_ms(&self, averages: &ServiceAverages, now: Ms) -> f64 {
         let Some(at) = self.first_chunk_at else {
             return averages.first_chunk_lag_ms;
@@ -212,8 +216,8 @@
             + (self.first_chunk_lag_ms - averages.first_chunk_lag_ms) * freshness
     }
 
-    /// Requests that run or wait there, as far as is known: the older its report, the more it is assumed to be like the
-    /// others of its service.
+    /// Returns the estimated number of running and waiting requests. The older the replica's report, the closer the
+    /// estimate is to the average of its service.
     pub fn load(&self, averages: &ServiceAverages, now: Ms) -> f64 {
         let average = averages.load;
         let own = f64::from(self.open_attempts);
@@ -228,7 +232,7 @@
 
     // ---- failures ----
 
-    /// It responds as it should. Gives how long it had failed before, if it did.
+    /// Records that the replica responds normally. Returns how long it had been failing, if it had.
     pub fn on_recovered(&mut self, now: Ms) -> Option<Ms> {
         self.failures = 0;
         self.backoff_until = 0;
@@ -237,9 +241,9 @@
             .map(|since| now.saturating_sub(since))
     }
 
-    /// An attempt failed by the replica's fault.
+    /// Records an attempt that failed through the replica's fault.
     pub fn on_failure(&mut self, now: Ms) {
-        // Attempts that were in flight together fail together: they are one failure.
+        // Attempts that were in flight together fail together and count as one failure.
         if now < self.backoff_until {
             return;
         }
@@ -249,7 +253,8 @@
         self.backoff_until = now + (FAILURE_BACKOFF_MIN << doublings).min(FAILURE_BACKOFF_MAX);
     }
 
-    /// Whether it may be tried: it responds, it is not in backoff, and after a failure one attempt goes at a time.
+    /// Returns whether the replica may be tried: it responds and is not in backoff. After a failure it gets one attempt
+    /// at a time.
     pub fn is_available(&self, now: Ms) -> bool {
         let is_unresponsive = self.waiting_since.is_some_and(|since| {
             now.saturating_sub(since.max(self.last_response_at)) > UNRESPONSIVE_AFTER
@@ -261,7 +266,7 @@
 
     // ---- slow start ----
 
-    /// It is warming up until then, and bears little.
+    /// Marks the replica as warming up until `until`; meanwhile it can serve only a low rate.
     pub fn start_slow(&mut self, until: Ms, now: Ms) {
         if !self.is_warming_up(now) {
             self.slow_start_bucket = None;
@@ -269,12 +274,13 @@
         self.slow_start_until = self.slow_start_until.max(until);
     }
 
-    /// Whether it is still warming up.
+    /// Returns whether the replica is still warming up.
     pub fn is_warming_up(&self, now: Ms) -> bool {
         now < self.slow_start_until
     }
 
-    /// Whether it may get one more attempt from this proxy, whose share is `rate` a second while it warms up.
+    /// Returns whether the replica may get another attempt from this proxy, whose share is `rate` per second during
+    /// warm-up.
     pub fn slow_start_allows(&mut self, rate: f64, now: Ms) -> bool {
         if !self.is_warming_up(now) {
             return true;
--- a/coordination/src/placement/retry_budget.rs
+++ b/coordination/src/placement/retry_budget.rs
@@ -1,19 +1,19 @@
 //! The retry budget of one service.
 //!
-//! The bound holds over all proxies in any window, although every proxy counts alone: each may retry a share of its own
-//! first attempts, and has its part of the retries that are free.
+//! The limit holds for all proxies together in any window, although each proxy counts only its own attempts: it may
+//! retry a fraction of its own first attempts and has a share of the free retries.
 
 use std::collections::VecDeque;
 
 use crate::{Ms, bounds::Bounds};
 
-/// Length of one interval of the budget's window.
+/// Length of one interval of the budget's window, in ms.
 const INTERVAL_LENGTH: Ms = 500;
-/// Fraction of the budget that is spent. The rest covers daemons that restarted and forgot what they drew, and the
-/// edges of the sliding window.
+/// Fraction of the budget that is used. The rest covers daemons that lost their counts in a restart, and intervals that
+/// are only partly within the sliding window.
 const USABLE_BUDGET_FRACTION: f64 = 0.7;
 
-/// Attempts that began within one interval.
+/// Attempts that started within one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptInterval {
     start: Ms,
@@ -24,15 +24,15 @@
 /// First attempts and retries of one service within the window.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    /// Oldest first.
+    /// Ordered from oldest to newest.
     intervals: VecDeque<AttemptInterval>,
 }
 
 impl RetryBudget {
-    /// Drops what has left the window and gives the interval of `now`.
+    /// Drops intervals that have left the window and returns the interval of `now`.
     fn current_interval(&mut self, now: Ms, window: Ms) -> &mut AttemptInterval {
         let start = now - now % INTERVAL_LENGTH;
-        // An interval counts until the whole of it has left the window.
+        // An interval counts until all of it has left the window.
         while self
             .intervals
             .front()
@@ -54,13 +54,14 @@
         &mut self.intervals[newest]
     }
 
-    /// Counts a request's first attempt, which earns a share of a retry.
+    /// Counts a request's first attempt, which earns a fraction of a retry.
     pub fn count_first_attempt(&mut self, bounds: &Bounds, now: Ms) {
         self.current_interval(now, bounds.retry_window)
             .first_attempts += 1;
     }
 
-    /// Draws one retry if the budget has one, and says whether it did. `edge_count`: proxies that share the free retries.
+    /// Draws one retry if the budget allows it, and returns whether it did. `edge_count`: proxies that share the free
+    /// retries.
     pub fn try_draw_retry(&mut self, bounds: &Bounds, edge_count: usize, now: Ms) -> bool {
         self.current_interval(now, bounds.retry_window);
         let first_attempts: u32 = self.intervals.iter().map(|i| i.first_attempts).sum();
--- a/coordination/src/placement/selection.rs
+++ b/coordination/src/placement/selection.rs
@@ -1,4 +1,4 @@
-//! Which replicas may take a request, and the choice of one of them.
+//! Filters the replicas that may take a request and chooses one of them.
 
 use std::collections::BTreeSet;
 
@@ -11,72 +11,74 @@
     policy::Mechanism,
 };
 
-/// Fraction of a cold replica's rate that all proxies together use: the rest covers their not knowing of each other.
-const COLD_RATE_FRACTION: f64 = 0.9;
-/// Fraction of what a cold replica bears above its rate that the proxies' first attempts may use up together.
-const COLD_BURST_FRACTION: f64 = 0.7;
-/// Smallest shared blocks that are worth remembering, in tokens.
+/// Fraction of the slow-start rate of a replica that all proxies together use; the rest covers proxies that do not know
+/// of each other.
+const SLOW_START_RATE_FRACTION: f64 = 0.9;
+/// Fraction of the burst that a replica accepts above its slow-start rate, available to the proxies' first attempts
+/// together.
+const SLOW_START_BURST_FRACTION: f64 = 0.7;
+/// Minimum size of a shared block that is tracked, in tokens.
 const CACHED_BLOCK_TOKENS_MIN: u32 = 200;
 
-/// The replica that was chosen for a request.
+/// The replica chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Id of the replica.
     pub id: String,
     /// IP:port of the replica.
     pub addr: String,
-    /// Version that it serves.
+    /// Version that the replica serves.
     pub version: String,
-    /// The prompt's shared prefix is assumed to be in the replica's cache.
+    /// Whether the prompt's shared prefix is assumed to be in the replica's cache.
     pub cached: bool,
-    /// ms that the prompt takes to prefill there.
+    /// Time to prefill the prompt on the replica, in ms.
     pub prefill_ms: f64,
-    /// Expected ms to the first chunk.
+    /// Expected time to the first chunk, in ms.
     pub expected_ms: f64,
 }
 
-/// What a replica is chosen for.
+/// The request for which a replica is chosen.
 pub struct PlacementRequest<'a> {
     /// Lane of the request.
     pub lane: &'a PathSpec,
-    /// What the request tells.
+    /// Head of the request.
     pub head: &'a RequestHead,
-    /// Replicas that the request went to before.
+    /// Replicas that were already tried.
     pub tried: &'a [String],
     /// Zones that operators have evacuated.
     pub evacuated_zones: &'a BTreeSet<String>,
 }
 
-/// A zone as it is for one request.
+/// Properties of a zone for one request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ZoneView<'a> {
     name: &'a str,
     pub round_trip_ms: f64,
-    /// It is in another region.
+    /// Whether the zone is in another region.
     pub is_remote: bool,
-    /// Homes and evacuations let the request go there.
+    /// Whether home regions and evacuations permit the zone.
     is_allowed: bool,
-    /// More urgent, home-bound requests depend on it.
+    /// Whether more urgent, home-bound requests depend on the zone.
     pub is_contended: bool,
-    /// It responds, or it is time to try it again.
+    /// Whether the zone responds or another attempt is due.
     is_reachable: bool,
 }
 
-/// A replica that may take a request, and what it would cost.
+/// A replica that may take a request, and its cost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScoredReplica<'a> {
     id: &'a str,
     pub entry: &'a ReplicaEntry,
     pub zone: ZoneView<'a>,
-    /// It is assumed to have the prompt's shared prefix cached.
+    /// Whether the replica is assumed to have the prompt's shared prefix cached.
     pub is_cached: bool,
-    /// A context copy of the prefix is planned there.
+    /// Whether a context copy of the prefix is planned on the replica.
     pub has_placed_copy: bool,
-    /// ms of waiting, or what is worth as much.
+    /// Expected cost in ms of waiting time or an equivalent.
     pub cost_ms: f64,
 }
 
-/// Keeps those that fulfil the condition, if there are any.
+/// Retains only the replicas that satisfy the condition, or all of them if none does.
 fn retain_if_any<'a>(
     replicas: &mut Vec<ScoredReplica<'a>>,
     condition: impl Fn(&ScoredReplica<'a>) -> bool,
@@ -86,7 +88,7 @@
     }
 }
 
-/// Ids of those blocks that are large enough to remember.
+/// Returns the ids of the blocks that are large enough to track.
 pub(super) fn cacheable_blocks(blocks: &[PrefixBlock]) -> impl Iterator<Item = u64> {
     blocks
         .iter()
@@ -94,7 +96,8 @@
         .map(|(id, _)| *id)
 }
 
-/// Whether a replica is assumed to have all blocks cached that are worth remembering, of which there is at least one.
+/// Returns whether a replica is assumed to have cached all blocks that are large enough to track, and there is such a
+/// block.
 pub(super) fn caches_prefix(
     cache: &PrefixCache,
     replica_number: u64,
@@ -106,7 +109,7 @@
 }
 
 impl Placement {
-    /// Chooses the replica with the least expected cost among those of `replica_ids` that may take the request.
+    /// Chooses the replica with the least expected cost from those of `replica_ids` that may take the request.
     pub fn choose<'a>(
         &mut self,
         service: &str,
@@ -120,11 +123,11 @@
         let held_back = self.held_back_by_slow_start(service, &untried, request, now);
         untried.retain(|id| !held_back.contains(id));
         let mut replicas = self.allowed_replicas(service, &untried, request, now);
-        // Replicas that fail are left alone while there are others; where there are none they are better than nothing.
+        // Failing replicas are used only if there are no others.
         retain_if_any(&mut replicas, |replica| {
             replica.entry.view.is_available(now)
         });
-        // A region or zone that is cut off is tried now and then, not at each of its replicas.
+        // An unreachable region or zone is retried after a backoff, not at each of its replicas.
         retain_if_any(&mut replicas, |replica| replica.zone.is_reachable);
         self.score(service, &mut replicas, request, now);
         let best = replicas
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Known replicas in zones where the request may go.
+    /// Returns the known replicas in zones that are permitted for the request.
     fn allowed_replicas<'a>(
         &'a self,
         service: &str,
@@ -179,7 +182,7 @@
 
     // ---- zones ----
 
-    /// Whether homes and evacuations let a request go to a zone.
+    /// Returns whether home regions and evacuations permit a zone for a request.
     fn is_zone_allowed(&self, zone: &str, request: &PlacementRequest) -> bool {
         let region = self.latency.region(zone);
         let homes = &request.lane.homes;
@@ -187,7 +190,7 @@
         is_home && !request.evacuated_zones.contains(zone)
     }
 
-    /// What a zone is like for this request: worked out once for all its replicas.
+    /// Returns the properties of a zone for this request, computed once for all its replicas.
     fn zone_view<'a>(
         &'a self,
         service: &str,
@@ -226,7 +229,7 @@
 
     // ---- slow start ----
 
-    /// Cold replicas that have had this proxy's share of what they bear.
+    /// Returns the replicas that are warming up and have used up this proxy's share of their slow-start rate.
     fn held_back_by_slow_start<'a>(
         &mut self,
         service: &str,
@@ -234,7 +237,7 @@
         request: &PlacementRequest,
         now: Ms,
     ) -> Vec<&'a String> {
-        let cold: Vec<&String> = ids
+        let warming_up: Vec<&String> = ids
             .iter()
             .copied()
             .filter(|id| {
@@ -244,7 +247,7 @@
             })
             .collect();
         let mut held_back = vec![];
-        for id in cold {
+        for id in warming_up {
             let rate = self.own_slow_start_rate(service, id);
             if let Some(entry) = self.replicas.get_mut(id.as_str())
                 && !entry.view.slow_start_allows(rate, now)
@@ -255,7 +258,7 @@
         held_back
     }
 
-    /// This proxy's share of a cold replica's rate: none if other proxies are to warm it up.
+    /// Returns this proxy's share of a replica's slow-start rate; 0 if other proxies are to warm it up.
     fn own_slow_start_rate(&self, service: &str, replica_id: &str) -> f64 {
         let engine_rate = self
             .engines
@@ -265,17 +268,17 @@
         let Some(rate) = engine_rate.filter(|rate| *rate > 0.0) else {
             return f64::MAX;
         };
-        // Each proxy that warms it up may send one attempt at the same moment: there are no more of them than attempts
-        // that the replica bears above its rate.
+        // All proxies that warm the replica up may send an attempt at the same moment, so there are no more of them
+        // than the attempts that the replica accepts above its rate.
         let burst = rate * (self.bounds.cold_over - 1.0).max(0.0) + self.bounds.cold_slack;
         let proxies = self
             .edge_count()
-            .min((burst * COLD_BURST_FRACTION).max(1.0) as usize)
+            .min((burst * SLOW_START_BURST_FRACTION).max(1.0) as usize)
             .max(1);
         if self.edges.edges_ahead(replica_id) >= proxies {
             0.0
         } else {
-            rate * COLD_RATE_FRACTION / proxies as f64
+            rate * SLOW_START_RATE_FRACTION / proxies as f64
         }
     }
 }
--- a/coordination/src/placement/token_bucket.rs
+++ b/coordination/src/placement/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A token bucket: it fills at a rate and saves up no more than its depth.
+//! A token bucket: it fills at a fixed rate up to its depth.
 
 use crate::Ms;
 
-/// A token bucket whose clock is passed in.
+/// A token bucket whose callers pass in the current time.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     tokens_per_second: f64,
@@ -12,8 +12,8 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket: a process that has just started does not know what was drawn before.
-    /// `rate` is in tokens a second, `depth` is the most tokens that are saved up.
+    /// Creates an empty bucket, because a process that has just started does not know what was drawn before. `rate` is
+    /// in tokens per second, `depth` is the maximum number of saved tokens.
     pub fn new(rate: f64, depth: f64, now: Ms) -> Self {
         TokenBucket {
             tokens_per_second: rate,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Changes the rate, in tokens a second, from now on.
+    /// Changes the rate, in tokens per second, from now on.
     pub fn set_rate(&mut self, rate: f64, now: Ms) {
         self.refill(now);
         self.tokens_per_second = rate;
@@ -36,13 +36,13 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Whether a token could be drawn now.
+    /// Returns whether a token is available.
     pub fn has_token(&mut self, now: Ms) -> bool {
         self.refill(now);
         self.available >= 1.0
     }
 
-    /// Draws one token if there is one, and says whether it did.
+    /// Draws one token if available, and returns whether it did.
     pub fn try_draw(&mut self, now: Ms) -> bool {
         let has_token = self.has_token(now);
         if has_token {
