--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -1,9 +1,9 @@
-//! A proxy's state machine: what it may do, where a request goes, which requests wait and which are rejected, and what is
-//! counted. It answers callers that ask where to go, and assigns replicas to requests that have come.
+//! State machine of an edge proxy: enforces the serving permission, assigns replicas to requests, queues or rejects
+//! requests, counts outcomes, and nominates an edge for clients that ask where to send a request.
 //!
-//! Requests come in two ways. Those that name a service are checked (`request_checks`), may be nominated elsewhere
-//! (`nomination`), and go to replicas that report their slots (`by_name`, `replica_choice`). Those that come by host and
-//! path (`by_path`) go to the replica with the least expected cost, see [`crate::placement`].
+//! There are two kinds of requests. Those that name a service are checked (`request_checks`), may be nominated to
+//! another edge (`nomination`), and are sent to replicas that report their slots (`by_name`, `replica_choice`). Those
+//! routed by host and path (`by_path`) are sent to the replica with the lowest expected cost, see [`crate::placement`].
 
 mod assignment;
 mod attempt_counters;
@@ -62,16 +62,16 @@
 use tier_pressure::TierPressure;
 use version_guard::VersionGuard;
 
-/// What the agent lets this proxy serve.
+/// Permission to serve, granted by the colocated agent.
 #[derive(Clone, Copy, Debug)]
 struct ServingPermission {
     rule: u8,
     valid_until: Ms,
-    /// This incarnation has had its agent's whole state table; what changed since is not enough to serve by.
+    /// Whether this incarnation has received a snapshot of the agent's state table; changes alone are not enough.
     has_snapshot: bool,
 }
 
-/// The current rollout record of a service.
+/// Current rollout record of a service.
 #[derive(Clone, Debug)]
 struct RolloutEntry {
     epoch: u64,
@@ -79,28 +79,28 @@
     record: RolloutRecord,
 }
 
-/// The state machine of one proxy.
+/// State machine of one edge proxy.
 pub struct Proxy {
     name: Name,
     zone: Name,
     http_addr: Name,
     incarnation: u64,
     rng: fastrand::Rng,
-    /// Counters that operators see, by name.
+    /// Counters exposed to operators, by name.
     pub counters: BTreeMap<&'static str, u64>,
 
-    // What the agent sent.
+    // Received from the agent.
     state_table: StateTable,
     permission: ServingPermission,
     leases: BTreeMap<String, ProxyLease>,
     edges: Vec<Node>,
 
-    // What was read from the state table.
+    // Derived from the state table.
     parse_spec: SpecParser,
     spec_stamp: VersionStamp,
     spec: Option<Arc<Spec>>,
     lanes: LaneIndex,
-    /// None where the spec knows no tenants.
+    /// `None` if the spec defines no tenants.
     tenants: Option<TenantIndex>,
     rollouts: BTreeMap<String, RolloutEntry>,
     draining: BTreeSet<String>,
@@ -113,14 +113,14 @@
     queue: SlotQueue,
     tier_pressure: TierPressure,
 
-    // Requests by host and path.
+    // Requests routed by host and path.
     placement: Placement,
     retry_budgets: BTreeMap<String, RetryBudget>,
     open_attempts: BTreeMap<u64, OpenAttempt>,
     last_attempt: u64,
     context_demands: ContextDemands,
 
-    // Outcomes of both.
+    // Outcomes of both kinds of requests.
     attempt_counters: AttemptCounters,
     canary_credits: CanaryCredits,
     version_guard: VersionGuard,
@@ -129,8 +129,8 @@
 }
 
 impl Proxy {
-    /// A proxy that knows nothing yet and may serve nothing. `seed` is random from outside: two proxies of one fleet must
-    /// never mint the same ids.
+    /// Creates a proxy without state or permission to serve. `seed` must come from a random source, because two proxies
+    /// of a fleet must never mint the same request ids.
     pub fn new(name: Name, zone: Name, http_addr: Name, incarnation: u64, seed: u64) -> Self {
         Proxy {
             rng: fastrand::Rng::with_seed(rendezvous_weight(&name, &seed.to_string())),
@@ -172,29 +172,29 @@
         }
     }
 
-    /// Another parser of the operator's document than the product's own.
+    /// Replaces the default parser of the spec document.
     pub fn set_spec_parser(&mut self, parser: SpecParser) {
         self.parse_spec = parser;
     }
 
-    /// Bounds to keep and the region of each zone; before anything is placed.
+    /// Sets the bounds and the region of each zone; must be called before anything is placed.
     pub fn set_bounds(&mut self, bounds: Bounds, regions: BTreeMap<String, String>) {
         let policy = self.placement.policy;
         self.placement = Placement::new(&self.name, &self.zone, regions, bounds);
         self.placement.policy = policy;
     }
 
-    /// Which mechanisms are in force; before anything is placed.
+    /// Sets which mechanisms are enabled; must be called before anything is placed.
     pub fn set_policy(&mut self, policy: Policy) {
         self.placement.policy = policy;
     }
 
-    /// Whether a mechanism is in force.
+    /// Returns whether a mechanism is enabled.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.placement.policy.is_enabled(mechanism)
     }
 
-    /// Whether it may serve now.
+    /// Returns whether the proxy may serve requests now.
     pub fn is_ready(&self, now: Ms) -> bool {
         self.permission.rule >= STABLE_ONLY
             && now < self.permission.valid_until
@@ -202,14 +202,14 @@
             && self.spec.is_some()
     }
 
-    /// Version of the spec that it has; 0 if it has none.
+    /// Returns the version of the current spec; 0 if there is none.
     pub fn spec_version(&self) -> u64 {
         self.state_table
             .get(SPEC_KEY)
             .map_or(0, |change| change.version)
     }
 
-    /// The state that its agent sent.
+    /// Returns the state table received from the agent.
     pub fn state_table(&self) -> &StateTable {
         &self.state_table
     }
--- a/coordination/src/proxy/assignment.rs
+++ b/coordination/src/proxy/assignment.rs
@@ -1,13 +1,14 @@
-//! Where an attempt goes, and how it is counted once it is over.
+//! Assignment of an attempt to a replica, and the outcome class in which the attempt is counted.
 
 use remote_calls::{Fault, GroupRole};
 
 use crate::Ms;
 
-/// An assignment older than this is made again before a call: the process was suspended, leases may have lapsed.
+/// Age above which an assignment is renewed before the replica is called: the process must have been suspended, and
+/// leases may have expired.
 const ASSIGNMENT_MAX_AGE: Ms = 300;
 
-/// The replica to which an attempt goes.
+/// Assignment of an attempt to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
     /// Service of the request.
@@ -22,43 +23,43 @@
     pub addr: String,
     /// Role of the replica's group in the rollout.
     pub role: GroupRole,
-    /// The prompt's prefix is assumed to be in the replica's cache.
+    /// Whether the prompt's prefix is assumed to be in the replica's prefix cache.
     pub cached: bool,
-    /// When it was made.
+    /// When the assignment was made.
     pub assigned_at: Ms,
-    /// Number of an attempt that came by host and path; 0 for others.
+    /// Number of the attempt if the request is routed by host and path, otherwise 0.
     pub attempt: u64,
 }
 
 impl Assignment {
-    /// Whether it was made so long ago that the process must have been suspended since.
+    /// Returns whether the assignment is so old that the process must have been suspended in the meantime.
     pub fn is_stale(&self, now: Ms) -> bool {
         now.saturating_sub(self.assigned_at) > ASSIGNMENT_MAX_AGE
     }
 }
 
-/// The class in which an attempt is counted.
+/// Class in which the outcome of an attempt is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeClass {
-    /// It succeeded in time.
+    /// Succeeded in time.
     Succeeded,
-    /// Slower than the lane's expected time by far.
+    /// Took much longer than the lane's expected time.
     Slow,
-    /// The replica or its version is at fault.
+    /// Failed because of the replica or its version.
     Failed,
-    /// The client went away: this says nothing about the version.
+    /// The client disconnected; does not count for or against the version.
     ClientGone,
-    /// The replica ran nothing, for example because it had no free slot.
+    /// The replica did not run the request, for example because it had no free slot.
     NotRun,
 }
 
-/// The answer to a request that wants to be assigned.
+/// Result of the attempt to assign a replica to a request.
 #[derive(Clone, Debug)]
 pub enum Admission {
     /// A replica is assigned.
     Assigned(Assignment),
-    /// Every slot is taken; the request may wait for one if the queue has room.
+    /// All slots are in use; the request may wait for one if the queue is not full.
     NoFreeSlot,
-    /// It is rejected at once, with this fault.
+    /// The request is rejected with this fault.
     Rejected(Fault),
 }
--- a/coordination/src/proxy/attempt_counters.rs
+++ b/coordination/src/proxy/attempt_counters.rs
@@ -1,4 +1,4 @@
-//! Cumulative counts of attempts and of open streams, and which of them the agent has not been told.
+//! Cumulative counts of attempts and open streams, and which changes the agent has not acknowledged yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
     usage::{UsageCell, UsageCounters},
 };
 
-/// The cell in which an attempt is counted.
+/// Key of the counter cell in which an attempt is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CounterKey {
     pub service: String,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Cumulative counts of one cell.
+/// Cumulative counts of one counter cell.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AttemptCounts {
     pub sent: u64,
@@ -40,13 +40,13 @@
     pub failed: u64,
     pub slow: u64,
     pub first_chunks: u64,
-    /// Sum of the logarithms of the times to first chunks.
+    /// Sum of the logarithms of the times to the first chunk.
     pub first_chunk_log_sum: u64,
-    /// Replicas that failed, one or a few to a bit.
+    /// Bit set of replicas that failed; several replicas may share a bit.
     pub failed_replicas: u64,
 }
 
-/// Streams that are counted together.
+/// Key under which open streams are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct StreamKey {
     replica: String,
@@ -70,20 +70,20 @@
     }
 }
 
-/// All counts. Each change has a number, so that the agent can acknowledge what it has.
+/// All counters. Changes are numbered so that the agent can acknowledge those that it has received.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptCounters {
     counts: BTreeMap<CounterKey, AttemptCounts>,
     open: BTreeMap<StreamKey, u32>,
     last_change: u64,
-    /// Newest change that the agent has; 0 where it has nothing of this incarnation.
+    /// Newest change that the agent has acknowledged; 0 if it has none of this incarnation.
     acknowledged_change: u64,
-    /// Newest change of each cell that the agent has not acknowledged.
+    /// Newest change of each cell with unacknowledged changes.
     changed_counts: BTreeMap<CounterKey, u64>,
     changed_open: BTreeMap<StreamKey, u64>,
-    /// Cells that changed since the versions of their service were last judged.
+    /// Cells changed since the versions of their service were last judged, by service.
     unjudged: BTreeMap<String, BTreeSet<CounterKey>>,
-    /// Requests that began to run, by tenant.
+    /// Requests that started to run, by tenant.
     pub usage: UsageCounters,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl AttemptCounters {
-    /// Changes the counts of the attempt's cell.
+    /// Applies a change to the counts of the attempt's cell.
     pub fn count(&mut self, assignment: &Assignment, change: impl FnOnce(&mut AttemptCounts)) {
         let key = CounterKey::new(assignment);
         self.last_change += 1;
@@ -116,13 +116,13 @@
         change(self.counts.entry(key).or_default());
     }
 
-    /// Counts a request that began to run.
+    /// Counts a request that started to run.
     pub fn count_usage(&mut self, cell: UsageCell) {
         self.last_change += 1;
         self.usage.count(cell, self.last_change);
     }
 
-    /// An attempt begins.
+    /// Records that an attempt starts.
     pub fn open(&mut self, assignment: &Assignment) {
         let key = StreamKey::new(assignment);
         self.last_change += 1;
@@ -130,7 +130,7 @@
         *self.open.entry(key).or_default() += 1;
     }
 
-    /// An attempt is over.
+    /// Records that an attempt ended.
     pub fn close(&mut self, assignment: &Assignment) {
         let key = StreamKey::new(assignment);
         if let Some(streams) = self.open.get_mut(&key) {
@@ -143,17 +143,17 @@
         self.changed_open.insert(key, self.last_change);
     }
 
-    /// Counts of a cell.
+    /// Returns the counts of a cell.
     pub fn counts(&self, key: &CounterKey) -> Option<&AttemptCounts> {
         self.counts.get(key)
     }
 
-    /// All cells.
+    /// Returns the keys of all cells.
     pub fn keys(&self) -> impl Iterator<Item = &CounterKey> {
         self.counts.keys()
     }
 
-    /// Streams that are open now.
+    /// Returns the number of open streams of each replica and version.
     pub fn open_streams(&self) -> impl Iterator<Item = OpenStreams> {
         self.open
             .iter()
@@ -161,9 +161,9 @@
             .map(|(key, streams)| key.open_streams(*streams))
     }
 
-    // ---- what the agent has ----
+    // ---- acknowledged by the agent ----
 
-    /// The agent has all changes up to this one; 0 if it has none of this incarnation.
+    /// Records that the agent has received all changes up to this one; 0 if it has none of this incarnation.
     pub fn acknowledge(&mut self, through_change: u64) {
         let acknowledged = through_change.min(self.last_change);
         self.acknowledged_change = acknowledged;
@@ -172,29 +172,29 @@
         self.changed_open.retain(|_, change| *change > acknowledged);
     }
 
-    /// Newest change that the agent has acknowledged.
+    /// Returns the newest change that the agent has acknowledged.
     pub fn acknowledged_change(&self) -> u64 {
         self.acknowledged_change
     }
 
-    /// Newest change.
+    /// Returns the newest change.
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// Cells with changes that the agent has not acknowledged.
+    /// Returns the keys of cells with changes that the agent has not acknowledged.
     pub fn changed_keys(&self) -> impl Iterator<Item = &CounterKey> {
         self.changed_counts.keys()
     }
 
-    /// Streams whose number changed since the agent acknowledged it.
+    /// Returns open stream counts with changes that the agent has not acknowledged.
     pub fn changed_open_streams(&self) -> impl Iterator<Item = OpenStreams> {
         self.changed_open
             .keys()
             .map(|key| key.open_streams(self.open.get(key).copied().unwrap_or(0)))
     }
 
-    /// Cells of a service that changed since this was last called.
+    /// Returns the cells of a service that changed since the last call.
     pub fn take_unjudged(&mut self, service: &str) -> BTreeSet<CounterKey> {
         self.unjudged.remove(service).unwrap_or_default()
     }
--- a/coordination/src/proxy/by_name.rs
+++ b/coordination/src/proxy/by_name.rs
@@ -1,4 +1,4 @@
-//! Requests that name a service: which replica each attempt goes to.
+//! Requests that name a service: assigns a replica to each attempt.
 
 use remote_calls::{Fault, GroupRole, RunRequest};
 
@@ -9,7 +9,7 @@
 use crate::Ms;
 
 impl Proxy {
-    /// Assigns a replica to a request now. `tried`: replicas that already failed it.
+    /// Assigns a replica to a request. `tried` lists replicas where earlier attempts failed.
     pub fn assign_named(&mut self, request: &RunRequest, tried: &[String], now: Ms) -> Admission {
         match self.try_assign_named(request, tried, now) {
             Ok(admission) => admission,
@@ -25,7 +25,7 @@
     ) -> Result<Admission, Fault> {
         let spec = self.serving_spec(now)?;
         let lane = find_named_lane(&spec, &request.service, &request.lane, &request.tier)?;
-        let homes = self.open_homes(lane.service, &request.homes)?;
+        let homes = self.available_homes(lane.service, &request.homes)?;
         let named = NamedRequest {
             service: &request.service,
             prefixes: &request.prefixes,
@@ -42,15 +42,15 @@
                 };
                 let id = replica.report.replica.clone();
                 if let Some(addr) = self.address_of(&request.service, &id) {
-                    let assignment = self.begin_attempt(request, group, id, addr, now);
+                    let assignment = self.begin_named_attempt(request, group, id, addr, now);
                     return Ok(Admission::Assigned(assignment));
                 }
             }
         }
         self.raise_tier_pressure(lane.rank, now);
-        // A retry does not wait again: its answer is due at once.
+        // A retry is not queued again: it is answered at once.
         if !tried.is_empty() {
-            return Err(self.reject("full", "place", "no other replica has a place"));
+            return Err(self.reject("full", "place", "no other replica has a free slot"));
         }
         Ok(Admission::NoFreeSlot)
     }
@@ -64,7 +64,7 @@
         Some(replica.addr.clone())
     }
 
-    /// The assignment of a run that a caller resumes: its own replica and no other.
+    /// Assigns a run that its client resumes to the replica that already runs it; no other replica is tried.
     pub fn assign_resumed(
         &mut self,
         request: &RunRequest,
@@ -88,10 +88,10 @@
             version,
             replicas: vec![],
         };
-        Some(self.begin_attempt(request, group, replica_id.into(), addr, now))
+        Some(self.begin_named_attempt(request, group, replica_id.into(), addr, now))
     }
 
-    /// ms in which a request of a lane is expected to end; 0 where the lane is unknown.
+    /// Returns the expected duration of a lane's requests in ms; 0 if the lane is unknown.
     pub fn expected_ms(&self, service_name: &str, lane_name: &str) -> Ms {
         let lanes = self
             .spec
@@ -106,8 +106,8 @@
             .map_or(0, |lane| lane.expected_ms)
     }
 
-    /// Records that an attempt goes to a replica of the group.
-    fn begin_attempt(
+    /// Records that an attempt is sent to a replica of the group.
+    fn begin_named_attempt(
         &mut self,
         request: &RunRequest,
         group: Group,
--- a/coordination/src/proxy/by_path.rs
+++ b/coordination/src/proxy/by_path.rs
@@ -1,4 +1,4 @@
-//! Requests that come by host and path: which replica each attempt goes to, and what becomes of it.
+//! Requests routed by host and path: assigns a replica to each attempt and records the attempt's progress and outcome.
 
 use std::{mem, sync::Arc};
 
@@ -18,45 +18,49 @@
     version_health::log_ms,
 };
 
-/// Requests that take longer than a lane's expected time by this factor count as slow.
+/// Multiple of a lane's expected time above which a request counts as slow.
 pub const SLOW_FACTOR: u64 = 4;
-/// Fraction of a chain's prefill by which a first chunk must be late to show that the chain was prefilled again.
+/// Fraction of a prefix chain's prefill time by which the first chunk must be late to count as a cache miss.
 const CACHE_MISS_LAG_FRACTION: f64 = 0.8;
 
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct OpenAttempt {
-    /// Tenant of the request, until its first chunk has come.
+    /// Tenant of the request, until the first chunk is received.
     tenant: Name,
-    /// ms of prefill, until its first chunk has come.
+    /// Prefill time in ms, until the first chunk is received.
     unfinished_prefill_ms: Option<f64>,
     expected_ms: f64,
     sent_at: Ms,
     slow_after_ms: f64,
     is_slow: bool,
-    /// Its shared context, where that was assumed to be cached.
+    /// Shared context of the request, if assumed to be cached.
     assumed_cached: Option<AssumedCached>,
 }
 
 impl Proxy {
-    /// What a client by host and path may send, and how long it may take or be idle.
+    /// Returns size, duration and idle limits for clients whose requests are routed by host and path.
     pub fn client_limits(&self) -> Option<&DownstreamLimits> {
         self.spec.as_ref()?.limits.as_ref()
     }
 
-    /// The lane of a request.
+    /// Finds the lane of a request.
     ///
     /// # Errors
-    /// A rejection if this edge may not serve, or a fault if no lane has this host and path.
+    /// Returns a rejection if this edge may not serve, or a fault if no lane matches the host and path.
     pub fn find_lane(&mut self, host: &str, path: &str, now: Ms) -> Result<Arc<PathSpec>, Fault> {
         self.serving_spec(now)?;
         self.lanes.find(host, path).ok_or_else(|| {
-            Fault::new("not_found", "find_lane", "no lane has this host and path")
-                .outcome(Outcome::NotRun)
+            Fault::new(
+                "not_found",
+                "find_lane",
+                "no lane matches this host and path",
+            )
+            .outcome(Outcome::NotRun)
         })
     }
 
-    /// Assigns a replica to a request. `tried`: replicas that it went to before.
+    /// Assigns a replica to a request. `tried` lists the replicas of earlier attempts.
     pub fn assign_by_path(
         &mut self,
         lane: &PathSpec,
@@ -66,7 +70,7 @@
         now: Ms,
     ) -> Admission {
         if now >= until {
-            let message = "it could not end in its time left";
+            let message = "the request cannot finish in the time left";
             return Admission::Rejected(self.reject("no_time", "nominate", message));
         }
         for service in self.services_by_weight(lane) {
@@ -87,15 +91,20 @@
                 let replicas = group.replicas.iter().filter(|id| !draining.contains(*id));
                 let chosen = self.placement.choose(&service, replicas, &request, now);
                 if let Some(candidate) = chosen {
-                    let assignment = self.send_to(lane, service, group, candidate, head, now);
+                    let assignment =
+                        self.begin_attempt_by_path(lane, service, group, candidate, head, now);
                     return Admission::Assigned(assignment);
                 }
             }
         }
-        Admission::Rejected(self.reject("no_replica", "nominate", "no replica may take it now"))
+        Admission::Rejected(self.reject(
+            "no_replica",
+            "nominate",
+            "no replica can accept the request now",
+        ))
     }
 
-    /// Services of a lane, one drawn by weight first; the others may serve it too if that one has no replica.
+    /// Returns the services of a lane: first one drawn by weight, then the others as fallbacks if it has no replica.
     fn services_by_weight(&mut self, lane: &PathSpec) -> Vec<String> {
         let total_weight: u32 = lane.split.iter().map(|share| share.weight).sum();
         let mut draw = if total_weight > 0 {
@@ -119,8 +128,8 @@
         services
     }
 
-    /// Records that an attempt goes to the candidate.
-    fn send_to(
+    /// Records that an attempt is sent to the candidate.
+    fn begin_attempt_by_path(
         &mut self,
         lane: &PathSpec,
         service: String,
@@ -159,7 +168,7 @@
         assignment
     }
 
-    /// Draws a retry on the budget that holds over all proxies, and says whether there was one.
+    /// Draws a retry from the fleet-wide budget; returns whether one was available.
     pub fn try_draw_retry(&mut self, service: &str, now: Ms) -> bool {
         let edge_count = self.placement.edge_count();
         let budget = self.retry_budgets.entry(service.into()).or_default();
@@ -173,22 +182,22 @@
         is_drawn
     }
 
-    /// Connections that this proxy may open to each replica of a service.
+    /// Returns the maximum number of connections from this proxy to each replica of a service.
     pub fn max_connections(&self, service: &str) -> usize {
         self.placement.max_connections(service)
     }
 
-    /// Round trip to the assigned replica, as far as is known.
+    /// Returns the estimated round trip to the assigned replica.
     pub fn round_trip_ms(&self, assignment: &Assignment) -> Ms {
         self.placement.round_trip_ms(&assignment.replica)
     }
 
-    /// A connection was opened; it took so long.
-    pub fn on_connected(&mut self, assignment: &Assignment, took: Ms, _now: Ms) {
-        self.placement.on_connected(&assignment.replica, took);
+    /// Records the time that opening a connection took.
+    pub fn on_connected(&mut self, assignment: &Assignment, elapsed: Ms, _now: Ms) {
+        self.placement.on_connected(&assignment.replica, elapsed);
     }
 
-    /// A response's head came.
+    /// Records the load signals of a response head.
     pub fn on_response_head(
         &mut self,
         assignment: &Assignment,
@@ -199,7 +208,7 @@
             .on_response_head(&assignment.service, &assignment.replica, signals, now);
     }
 
-    /// The first event or bytes of a response came.
+    /// Records the arrival of a response's first event or bytes.
     pub fn on_first_chunk(&mut self, assignment: &Assignment, now: Ms) {
         let Some(attempt) = self.open_attempts.get_mut(&assignment.attempt) else {
             return;
@@ -208,12 +217,12 @@
             return;
         };
         let tenant = mem::take(&mut attempt.tenant);
-        let took = now.saturating_sub(attempt.sent_at);
-        attempt.is_slow = took as f64 > attempt.slow_after_ms;
-        let late_ms = (took as f64 - attempt.expected_ms).max(0.0);
+        let elapsed = now.saturating_sub(attempt.sent_at);
+        attempt.is_slow = elapsed as f64 > attempt.slow_after_ms;
+        let late_ms = (elapsed as f64 - attempt.expected_ms).max(0.0);
         let assumed_cached = attempt.assumed_cached.take();
-        // Other prompts make a replica late too: it must be late by most of what the prefill of the chain takes, and
-        // beyond its recent lag.
+        // Other prompts also delay a replica. A cache miss is assumed only if the first chunk is late by most of the
+        // chain's prefill time, in addition to the replica's recent lag.
         let missed = assumed_cached.filter(|assumed| {
             late_ms - self.placement.first_chunk_lag_ms(&assignment.replica, now)
                 > prefill_ms(assumed.chain.tokens) * CACHE_MISS_LAG_FRACTION
@@ -226,12 +235,13 @@
         self.attempt_counters
             .count(assignment, |counts| counts.first_chunks += 1);
         self.attempt_counters.count(assignment, |counts| {
-            counts.first_chunk_log_sum += log_ms(took);
+            counts.first_chunk_log_sum += log_ms(elapsed);
         });
         self.count_usage(tenant, now);
     }
 
-    /// An attempt is over; reported once for each. Gives the version that this proxy begins to cap, if it does.
+    /// Records that an attempt ended; to be called once per attempt. Returns the version that this proxy starts to cap,
+    /// if any.
     pub fn on_attempt_ended(
         &mut self,
         assignment: &Assignment,
@@ -257,7 +267,7 @@
     }
 }
 
-/// The class in which an outcome is counted for its version.
+/// Returns the class in which an outcome is counted for its version.
 fn outcome_class(outcome: AttemptOutcome, is_slow: bool) -> OutcomeClass {
     match outcome {
         AttemptOutcome::Completed if is_slow => OutcomeClass::Slow,
--- a/coordination/src/proxy/context_demand.rs
+++ b/coordination/src/proxy/context_demand.rs
@@ -1,4 +1,4 @@
-//! How often popular shared context is requested here, and where it turned out not to be cached.
+//! Counts requests for shared context at this proxy, and cache misses where it was assumed to be cached.
 
 use std::collections::BTreeMap;
 
@@ -15,26 +15,26 @@
     state_table::{VersionStamp, version_stamp},
 };
 
-/// Chains of fewer tokens are prefilled sooner than a message crosses a region: they are not counted.
+/// Minimum tokens of a counted chain: the prefill of a shorter one takes less time than a cross-region message.
 const COUNTED_CHAIN_TOKENS_MIN: u32 = 1_000;
 
-/// Shared context that a replica was assumed to have cached.
+/// Shared context that was assumed to be cached at a replica.
 #[derive(Clone, Debug)]
 pub(super) struct AssumedCached {
     pub chain: PromptChain,
     blocks: Vec<u64>,
 }
 
-/// Demand of the services for which copies are kept.
+/// Demand of the services that have context copies.
 #[derive(Clone, Default)]
 pub(super) struct ContextDemands {
-    /// Versions of the context records that were read last.
+    /// Versions of the context records last read, by service.
     record_stamps: BTreeMap<String, VersionStamp>,
     by_service: BTreeMap<String, LocalDemand>,
 }
 
 impl Proxy {
-    /// Takes copies of shared context as their records have them.
+    /// Applies changed context records from the state table.
     pub(super) fn read_context_records(&mut self) {
         let stamps = &self.context_demands.record_stamps;
         let changed: Vec<(String, VersionStamp)> = self
@@ -44,7 +44,7 @@
             .filter(|(service, stamp)| stamps.get(service) != Some(stamp))
             .collect();
         for (service, stamp) in changed {
-            // The key has no value where copies are switched off.
+            // The key has no value if context copies are disabled.
             let record = self
                 .state_table
                 .read::<ContextRecord>(&format!("{CONTEXT_PREFIX}{service}"));
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Reports that are due, for the lease holders of the services.
+    /// Returns the demand reports that are due, for the lease holders of the services.
     pub fn context_demands(&mut self, now: Ms) -> Vec<DemandReport> {
         let edge_count = self.placement.edge_count();
         self.context_demands
@@ -70,8 +70,8 @@
             .collect()
     }
 
-    /// Counts a request for shared context, where copies of it may be kept. Gives the context if the candidate is assumed
-    /// to have it cached.
+    /// Counts a request for shared context if the service may have context copies. Returns the context if it is assumed
+    /// to be cached at the candidate.
     pub(super) fn count_context_request(
         &mut self,
         lane: &PathSpec,
@@ -103,7 +103,7 @@
         })
     }
 
-    /// A first chunk came so late that what was assumed to be cached was prefilled again.
+    /// Counts a cache miss: a first chunk so late that context assumed to be cached must have been prefilled again.
     pub(super) fn count_context_miss(
         &mut self,
         assignment: &Assignment,
--- a/coordination/src/proxy/groups.rs
+++ b/coordination/src/proxy/groups.rs
@@ -1,4 +1,4 @@
-//! Which groups of a service's replicas may be used, and in which order they are tried.
+//! Selects the usable replica groups of a service and the order in which they are tried.
 
 use remote_calls::{GroupRecord, GroupRole};
 use wire_messages::ProxyLease;
@@ -6,7 +6,7 @@
 use super::{Proxy, RolloutEntry};
 use crate::{Ms, edge_agent::SERVE_ALL};
 
-/// Replicas that run one version of a service.
+/// Replicas that serve one version of a service.
 #[derive(Clone, Debug)]
 pub(super) struct Group {
     pub role: GroupRole,
@@ -14,8 +14,8 @@
     pub replicas: Vec<String>,
 }
 
-/// Groups of one version as one: a baseline is told apart for counting, and a prompt that is cached there is not to be
-/// prefilled again elsewhere for it.
+/// Merges groups of the same version. A baseline is a separate group only for counting: a prompt that is cached there
+/// must not be prefilled again elsewhere because of it.
 pub(super) fn merged_by_version(groups: Vec<Group>) -> Vec<Group> {
     let mut merged: Vec<Group> = vec![];
     for group in groups {
@@ -31,7 +31,7 @@
 }
 
 impl Proxy {
-    /// Groups in the order in which they are tried: by share, within leases.
+    /// Returns the groups in the order in which they are tried: by share, as far as leases allow.
     pub(super) fn groups(&mut self, service: &str, now: Ms) -> Vec<Group> {
         let Some(rollout) = self.rollouts.get(service) else {
             return vec![];
@@ -42,8 +42,8 @@
             .get(service)
             .filter(|lease| lease.expires_at > now && self.permission.rule == SERVE_ALL);
         let canary_is_due = self.is_canary_due(service, rollout, lease);
-        // A version that is not the stable one needs a lease at all times, and gets only its share.
-        let is_barred = |version: &str| {
+        // Any version but the stable one needs a valid lease, and gets only its share.
+        let is_excluded = |version: &str| {
             version != record.stable
                 && (lease.is_none() || self.version_guard.is_capped(version, now))
         };
@@ -51,11 +51,11 @@
         let mut others = vec![];
         for group in record.groups.iter().filter(|group| group.share_percent > 0) {
             match group.role {
-                GroupRole::Canary if canary_is_due && !is_barred(&group.version) => {
+                GroupRole::Canary if canary_is_due && !is_excluded(&group.version) => {
                     canaries.push(group);
                 }
                 GroupRole::Canary => {}
-                _ if is_barred(&group.version) => {}
+                _ if is_excluded(&group.version) => {}
                 _ => others.push(group),
             }
         }
@@ -74,8 +74,8 @@
             .collect()
     }
 
-    /// Whether the canary has a share and may take the next request. Its lease must be for this very record or a later one
-    /// of the same holder.
+    /// Returns whether the canary has a share and enough credit for the next request. Its lease must be for this record
+    /// or a later one of the same holder.
     fn is_canary_due(
         &self,
         service: &str,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Moves one group to the front, drawn by the groups' shares.
+/// Draws a group at random, weighted by share, and moves it to the front.
 fn draw_first_by_share(groups: &mut Vec<&GroupRecord>, rng: &mut fastrand::Rng) {
     let total_share: u32 = groups.iter().map(|group| group.share_percent).sum();
     let mut draw = if total_share > 0 {
@@ -110,8 +110,8 @@
     }
 }
 
-/// Groups to use while nothing else is leased: the stable version goes on wherever it is loaded, except where its replicas
-/// may be stopped at any moment, which is allowed only once the version that has the share was found good.
+/// Returns the groups to use while no other version is leased: all groups of the stable version, except those whose
+/// replicas may be unloaded at any time, which is allowed only after the version that has the share passed its checks.
 fn fallback_groups<'a>(groups: &'a [GroupRecord], stable: &str) -> Vec<&'a GroupRecord> {
     let stable_groups: Vec<&GroupRecord> = groups
         .iter()
--- a/coordination/src/proxy/named_prefixes.rs
+++ b/coordination/src/proxy/named_prefixes.rs
@@ -1,17 +1,17 @@
-//! Which prefixes, by the names that callers give them, lately went to which replica.
+//! Records which prefixes, by the names that clients give them, were recently sent to which replica.
 
 use std::collections::BTreeMap;
 
 use crate::{Ms, placement::prefix_cache::PREFIX_CACHE_TTL};
 
-/// Prefixes remembered; when there are more, the older half of what may still be cached is forgotten.
+/// Maximum number of entries; above it, entries older than half the cache lifetime are dropped.
 const NAMED_PREFIXES_MAX: usize = 20_000;
 
-/// A prefix in the cache of a replica, for one version of weights.
+/// A prefix in the cache of a replica, computed with the weights of one version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CachedPrefix {
     replica: String,
-    /// The version and the prefix, apart by a space.
+    /// Version and prefix, separated by a space.
     versioned_prefix: String,
 }
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// When each prefix was last sent to each replica.
+/// Time at which each prefix was last sent to each replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NamedPrefixCache {
     last_sent_at: BTreeMap<CachedPrefix, Ms>,
 }
 
 impl NamedPrefixCache {
-    /// Records that a prompt with these prefixes is sent; says whether any of them was cached.
+    /// Records that a prompt with these prefixes is sent; returns whether any of them was cached.
     pub fn insert(&mut self, replica: &str, version: &str, prefixes: &[String], now: Ms) -> bool {
         let mut is_cached = false;
         for prefix in prefixes {
@@ -48,14 +48,14 @@
         is_cached
     }
 
-    /// Whether a prefix was lately sent to a replica, so that it should be in its cache.
+    /// Returns whether a prefix was sent to a replica so recently that it should still be cached there.
     pub fn contains(&self, replica: &str, version: &str, prefix: &str, now: Ms) -> bool {
         self.last_sent_at
             .get(&CachedPrefix::new(replica, version, prefix))
             .is_some_and(|sent_at| now.saturating_sub(*sent_at) < PREFIX_CACHE_TTL)
     }
 
-    /// The replica has restarted: its cache is empty.
+    /// Drops the prefixes of a replica that restarted, because its cache is empty.
     pub fn remove_replica(&mut self, replica: &str) {
         self.last_sent_at
             .retain(|cached, _| cached.replica != replica);
--- a/coordination/src/proxy/named_retries.rs
+++ b/coordination/src/proxy/named_retries.rs
@@ -1,16 +1,16 @@
-//! The retry budget of callers that name a service.
+//! Retry budget of requests that name a service.
 
 use super::Proxy;
 use crate::{Ms, policy::Mechanism};
 
-/// Hundredths of a retry that each first attempt earns.
+/// Hundredths of a retry earned by each first attempt.
 const EARNED_PER_FIRST_ATTEMPT: u64 = 5;
-/// Retries that are saved up at most, so that a fleet with little traffic can retry at all.
+/// Maximum number of saved retries; not 0, so that a fleet with little traffic can retry at all.
 const SAVED_RETRIES_MAX: u64 = 2;
-/// Hundredths of a retry in a whole one.
+/// Budget that one retry costs, in hundredths.
 const HUNDREDTHS_PER_RETRY: u64 = 100;
 
-/// Retries that this proxy may still make.
+/// Remaining retry budget of this proxy.
 #[derive(Clone, Debug)]
 pub(super) struct NamedRetryBudget {
     hundredths: u64,
@@ -25,7 +25,7 @@
 }
 
 impl NamedRetryBudget {
-    /// Nothing is saved up beyond the few: a quiet hour must not pay for a burst when replicas fail.
+    /// Credits a first attempt. Savings are capped: a quiet hour must not fund a burst of retries when replicas fail.
     fn earn(&mut self) {
         self.hundredths = (self.hundredths + EARNED_PER_FIRST_ATTEMPT)
             .min(SAVED_RETRIES_MAX * HUNDREDTHS_PER_RETRY);
@@ -41,8 +41,9 @@
 }
 
 impl Proxy {
-    /// Draws a retry, a small share of first attempts and a few for free, and says whether there was one.
-    /// There is none for a tier that a more urgent one presses back: what is left is for that one.
+    /// Draws a retry from the budget, which is a small share of first attempts plus a small initial credit; returns
+    /// whether one was available. A tier under pressure of a more urgent one gets none: the remaining slots are for the
+    /// more urgent tier.
     pub fn try_draw_named_retry(&mut self, rank: u32, now: Ms) -> bool {
         if !self.named_retries.has_retry()
             || !self.is_enabled(Mechanism::SecondRounds)
--- a/coordination/src/proxy/nomination.rs
+++ b/coordination/src/proxy/nomination.rs
@@ -1,4 +1,4 @@
-//! Callers that ask where to go with a request that names a service.
+//! Nominates the edge to which a client should send a request that names a service.
 
 use std::collections::BTreeSet;
 
@@ -11,18 +11,18 @@
 };
 use crate::{Ms, claims, rendezvous::rendezvous_weight};
 
-/// Requests of a rank and those before it that wait here at most while callers are still sent to wait.
+/// Queued requests of a rank or a more urgent one at which clients are no longer sent to an edge to wait for a slot.
 const QUEUED_BEFORE_NOMINATION_MAX: usize = QUEUED_REQUESTS_MAX / 4;
 
 impl Proxy {
-    /// Answers where a request should go, and mints an id for it.
+    /// Nominates an edge for a request and mints a request id.
     ///
     /// # Errors
-    /// A fault of the request, or a rejection where no replica can take it.
+    /// Returns a fault if the request is invalid, or a rejection if no replica can accept it.
     pub fn nominate(&mut self, request: &NominateRequest, now: Ms) -> Result<Nomination, Fault> {
         let spec = self.serving_spec(now)?;
         let lane = find_named_lane(&spec, &request.service, &request.lane, &request.tier)?;
-        let homes = self.open_homes(lane.service, &request.homes)?;
+        let homes = self.available_homes(lane.service, &request.homes)?;
         self.check_time_left(lane.lane, request.time_left_ms, "nominate")?;
         let named = NamedRequest {
             service: &request.service,
@@ -33,16 +33,16 @@
         let mut zone = self.zone_with_free_slot(&named, homes.clone(), now);
         if zone.is_none() {
             self.raise_tier_pressure(lane.rank, now);
-            zone = self.zone_to_wait_in(&named, &homes, now);
+            zone = self.zone_to_queue_in(&named, &homes, now);
         }
         let Some(zone) = zone else {
-            let message = "no warm replica in these homes has a place for this tier";
+            let message = "no ready replica in these home zones has a free slot for this tier";
             return Err(self.reject("full", "nominate", message));
         };
         Ok(self.nominate_edge(&zone))
     }
 
-    /// The zone of the replica that a request would get now.
+    /// Returns the zone of the replica that the request would be assigned now.
     fn zone_with_free_slot(
         &mut self,
         request: &NamedRequest,
@@ -52,7 +52,7 @@
         for zones in self.zone_preferences(homes) {
             for group in self.groups(request.service, now) {
                 let mut free = self.replicas_with_free_slots(request, &group, &zones, now);
-                // The request is carried inside its homes: a zone without an edge cannot be gone to.
+                // The request must be sent to an edge inside its home zones, so a zone without an edge cannot be used.
                 free.retain(|candidate| self.has_edge(candidate.zone()));
                 if let Some(replica) =
                     self.pick_replica(&free, request.prefixes, &group.version, now)
@@ -64,24 +64,24 @@
         None
     }
 
-    /// A zone where a request that finds no slot may wait for one: only for tiers that have others behind them, which are
-    /// pressed back meanwhile, and while few wait here.
-    fn zone_to_wait_in(
+    /// Returns a zone where a request that finds no free slot may be queued. Only for tiers that have less urgent ones,
+    /// which lose slots in the meantime, and only while few requests are queued here.
+    fn zone_to_queue_in(
         &mut self,
         request: &NamedRequest,
         homes: &BTreeSet<String>,
         now: Ms,
     ) -> Option<String> {
-        let has_tiers_behind = self
+        let has_less_urgent_tiers = self
             .spec
             .as_ref()
             .is_some_and(|spec| spec.tiers.iter().any(|tier| tier.rank > request.rank));
-        if !has_tiers_behind
+        if !has_less_urgent_tiers
             || self.queue.len_through_rank(request.rank) >= QUEUED_BEFORE_NOMINATION_MAX
         {
             return None;
         }
-        // A zone comes up as often as it has replicas.
+        // A zone is listed once per usable replica, so that the draw is weighted by replicas.
         let mut zones: Vec<String> = vec![];
         for group in self.groups(request.service, now) {
             let usable = self.usable_replicas(request, &group, homes, now);
@@ -94,7 +94,7 @@
         self.rng.choice(&zones).cloned()
     }
 
-    /// Names an edge of the zone, this one if it is there. The zone has an edge.
+    /// Nominates an edge of the zone, preferably this one. The zone must have an edge.
     fn nominate_edge(&mut self, zone: &str) -> Nomination {
         let random = self.rng.u64(..);
         let zone_edges: Vec<&Node> = self.serving_edges(zone).collect();
@@ -116,7 +116,7 @@
         nomination
     }
 
-    /// Edges of a zone that answer callers.
+    /// Returns the edges of a zone that serve clients.
     pub(super) fn serving_edges<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Node> {
         self.edges
             .iter()
--- a/coordination/src/proxy/outcomes.rs
+++ b/coordination/src/proxy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What is counted of attempts, and the cap on a version that follows from it.
+//! Counts attempts and their outcomes, and caps versions that fail.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use crate::{Ms, version_health::replica_bit};
 
 impl Proxy {
-    /// An attempt begins at its replica.
+    /// Counts an attempt that is sent to its replica.
     pub(super) fn record_sent(&mut self, assignment: &Assignment) {
         self.attempt_counters.open(assignment);
         let share_percent = self.canary_share_percent(&assignment.service);
@@ -23,7 +23,7 @@
             .count(assignment, |counts| counts.sent += 1);
     }
 
-    /// Percent of a service's requests that its canary may take; 0 where there is no canary.
+    /// Returns the percentage of a service's requests that its canary may get; 0 if there is no canary.
     fn canary_share_percent(&self, service: &str) -> u32 {
         let has_canary = self.rollouts.get(service).is_some_and(|rollout| {
             let groups = &rollout.record.groups;
@@ -37,7 +37,7 @@
             .map_or(0, |lease| lease.lease.canary_share_percent)
     }
 
-    /// An attempt is over. Gives the version that this proxy begins to cap, if it does.
+    /// Records the outcome of an attempt. Returns the version that this proxy starts to cap, if any.
     pub fn record_outcome(
         &mut self,
         assignment: &Assignment,
@@ -46,7 +46,7 @@
     ) -> Option<String> {
         self.attempt_counters.close(assignment);
         self.reported_replicas.on_attempt_ended(&assignment.replica);
-        // Attempts that came by host and path have told placement already.
+        // Placement already knows the outcome of attempts routed by host and path.
         if assignment.attempt == 0 {
             self.record_named_outcome(assignment, outcome, now);
         }
@@ -58,8 +58,8 @@
         match outcome {
             OutcomeClass::Succeeded => self.placement.on_success(&assignment.replica),
             OutcomeClass::Failed => {
-                let took = now.saturating_sub(assignment.assigned_at);
-                self.placement.suspect(&assignment.replica, took, now);
+                let elapsed = now.saturating_sub(assignment.assigned_at);
+                self.placement.suspect(&assignment.replica, elapsed, now);
             }
             OutcomeClass::Slow | OutcomeClass::ClientGone | OutcomeClass::NotRun => {}
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Caps the attempt's version if this proxy's own counts show failures; the control plane's decision follows.
+    /// Caps the attempt's version if this proxy's own counts show failures, before the control plane decides.
     fn judge_version(&mut self, assignment: &Assignment, now: Ms) -> Option<String> {
         let service = &assignment.service;
         let stable = self.rollouts.get(service)?.record.stable.clone();
@@ -111,7 +111,7 @@
             .then(|| assignment.version.clone())
     }
 
-    /// Counters of these cells, as they go on the wire.
+    /// Returns the counters of these cells in wire format.
     pub(super) fn outcome_counters<'a>(
         &self,
         keys: impl Iterator<Item = &'a CounterKey>,
@@ -120,7 +120,7 @@
         let mut reported_cells = BTreeSet::new();
         keys.filter_map(|key| Some((key, self.attempt_counters.counts(key)?)))
             .map(|(key, counts)| {
-                // Recent outcomes are kept over all groups, so they go with the first of a cell's groups only.
+                // Recent outcomes are kept across all groups, so only the first group of a cell reports them.
                 let is_first_group =
                     reported_cells.insert((&key.service, &key.version, &key.lane, key.cached));
                 let recent = if is_first_group {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Counters of one cell, as they go on the wire.
+/// Returns the counters of one cell in wire format.
 fn wire_counters(
     key: &CounterKey,
     counts: &AttemptCounts,
--- a/coordination/src/proxy/queue.rs
+++ b/coordination/src/proxy/queue.rs
@@ -1,18 +1,18 @@
-//! Requests that wait for a free slot.
+//! Queue of requests that wait for a free slot.
 
 use std::collections::VecDeque;
 
 use super::Proxy;
 use crate::Ms;
 
-/// Requests that one proxy lets wait for a slot.
+/// Maximum number of requests queued at one proxy.
 pub(super) const QUEUED_REQUESTS_MAX: usize = 64;
-/// Percent of its time left that a request may spend waiting for a slot.
+/// Percentage of its remaining time that a request may spend in the queue.
 const QUEUE_TIME_PERCENT: u64 = 20;
-/// Longest wait for a slot: a rejection that comes later does not come at once.
+/// Longest wait for a slot in ms, so that a rejection still comes promptly.
 const QUEUE_TIME_MAX: Ms = 600;
 
-/// A request that waits; its caller knows it by the token.
+/// A queued request; the token identifies it to the code that queued it.
 #[derive(Clone, Debug)]
 struct QueuedRequest {
     token: u64,
@@ -20,14 +20,14 @@
     deadline: Ms,
 }
 
-/// Requests that wait for a slot, the most urgent first and of equal ranks the oldest.
+/// Queued requests, ordered by urgency and then by age, the oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotQueue {
     requests: VecDeque<QueuedRequest>,
 }
 
 impl SlotQueue {
-    /// Requests of this rank or a more urgent one.
+    /// Returns the number of queued requests of this rank or a more urgent one.
     pub fn len_through_rank(&self, rank: u32) -> usize {
         self.requests
             .iter()
@@ -35,7 +35,7 @@
             .count()
     }
 
-    /// Adds a request; gives the token of one that no longer fits.
+    /// Adds a request; returns the token of the request dropped if the queue is full.
     fn push(&mut self, request: QueuedRequest) -> Option<u64> {
         let index = self
             .requests
@@ -53,7 +53,7 @@
         self.requests.retain(|queued| queued.token != token);
     }
 
-    /// Removes the requests whose deadline has passed and gives their tokens.
+    /// Removes the requests whose deadline has passed and returns their tokens.
     fn remove_expired(&mut self, now: Ms) -> Vec<u64> {
         let is_expired = |queued: &&QueuedRequest| queued.deadline <= now;
         let expired = self.requests.iter().filter(is_expired);
@@ -68,7 +68,7 @@
 }
 
 impl Proxy {
-    /// Lets a request wait for a slot; the least urgent of a full queue gives way. Gives tokens to reject.
+    /// Queues a request; a full queue drops its least urgent request. Returns the tokens of requests to reject.
     pub fn enqueue(&mut self, token: u64, rank: u32, time_left: Ms, now: Ms) -> Vec<u64> {
         let deadline = now + (time_left * QUEUE_TIME_PERCENT / 100).min(QUEUE_TIME_MAX);
         let request = QueuedRequest {
@@ -79,12 +79,13 @@
         self.queue.push(request).into_iter().collect()
     }
 
-    /// A request no longer waits.
+    /// Removes a request from the queue.
     pub fn dequeue(&mut self, token: u64) {
         self.queue.remove(token);
     }
 
-    /// Tokens of requests to assign again, the most urgent first, and tokens of requests whose wait is over.
+    /// Returns the tokens of requests to try to assign again, the most urgent first, and those of requests whose wait
+    /// timed out.
     pub fn poll_queue(&mut self, now: Ms) -> (Vec<u64>, Vec<u64>) {
         let expired = self.queue.remove_expired(now);
         (self.queue.tokens(), expired)
--- a/coordination/src/proxy/replica_choice.rs
+++ b/coordination/src/proxy/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which replicas may take a request that names a service, and the choice of one of them.
+//! Selects a replica for a request that names a service.
 
 use std::collections::BTreeSet;
 
@@ -7,23 +7,23 @@
 use super::{Proxy, groups::Group, reported_replicas::ReportedReplica};
 use crate::{Ms, rendezvous::rendezvous_weight};
 
-/// Percent of a replica's slots that may be taken before a prefix's first choice is passed over.
+/// Percentage of slots in use above which a prefix's preferred replica is skipped.
 const AFFINITY_LOAD_MAX_PERCENT: u32 = 75;
-/// A KV cache fuller than this takes a replica out for requests without a prefix there.
+/// KV cache fill level in percent above which a replica accepts only requests with a prefix cached there.
 const KV_CACHE_FILL_MAX_PERCENT: u32 = 95;
 
-/// What counts about a request when a replica is chosen for it.
+/// Properties of a request that the choice of a replica depends on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NamedRequest<'a> {
     pub service: &'a str,
     /// Longest first.
     pub prefixes: &'a [String],
     pub rank: u32,
-    /// Percent of each replica's slots that its tier leaves to more urgent ones.
+    /// Percentage of each replica's slots that the request's tier leaves to more urgent tiers.
     pub keep_free_percent: u32,
 }
 
-/// A replica with the number of slots that are meant: all by now, or those that are free for a request.
+/// A replica and a number of its slots: either all that it may use now, or those free for a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaSlots<'a> {
     pub replica: &'a ReportedReplica,
@@ -41,18 +41,18 @@
 }
 
 impl Proxy {
-    /// Replicas to ask for their reports: id and address.
+    /// Returns the id and address of each replica to poll for reports.
     pub fn replicas_to_poll(&self) -> Vec<(String, String)> {
         self.rollouts
             .values()
             .flat_map(|rollout| &rollout.record.replicas)
-            // What the record says of a replica's slots makes its report unnecessary.
+            // A replica whose slots are in the record needs no report.
             .filter(|replica| replica.slots == 0)
             .map(|replica| (replica.id.clone(), replica.addr.clone()))
             .collect()
     }
 
-    /// Takes a replica's report.
+    /// Stores a replica's report.
     pub fn on_report(&mut self, report: ReplicaReport, now: Ms) {
         let id = report.replica.clone();
         if self.reported_replicas.on_report(report, now) {
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Whether this proxy is one of those that may use a replica that is still warming up: as many as it has slots, in
-    /// the agreed order of the edges of its zone. Otherwise every proxy would give it a request at once.
-    fn may_warm_up(&self, replica: &ReportedReplica, version: &str, slots: u32, now: Ms) -> bool {
+    /// Returns whether this proxy may use the replica. A replica in slow start is used by at most as many proxies as it
+    /// has slots, in the agreed order of its zone's edges; otherwise all proxies would send it a request at once.
+    fn may_send_to(&self, replica: &ReportedReplica, version: &str, slots: u32, now: Ms) -> bool {
         if !replica.is_warming_up(version, now) {
             return true;
         }
@@ -75,15 +75,15 @@
         let edges_ahead = zone_edges()
             .filter(|edge| rendezvous_weight(id, &edge.name) > own_weight)
             .count() as u32;
-        // What the others have sent since the last report is not known here: each keeps to its share of what that report
-        // left free, and those ahead have the remainder.
+        // Requests that other proxies sent since the last report are unknown here: each proxy stays within its share of
+        // the slots free in that report, and the remainder goes to the proxies first in the order.
         let free = slots.saturating_sub(replica.report.busy);
         let edge_count = zone_edges().count() as u32;
         let own_share = free / edge_count + u32::from(edges_ahead < free % edge_count);
         replica.sent_since_report < own_share
     }
 
-    /// Replicas of a group that may take the request, with all their slots by now.
+    /// Returns the replicas of a group that may run the request, with all slots that they may use now.
     pub(super) fn usable_replicas(
         &self,
         request: &NamedRequest,
@@ -100,7 +100,7 @@
                 replica,
                 slots: replica.slots(&group.version, now),
             })
-            .filter(|usable| self.may_warm_up(usable.replica, &group.version, usable.slots, now))
+            .filter(|usable| self.may_send_to(usable.replica, &group.version, usable.slots, now))
             .collect()
     }
 
@@ -124,11 +124,11 @@
             && !self.draining.contains(&report.replica)
             && zones.contains(&report.zone)
             && replica.is_ready(request.service, version)
-            // A full cache has no room for another prefix; one that is there needs none.
+            // A full cache has no room for a new prefix, but requests with a cached prefix need none.
             && (report.kv_fill * 100.0 < f64::from(KV_CACHE_FILL_MAX_PERCENT) || has_prefix())
     }
 
-    /// Usable replicas that have slots free within the tier's limit, with the number of these.
+    /// Returns the usable replicas with free slots within the tier's limit, and the number of these slots.
     pub(super) fn replicas_with_free_slots(
         &self,
         request: &NamedRequest,
@@ -140,14 +140,14 @@
         let mut free: Vec<ReplicaSlots> = self.usable_replicas(request, group, zones, now);
         for usable in &mut free {
             let slots = usable.slots;
-            // A tier's own limit leaves it one slot even on a small replica; the pressure of more urgent tiers does not.
+            // A tier's own limit leaves it at least one slot even on a small replica; tier pressure may leave it none.
             let own_limit = (slots * (100 - request.keep_free_percent.min(99)) / 100).max(1);
             usable.slots = own_limit
                 .min(slots * (100 - pressure_percent) / 100)
                 .saturating_sub(usable.replica.load());
         }
         free.retain(|usable| usable.slots > 0);
-        // A replica may report that it is well and fail what it is sent: it is left alone while others have free slots.
+        // A replica may report to be healthy but fail its requests: it is skipped while others have free slots.
         let is_unsuspected = |usable: &ReplicaSlots| !self.placement.is_suspected(usable.id(), now);
         if free.iter().any(is_unsuspected) {
             free.retain(is_unsuspected);
@@ -155,7 +155,8 @@
         free
     }
 
-    /// The replica for a prompt: the first in its longest prefix's order that is not too busy, else the one with most free.
+    /// Picks the replica for a prompt: the first in its longest prefix's order that is not too busy, else the one with
+    /// the largest fraction of free slots.
     pub(super) fn pick_replica<'a>(
         &self,
         free: &[ReplicaSlots<'a>],
--- a/coordination/src/proxy/reported_replicas.rs
+++ b/coordination/src/proxy/reported_replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas by their own reports, for callers that name a service.
+//! Reports of replicas, used for requests that name a service.
 
 use std::collections::BTreeMap;
 
@@ -9,29 +9,29 @@
     timing::{REPORT_MAX_AGE, SLOW_START_DURATION},
 };
 
-/// Slots with which a cold replica starts.
-const COLD_SLOTS: u32 = 1;
-/// A replica that did not report for longer counts as cold again.
-const RESTARTED_AFTER: Ms = 5 * REPORT_MAX_AGE;
+/// Slots of a replica at the beginning of its slow start.
+const INITIAL_SLOTS: u32 = 1;
+/// Time without reports after which a replica is assumed to have restarted, so that its slow start begins again.
+const RESTART_ASSUMED_AFTER: Ms = 5 * REPORT_MAX_AGE;
 
-/// The newest report of one replica.
+/// Newest report of one replica.
 #[derive(Clone, Debug)]
 pub(super) struct ReportedReplica {
     pub report: ReplicaReport,
     received_at: Ms,
-    /// Attempts of this proxy that this report cannot know of yet.
+    /// Attempts sent by this proxy since the report, so not included in it.
     pub sent_since_report: u32,
-    /// When each version was first reported ready in this incarnation of the replica.
+    /// Time at which each version was first reported ready in this incarnation of the replica.
     ready_since: BTreeMap<String, Ms>,
 }
 
 impl ReportedReplica {
-    /// Whether the report is recent enough to rely on.
+    /// Returns whether the report is recent enough to be used.
     pub fn is_fresh(&self, now: Ms) -> bool {
         now.saturating_sub(self.received_at) <= REPORT_MAX_AGE
     }
 
-    /// Whether a service's version is ready.
+    /// Returns whether a service's version is ready.
     pub fn is_ready(&self, service: &str, version: &str) -> bool {
         self.report
             .loaded
@@ -39,24 +39,24 @@
             .any(|loaded| loaded.ready && loaded.version == version && loaded.service == service)
     }
 
-    /// Requests that run there, as far as is known.
+    /// Returns the estimated number of requests that run on the replica.
     pub fn load(&self) -> u32 {
         self.report.busy + self.sent_since_report
     }
 
-    /// Slots that a version may use now: a cold replica starts with one and gains the rest as it warms up.
+    /// Returns the slots that a version may use now: a replica starts with one and gains the others during slow start.
     pub fn slots(&self, version: &str, now: Ms) -> u32 {
         let slots = self.report.slots;
         let Some(ready_since) = self.ready_since.get(version) else {
             return 0;
         };
         let age = now.saturating_sub(*ready_since).min(SLOW_START_DURATION);
-        let ramp = u64::from(COLD_SLOTS)
-            + u64::from(slots.saturating_sub(COLD_SLOTS)) * age / SLOW_START_DURATION;
-        (ramp as u32).min(slots)
+        let available = u64::from(INITIAL_SLOTS)
+            + u64::from(slots.saturating_sub(INITIAL_SLOTS)) * age / SLOW_START_DURATION;
+        (available as u32).min(slots)
     }
 
-    /// Whether a version that is ready has not reached all its slots.
+    /// Returns whether a ready version is still in slow start.
     pub fn is_warming_up(&self, version: &str, now: Ms) -> bool {
         self.ready_since
             .get(version)
@@ -64,27 +64,27 @@
     }
 }
 
-/// The newest reports of all replicas.
+/// Newest reports of all replicas.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportedReplicas {
     by_id: BTreeMap<String, ReportedReplica>,
 }
 
 impl ReportedReplicas {
-    /// The newest report of a replica.
+    /// Returns the newest report of a replica.
     pub fn get(&self, id: &str) -> Option<&ReportedReplica> {
         self.by_id.get(id)
     }
 
-    /// Takes a report. Says whether the replica restarted since the one before, or was silent for so long that it may
-    /// have.
+    /// Stores a report. Returns whether the replica restarted since the previous report, or did not report for so long
+    /// that it may have restarted.
     pub fn on_report(&mut self, report: ReplicaReport, now: Ms) -> bool {
         let previous = self.by_id.remove(&report.replica);
         let mut has_restarted = false;
         let mut ready_since = match previous {
             Some(previous)
                 if previous.report.born == report.born
-                    && now.saturating_sub(previous.received_at) < RESTARTED_AFTER =>
+                    && now.saturating_sub(previous.received_at) < RESTART_ASSUMED_AFTER =>
             {
                 previous.ready_since
             }
@@ -113,14 +113,14 @@
         has_restarted
     }
 
-    /// An attempt goes to a replica.
+    /// Records that an attempt is sent to a replica.
     pub fn on_sent(&mut self, id: &str) {
         if let Some(replica) = self.by_id.get_mut(id) {
             replica.sent_since_report += 1;
         }
     }
 
-    /// An attempt at a replica is over.
+    /// Records that an attempt at a replica ended.
     pub fn on_attempt_ended(&mut self, id: &str) {
         if let Some(replica) = self.by_id.get_mut(id) {
             replica.sent_since_report = replica.sent_since_report.saturating_sub(1);
--- a/coordination/src/proxy/reports.rs
+++ b/coordination/src/proxy/reports.rs
@@ -1,4 +1,4 @@
-//! What this proxy reports to its agent, and what other proxies report to it.
+//! Reports to the colocated agent, and reports exchanged with other proxies.
 
 use wire_messages::{List, Name, OpenStreams, OutcomeCounters, PrefillReport, ProxyReport};
 
@@ -6,14 +6,14 @@
 use crate::Ms;
 
 impl Proxy {
-    /// Everything that is counted and open.
+    /// Returns a report of all counters and open streams.
     pub fn full_report(&self, now: Ms) -> ProxyReport {
         let counters = self.outcome_counters(self.attempt_counters.keys(), now);
         let open_streams = self.attempt_counters.open_streams().collect();
         self.report(0, counters, open_streams, now)
     }
 
-    /// What the agent does not have yet: cells are many, and most do not change.
+    /// Returns a report of the changes that the agent has not acknowledged: of many cells, most do not change.
     pub fn changed_report(&self, now: Ms) -> ProxyReport {
         let after_change = self.attempt_counters.acknowledged_change();
         if after_change == 0 {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Long prompts that were sent since this was last called, by the region of their replicas, and replicas that failed
-    /// here, for other proxies. Those of this region share its network and get the failures.
+    /// Returns reports for other proxies: long prompts sent since the last call, by the region of their replicas, and
+    /// replicas that failed here. Failures go only to proxies of this region, because they share its network.
     pub fn take_prefill_reports(&mut self, now: Ms) -> impl Iterator<Item = PrefillReport> {
         let mut prefills_by_region = self.placement.take_prefills(now);
         let failing_replicas = self.placement.take_failing(now);
@@ -75,10 +75,10 @@
             })
     }
 
-    /// What another proxy sent, and what failed it.
+    /// Applies another proxy's report of sent prompts and failed replicas.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "message handlers take ownership of the message"
     )]
     pub fn on_prefill_report(&mut self, report: PrefillReport, now: Ms) {
         for prefill in report.prefills.iter() {
--- a/coordination/src/proxy/table_updates.rs
+++ b/coordination/src/proxy/table_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the replicated state that the agent beside a proxy sends.
+//! Applies state table updates from the colocated agent.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,7 +19,7 @@
     state_table::{VersionStamp, version_stamp},
 };
 
-/// Takes a lease unless a newer one is there.
+/// Stores a lease unless a newer one is present.
 fn merge_lease(leases: &mut BTreeMap<String, ProxyLease>, lease: ProxyLease) {
     let service = lease.lease.service.to_string();
     let order = |lease: &ProxyLease| (lease.lease.epoch, lease.expires_at);
@@ -32,7 +32,7 @@
 }
 
 impl Proxy {
-    /// Takes the serving rule, the nodes, leases and changed values.
+    /// Applies the serving rule, nodes, leases and changes of an update.
     pub fn on_table_update(&mut self, update: TableUpdate, now: Ms) {
         self.permission.rule = update.serving_rule;
         self.permission.valid_until = update.valid_until;
@@ -59,7 +59,7 @@
 
     fn set_placement_edges(&mut self, now: Ms) {
         let serving = || self.edges.iter().filter(|edge| !edge.http_addr.is_empty());
-        // An edge goes by its agent's name: a proxy knows its own by the address at which it answers callers.
+        // Edges are named after their agents, so the proxy identifies its own by the address where it serves clients.
         let own_name = serving()
             .find(|edge| edge.http_addr == self.http_addr)
             .map_or(&self.name, |edge| &edge.name);
@@ -84,7 +84,7 @@
             .collect();
     }
 
-    /// Reads the spec once per change of its own: documents are long and records change often.
+    /// Parses the spec only if it changed: specs are long, and other records change often.
     fn read_spec(&mut self) {
         let Some(change) = self
             .state_table
@@ -99,13 +99,13 @@
         }
         let mut spec = (self.parse_spec)(&change.value.0);
         self.spec_stamp = stamp;
-        // Tenants bring lanes by the ten thousand: the index alone has them.
+        // Tenants may add tens of thousands of lanes, so only the index holds them.
         let lanes = spec
             .as_mut()
             .map_or(vec![], |spec| mem::take(&mut spec.paths));
         self.placement.home_bound = HomeBoundDemand::new(&lanes);
         self.lanes = LaneIndex::new(lanes);
-        // The index alone has the tenants, and no key in plain text.
+        // Only the index holds the tenants, and it has no access key in plain text.
         let access = spec.as_mut().and_then(|spec| spec.access.take());
         self.tenants = access.map(|access| TenantIndex::new(&access.tenants));
         for service in spec.iter().flat_map(|spec| &spec.services) {
--- a/coordination/src/proxy/tenants.rs
+++ b/coordination/src/proxy/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: whose request it is, by the key that it bears, and what that changes of its lane.
+//! Identifies the tenant of a request by its access key, and applies the tenant's settings to the lane.
 
 use std::{
     collections::HashMap,
@@ -14,16 +14,16 @@
     exchange::{RequestHead, Sender},
 };
 
-/// A request that may be sent to replicas.
+/// A request that may be assigned to a replica.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
-    /// Its lane, with what its tenant changes of it.
+    /// Lane of the request, with the tenant's rank and home regions applied.
     pub lane: Arc<PathSpec>,
-    /// Whose request it is.
+    /// Who sent the request.
     pub sender: Sender,
 }
 
-/// A tenant, without its keys.
+/// A tenant, without its access keys.
 #[derive(Clone, Debug)]
 struct Tenant {
     name: Arc<str>,
@@ -34,7 +34,8 @@
 /// Keyed digest of an access key.
 type KeyDigest = u128;
 
-/// Tenants by digests of their keys, which are keyed anew for each index: the time of a look-up tells nothing of a key.
+/// Tenants by digests of their access keys. Each index uses new random hash keys, so that the time of a look-up reveals
+/// nothing about an access key.
 #[derive(Clone, Debug, Default)]
 pub struct TenantIndex {
     hashers: [RandomState; 2],
@@ -75,7 +76,7 @@
     }
 }
 
-/// Home regions that satisfy both a lane and a tenant; none at all where no region does. An empty list allows all.
+/// Returns the home regions that both a lane and a tenant allow; `None` if there are none. An empty list allows all.
 fn common_homes(lane: &[String], tenant: &[String]) -> Option<Vec<String>> {
     if lane.is_empty() || tenant.is_empty() {
         return Some([lane, tenant].concat());
@@ -88,8 +89,8 @@
     (!common.is_empty()).then_some(common)
 }
 
-/// A lane as it is for a tenant's requests; none where no region may serve them.
-fn lane_of_tenant(lane: Arc<PathSpec>, tenant: &Tenant) -> Option<Arc<PathSpec>> {
+/// Applies a tenant's rank and home regions to a lane; returns `None` if no region may serve the tenant's requests.
+fn lane_for_tenant(lane: Arc<PathSpec>, tenant: &Tenant) -> Option<Arc<PathSpec>> {
     let rank = tenant.rank.unwrap_or(lane.rank);
     if rank == lane.rank && tenant.home_regions.is_empty() {
         return Some(lane);
@@ -103,11 +104,11 @@
 }
 
 impl Proxy {
-    /// Finds a request's lane and whose request it is.
+    /// Determines the lane and the sender of a request.
     ///
     /// # Errors
-    /// A rejection if this edge may not serve, or a fault if no lane has this host and path, if the request bears no key
-    /// of a tenant where one is asked for, or if no region may serve it.
+    /// Returns a rejection if this edge may not serve or no region may serve the request, or a fault if no lane matches
+    /// the host and path, or if the lane requires a tenant's access key and the request has none.
     pub fn admit(&mut self, head: &RequestHead, now: Ms) -> Result<AdmittedRequest, Fault> {
         let lane = self.find_lane(&head.host, &head.path, now)?;
         let Some(tenants) = &self.tenants else {
@@ -119,22 +120,22 @@
             return admit_anonymous(lane);
         };
         let sender = Sender::Tenant(tenant.name.clone());
-        match lane_of_tenant(lane, tenant) {
+        match lane_for_tenant(lane, tenant) {
             Some(lane) => Ok(AdmittedRequest { lane, sender }),
             None => {
-                let message = "no region is a home of both its lane and its tenant";
+                let message = "the lane and the tenant have no home region in common";
                 Err(self.reject("no_home", "find_tenant", message))
             }
         }
     }
 }
 
-/// A request without a tenant's key runs only on a lane that asks for none.
+/// Admits a request without a tenant's access key if the lane is open.
 fn admit_anonymous(lane: Arc<PathSpec>) -> Result<AdmittedRequest, Fault> {
     if lane.open {
         let sender = Sender::Anonymous;
         return Ok(AdmittedRequest { lane, sender });
     }
-    let message = "it bears no key of a tenant";
+    let message = "the request has no valid access key";
     Err(Fault::new("unauthorized", "find_tenant", message).outcome(Outcome::NotRun))
 }
--- a/coordination/src/proxy/tier_pressure.rs
+++ b/coordination/src/proxy/tier_pressure.rs
@@ -1,18 +1,18 @@
-//! Pressure of tiers: when a request finds no free slot, the tiers behind it lose some of theirs for a while.
+//! Tier pressure: when a request finds no free slot, less urgent tiers lose some of their slots for a while.
 
 use std::collections::BTreeMap;
 
 use super::Proxy;
 use crate::{Ms, policy::Mechanism};
 
-/// Percent of a replica's slots that tiers behind lose each time a request ahead of them finds none.
+/// Percentage of a replica's slots that less urgent tiers lose each time a request finds no free slot.
 const PRESSURE_STEP_PERCENT: u32 = 5;
-/// Percent that they lose at most: all of them.
+/// Maximum percentage of slots lost: all of them.
 const PRESSURE_MAX_PERCENT: u32 = 100;
-/// Percent that they get back a second.
+/// Percentage points of slots regained per second.
 const PRESSURE_DECAY_PERCENT_PER_SECOND: u64 = 20;
 
-/// Percent of each replica's slots kept from the tiers behind one, as of when it was last raised.
+/// Percentage of each replica's slots withheld from less urgent tiers at the time of the last raise.
 #[derive(Clone, Copy, Debug)]
 struct RaisedPressure {
     percent: u32,
@@ -27,14 +27,14 @@
     }
 }
 
-/// The pressure that each rank exerts on those behind it.
+/// Pressure of each rank on less urgent ranks.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TierPressure {
     by_rank: BTreeMap<u32, RaisedPressure>,
 }
 
 impl TierPressure {
-    /// Percent of each replica's slots that a rank must leave to more urgent ones.
+    /// Returns the percentage of each replica's slots that a rank must leave to more urgent ones.
     fn percent(&self, rank: u32, now: Ms) -> u32 {
         self.by_rank
             .range(..rank)
@@ -53,7 +53,8 @@
 }
 
 impl Proxy {
-    /// Percent of each replica's slots that a rank must leave to more urgent ones; 0 where that is switched off.
+    /// Returns the percentage of each replica's slots that a rank must leave to more urgent ones; 0 if tier pressure is
+    /// disabled.
     pub(super) fn tier_pressure_percent(&self, rank: u32, now: Ms) -> u32 {
         if self.is_enabled(Mechanism::TierPressure) {
             self.tier_pressure.percent(rank, now)
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A request of this rank found no free slot: the tiers behind it get fewer.
+    /// Raises the pressure on less urgent tiers after a request of this rank found no free slot.
     pub(super) fn raise_tier_pressure(&mut self, rank: u32, now: Ms) {
         let percent = self.tier_pressure_percent(rank + 1, now) + PRESSURE_STEP_PERCENT;
         self.tier_pressure
--- a/coordination/src/proxy/usage.rs
+++ b/coordination/src/proxy/usage.rs
@@ -1,4 +1,4 @@
-//! Usage that this proxy counts: requests that began to run, by tenant and window of the time of day.
+//! Usage counted by this proxy: requests that started to run, by tenant and wall-clock window.
 
 use std::ops::RangeInclusive;
 
@@ -11,36 +11,36 @@
     usage::{MAX_COUNTS_PER_MESSAGE, kept_windows, window_at},
 };
 
-/// The cell in which a request is counted.
+/// Key of the counter in which a request is counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct UsageCell {
     window: u64,
     tenant: Name,
 }
 
-/// Usage that the agent is to be sent.
+/// Usage to be reported to the agent.
 pub(super) struct UnreportedUsage {
     pub usage: List<TenantUsage>,
-    /// The change up to which this is all, where it is not all that changed.
+    /// Last change that `usage` covers, if it does not cover all changes.
     pub through_change: Option<u64>,
 }
 
-/// Cumulative usage of this incarnation in the windows that are kept.
+/// Cumulative usage of this incarnation in the retained windows.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageCounters {
     counts: NumberedCounts<UsageCell>,
-    /// The oldest window that is kept.
+    /// Oldest retained window.
     oldest_window: u64,
 }
 
 impl UsageCounters {
-    /// Counts a request under the number of the change.
+    /// Counts a request; `change` is the number of this change.
     pub fn count(&mut self, cell: UsageCell, change: u64) {
         let count = self.counts.get(&cell) + 1;
         self.counts.raise(cell, count, change);
     }
 
-    /// What changed after a change.
+    /// Returns the usage that changed after a change, up to the size limit of a message.
     pub fn changed_after(&self, change: u64) -> UnreportedUsage {
         let changed = self.counts.changed_after(change, MAX_COUNTS_PER_MESSAGE);
         let usage = changed.counts.into_iter().map(|(cell, count)| TenantUsage {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Drops all other windows, if these are not the same as before.
+    /// Drops all other windows if the retained windows changed.
     fn keep_windows(&mut self, windows: &RangeInclusive<u64>) {
         if *windows.start() != self.oldest_window {
             self.oldest_window = *windows.start();
@@ -64,7 +64,7 @@
 }
 
 impl Proxy {
-    /// Observes the time of day, in ms since 1970; to be called at least once a second, and before anything is served.
+    /// Updates the wall clock, in ms since 1970; must be called at least once a second, and before anything is served.
     pub fn observe_wall_clock(&mut self, now: Ms, wall_ms: u64) {
         self.wall_clock.observe(now, wall_ms);
         if let Some(windows) = self.kept_usage_windows(now) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The oldest window whose usage is kept; 0 where usage is not counted.
+    /// Returns the oldest window whose usage is retained; 0 if usage is not counted.
     pub(super) fn oldest_usage_window(&self, now: Ms) -> u64 {
         self.kept_usage_windows(now)
             .map_or(0, |windows| *windows.start())
@@ -82,7 +82,7 @@
         kept_windows(&self.placement.bounds, self.wall_clock.wall_ms(now)?)
     }
 
-    /// Counts a request of a tenant that began to run. Names that no message could carry are not counted: a spec has
+    /// Counts a tenant's request that started to run. Names that do not fit into a message are not counted; a spec has
     /// none.
     pub(super) fn count_usage(&mut self, tenant: Name, now: Ms) {
         if tenant.is_empty() || tenant.len() > MAX_NAME {
--- a/coordination/src/proxy/version_guard.rs
+++ b/coordination/src/proxy/version_guard.rs
@@ -1,5 +1,4 @@
-//! This proxy's own verdict on versions: it caps one as soon as its own counts show failures, before the control plane
-//! does.
+//! Caps versions as soon as this proxy's own counts show failures, before the control plane reacts.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +9,7 @@
     version_health::{Verdict, VersionHealth},
 };
 
-/// A version that was capped stays so until it has shown no failures for this long.
+/// Time without failures after which a version is no longer capped.
 const CAP_DURATION: Ms = 15_000;
 
 /// Recent outcomes of one version, lane and cache state.
@@ -21,31 +20,32 @@
     pub slow: u64,
 }
 
-/// Health of versions by this proxy's own counts, and versions that are capped.
+/// Health of versions according to this proxy's own counts, and the versions that it caps.
 #[derive(Default)]
 pub(super) struct VersionGuard {
     health_by_service: BTreeMap<String, VersionHealth>,
     capped_until: BTreeMap<String, Ms>,
 }
 
-/// What a version is judged by.
+/// A version to judge, and what the verdict depends on.
 pub(super) struct JudgedVersion<'a> {
     pub service: &'a str,
     pub version: &'a str,
     pub stable: &'a str,
-    /// The platform places versions: few replicas have the new one, and one that crashes is no version's fault.
+    /// Whether the platform places versions: few replicas run the new one, and a crash of one is not attributed to the
+    /// version.
     pub is_placed: bool,
 }
 
 impl VersionGuard {
-    /// Whether a version gets nothing because its failures showed here.
+    /// Returns whether a version gets no requests because it failed here.
     pub fn is_capped(&self, version: &str, now: Ms) -> bool {
         self.capped_until
             .get(version)
             .is_some_and(|until| *until > now)
     }
 
-    /// Recent outcomes of a cell, over all groups.
+    /// Returns the recent outcomes of a cell across all groups.
     pub fn recent(
         &self,
         service: &str,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in counters of a service that changed.
+    /// Adds changed counters of a service to its version health.
     pub fn add_counters(
         &mut self,
         service: &str,
@@ -78,7 +78,7 @@
             .health_by_service
             .entry(service.into())
             .or_insert_with(|| {
-                // This proxy has counted everything itself: nothing came before.
+                // An empty first report sets the base to zero, so that all of this proxy's own counts are added.
                 let mut health = VersionHealth::default();
                 health.add_counters(source, incarnation, &[]);
                 health
@@ -87,7 +87,7 @@
         health.tick(now);
     }
 
-    /// Judges a version and caps it if it fails. Says whether it was not capped before.
+    /// Judges a version and caps it if it fails. Returns whether it was not capped before.
     pub fn judge(&mut self, judged: &JudgedVersion, now: Ms) -> bool {
         let Some(health) = self.health_by_service.get(judged.service) else {
             return false;
