--- a/coordination/src/proxy/replica_choice.rs
+++ b/coordination/src/proxy/replica_choice.rs
@@ -62,13 +62,7 @@
 
     /// Returns whether this proxy may use the replica. A replica in slow start is used by at most as many proxies as it
     /// has slots, in the agreed order of its zone's edges; otherwise all proxies would send it a request at once.
-    fn may_use_in_slow_start(
-        &self,
-        replica: &ReportedReplica,
-        version: &str,
-        slots: u32,
-        now: Ms,
-    ) -> bool {
+    fn may_send_to(&self, replica: &ReportedReplica, version: &str, slots: u32, now: Ms) -> bool {
         if !replica.is_warming_up(version, now) {
             return true;
         }
@@ -106,9 +100,7 @@
                 replica,
                 slots: replica.slots(&group.version, now),
             })
-            .filter(|usable| {
-                self.may_use_in_slow_start(usable.replica, &group.version, usable.slots, now)
-            })
+            .filter(|usable| self.may_send_to(usable.replica, &group.version, usable.slots, now))
             .collect()
     }
 
