--- a/control-daemon/src/platform_adapter.rs
+++ b/control-daemon/src/platform_adapter.rs
@@ -8,7 +8,7 @@
 use coordination::{
     placement::TokenBucket,
     platform_call::{CallOutcome, PlatformCall},
-    state_table::{SpecParser, parse_own_spec},
+    state_table::{SpecParser, parse_native_spec},
 };
 use daemon_parts::{
     clock,
@@ -122,7 +122,7 @@
 impl Default for PlatformAdapter {
     fn default() -> Self {
         PlatformAdapter {
-            spec_parser: parse_own_spec,
+            spec_parser: parse_native_spec,
             configure_routes: |_| (),
             replica_source: ReplicaSource::Polled,
             role_calls: None,
--- a/control-daemon/tests/stored_data.rs
+++ b/control-daemon/tests/stored_data.rs
@@ -12,7 +12,7 @@
     Row,
     bounds::Bounds,
     control::{Control, ControlConfig},
-    state_table::parse_own_spec,
+    state_table::parse_native_spec,
 };
 use googletest::prelude::*;
 use remote_calls::{RolloutPhase, RolloutRecord};
@@ -137,7 +137,7 @@
             "127.101.86.6:40027".into(),
         ],
         regions: Default::default(),
-        spec_parser: parse_own_spec,
+        spec_parser: parse_native_spec,
         bootstrap: false,
         bounds: Bounds::default(),
     };
--- a/coordination/examples/embed.rs
+++ b/coordination/examples/embed.rs
@@ -59,7 +59,7 @@
         members: vec!["one".into()],
         seeds: vec![],
         regions: Default::default(),
-        spec_parser: coordination::state_table::parse_own_spec,
+        spec_parser: coordination::state_table::parse_native_spec,
         bootstrap: false,
         bounds: Default::default(),
     };
--- a/coordination/src/control/fleet_contact.rs
+++ b/coordination/src/control/fleet_contact.rs
@@ -61,7 +61,7 @@
 
     /// Returns whether this daemon is in contact. A daemon that has just resumed is not, even before its first tick.
     pub(super) fn is_in_contact(&self, now: Ms) -> bool {
-        self.suspension.ticked_lately(now) && self.fleet_contact.is_established(now)
+        self.suspension.ticked_recently(now) && self.fleet_contact.is_established(now)
     }
 
     /// Introduces this daemon to edges that have not polled it, because gossip takes long to spread a new daemon
--- a/coordination/src/event_stream.rs
+++ b/coordination/src/event_stream.rs
@@ -56,7 +56,7 @@
     }
 
     /// The run was cut; another will follow. Drops the torn event.
-    pub fn on_cut(&mut self) {
+    pub fn on_interrupted(&mut self) {
         self.incomplete.clear();
         self.is_resumed = true;
     }
--- a/coordination/src/event_stream/tests.rs
+++ b/coordination/src/event_stream/tests.rs
@@ -53,7 +53,7 @@
         let cut = rng.usize(0..all.len());
         let mut out = feed(&mut stream, &all.as_bytes()[..cut], &mut rng);
         expect_true!(stream.is_resumable());
-        stream.on_cut();
+        stream.on_interrupted();
         // A run that honours the id, or one that begins a little earlier.
         let last: u64 = stream.last_event_id().map_or(0, |id| id.parse().unwrap());
         let from = if rng.bool() { last + 1 } else { last.max(1) };
--- a/coordination/src/exchange.rs
+++ b/coordination/src/exchange.rs
@@ -69,7 +69,7 @@
     /// The response came to its end.
     Completed,
     /// The response's time ran out while it came.
-    Slow,
+    BodyTimedOut,
     /// It may have run: a reset, a garbled response, an early end, the replica's own failure.
     Failed,
     /// No connection: nothing was sent.
--- a/coordination/src/proxy.rs
+++ b/coordination/src/proxy.rs
@@ -48,7 +48,7 @@
     placement::{Placement, RetryBudget},
     policy::{Mechanism, Policy},
     rendezvous::rendezvous_weight,
-    state_table::{SpecParser, StateTable, VersionStamp, parse_own_spec},
+    state_table::{SpecParser, StateTable, VersionStamp, parse_native_spec},
     wall_clock::WallClock,
 };
 use attempt_counters::AttemptCounters;
@@ -143,7 +143,7 @@
             },
             leases: BTreeMap::new(),
             edges: Vec::new(),
-            parse_spec: parse_own_spec,
+            parse_spec: parse_native_spec,
             spec_stamp: (0, 0),
             spec: None,
             lanes: LaneIndex::default(),
--- a/coordination/src/proxy/by_path.rs
+++ b/coordination/src/proxy/by_path.rs
@@ -272,7 +272,7 @@
     match outcome {
         AttemptOutcome::Completed if is_slow => OutcomeClass::Slow,
         AttemptOutcome::Completed => OutcomeClass::Succeeded,
-        AttemptOutcome::Slow => OutcomeClass::Slow,
+        AttemptOutcome::BodyTimedOut => OutcomeClass::Slow,
         AttemptOutcome::Failed | AttemptOutcome::ResponseTimedOut => OutcomeClass::Failed,
         AttemptOutcome::ConnectRefused
         | AttemptOutcome::ConnectTimedOut
--- a/coordination/src/register.rs
+++ b/coordination/src/register.rs
@@ -34,7 +34,7 @@
     Effects, Ms, Row,
     effect::send,
     rendezvous::rendezvous_weight,
-    state_table::{SpecParser, parse_own_spec},
+    state_table::{SpecParser, parse_native_spec},
 };
 use epochs::{EPOCHS_KEY, EpochGenerator};
 use keys::rendezvous_key;
@@ -111,7 +111,7 @@
             next_ownership_check: 0,
             displaced: Vec::new(),
             newly_committed: Vec::new(),
-            spec_parser: parse_own_spec,
+            spec_parser: parse_native_spec,
             releases: ReleaseCache::default(),
         };
         for row in rows {
--- a/coordination/src/shutdown.rs
+++ b/coordination/src/shutdown.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether the process was asked to stop.
-    pub fn is_begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.schedule.is_some()
     }
 
--- a/coordination/src/state_table.rs
+++ b/coordination/src/state_table.rs
@@ -17,7 +17,7 @@
 pub type SpecParser = fn(&[u8]) -> Option<Spec>;
 
 /// The parser of the product's own documents.
-pub fn parse_own_spec(document: &[u8]) -> Option<Spec> {
+pub fn parse_native_spec(document: &[u8]) -> Option<Spec> {
     serde_json::from_slice(document).ok()
 }
 
--- a/coordination/src/suspension.rs
+++ b/coordination/src/suspension.rs
@@ -38,13 +38,13 @@
     }
 
     /// Whether the process runs: it ticked lately.
-    pub(crate) fn ticked_lately(&self, now: Ms) -> bool {
+    pub(crate) fn ticked_recently(&self, now: Ms) -> bool {
         now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD
     }
 
     /// Whether the process was suspended until just now.
     pub(crate) fn was_suspended(&mut self, now: Ms) -> bool {
-        if !self.ticked_lately(now) {
+        if !self.ticked_recently(now) {
             // A short run may leave messages in the sockets.
             if self.last_tick >= self.suspended_until {
                 self.suspended_since = self.last_tick;
--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -186,7 +186,7 @@
             seeds: seeds(),
             bootstrap,
             regions: regions(),
-            spec_parser: coordination::state_table::parse_own_spec,
+            spec_parser: coordination::state_table::parse_native_spec,
             bounds: Default::default(),
         };
         self.controls.insert(
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -233,7 +233,7 @@
             seeds: seeds.iter().map(|seed| addr(*seed)).collect(),
             bootstrap,
             regions: regions.clone(),
-            spec_parser: coordination::state_table::parse_own_spec,
+            spec_parser: coordination::state_table::parse_native_spec,
             bounds: self.bounds.clone(),
         };
         let disk_id = self.random_disk_id();
--- a/coordination/tests/joiners.rs
+++ b/coordination/tests/joiners.rs
@@ -31,7 +31,7 @@
         members: vec![],
         seeds: vec![],
         regions: Default::default(),
-        spec_parser: coordination::state_table::parse_own_spec,
+        spec_parser: coordination::state_table::parse_native_spec,
         bootstrap: false,
         bounds: Default::default(),
     }
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -59,7 +59,7 @@
             seeds: vec!["c".into()],
             bootstrap: true,
             regions,
-            spec_parser: coordination::state_table::parse_own_spec,
+            spec_parser: coordination::state_table::parse_native_spec,
             bounds: Default::default(),
         };
         let mut topology = Topology {
--- a/coordination/tests/shutdown.rs
+++ b/coordination/tests/shutdown.rs
@@ -21,7 +21,7 @@
     expect_that!(
         (
             idle.phase(STOPPED_AT),
-            idle.is_begun(),
+            idle.has_begun(),
             idle.is_done(Ms::MAX)
         ),
         eq((Phase::Serving, false, false))
--- a/coordination/tests/support/lone_control.rs
+++ b/coordination/tests/support/lone_control.rs
@@ -16,7 +16,7 @@
         members: vec![NAME.into()],
         seeds: vec![],
         regions: Default::default(),
-        spec_parser: coordination::state_table::parse_own_spec,
+        spec_parser: coordination::state_table::parse_native_spec,
         bootstrap: false,
         bounds: Default::default(),
     }
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -92,7 +92,7 @@
         started = exchange.start() => started,
         () = listener.shutdown.grace_over() => Err(abandoned()),
     };
-    let closes_connection = listener.shutdown.is_begun();
+    let closes_connection = listener.shutdown.has_begun();
     match started {
         Ok(started) => response::forward(exchange, started, open_request, closes_connection),
         Err(rejection) => listener.rejection_response(RejectedRequest {
@@ -112,7 +112,7 @@
 
     /// Whether this edge serves, for those who list it.
     fn readiness_response(&self) -> HttpResponse {
-        let is_ready = !self.shutdown.is_begun() && lock(&self.proxy).is_ready(clock::now());
+        let is_ready = !self.shutdown.has_begun() && lock(&self.proxy).is_ready(clock::now());
         if is_ready {
             HttpResponse::Ok().finish()
         } else {
@@ -205,7 +205,7 @@
     fn rejected(&self, rejection: Rejection) -> RejectedRequest {
         RejectedRequest {
             rejection,
-            closes_connection: self.shutdown.is_begun(),
+            closes_connection: self.shutdown.has_begun(),
         }
     }
 
--- a/edge-proxy/src/main.rs
+++ b/edge-proxy/src/main.rs
@@ -11,7 +11,7 @@
         &required,
     );
     if let Err(error) =
-        edge_proxy::run(params, None, coordination::state_table::parse_own_spec).await
+        edge_proxy::run(params, None, coordination::state_table::parse_native_spec).await
     {
         eprintln!("{error:?}");
         std::process::exit(EXIT_FAILED);
--- a/edge-proxy/src/response.rs
+++ b/edge-proxy/src/response.rs
@@ -169,7 +169,7 @@
                 biased;
                 frame = self.body.frame() => frame,
                 () = &mut self.deadline => {
-                    self.attempt.end(AttemptOutcome::Slow);
+                    self.attempt.end(AttemptOutcome::BodyTimedOut);
                     return Some(Err(self.abort("its time ran out").await));
                 }
             };
@@ -252,7 +252,7 @@
         let Some(events) = self.events.as_mut().filter(|events| events.is_resumable()) else {
             return Err(reason.to_string());
         };
-        events.on_cut();
+        events.on_interrupted();
         let mut response = self
             .exchange
             .resume(&replica, events.last_event_id())
--- a/edge-proxy/src/run_call.rs
+++ b/edge-proxy/src/run_call.rs
@@ -78,7 +78,7 @@
     };
     let (sender, lines) = mpsc::channel(LINES);
     actix_rt::spawn(forward(actor, request.run_request, started, sender));
-    Ok(line_response(lines, open_request, gate.is_begun()))
+    Ok(line_response(lines, open_request, gate.has_begun()))
 }
 
 /// The response that streams the lines. The request is open until its caller has the last one.
--- a/edge-proxy/src/shutdown.rs
+++ b/edge-proxy/src/shutdown.rs
@@ -35,8 +35,8 @@
     }
 
     /// Whether the proxy was asked to stop.
-    pub fn is_begun(&self) -> bool {
-        self.state().is_begun()
+    pub fn has_begun(&self) -> bool {
+        self.state().has_begun()
     }
 
     /// Requests whose response has not ended.
--- a/fleet-simulator/src/world.rs
+++ b/fleet-simulator/src/world.rs
@@ -545,7 +545,7 @@
                 members: if founding { vec![] } else { members.clone() },
                 seeds: vec!["c1".into(), "c2".into(), "c3".into()],
                 regions: w.d.regions.clone(),
-                spec_parser: coordination::state_table::parse_own_spec,
+                spec_parser: coordination::state_table::parse_native_spec,
                 bootstrap: founding,
                 bounds: Default::default(),
             };
