--- a/control-daemon/src/actor/platform_calls.rs
+++ b/control-daemon/src/actor/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Makes calls to the platform under the leases of singleton roles, and hands their outcomes back.
+//! Makes calls to the platform under the leases of singleton roles, and returns their outcomes to the state machine.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,7 +13,7 @@
 use super::ControlActor;
 use crate::platform_adapter::{CallRateLimiter, RoleCallRequest, RoleCalls};
 
-/// How calls under leases are made, and this daemon's part of their rate.
+/// Makes calls under leases, within this daemon's share of their rate limit.
 pub(super) struct RoleCaller {
     role_calls: Option<RoleCalls>,
     rate_limiter: Rc<CallRateLimiter>,
@@ -32,7 +32,7 @@
     pub(super) fn send_platform_call(&mut self, leased: LeasedCall, ctx: &mut Context<Self>) {
         let id = leased.id;
         let role_calls = self.role_caller.role_calls;
-        let Some(role_calls) = role_calls.filter(|calls| calls.takes(&leased.call)) else {
+        let Some(role_calls) = role_calls.filter(|calls| calls.accepts(&leased.call)) else {
             self.finish_platform_call(id, CallOutcome::Failed, ctx);
             return;
         };
@@ -62,7 +62,7 @@
     }
 }
 
-/// A call that waits for its turn.
+/// A call that waits for the rate limiter.
 struct PendingCall {
     role_calls: RoleCalls,
     rate_limiter: Rc<CallRateLimiter>,
@@ -74,7 +74,7 @@
 
 impl PendingCall {
     async fn make(self) -> CallOutcome {
-        let outcome = self.send_in_turn().await;
+        let outcome = self.send_rate_limited().await;
         if !matches!(outcome, CallOutcome::Accepted) {
             let text = format!("epoch {}: {outcome:?}", self.leased.epoch);
             event(events::PLATFORM_CALL_FAILED, &self.platform_addr, &text);
@@ -82,13 +82,13 @@
         outcome
     }
 
-    async fn send_in_turn(&self) -> CallOutcome {
+    async fn send_rate_limited(&self) -> CallOutcome {
         let lease_until = self.leased.until;
-        let turn = self.rate_limiter.acquire();
-        let has_turn = tokio::time::timeout(time_left(lease_until), turn).await;
-        // The process may have been suspended between the decision and here.
+        let permit = self.rate_limiter.acquire();
+        let acquired = tokio::time::timeout(time_left(lease_until), permit).await;
+        // The process may have been suspended since the decision.
         let time_limit = time_left(lease_until).min(CALL_LIMIT);
-        if has_turn.is_err() || time_limit.is_zero() {
+        if acquired.is_err() || time_limit.is_zero() {
             event(
                 events::LEASE_EXPIRED,
                 &self.holder,
@@ -107,7 +107,7 @@
     }
 }
 
-/// What is left of a lease that ends at `lease_until`.
+/// Returns the time until a lease expires at `lease_until`.
 fn time_left(lease_until: Ms) -> Duration {
     Duration::from_millis(lease_until.saturating_sub(clock::now()))
 }
--- a/control-daemon/src/platform_adapter.rs
+++ b/control-daemon/src/platform_adapter.rs
@@ -1,5 +1,5 @@
-//! What a platform puts over the control daemon: its own calls, its own spelling of the operator's document, and its
-//! own list of replicas. The daemon without one speaks the product's own interface only.
+//! Adapts the control daemon to a platform: its calls, its format of the operator's spec, and its list of replicas.
+//! Without an adapter the daemon supports the product's own interface only.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -17,7 +17,7 @@
 use futures_util::future::LocalBoxFuture;
 use remote_calls::{Fault, PlatformList};
 
-/// Asks for the complete list of replicas at an address, each of its calls within the rate limit.
+/// Requests the complete list of replicas from an address, with every call within the rate limit.
 pub type ListCall =
     fn(Client, String, Rc<CallRateLimiter>) -> LocalBoxFuture<'static, Result<PlatformList, Fault>>;
 
@@ -30,9 +30,9 @@
     pub holder: String,
     /// The fencing token.
     pub epoch: u64,
-    /// What is asked.
+    /// The call to make.
     pub call: PlatformCall,
-    /// The whole call ends within this: it ends before the lease does.
+    /// Time limit of the whole call, which ends before the lease expires.
     pub time_limit: Duration,
 }
 
@@ -42,43 +42,43 @@
 /// Calls that one daemon at a time makes to the platform, under the lease of a singleton role.
 #[derive(Clone, Copy, Debug)]
 pub struct RoleCalls {
-    /// How such a call is made.
+    /// Makes such a call.
     pub call: RoleCallFunction,
-    /// Whether the platform takes usage reports.
-    pub takes_usage_reports: bool,
-    /// Whether the platform takes replica counts.
-    pub takes_replica_counts: bool,
-    /// Calls a second that the platform takes from all daemons together.
+    /// Whether the platform accepts usage reports.
+    pub accepts_usage_reports: bool,
+    /// Whether the platform accepts replica counts.
+    pub accepts_replica_counts: bool,
+    /// Calls per second that the platform accepts from all daemons together.
     pub rate_limit: f64,
 }
 
 impl RoleCalls {
-    /// Whether the platform takes this call at all.
-    pub fn takes(&self, call: &PlatformCall) -> bool {
+    /// Returns whether the platform accepts this kind of call.
+    pub fn accepts(&self, call: &PlatformCall) -> bool {
         match call {
-            PlatformCall::ReportUsage(_) => self.takes_usage_reports,
-            PlatformCall::SetReplicaCount(_) => self.takes_replica_counts,
+            PlatformCall::ReportUsage(_) => self.accepts_usage_reports,
+            PlatformCall::SetReplicaCount(_) => self.accepts_replica_counts,
         }
     }
 }
 
-/// This daemon's part of the calls that the platform allows all daemons together.
+/// Limits calls to this daemon's share of the rate that the platform allows all daemons together.
 pub struct CallRateLimiter(RefCell<TokenBucket>);
 
 impl Default for CallRateLimiter {
     fn default() -> Self {
-        // Nothing is saved up: a call more at once would count against what the others may.
+        // No burst allowance: extra calls at once would use up the shares of other daemons.
         CallRateLimiter(RefCell::new(TokenBucket::new(0.0, 1.0, clock::now())))
     }
 }
 
 impl CallRateLimiter {
-    /// Calls a second from now on.
+    /// Sets the rate, in calls per second.
     pub fn set_rate(&self, rate: f64) {
         self.0.borrow_mut().set_rate(rate, clock::now());
     }
 
-    /// Waits until one more call may be made.
+    /// Waits until the rate limit permits another call.
     pub async fn acquire(&self) {
         while !self.0.borrow_mut().try_draw(clock::now()) {
             tokio::time::sleep(PACE_LOOK).await;
@@ -89,33 +89,33 @@
 /// Where the list of replicas comes from.
 #[derive(Clone, Copy, Debug)]
 pub enum ReplicaSource {
-    /// The platform takes the product's own calls, replicas answer reports and take orders.
+    /// The platform supports the product's own calls; replicas answer report requests and accept orders.
     Polled,
-    /// The list is complete, and replicas take no orders.
+    /// The platform returns a complete list, and replicas accept no orders.
     Listed {
-        /// How the list is asked for.
+        /// Requests the list.
         call: ListCall,
-        /// How often.
+        /// Interval between requests.
         interval: Duration,
-        /// How often while the list does not change.
+        /// Interval between requests while the list does not change.
         stable_interval: Duration,
-        /// Calls a second that the platform takes from all daemons together.
+        /// Calls per second that the platform accepts from all daemons together.
         rate_limit: f64,
     },
 }
 
-/// A platform's own part of the control daemon.
+/// The platform-specific parts of the control daemon.
 #[derive(Clone, Copy)]
 pub struct PlatformAdapter {
-    /// Reads the operator's document.
+    /// Parses the operator's spec.
     pub spec_parser: SpecParser,
     /// Adds routes beside the product's own.
     pub configure_routes: fn(&mut web::ServiceConfig),
     /// Where the list of replicas comes from.
     pub replica_source: ReplicaSource,
-    /// Calls under the leases of singleton roles; none where the platform takes none.
+    /// Calls under the leases of singleton roles; none if the platform accepts none.
     pub role_calls: Option<RoleCalls>,
-    /// Largest body of a call, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
 }
 
