--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -1,4 +1,4 @@
-//! The one owner of a control daemon's state machine: it works through its mailbox and carries effects out.
+//! Actor that owns a control daemon's state machine, processes its mailbox and executes its effects.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -36,10 +36,10 @@
     platform_adapter::{ReplicaSource, RoleCalls},
 };
 
-/// The one owner of a control daemon's state machine.
+/// Owns a control daemon's state machine.
 pub struct ControlActor {
     config: ControlConfig,
-    /// None while the disk fails: nothing is said, accepted or confirmed then.
+    /// None while the disk fails: then the daemon sends nothing and accepts and confirms no writes.
     control: Option<Control>,
     lifecycle: Lifecycle,
     disk: Disk,
@@ -49,7 +49,7 @@
     platform_addr: String,
     polling: ReplicaPolling,
     role_caller: RoleCaller,
-    /// Callers that wait for a write or a read, by its token.
+    /// Callers waiting for a write or a read, by token.
     pending_calls: HashMap<u64, oneshot::Sender<WriteOutcome>>,
     is_stopping: bool,
 }
@@ -60,24 +60,24 @@
 pub struct WriteKey {
     /// The key.
     pub key: String,
-    /// What the write is compared with.
+    /// The precondition of the write.
     pub expect: Expect,
-    /// The new value, as it is stored.
+    /// The new value, encoded as stored.
     pub value: Vec<u8>,
 }
 
-/// Asks for the newest version of a key that any majority has accepted.
+/// Requests the newest version of a key that any majority has accepted.
 #[derive(Message)]
 #[rtype(result = "WriteOutcome")]
 pub struct ReadNewest(pub String);
 
-/// The process will stop: leases and keys go to others first.
+/// Announces that the process will stop, so that leases and keys are handed over first.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct BeginShutdown;
 
 impl ControlActor {
-    /// An actor that opens the disk when it starts.
+    /// Creates an actor that opens the disk when it starts.
     pub fn new(
         config: ControlConfig,
         platform_addr: String,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Starts a call at the state machine and awaits its outcome.
+    /// Starts a call on the state machine and awaits its outcome.
     fn call(
         &mut self,
         start: impl FnOnce(&mut Control) -> (u64, Effects),
@@ -203,19 +203,19 @@
         let notice = log_event(
             events::STOPPING,
             &self.config.name,
-            "duties are handed over",
+            "handing over roles and keys",
         );
         self.execute(vec![notice], ctx);
         self.tick(ctx);
     }
 }
 
-/// Why the state machine could not be asked.
+/// Returns the fault for calls that arrive while the disk fails.
 pub fn disk_failed_fault() -> Fault {
     Fault::new(
         "disk_failed",
         "look",
-        "this daemon's disk does not take writes",
+        "this daemon's disk does not accept writes",
     )
     .retry(DISK_AGAIN)
 }
--- a/control-daemon/src/actor/effects.rs
+++ b/control-daemon/src/actor/effects.rs
@@ -1,4 +1,4 @@
-//! Carries effects of the state machine out.
+//! Executes the effects of the state machine.
 
 use actix::prelude::*;
 use coordination::{Effect, Effects, Row, WriteOutcome};
@@ -43,19 +43,19 @@
 
     fn finish_call(&mut self, token: u64, outcome: WriteOutcome) {
         if let Some(caller) = self.pending_calls.remove(&token) {
-            // The caller may have gone.
+            // The caller may have stopped waiting.
             let _ = caller.send(outcome);
         }
     }
 
-    /// Syncs rows, and carries out what waited for them.
+    /// Syncs rows, then executes the effects that depend on them.
     fn persist(&mut self, rows: Vec<Row>, then: Effects, ctx: &mut Context<Self>) {
         let sync = self.lifecycle.begin_sync(clock::now());
         let synced = self.disk.sync(rows).into_actor(self);
         ctx.spawn(synced.map(move |result, actor, ctx| {
             let is_current = actor.lifecycle.end_sync(sync);
             match result {
-                // What an earlier state machine waited for is not this one's to say.
+                // Effects of an earlier state machine are dropped.
                 Ok(()) if is_current => actor.execute(then, ctx),
                 Ok(()) => {}
                 Err(report) => actor.on_disk_failed(&format!("{report:?}")),
--- a/control-daemon/src/actor/lifecycle.rs
+++ b/control-daemon/src/actor/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The state machine's life: it begins with what the disk holds when it is opened, and ends when a sync fails.
+//! Lifecycle of the state machine: created from the rows on disk when the disk is opened, dropped when a sync fails.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,23 @@
 use super::ControlActor;
 use crate::disk::DiskState;
 
-/// A sync that was handed to the disk.
+/// Identifies a sync that was queued on the disk.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SyncId {
     number: u64,
-    /// The state machine that asked for it.
+    /// The generation of the state machine that requested it.
     generation: u64,
 }
 
-/// Openings of the disk, and syncs that have not ended.
+/// Tracks attempts to open the disk, and syncs in flight.
 #[derive(Debug, Default)]
 pub(super) struct Lifecycle {
-    /// Counts state machines: each opening of the disk begins another.
+    /// Number of state machines so far: each successful opening of the disk creates a new one.
     generation: u64,
     is_opening: bool,
     next_open_at: Ms,
     last_sync: u64,
-    /// When each sync that has not ended began, by its number.
+    /// Start times of the syncs in flight, by number.
     pending_syncs: BTreeMap<u64, Ms>,
 }
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Whether the state machine that asked for the sync is the current one.
+    /// Ends a sync; returns whether the state machine that requested it is the current one.
     pub(super) fn end_sync(&mut self, sync: SyncId) -> bool {
         self.pending_syncs.remove(&sync.number);
         sync.generation == self.generation
     }
 
-    /// Tells the state machine whether the disk hangs: such a disk says nothing; others must not wait for it, and take
-    /// over what is owned here.
+    /// Marks the disk unhealthy while a sync exceeds its time-out. A disk that hangs reports no error; other daemons must
+    /// not wait for it, but acquire the keys that this daemon owns.
     pub(super) fn check_syncs(&self, control: &mut Control, name: &str, now: Ms) {
         let oldest = self.pending_syncs.values().next();
         let is_healthy = oldest.is_none_or(|began| now.saturating_sub(*began) <= DISK_SYNC_TIMEOUT);
@@ -55,9 +55,9 @@
         }
         control.disk_healthy = is_healthy;
         if is_healthy {
-            event(events::DISK_RECOVERED, name, "it syncs again");
+            event(events::DISK_RECOVERED, name, "syncs complete again");
         } else {
-            event(events::DISK_FAILED, name, "a sync takes too long");
+            event(events::DISK_FAILED, name, "a sync exceeded its time-out");
         }
     }
 
@@ -67,14 +67,15 @@
 }
 
 impl ControlActor {
-    /// What the disk holds is no longer known: this state machine ends, and another begins when it can be read.
+    /// Drops the state machine, as the content of the disk is no longer known. A new one starts once the disk can be
+    /// read.
     pub(super) fn on_disk_failed(&mut self, cause: &str) {
         if self.control.take().is_some() {
             self.log_disk_failure(cause);
         }
-        // Writes in flight may be on other disks.
+        // Writes in flight may be stored on other disks.
         for (_, caller) in self.pending_calls.drain() {
-            // The caller may have gone.
+            // The caller may have stopped waiting.
             let _ = caller.send(WriteOutcome::Unknown);
         }
         self.lifecycle.retry_later(clock::now());
@@ -88,7 +89,7 @@
         );
     }
 
-    /// Opens the disk, unless it is being opened or failed just now.
+    /// Opens the disk, unless it is being opened or failed only just now.
     pub(super) fn reopen(&mut self, ctx: &mut Context<Self>) {
         if self.lifecycle.is_opening || clock::now() < self.lifecycle.next_open_at {
             return;
@@ -98,7 +99,7 @@
         ctx.spawn(opened.map(|result, actor, _| {
             actor.lifecycle.is_opening = false;
             match result {
-                Ok(state) => actor.begin(state),
+                Ok(state) => actor.start_control(state),
                 Err(report) => {
                     actor.log_disk_failure(&format!("{report:?}"));
                     actor.lifecycle.retry_later(clock::now());
@@ -107,7 +108,7 @@
         }));
     }
 
-    fn begin(&mut self, state: DiskState) {
+    fn start_control(&mut self, state: DiskState) {
         let name = &self.config.name;
         if state.is_blank {
             event(events::DISK_BLANK, name, "");
--- a/control-daemon/src/actor/orders.rs
+++ b/control-daemon/src/actor/orders.rs
@@ -11,19 +11,19 @@
 
 use super::ControlActor;
 
-/// An order, and the lease under which it is given.
+/// An order, and the lease under which it is sent.
 pub(super) struct LeasedOrder {
     pub(super) service: String,
-    /// Orders under a lower epoch are rejected by whoever takes them.
+    /// The fencing token: receivers reject orders with a lower epoch.
     pub(super) epoch: u64,
-    /// This daemon's time at which the lease ends.
+    /// Expiry of the lease, by this daemon's clock.
     pub(super) lease_until: Ms,
     pub(super) order: Order,
 }
 
 impl ControlActor {
     pub(super) fn send_order(&mut self, leased: LeasedOrder, ctx: &mut Context<Self>) {
-        // The process may have been suspended between the decision and here.
+        // The process may have been suspended since the decision.
         if clock::now() >= leased.lease_until {
             event(
                 events::LEASE_EXPIRED,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Makes the call that an order stands for.
+/// Makes the call that carries out an order.
 async fn call_order(
     client: &Client,
     platform_addr: &str,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Posts a body; the answer has to be well-formed and is not needed.
+/// Posts a body; the answer must be well-formed, but is discarded.
 async fn post<Body: Serialize, Answer: DeserializeOwned>(
     client: &Client,
     addr: &str,
--- a/control-daemon/src/actor/polling.rs
+++ b/control-daemon/src/actor/polling.rs
@@ -1,4 +1,4 @@
-//! Asks the platform for its replicas, and the replicas for reports, while a lease of a rollout is held here.
+//! Polls the platform for its replicas, and the replicas for reports, while this daemon holds the lease of a rollout.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,11 +10,11 @@
 use super::ControlActor;
 use crate::platform_adapter::{CallRateLimiter, ListCall, ReplicaSource};
 
-/// When replicas are asked for next.
+/// Schedules the polling of replicas.
 pub(super) struct ReplicaPolling {
     source: ReplicaSource,
     next_poll_at: Ms,
-    /// A list call is in flight: one that takes long must not put a later one's answer back.
+    /// A list call is in flight. Only one at a time, so that a slow answer cannot overwrite a newer one.
     is_list_in_flight: bool,
     rate_limiter: Rc<CallRateLimiter>,
 }
@@ -46,7 +46,7 @@
                 stable_interval,
                 rate_limit,
             } => {
-                // Calls are priced, and most of the time the list stays as it is.
+                // Calls cost money, and the list rarely changes.
                 let interval = if control.is_list_stable(now) {
                     stable_interval
                 } else {
@@ -83,14 +83,14 @@
             };
             ctx.spawn(reported.into_actor(self).map(move |result, actor, _| {
                 if let (Ok(report), Some(control)) = (result, &mut actor.control) {
-                    // Stamped with the time of the request: an answer that took long is old.
+                    // Stamped with the time of the request: a slow answer is outdated.
                     control.on_report(report, now);
                 }
             }));
         }
     }
 
-    /// Asks for the complete list; a request that fails changes nothing.
+    /// Requests the complete list; a failed request leaves the current list in place.
     fn request_list(
         &mut self,
         call: ListCall,
--- a/control-daemon/src/disk.rs
+++ b/control-daemon/src/disk.rs
@@ -1,5 +1,5 @@
-//! The disk: one thread owns the database and works through a queue of commands. Commands that wait together are
-//! synced together.
+//! Durable storage: one thread owns the database and processes a queue of commands. Writes that are queued together
+//! are synced together.
 
 use std::{path::PathBuf, sync::mpsc, thread};
 
@@ -21,28 +21,28 @@
 
 type DiskResult<T> = Result<T, Report<DiskError>>;
 
-/// What the database holds when it is opened.
+/// The content of the database when it is opened.
 #[derive(Debug)]
 pub struct DiskState {
-    /// The disk's own number, drawn when it was first opened.
+    /// The id of the disk, drawn at random when it was first opened.
     pub disk_id: u64,
-    /// Whether it was never opened before.
+    /// Whether the disk was never opened before.
     pub is_blank: bool,
     /// All rows.
     pub rows: Vec<Row>,
 }
 
-/// Hands commands to the disk's thread.
+/// Queues commands for the disk's thread.
 #[derive(Clone)]
 pub struct Disk(mpsc::SyncSender<Command>);
 
 impl Disk {
-    /// Starts the thread. `max_bytes`: what the database may grow to; 0: as far as there is room.
+    /// Starts the thread. `max_bytes` is the size limit of the database; 0: no limit.
     pub fn start(folder: PathBuf, max_bytes: u64) -> Self {
         Self::start_on(Storage::default(), folder, max_bytes)
     }
 
-    /// The same on a storage of the caller's.
+    /// Starts the thread on the given storage.
     pub fn start_on(storage: Storage, folder: PathBuf, max_bytes: u64) -> Self {
         let (commands, receiver) = mpsc::sync_channel(DISK_BUFFER);
         thread::spawn(move || Worker::new(storage, folder, max_bytes).run(&receiver));
@@ -52,15 +52,15 @@
     /// Writes rows and syncs them.
     ///
     /// # Errors
-    /// If the queue is full, or any step of the write failed: the database is closed then.
+    /// If the queue is full, or any step of the write fails, which also closes the database.
     pub fn sync(&self, rows: Vec<Row>) -> impl Future<Output = DiskResult<()>> + use<> {
         self.request(|reply| Command::Sync(rows, reply))
     }
 
-    /// Opens the database, anew if it was open, and reads everything.
+    /// Opens the database, or reopens it if it was open, and reads all rows.
     ///
     /// # Errors
-    /// If the queue is full, or any step of the opening failed.
+    /// If the queue is full, or any step of the opening fails.
     pub fn open(&self) -> impl Future<Output = DiskResult<DiskState>> + use<> {
         self.request(Command::Open)
     }
@@ -70,8 +70,8 @@
         command: C,
     ) -> impl Future<Output = DiskResult<T>> + use<T, C> {
         let (sender, reply) = oneshot::channel();
-        // Handed over here and not when first awaited: a newer row of a key must not go before an older one.
-        // A full queue is a disk that does not keep up: the same as one that fails.
+        // Queued here and not when first awaited: a newer row of a key must not be written before an older one.
+        // A full queue means that the disk does not keep up; it is handled like a failed disk.
         let is_queued = self.0.try_send(command(sender)).is_ok();
         async move {
             if !is_queued {
--- a/control-daemon/src/disk/opening.rs
+++ b/control-daemon/src/disk/opening.rs
@@ -1,4 +1,4 @@
-//! Opening the database: each step either leaves it as later steps need it, or names what failed.
+//! Opens the database in steps, each with an error of its own.
 
 use std::path::Path;
 
@@ -7,15 +7,16 @@
 
 use super::{DiskError, DiskResult, DiskState, Storage, rows::read_rows};
 
-/// The file under the data folder.
+/// The database file in the data folder.
 pub(super) const FILE: &str = "control.sqlite";
-/// Version of the database's layout. Layout 1 was written without a number and is the same; a newer one is not
-/// touched, as a daemon that guesses could lose what it confirmed.
+/// Version of the database's layout. Layout 1 was written without a version number and is otherwise the same. A newer
+/// layout is rejected untouched, as a daemon that misreads it could lose confirmed writes.
 pub(super) const LAYOUT: i64 = 5;
-/// The first layout whose replaced values are stored with their releases. What a former one holds of them says too
-/// little.
-const LAYOUT_OF_RELEASES: i64 = 5;
-/// The files beside the database, in the order in which they outrank it: what they hold is taken over into it.
+/// The first layout that stores replaced values with their releases. Older layouts lack the release, so their replaced
+/// values are discarded.
+const FIRST_LAYOUT_WITH_RELEASES: i64 = 5;
+/// Suffixes of the journal files beside the database, in order of precedence: SQLite applies their content to the
+/// database.
 const COMPANION_SUFFIXES: [&str; 2] = ["-journal", "-wal"];
 
 const SETUP: &str = "PRAGMA synchronous=FULL;
@@ -26,7 +27,7 @@
     CREATE TABLE IF NOT EXISTS slots (key TEXT PRIMARY KEY, promised INTEGER NOT NULL, epoch INTEGER NOT NULL,
         version INTEGER NOT NULL, committed INTEGER NOT NULL, value BLOB NOT NULL, past BLOB NOT NULL DEFAULT x'') WITHOUT ROWID;";
 
-/// A column that former layouts lack.
+/// A column that older layouts lack.
 struct AddedColumn {
     table: &'static str,
     column: &'static str,
@@ -46,7 +47,7 @@
     },
 ];
 
-/// A database that was opened, and what it holds.
+/// An open database and its content.
 pub(super) struct OpenDatabase {
     pub(super) connection: Connection,
     pub(super) state: DiskState,
@@ -67,7 +68,7 @@
     let stored_id = read_disk_id(&connection)?;
     let disk_id = stored_id.unwrap_or_else(|| fastrand::u64(1..i64::MAX as u64));
     write_disk_id(&connection, disk_id)?;
-    // The log is made anew at each opening: its name must last as long as what is written to it.
+    // The log file is recreated at each opening: its directory entry must be as durable as its content.
     (storage.sync_folder)(folder).change_context(DiskError::SyncFolder)?;
     let rows = read_rows(&connection).change_context(DiskError::ReadRows)?;
     Ok(OpenDatabase {
@@ -80,9 +81,9 @@
     })
 }
 
-/// After a sync that failed, files read as if it had not: the machine holds those bytes for written and no later sync
-/// sees to them. What is read here is sent to others, so it must be on the disk. Companions first: a torn database
-/// is repaired from them.
+/// Rewrites and syncs the files. After a failed sync, reads still return the unsynced bytes: the operating system takes
+/// them for written, and no later sync writes them. Other daemons receive what is read here, so it must be on the disk.
+/// The journal files come first, as a torn database is repaired from them.
 fn rewrite_files(storage: Storage, folder: &Path) -> DiskResult<()> {
     for suffix in COMPANION_SUFFIXES.into_iter().chain([""]) {
         (storage.rewrite_file)(&folder.join(format!("{FILE}{suffix}")))
@@ -98,8 +99,8 @@
         None => Connection::open_with_flags(file, flags),
     };
     let connection = opened.change_context(DiskError::OpenDatabase)?;
-    // Before anything is read and before the journal mode is set: the log's index then stays in this process and is no
-    // shared memory, also where the log is there already.
+    // Set before the first read and before the journal mode: the index of the log is then kept in this process's heap
+    // instead of shared memory, even if a log already exists.
     connection
         .execute_batch("PRAGMA locking_mode=EXCLUSIVE")
         .change_context(DiskError::LockDatabase)?;
@@ -119,9 +120,9 @@
     Ok(found)
 }
 
-/// Has the database keep a write-ahead log. SQLite answers with the mode before it has written it, so the statement is run to
-/// its end: with a fault behind its answer the database would go on with a journal whose removal nobody syncs, and which
-/// may come back after a loss of power and undo what was confirmed.
+/// Switches the database to a write-ahead log. SQLite returns the mode before it has written it, so the statement is
+/// run to completion. If an error after that row were missed, the database would continue with a rollback journal whose
+/// removal is not synced, and which could reappear after a power loss and undo confirmed writes.
 fn set_journal_mode(connection: &Connection) -> DiskResult<()> {
     let answers = || -> rusqlite::Result<Vec<String>> {
         connection
@@ -131,13 +132,13 @@
     };
     let modes = answers().change_context(DiskError::SetJournalMode)?;
     if modes != ["wal"] {
-        let answer = format!("its journal mode would be {modes:?}");
+        let answer = format!("SQLite returned journal mode {modes:?}");
         return Err(Report::new(DiskError::NoWriteAheadLog).attach(answer));
     }
     Ok(())
 }
 
-/// Adds what former layouts lack; each part may be there already where an earlier opening ended midway.
+/// Migrates older layouts. Each column may already exist if an earlier opening was interrupted.
 fn migrate_layout(connection: &Connection, found_layout: i64) -> DiskResult<()> {
     for AddedColumn {
         table,
@@ -156,7 +157,7 @@
                 .change_context(DiskError::MigrateLayout)?;
         }
     }
-    if found_layout < LAYOUT_OF_RELEASES {
+    if found_layout < FIRST_LAYOUT_WITH_RELEASES {
         connection
             .execute_batch("UPDATE slots SET past = x''")
             .change_context(DiskError::MigrateLayout)?;
@@ -189,7 +190,7 @@
         .change_context(DiskError::LimitSize)
 }
 
-/// The disk's own number; none on a blank disk.
+/// Returns the disk id; none on a blank disk.
 fn read_disk_id(connection: &Connection) -> DiskResult<Option<u64>> {
     connection
         .query_row("SELECT id FROM disk", [], |row| row.get(0))
@@ -197,7 +198,7 @@
         .change_context(DiskError::ReadDiskId)
 }
 
-/// Written at every opening: a disk that takes no writes is found out here.
+/// Writes the disk id at every opening, so that a disk that accepts no writes is detected here.
 fn write_disk_id(connection: &Connection, disk_id: u64) -> DiskResult<()> {
     let statement = format!("BEGIN; DELETE FROM disk; INSERT INTO disk VALUES ({disk_id}); COMMIT");
     connection
--- a/control-daemon/src/disk/rows.rs
+++ b/control-daemon/src/disk/rows.rs
@@ -1,22 +1,22 @@
-//! Rows as they are stored.
+//! Reads and writes rows in their stored encoding.
 
 use coordination::{Row, voter_placement};
 use rusqlite::{Connection, OptionalExtension, Transaction, params};
 use wire_messages::{Blob, List, ReplacedValue, Slot, Voter};
 
-/// Bytes of a replaced value, as stored: its release and its digest.
+/// Stored size of a replaced value in bytes: its release and its digest.
 const REPLACED_BYTES: usize = 24;
-/// Bytes of a replaced value's release.
+/// Stored size of a replaced value's release in bytes.
 const RELEASE_BYTES: usize = 8;
 
-/// The part that a disk takes in its member epoch, as stored.
+/// The voting state of a disk in its member epoch, as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VotingState {
-    /// It has not caught up, or is no voter.
+    /// It has not caught up, or is not a voter.
     NotVoting,
     /// It votes.
     Voting,
-    /// It voted until this member epoch, which gave its place away.
+    /// It voted until this member epoch, in which another voter replaced it.
     Left,
 }
 
@@ -86,7 +86,7 @@
         .optional()
 }
 
-/// Replaced values as they are stored, one behind the other.
+/// Decodes replaced values, which are stored back to back.
 fn decode_replaced(bytes: &[u8]) -> List<ReplacedValue> {
     let (values, _) = bytes.as_chunks::<REPLACED_BYTES>();
     let decode = |bytes: &[u8; REPLACED_BYTES]| {
--- a/control-daemon/src/disk/storage.rs
+++ b/control-daemon/src/disk/storage.rs
@@ -1,20 +1,20 @@
-//! What the data folder lies on: the machine's file system, or a stand-in for it.
+//! File operations on the data folder: those of the file system, or a stand-in.
 
 use std::{ffi::CStr, fs, io, os::unix::fs::FileExt, path::Path};
 
-/// Bytes that are rewritten at a time.
+/// Size of the buffer that files are rewritten with, in bytes.
 const REWRITE_BYTES: usize = 1 << 16;
 
-/// What the data folder lies on: the machine's file system, or a stand-in for it.
+/// File operations on the data folder: those of the file system, or a stand-in.
 #[derive(Clone, Copy)]
 pub struct Storage {
-    /// SQLite's way to files; none: its own.
+    /// Name of the SQLite VFS; none: SQLite's default.
     pub vfs: Option<&'static CStr>,
-    /// Creates a folder whose name is durable.
+    /// Creates a folder and makes its directory entry durable.
     pub create_folder: fn(&Path) -> io::Result<()>,
-    /// Makes the names in a folder durable.
+    /// Makes the directory entries in a folder durable.
     pub sync_folder: fn(&Path) -> io::Result<()>,
-    /// Writes what a file reads as once more, if it is there, and syncs it.
+    /// Rewrites a file with the bytes that it reads as, and syncs it; does nothing if it does not exist.
     pub rewrite_file: fn(&Path) -> io::Result<()>,
 }
 
@@ -35,7 +35,7 @@
         .take_while(|ancestor| !ancestor.as_os_str().is_empty() && !ancestor.exists())
         .collect();
     fs::create_dir_all(folder)?;
-    // A new folder's name is kept by the one above it.
+    // The directory entry of a new folder is stored in its parent.
     missing
         .iter()
         .filter_map(|created| created.parent())
--- a/control-daemon/src/disk/worker.rs
+++ b/control-daemon/src/disk/worker.rs
@@ -1,4 +1,4 @@
-//! The disk's thread: it batches syncs that wait together, and closes the database after one that failed.
+//! The disk's thread: batches queued syncs, and closes the database after a failed one.
 
 use std::{path::PathBuf, sync::mpsc};
 
@@ -13,7 +13,7 @@
     rows::write_rows,
 };
 
-/// Where a command's outcome goes.
+/// Receives the outcome of a command.
 type Reply<T> = oneshot::Sender<DiskResult<T>>;
 
 pub(super) enum Command {
@@ -21,7 +21,7 @@
     Open(Reply<DiskState>),
 }
 
-/// Syncs that waited together.
+/// Syncs that were queued together and are written in one transaction.
 #[derive(Default)]
 struct Batch {
     rows: Vec<Row>,
@@ -32,7 +32,7 @@
     storage: Storage,
     folder: PathBuf,
     max_bytes: u64,
-    /// None before it is opened and after a failure.
+    /// None before the database is opened and after a failure.
     connection: Option<Connection>,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Works until all senders are gone.
+    /// Processes commands until all senders are dropped.
     pub(super) fn run(mut self, commands: &mpsc::Receiver<Command>) {
         while let Ok(first) = commands.recv() {
             let mut batch = Batch::default();
@@ -68,14 +68,14 @@
     }
 
     fn open(&mut self, reply: Reply<DiskState>) {
-        // Closed first: the folder is this process's alone, once.
+        // Closed first: the exclusive lock on the database permits only one connection, even in this process.
         self.connection = None;
         let opened = open(self.storage, &self.folder, self.max_bytes);
         let state = opened.map(|OpenDatabase { connection, state }| {
             self.connection = Some(connection);
             state
         });
-        // The caller may have gone.
+        // The caller may have stopped waiting.
         let _ = reply.send(state);
     }
 
@@ -84,17 +84,17 @@
             Some(connection) => {
                 write_rows(connection, &batch.rows).map_err(|error| format!("{error:?}"))
             }
-            None => Err("not open".into()),
+            None => Err("the database is not open".into()),
         };
         if synced.is_err() {
-            // What a failed sync left behind is not known: nothing more is written before a fresh read.
+            // After a failed sync the state on disk is unknown: nothing is written until the database is read again.
             self.connection = None;
         }
         for reply in batch.replies {
             let outcome = synced
                 .clone()
                 .map_err(|cause| Report::new(DiskError::Sync).attach(cause));
-            // The caller may have gone.
+            // The caller may have stopped waiting.
             let _ = reply.send(outcome);
         }
     }
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! Operators' and the platform's calls.
+//! HTTP handlers for calls of operators and the platform.
 
 use actix_web::{HttpResponse, web};
 use coordination::control::{DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY, ZONE_PREFIX};
@@ -21,10 +21,10 @@
 pub use control_access::{ControlHandle, read_newest, with_control, write_value};
 pub use spec_lookup::{SpecLookup, has_service, look_up_in_spec};
 
-use control_access::overload;
+use control_access::overload_fault;
 use spec_lookup::{has_zone, not_in_spec, require};
 
-/// What a handler answers.
+/// The result of an HTTP handler.
 pub type HandlerResult = Result<HttpResponse, Answer>;
 
 /// Writes a key as JSON and answers with its version.
@@ -53,7 +53,7 @@
         (change.map_or(0, |change| change.version), control.spec())
     })
     .await?;
-    // Copied here and not in the state machine's turn.
+    // Cloned here and not in the actor, which would block the state machine.
     let spec = spec.map(|spec| Spec::clone(&spec));
     Ok(HttpResponse::Ok().json(SpecState { version, spec }))
 }
@@ -75,7 +75,7 @@
         Err(fault.field(format!("plan.{field}")).into())
     };
     if plan.service != service {
-        return invalid("service", "is not the service in the path");
+        return invalid("service", "differs from the service in the path");
     }
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     if plan.target.is_empty()
@@ -115,7 +115,7 @@
         return Err(Fault::new(
             "bad_request",
             "check_request",
-            "is not the zone in the path",
+            "differs from the zone in the path",
         )
         .field("zone")
         .into());
@@ -138,7 +138,7 @@
     let replica = id.to_string();
     let is_known = with_control(handle, move |control, _| control.knows_replica(&replica)).await?;
     if !is_known {
-        // One that is cut off may only not have heard of it.
+        // A daemon without a quorum may merely not have received the replica: it returns an error instead.
         read_newest(handle, SPEC_KEY).await?;
         return Err(not_in_spec("replica", id));
     }
@@ -156,7 +156,7 @@
         .field("id")
         .into());
     }
-    handle.send(BeginShutdown).await.map_err(overload)?;
+    handle.send(BeginShutdown).await.map_err(overload_fault)?;
     Ok(HttpResponse::Ok().json(Accepted { version: 0 }))
 }
 
@@ -198,7 +198,7 @@
     Ok(HttpResponse::Ok().json(counters))
 }
 
-/// The product's own routes.
+/// Registers the product's own routes.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .app_data(json_config())
--- a/control-daemon/src/http/control_access.rs
+++ b/control-daemon/src/http/control_access.rs
@@ -1,4 +1,4 @@
-//! Access of HTTP handlers to the state machine: reads in its own turn, writes that await a majority.
+//! Access of HTTP handlers to the state machine: reads on the actor, and writes that wait for a majority.
 
 use actix::Addr;
 use actix_web::web;
@@ -12,17 +12,17 @@
 
 use crate::actor::{ControlActor, ReadNewest, WriteKey, disk_failed_fault};
 
-/// The actor that owns the state machine, as handlers get it.
+/// The address of the actor that owns the state machine, as handlers receive it.
 pub type ControlHandle = web::Data<Addr<ControlActor>>;
 
-/// The answer where the actor's mailbox is full.
-pub(super) fn overload<E>(_: E) -> Answer {
-    Fault::new("overload", "ask_owner", "the daemon's buffer is full")
+/// Returns the answer for a full mailbox of the actor.
+pub(super) fn overload_fault<E>(_: E) -> Answer {
+    Fault::new("overload", "ask_owner", "the daemon's mailbox is full")
         .retry(1_000)
         .into()
 }
 
-/// Runs a function on the state machine in its own turn.
+/// Runs a function on the state machine, between two messages of its actor.
 ///
 /// # Errors
 /// If the daemon is overloaded or its disk fails.
@@ -33,14 +33,14 @@
     handle
         .send(Look(Box::new(access)))
         .await
-        .map_err(overload)?
+        .map_err(overload_fault)?
         .map_err(|()| disk_failed_fault().into())
 }
 
-/// Has a value synced on a majority; gives its version.
+/// Writes a value that a majority syncs; returns its version.
 ///
 /// # Errors
-/// If another write came first, no majority confirmed it, or the daemon takes no writes.
+/// If another write came first, no majority confirmed it, or the daemon accepts no writes.
 pub async fn write_value(
     handle: &ControlHandle,
     key: &str,
@@ -52,22 +52,22 @@
         expect,
         value,
     };
-    let outcome = handle.send(write).await.map_err(overload)?;
+    let outcome = handle.send(write).await.map_err(overload_fault)?;
     committed_version(key, outcome)
 }
 
-/// The newest value of a key that any majority has accepted; none if there never was one.
+/// Returns the newest value of a key that any majority has accepted; none if the key was never written.
 ///
 /// # Errors
-/// If no majority answers, or the value has not come here in time.
+/// If no majority answers, or this daemon does not receive the value in time.
 pub async fn read_newest(handle: &ControlHandle, key: &str) -> Result<Option<Change>, Answer> {
     let read = ReadNewest(key.into());
-    let outcome = handle.send(read).await.map_err(overload)?;
+    let outcome = handle.send(read).await.map_err(overload_fault)?;
     let version = committed_version(key, outcome)?;
     if version == 0 {
         return Ok(None);
     }
-    // The owner has sent it to all others by now; one who missed that is repaired.
+    // The owner has already sent it to all daemons; a daemon that missed it is repaired.
     for _ in 0..NEWS_TURNS {
         let key = key.to_string();
         let current = with_control(handle, move |control, _| {
@@ -86,7 +86,7 @@
     Err(Fault::new(
         "not_settled",
         "read_value",
-        format!("version {version} of {key} has not come here yet"),
+        format!("this daemon has not yet received version {version} of {key}"),
     )
     .retry(500)
     .into())
@@ -96,7 +96,8 @@
     let fault = match outcome {
         WriteOutcome::Accepted(version) => return Ok(version),
         WriteOutcome::Conflict(version) => {
-            let message = format!("another write came first; version {version} of {key} stands");
+            let message =
+                format!("another write came first; version {version} of {key} is current");
             Fault::new("conflict", "compare_version", message)
                 .field("expect_version")
                 .version(version)
@@ -106,7 +107,7 @@
         }
         WriteOutcome::Unknown => {
             let message = format!(
-                "no majority confirmed {key} in time; it may still stand: read it to find out"
+                "no majority confirmed {key} in time; the write may still be committed: read the key to find out"
             );
             Fault::new("unknown", "sync_majority", message).retry(1_000)
         }
--- a/control-daemon/src/http/spec_lookup.rs
+++ b/control-daemon/src/http/spec_lookup.rs
@@ -1,4 +1,4 @@
-//! Whether the newest spec has a service or a zone of a name.
+//! Looks up services and zones by name in the newest spec.
 
 use coordination::control::SPEC_KEY;
 use daemon_parts::http::Answer;
@@ -6,27 +6,27 @@
 
 use super::{ControlHandle, read_newest, with_control};
 
-/// What the newest spec has of a name.
+/// The result of a look-up in the newest spec.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpecLookup {
-    /// There is a spec, and it has the name.
+    /// The spec contains the name.
     Found,
-    /// There is a spec without the name.
+    /// The spec does not contain the name.
     NotFound,
     /// No spec has been accepted yet.
     NoSpec,
 }
 
-/// Looks a name up in the newest spec. A daemon that may have missed the newest says no to nobody.
+/// Looks a name up in the newest spec. A daemon that may lack the newest spec never answers that a name is missing.
 ///
 /// # Errors
-/// If the name is not known here and no majority answers with the newest spec.
+/// If this daemon's spec lacks the name and no majority answers with the newest spec.
 pub async fn look_up_in_spec(
     handle: &ControlHandle,
     name: &str,
     has_name: fn(&Spec, &str) -> bool,
 ) -> Result<SpecLookup, Answer> {
-    let look_up_here = async || -> Result<SpecLookup, Answer> {
+    let look_up_locally = async || -> Result<SpecLookup, Answer> {
         let spec = with_control(handle, |control, _| control.spec()).await?;
         Ok(match spec {
             Some(spec) if has_name(&spec, name) => SpecLookup::Found,
@@ -34,14 +34,14 @@
             None => SpecLookup::NoSpec,
         })
     };
-    if look_up_here().await? == SpecLookup::Found {
+    if look_up_locally().await? == SpecLookup::Found {
         return Ok(SpecLookup::Found);
     }
     read_newest(handle, SPEC_KEY).await?;
-    look_up_here().await
+    look_up_locally().await
 }
 
-/// Rejects a name that the newest spec does not have. `kind`: what it names.
+/// Rejects a name that the newest spec does not contain. `kind` is the kind of entry, such as a service.
 pub(super) async fn require(
     handle: &ControlHandle,
     kind: &str,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The answer about a name that the spec does not have.
+/// Returns the answer for a name that the spec does not contain.
 pub(super) fn not_in_spec(kind: &str, name: &str) -> Answer {
     Fault::new(
         "not_found",
@@ -72,7 +72,7 @@
     .into()
 }
 
-/// Whether a spec has a service of this name.
+/// Returns whether a spec has a service of this name.
 pub fn has_service(spec: &Spec, name: &str) -> bool {
     spec.services.iter().any(|service| service.name == name)
 }
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control daemon: control state on disk, key owners, singleton roles, the rollout loop.
+//! The control daemon: stores control state on disk, owns keys, and runs singleton roles and the rollout loop.
 
 pub mod actor;
 pub mod disk;
@@ -25,7 +25,7 @@
     platform_adapter::PlatformAdapter,
 };
 
-/// ms. Time for the others to hear that this daemon stops: two heartbeats.
+/// Time for other daemons to receive the notice that this daemon stops, in ms: two heartbeats.
 const SHUTDOWN_NOTICE_TIME: u64 = 2 * coordination::timing::HEARTBEAT_INTERVAL;
 
 /// Runs until the process is asked to stop.
@@ -47,7 +47,7 @@
     channels::listen(&params.bind, control.clone().recipient()).await?;
     let server = bind_http(&params, adapter, control.clone())?;
     let notify_peers = async {
-        // The actor may have ended already.
+        // The actor may already have stopped.
         let _ = control.send(BeginShutdown).await;
         tokio::time::sleep(Duration::from_millis(SHUTDOWN_NOTICE_TIME)).await;
     };
@@ -72,7 +72,7 @@
     }
 }
 
-/// Serves the product's and the platform's routes at each HTTP address.
+/// Binds a server for the product's and the platform's routes to each HTTP address.
 fn bind_http(
     params: &Params,
     adapter: PlatformAdapter,
--- a/control-daemon/src/main.rs
+++ b/control-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The control daemon: control state on disk, key owners, singleton roles, the rollout loop.
+//! The control daemon: stores control state on disk, owns keys, and runs singleton roles and the rollout loop.
 
 use control_daemon::platform_adapter::PlatformAdapter;
 use daemon_parts::params::{self, EXIT_FAILED};
@@ -11,7 +11,7 @@
     let params = params::read_or_exit(
         params::command(
             "control-daemon",
-            "Keeps landingslip's control state and runs its duties",
+            "Stores landingslip's control state and runs its singleton roles and rollouts",
         ),
         &required,
     );
