--- a/coordination/src/register/tests/acceptor.rs
+++ b/coordination/src/register/tests/acceptor.rs
@@ -1,4 +1,4 @@
-//! The rules that a voter keeps: one test for each.
+//! Tests of the acceptor role of a voter, one per rule.
 
 use googletest::prelude::*;
 use wire_messages::{
@@ -32,8 +32,8 @@
     }
 }
 
-/// What a voter answers to a prepare: whether it promises, and in how many ms to ask again.
-fn answer_to_prepare(
+/// Returns a voter's reply to a prepare: whether it promises, and the retry delay in ms.
+fn reply_to_prepare(
     registers: &mut Registers,
     from: usize,
     key: &str,
@@ -68,13 +68,13 @@
         }))))
     );
     expect_that!(
-        answer_to_prepare(&mut registers, 2, KEY, 6, 1),
+        reply_to_prepare(&mut registers, 2, KEY, 6, 1),
         some(eq((0, 0)))
     );
     expect_that!(
-        answer_to_prepare(&mut registers, 1, KEY, 7, 1),
+        reply_to_prepare(&mut registers, 1, KEY, 7, 1),
         some(eq((1, 0))),
-        "the same epoch is its own"
+        "the same epoch belongs to the same proposer"
     );
     let mut out = vec![];
     registers.on_accept(&name(2), accept(KEY, 6, 1, "late"), &mut out);
@@ -85,8 +85,8 @@
     expect_that!(slot(&registers, KEY).version, eq(0));
 }
 
-/// A voter that heard of a commit without having promised its epoch holds a value of an epoch above its promise: what an
-/// earlier owner offers is not stored there, so it is not acknowledged.
+/// A voter that received a commit without having promised its epoch stores a value whose epoch exceeds its promise. It
+/// does not store the value of an earlier owner, so it must not acknowledge it.
 #[gtest]
 fn a_voter_acknowledges_only_values_that_it_stores() {
     let mut registers = voter(0);
@@ -107,7 +107,7 @@
         some(eq((0, 9)))
     );
     expect_that!(slot(&registers, KEY).value.0, eq(b"newer"));
-    // Its own epoch and later ones are stored.
+    // Values of the stored epoch and of later epochs are stored.
     for (epoch, version) in [(9, 4), (11, 5)] {
         let mut out = vec![];
         registers.on_accept(&name(1), accept(KEY, epoch, version, "next"), &mut out);
@@ -119,7 +119,7 @@
     }
 }
 
-/// A delayed copy of an older write of the same owner is acknowledged, as it was stored before, and changes nothing.
+/// A delayed copy of an older write of the same owner was stored earlier, so it is acknowledged and changes nothing.
 #[gtest]
 fn a_delayed_accept_does_not_overwrite_a_newer_version() {
     let mut registers = voter(0);
@@ -134,8 +134,8 @@
     expect_that!(slot(&registers, KEY).value.0, eq(b"b"));
 }
 
-/// A version that was known to be committed, then hidden by a newer one that no majority accepted, is reported again
-/// when a later owner writes it in that one's place.
+/// A version known to be committed may be overwritten by a newer version that no majority accepted. When a later owner
+/// writes the committed version again in its place, it is reported again.
 #[gtest]
 fn a_committed_value_that_is_written_again_is_reported_again() {
     let mut registers = voter(0);
@@ -159,9 +159,10 @@
     );
 }
 
-/// An owner that was made without this voter's promise counts on it once it has confirmed: earlier ones are refused then.
+/// An owner elected without this voter's promise relies on the voter once the voter has confirmed a renewal: from then
+/// on the voter refuses earlier owners.
 #[gtest]
-fn a_confirmation_binds_like_a_promise() {
+fn a_confirmed_renewal_counts_as_a_promise() {
     let mut registers = voter(0);
     let (mut out, mut disk) = (vec![], vec![]);
     registers.on_renew(&name(1), renewal(KEY, 7), 1, &mut out);
@@ -175,14 +176,14 @@
         }))))
     );
     expect_that!(
-        answer_to_prepare(&mut registers, 2, KEY, 6, 1),
+        reply_to_prepare(&mut registers, 2, KEY, 6, 1),
         some(eq((0, 0)))
     );
 }
 
-/// Only its holder releases a lease, and only that of the ownership that it means.
+/// Only the holder can release a lease, and only with an epoch that is not older than the lease's.
 #[gtest]
-fn a_lease_is_released_by_its_holder_alone() {
+fn only_the_holder_releases_a_lease() {
     let key = format!("{ROLLOUT_PREFIX}s");
     let with_lease = || {
         let mut registers = voter(0);
@@ -196,35 +197,36 @@
             keys: owned(&key, epoch),
         };
         registers.on_release(&name(from), release);
-        let granted = answer_to_prepare(&mut registers, 2, &key, 9, 2).map(|answer| answer.0);
+        let granted = reply_to_prepare(&mut registers, 2, &key, 9, 2).map(|reply| reply.0);
         expect_that!(
             granted,
             some(eq(u8::from(releases))),
-            "of {from} for {epoch}"
+            "release by {from} under epoch {epoch}"
         );
     }
 }
 
-/// A voter that has just started, or begun to vote, has forgotten or never heard which leases run.
+/// A voter that has just started has lost its record of running leases, and one that has just begun to vote never had
+/// one. Both must wait for a full lease duration.
 #[gtest]
-fn a_voter_that_starts_or_begins_to_vote_waits_a_lease_out() {
+fn a_voter_that_starts_or_begins_to_vote_waits_for_a_lease_duration() {
     let key = format!("{ROLLOUT_PREFIX}s");
     let rows = vec![voter(0).members_row()];
     let started = Registers::new(name(0), 1, rows, LEASE_DURATION, 1_000);
-    let mut begun_to_vote = voter(0);
-    begun_to_vote.skip_lease_wait();
-    begun_to_vote.start_voting(1_000);
-    for registers in [started, begun_to_vote] {
+    let mut new_voter = voter(0);
+    new_voter.skip_lease_wait();
+    new_voter.start_voting(1_000);
+    for registers in [started, new_voter] {
         expect_that!(
-            answer_to_prepare(&mut registers.clone(), 2, &key, 9, 1_001),
+            reply_to_prepare(&mut registers.clone(), 2, &key, 9, 1_001),
             some(eq((0, LEASE_DURATION as u32 - 1)))
         );
         expect_that!(
-            answer_to_prepare(&mut registers.clone(), 2, &key, 9, 1_000 + LEASE_DURATION),
+            reply_to_prepare(&mut registers.clone(), 2, &key, 9, 1_000 + LEASE_DURATION),
             some(eq((1, 0)))
         );
         expect_that!(
-            answer_to_prepare(&mut registers.clone(), 2, KEY, 9, 1_001),
+            reply_to_prepare(&mut registers.clone(), 2, KEY, 9, 1_001),
             some(eq((1, 0))),
             "not leased"
         );
@@ -256,10 +258,10 @@
     }
 }
 
-/// A joiner takes over from each former voter what may be on that one alone: the highest promise, the newest accepted
-/// value whether or not it is known to be committed, and what it replaced.
+/// A joiner copies from each former voter the state that may be stored only there: the highest promise, the newest
+/// accepted value, whether or not it is known to be committed, and the values that it replaced.
 #[gtest]
-fn a_joiner_takes_over_promises_values_and_history() {
+fn a_joiner_copies_promises_values_and_history() {
     let replaced = List(vec![ReplacedValue {
         release: 1,
         digest: 2,
@@ -275,7 +277,7 @@
             replaced: replaced.clone(),
         };
     let mut registers = voter(0);
-    // The highest promise and the newest value are on different voters, in either order.
+    // The highest promise and the newest value come from different voters.
     let rows = registers.catch_up(&[
         voter_slot(8, 7, 2, 1, "accepted"),
         voter_slot(12, 6, 3, 3, "older epoch"),
@@ -285,19 +287,19 @@
     expect_that!(
         rows,
         contains(eq(&Row::Slot(merged.clone()))),
-        "it is on its disk before it votes"
+        "the merged slot is persisted before the joiner votes"
     );
     expect_that!(
         registers.newly_committed,
         is_empty(),
-        "what no majority is known to have accepted is reported to nobody"
+        "a value not known to be accepted by a majority is not reported"
     );
     expect_that!(
         registers.epochs.highest(),
         eq(12),
-        "its own epochs are above all that it read of"
+        "the joiner's own epochs exceed every epoch that it read"
     );
-    // What is older changes nothing, and what is newer and committed is reported.
+    // An older value changes nothing; a newer committed value is reported.
     registers.catch_up(&[voter_slot(3, 7, 1, 1, "old")]);
     expect_that!(slot(&registers, KEY), eq(&merged));
     registers.catch_up(&[voter_slot(9, 8, 3, 3, "newest")]);
@@ -313,7 +315,7 @@
             .collect::<Vec<_>>(),
         elements_are![eq(&3)]
     );
-    // It promises nothing below what any of them promised.
+    // The joiner refuses epochs below the highest promise of any former voter.
     let mut out = vec![];
     registers.on_prepare(&name(1), prepare(11), 10_000, &mut out);
     expect_that!(
@@ -328,9 +330,9 @@
     );
 }
 
-/// The majorities of another member epoch are other voters: this one takes no part in them.
+/// Majorities of another member epoch consist of other voters, so a voter must not count in them.
 #[gtest]
-fn a_voter_takes_no_part_in_another_member_epoch() {
+fn a_voter_does_not_vote_in_another_member_epoch() {
     for member_epoch in [0, 2] {
         let (mut registers, mut out) = (voter(1), vec![]);
         registers.on_accept(
@@ -361,10 +363,10 @@
             &mut out,
         );
         let sends = sync(&mut vec![], out);
-        let takes_part = sends
+        let votes = sends
             .iter()
             .any(|(_, message)| !matches!(message, Message::Promise(Promise { granted: 0, .. })));
-        expect_that!(takes_part, eq(false), "member epoch {member_epoch}");
+        expect_that!(votes, eq(false), "member epoch {member_epoch}");
         expect_that!(
             registers
                 .slots
@@ -375,7 +377,7 @@
     }
 }
 
-/// A voter that has promised another owner says so, and does not confirm the former one.
+/// A voter that has promised a higher epoch to another owner reports this and does not confirm the former owner.
 #[gtest]
 fn a_voter_denies_an_owner_below_its_promise() {
     let mut registers = voter(1);
--- a/coordination/src/register/tests/explore.rs
+++ b/coordination/src/register/tests/explore.rs
@@ -1,10 +1,11 @@
-//! A bounded exhaustive model checker of the registers: every order in which messages arrive, late, twice or never,
-//! disks sync, voters crash or come back with blank disks, owners acquire keys, operators write, read and repeat, and
-//! voters are replaced, up to a depth. The registers are the production ones; what is modelled is the network, the
-//! disks and the operators.
+//! A bounded exhaustive model checker for the registers. Up to a depth, it explores every order in which messages are
+//! delivered, delayed, duplicated or lost, disks sync, voters crash or restart with blank disks, owners acquire keys,
+//! operators write, read and repeat requests, and voters are replaced. The registers are the production code; the
+//! network, the disks and the operators are modelled.
 //!
-//! States are told apart by a digest of all they hold that affects what follows, and each is visited once, breadth
-//! first. `EXPLORE_STATES=n` goes further than CI does; `--nocapture` prints how far.
+//! The search is breadth-first and visits each state once. A state is identified by a digest of everything in it that
+//! affects later steps. `EXPLORE_STATES=n` raises the limit of states above that of CI; `--nocapture` prints the depth
+//! reached.
 
 use std::{
     collections::{BTreeMap, HashSet, VecDeque},
@@ -18,18 +19,19 @@
 use super::*;
 use crate::WriteOutcome;
 use history::Request::{self, ChangeVoters, Put, Read, ReadMembers};
-use world::{Ablation, Action, CALM, Scenario, Setup, World};
+use world::{Ablation, Action, NO_FAULTS, Scenario, Setup, World};
 
 mod history;
 mod world;
 
-/// How a state came about, newest step first.
+/// The steps that led to a state, newest first.
 type Trace = Option<Arc<Step>>;
 struct Step {
     action: Action,
     before: Trace,
 }
 
+/// Returns the actions of a trace, oldest first.
 fn steps(mut trace: &Trace) -> Vec<Action> {
     let mut all = vec![];
     while let Some(step) = trace {
@@ -40,49 +42,51 @@
     all
 }
 
-/// What was visited: all orders of so many steps, the states that they led to, and the first violation.
+/// Result of an exploration: the depth explored completely or at the violation, the number of states and the first
+/// violation.
 struct Explored {
     depth: u32,
     states: usize,
     violation: Option<String>,
 }
 
-/// Scenarios that are explored at the same time: each keeps the worlds of its last steps in memory.
+/// Maximum number of scenarios explored concurrently: each keeps the worlds of its last depth in memory.
 const MAX_CONCURRENT: usize = 4;
 
-/// How many are explored now, over all tests of this process.
+/// Number of explorations running in all tests of this process.
 static CONCURRENT: Mutex<usize> = Mutex::new(0);
-static ONE_ENDED: Condvar = Condvar::new();
+static EXPLORATION_ENDED: Condvar = Condvar::new();
 
-/// One of the `MAX_CONCURRENT` places, until it is dropped.
-struct Place;
+/// One of the `MAX_CONCURRENT` permits to explore, released on drop.
+struct ExplorationPermit;
 
-impl Place {
-    fn take() -> Place {
+impl ExplorationPermit {
+    /// Waits for a free permit.
+    fn acquire() -> ExplorationPermit {
         let concurrent = CONCURRENT.lock().unwrap();
-        let mut concurrent = ONE_ENDED
+        let mut concurrent = EXPLORATION_ENDED
             .wait_while(concurrent, |concurrent| *concurrent >= MAX_CONCURRENT)
             .unwrap();
         *concurrent += 1;
-        Place
+        ExplorationPermit
     }
 }
 
-impl Drop for Place {
+impl Drop for ExplorationPermit {
     fn drop(&mut self) {
         *CONCURRENT.lock().unwrap() -= 1;
-        ONE_ENDED.notify_one();
+        EXPLORATION_ENDED.notify_one();
     }
 }
 
-/// Visits all orders, the shortest first, until something is violated, none is left, or a bound is reached.
+/// Explores all orders, shortest first, until a violation is found, no state is left or a bound is reached.
 fn explore(world: World, max_depth: u32, max_states: usize) -> Explored {
-    let _place = Place::take();
+    let _permit = ExplorationPermit::acquire();
     let mut seen = HashSet::from([world.digest()]);
     let mut states: Vec<(World, Trace)> = vec![(world, None)];
     for depth in 0..max_depth {
         let mut next = vec![];
-        // Each is dropped once its successors are known: a world takes kilobytes.
+        // Drops each world once its successors are known: a world takes kilobytes.
         for (world, trace) in states {
             for action in world.actions() {
                 let mut after = world.clone();
@@ -105,7 +109,7 @@
                         )),
                     };
                 }
-                // Nothing more can be reported once all calls have ended.
+                // Once all calls have ended, no later step can report a violation.
                 if after.has_open_calls() {
                     next.push((after, trace));
                 }
@@ -127,7 +131,7 @@
     }
 }
 
-/// States that a run in CI visits at most, for each scenario: some ten seconds.
+/// Maximum number of states per scenario in CI: about ten seconds.
 const MAX_STATES: usize = 150_000;
 
 const FIRST_WRITE: Request = Put { value: 1, on: 0 };
@@ -136,51 +140,51 @@
 const LATER_WRITE: Request = Put { value: 4, on: 2 };
 const LAST_WRITE: Request = Put { value: 5, on: 3 };
 
-/// What happens to a register whose voters stay as they are.
+/// Scenarios in which the voters do not change.
 const REGISTER_SCENARIOS: [Scenario; 6] = [
     Scenario {
-        name: "two owners write on one version, and one reads",
+        name: "two owners write on the same version, and a third voter reads",
         calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE), (2, Read)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
         name: "an owner writes, is replaced, and both read",
         calls: &[(0, FIRST_WRITE), (1, Read), (0, Read)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "a write is repeated elsewhere after another replaced it",
+        name: "a write is repeated at another voter after a later write replaced it",
         calls: &[(0, FIRST_WRITE), (0, NEXT_WRITE), (1, FIRST_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "one crashes while two owners write",
+        name: "a voter crashes while two owners write",
         crashes: 1,
         calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "one crashes around a write and a read",
+        name: "a voter crashes during a write and a read",
         crashes: 1,
         calls: &[(0, FIRST_WRITE), (1, Read)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
         name: "a message arrives twice while two owners write",
         copies: 1,
         calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     },
 ];
 
 /// The first voter owns both keys.
 const OWNED: &[Setup] = &[Setup::Call(0, Read), Setup::Call(0, ReadMembers)];
-/// The first voter owns both keys and has written.
+/// The first voter owns both keys and has written a value.
 const WRITTEN: &[Setup] = &[Setup::Call(0, FIRST_WRITE), Setup::Call(0, ReadMembers)];
 
-/// A voter is replaced by a joiner, which then writes against the owner.
+/// A voter is replaced by a joiner, which then writes concurrently with the owner.
 const REPLACEMENT: Scenario = Scenario {
-    name: "a voter is replaced, and owner and joiner write",
+    name: "a voter is replaced, and the owner and the joiner write",
     joiners: 1,
     slots_requests: 3,
     prologue: OWNED,
@@ -189,36 +193,36 @@
         (0, FIRST_WRITE),
         (3, RIVAL_WRITE),
     ],
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// The owner loses its own place, and writes.
+/// The owner is removed from the voters while it writes.
 const REMOVAL: Scenario = Scenario {
     name: "the owner is removed while it writes, and the joiner reads",
     joiners: 1,
     slots_requests: 3,
     prologue: OWNED,
     calls: &[(0, ChangeVoters(&[1, 2, 3])), (0, FIRST_WRITE), (3, Read)],
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// A voter that does not know that its place was given away writes on as the owner.
-const REMOVED_WHILE_CUT_OFF: Scenario = Scenario {
-    name: "the owner is removed while it is cut off, and owner and joiner write",
+/// An owner that does not know that it was removed from the voters continues to write.
+const REMOVAL_WHILE_PARTITIONED: Scenario = Scenario {
+    name: "the owner is removed while it is partitioned, and the owner and the joiner write",
     joiners: 1,
     prologue: &[
         Setup::Call(0, Read),
-        Setup::CutOff(0),
+        Setup::Partition(0),
         Setup::Call(1, ChangeVoters(&[1, 2, 3])),
         Setup::Join(3),
     ],
     calls: &[(0, FIRST_WRITE), (3, RIVAL_WRITE)],
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// The joiner knows of its place before the former voters know that one of them has lost it.
-const UNNOTICED_CHANGE: Scenario = Scenario {
-    name: "a voter is replaced, of which the former voters do not learn",
+/// The joiner receives the new voters before the former voters do.
+const REPLACEMENT_WITH_LOST_COMMITS: Scenario = Scenario {
+    name: "a voter is replaced, and the former voters miss the commit",
     joiners: 1,
     slots_requests: 2,
     prologue: &[
@@ -226,16 +230,16 @@
         Setup::CallWithLostCommits(1, ChangeVoters(&[1, 2, 3])),
     ],
     calls: &[(0, FIRST_WRITE), (3, RIVAL_WRITE)],
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// A member that was away for several commits and lost its place is given one again.
+/// A voter that missed several commits and was removed is made a voter again.
 const SEVERAL_COMMITS_BEHIND: Scenario = Scenario {
-    name: "a member that is several commits behind is listed again, and reads",
+    name: "a former voter that is several commits behind becomes a voter again and reads",
     joiners: 1,
     slots_requests: 2,
     prologue: &[
-        Setup::CutOff(2),
+        Setup::Partition(2),
         Setup::Call(0, FIRST_WRITE),
         Setup::Call(0, NEXT_WRITE),
         Setup::Call(0, ChangeVoters(&[0, 1, 3])),
@@ -244,12 +248,12 @@
         Setup::Call(0, ReadMembers),
     ],
     calls: &[(0, ChangeVoters(&[0, 1, 2])), (0, LAST_WRITE), (2, Read)],
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// Two of five voters are replaced at once.
+/// Two of five voters are replaced in one reconfiguration.
 const REPLACEMENT_OF_FIVE: Scenario = Scenario {
-    name: "of five voters two are replaced, and owner and joiner write",
+    name: "two of five voters are replaced, and the owner and a joiner write",
     voters: 5,
     joiners: 2,
     slots_requests: 3,
@@ -259,35 +263,35 @@
         (0, FIRST_WRITE),
         (5, RIVAL_WRITE),
     ],
-    ..CALM
+    ..NO_FAULTS
 };
 
-/// What happens to a register while its voters change.
+/// Scenarios in which the voters change.
 const MEMBER_SCENARIOS: [Scenario; 12] = [
     REPLACEMENT,
     REMOVAL,
-    REMOVED_WHILE_CUT_OFF,
-    UNNOTICED_CHANGE,
+    REMOVAL_WHILE_PARTITIONED,
+    REPLACEMENT_WITH_LOST_COMMITS,
     SEVERAL_COMMITS_BEHIND,
     Scenario {
-        name: "a voter comes back with a blank disk and is listed again, and it reads",
+        name: "a voter restarts with a blank disk, becomes a voter again and reads",
         wiped: Some(2),
         slots_requests: 3,
         prologue: OWNED,
         calls: &[(0, FIRST_WRITE), (0, ChangeVoters(&[0, 1, 2])), (2, Read)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "one crashes while a voter is replaced, and the joiner reads",
+        name: "a daemon crashes while a voter is replaced, and the joiner reads",
         joiners: 1,
         crashes: 1,
         slots_requests: 3,
         prologue: OWNED,
         calls: &[(0, ChangeVoters(&[0, 1, 3])), (0, FIRST_WRITE), (3, Read)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "two daemons change the voters at once, and the joiner reads",
+        name: "two daemons change the voters concurrently, and a joiner reads",
         joiners: 2,
         slots_requests: 3,
         prologue: WRITTEN,
@@ -297,26 +301,26 @@
             (0, NEXT_WRITE),
             (3, Read),
         ],
-        ..CALM
+        ..NO_FAULTS
     },
     REPLACEMENT_OF_FIVE,
     Scenario {
-        name: "of five voters the owner and another are removed while they are cut off, and all write",
+        name: "the owner and another of five voters are removed while partitioned, and the owner and a joiner write",
         voters: 5,
         joiners: 2,
         prologue: &[
             Setup::Call(0, Read),
-            Setup::CutOff(0),
-            Setup::CutOff(4),
+            Setup::Partition(0),
+            Setup::Partition(4),
             Setup::Call(1, ChangeVoters(&[1, 2, 3, 5, 6])),
             Setup::Join(5),
             Setup::Join(6),
         ],
         calls: &[(0, FIRST_WRITE), (5, RIVAL_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "of five voters two are replaced, of which the former voters do not learn",
+        name: "two of five voters are replaced, and the former voters miss the commit",
         voters: 5,
         joiners: 2,
         slots_requests: 3,
@@ -325,10 +329,10 @@
             Setup::CallWithLostCommits(1, ChangeVoters(&[1, 2, 3, 5, 6])),
         ],
         calls: &[(0, FIRST_WRITE), (5, RIVAL_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     },
     Scenario {
-        name: "of five voters the owner and another are replaced, and a joiner reads",
+        name: "the owner and another of five voters are replaced, and a joiner reads",
         voters: 5,
         joiners: 2,
         slots_requests: 3,
@@ -338,14 +342,14 @@
             (0, FIRST_WRITE),
             (5, Read),
         ],
-        ..CALM
+        ..NO_FAULTS
     },
 ];
 
-/// No order of events is longer: each scenario ends before.
+/// Maximum number of steps; every scenario ends before.
 const MAX_DEPTH: u32 = 64;
 
-/// Explores each scenario in a thread of its own, and expects that nothing is violated.
+/// Explores each scenario in its own thread and expects no violation.
 fn expect_no_violation(scenarios: &[Scenario]) {
     let max_states = std::env::var("EXPLORE_STATES")
         .ok()
@@ -379,7 +383,7 @@
     }
 }
 
-/// Explores each scenario without a mechanism, and expects that the explorer finds what it prevents.
+/// Explores each scenario with its mechanism left out, and expects the violation that the mechanism prevents.
 fn expect_violations(cases: &[(Ablation, Scenario)]) {
     let explored: Vec<_> = std::thread::scope(|scope| {
         let run = |(ablation, scenario): &(Ablation, Scenario)| {
@@ -403,7 +407,7 @@
         expect_that!(
             explored.violation,
             some(anything()),
-            "{ablation:?} ({}) is not seen to be needed in {} steps",
+            "{ablation:?} ({}): no violation found in {} steps",
             scenario.name,
             explored.depth
         );
@@ -420,12 +424,12 @@
     expect_no_violation(&MEMBER_SCENARIOS);
 }
 
-/// Each mechanism is needed: once it is taken away the explorer finds the violation that it prevents.
+/// Each mechanism is necessary: without it, the explorer finds a violation.
 #[gtest]
-fn each_mechanism_taken_away_violates_linearizability_in_some_order() {
+fn each_ablation_violates_linearizability() {
     let two_writes = Scenario {
         calls: &[(0, FIRST_WRITE), (1, RIVAL_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     };
     expect_violations(&[
         (
@@ -439,7 +443,7 @@
             Ablation::ConfirmedRead,
             Scenario {
                 calls: &[(0, FIRST_WRITE), (1, NEXT_WRITE), (0, Read)],
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (Ablation::AcceptedInPromise, two_writes),
@@ -448,27 +452,27 @@
             Ablation::History,
             Scenario {
                 calls: &[(0, FIRST_WRITE), (0, NEXT_WRITE), (1, FIRST_WRITE)],
-                ..CALM
+                ..NO_FAULTS
             },
         ),
         (Ablation::Majority, two_writes),
     ]);
 }
 
-/// The same for what a change of voters rests on.
+/// Each mechanism of reconfiguration is necessary: without it, the explorer finds a violation.
 #[gtest]
-fn each_mechanism_of_reconfiguration_taken_away_violates_linearizability_in_some_order() {
+fn each_ablation_of_reconfiguration_violates_linearizability() {
     let shorter_list = Scenario {
-        name: "a list of voters gets shorter",
+        name: "the list of voters shrinks",
         prologue: OWNED,
         calls: &[(0, ChangeVoters(&[2])), (0, FIRST_WRITE), (2, RIVAL_WRITE)],
-        ..CALM
+        ..NO_FAULTS
     };
     expect_violations(&[
         (Ablation::CatchUpBeforeVote, REPLACEMENT),
         (Ablation::MajorityOfFormerVoters, REPLACEMENT),
-        (Ablation::MemberEpochInVote, REMOVED_WHILE_CUT_OFF),
-        (Ablation::ClosedMemberEpoch, UNNOTICED_CHANGE),
+        (Ablation::MemberEpochInVote, REMOVAL_WHILE_PARTITIONED),
+        (Ablation::ClosedMemberEpoch, REPLACEMENT_WITH_LOST_COMMITS),
         (Ablation::CatchUpBeforeVote, SEVERAL_COMMITS_BEHIND),
         (Ablation::Nothing, shorter_list),
     ]);
--- a/coordination/src/register/tests/explore/history.rs
+++ b/coordination/src/register/tests/explore/history.rs
@@ -1,38 +1,38 @@
-//! What operators are told, and what of it no register could have told them.
+//! History of operator calls, and the check that it is linearizable.
 
 use crate::WriteOutcome;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Request {
     Put {
         value: u8,
-        /// The version that it expects.
+        /// Version that the write expects to be current.
         on: u64,
     },
     Read,
-    /// The daemons of these indices, with the disks that they have now, are to be the voters.
+    /// Makes the daemons with these indices, with their current disks, the voters.
     ChangeVoters(&'static [usize]),
-    /// Acquires the members' key, so that a change of voters costs no acquisition.
+    /// Reads the members key to acquire it, so that a later change of voters needs no acquisition.
     ReadMembers,
 }
 use Request::{Put, Read};
 
 impl Request {
-    /// Whether it is about the key whose history is checked.
-    fn is_of_key(self) -> bool {
+    /// Returns whether the request concerns the key whose history is checked.
+    fn is_for_checked_key(self) -> bool {
         matches!(self, Put { .. } | Read)
     }
 }
 
-/// An outcome, and the step of the history at which it was reported.
+/// The outcome of a call and the history step at which it was reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallEnd {
     pub(super) step: u64,
     pub(super) outcome: WriteOutcome,
 }
 
-/// A request at one voter, and the steps of the history at which it began and ended.
+/// A request to one voter, with the history steps at which it began and ended.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub(super) at: usize,
@@ -42,8 +42,8 @@
 }
 
 impl Call {
-    /// A request that has not begun.
-    pub(super) fn of((at, request): &(usize, Request)) -> Self {
+    /// Creates a call that has not begun.
+    pub(super) fn new((at, request): &(usize, Request)) -> Self {
         Call {
             at: *at,
             request: *request,
@@ -53,34 +53,35 @@
     }
 }
 
-/// What the calls hold that no register could have done; none if they are linearizable as far as they were reported.
-pub(super) fn contradiction_among(calls: &[Call]) -> Option<String> {
-    let done: Vec<DoneCall> = calls.iter().filter_map(DoneCall::of).collect();
-    done.iter()
-        .find_map(|call| call.contradiction(&done))
-        .or_else(|| lost_update(&done))
+/// Describes the first violation of linearizability among the calls with a reported outcome, if any.
+pub(super) fn find_violation(calls: &[Call]) -> Option<String> {
+    let completed: Vec<CompletedCall> = calls.iter().filter_map(CompletedCall::from_call).collect();
+    completed
+        .iter()
+        .find_map(|call| call.find_contradiction(&completed))
+        .or_else(|| find_stale_result(&completed))
 }
 
-/// A call that has ended with a clear outcome.
+/// A call on the checked key that has ended with a definite outcome.
 #[derive(Clone, Copy)]
-struct DoneCall<'a> {
+struct CompletedCall<'a> {
     call: &'a Call,
     end: CallEnd,
 }
 
-impl<'a> DoneCall<'a> {
-    fn of(call: &'a Call) -> Option<Self> {
+impl<'a> CompletedCall<'a> {
+    fn from_call(call: &'a Call) -> Option<Self> {
         let end = call.end.filter(|end| {
-            call.request.is_of_key()
+            call.request.is_for_checked_key()
                 && !matches!(
                     end.outcome,
                     WriteOutcome::Unknown | WriteOutcome::NotAccepted(_)
                 )
         })?;
-        Some(DoneCall { call, end })
+        Some(CompletedCall { call, end })
     }
 
-    /// The version that was reported as current, or as written.
+    /// Returns the version reported as current or as written.
     fn version(&self) -> u64 {
         match self.end.outcome {
             WriteOutcome::Accepted(version) | WriteOutcome::Conflict(version) => version,
@@ -88,48 +89,49 @@
         }
     }
 
-    /// What is wrong with the outcome of a write, by itself or next to that of another.
-    fn contradiction(&self, done: &[DoneCall]) -> Option<String> {
+    /// Describes why the outcome of a write is impossible, on its own or together with the outcome of another write.
+    fn find_contradiction(&self, completed: &[CompletedCall]) -> Option<String> {
         let call = self.call;
         let Put { value, on } = call.request else {
             return None;
         };
         match self.end.outcome {
             WriteOutcome::Accepted(version) if version != on + 1 => {
-                Some(format!("{call:?} is accepted as {version}"))
+                Some(format!("{call:?} is accepted as version {version}"))
             }
             WriteOutcome::Accepted(version) => {
-                let is_rival = |other: &&DoneCall| matches!((other.call.request, other.end.outcome), (Put { value: other_value, .. }, WriteOutcome::Accepted(other_version)) if other_version == version && other_value != value);
-                if let Some(rival) = done.iter().find(is_rival) {
+                let is_rival = |other: &&CompletedCall| matches!((other.call.request, other.end.outcome), (Put { value: other_value, .. }, WriteOutcome::Accepted(other_version)) if other_version == version && other_value != value);
+                if let Some(rival) = completed.iter().find(is_rival) {
                     return Some(format!("{call:?} and {:?} are both accepted", rival.call));
                 }
-                // The same order again is never rejected once it was accepted.
-                let is_rejected_repeat = |other: &&DoneCall| {
+                // A repeated write is never rejected once the write was accepted.
+                let is_rejected_repeat = |other: &&CompletedCall| {
                     other.call.request == call.request
                         && matches!(other.end.outcome, WriteOutcome::Conflict(_))
                 };
-                done.iter()
+                completed
+                    .iter()
                     .find(is_rejected_repeat)
                     .map(|repeat| format!("{call:?} is accepted and {:?} is rejected", repeat.call))
             }
             WriteOutcome::Conflict(version) if version == on => Some(format!(
-                "{call:?} is rejected though the version that it expects is current"
+                "{call:?} is rejected although the version that it expects is current"
             )),
             _ => None,
         }
     }
 }
 
-/// A call that began after another had ended, and does not see what that one saw. A repeated order may: it is reported
-/// with the version as which it was accepted.
-fn lost_update(done: &[DoneCall]) -> Option<String> {
-    for earlier in done {
-        let began_later = |call: &&DoneCall| {
+/// Describes a call that began after another had ended but reports an older version. Only a repeated write may do so:
+/// it is reported with the version under which it was first accepted.
+fn find_stale_result(completed: &[CompletedCall]) -> Option<String> {
+    for earlier in completed {
+        let began_later = |call: &&CompletedCall| {
             call.call
                 .began
                 .is_some_and(|began| began > earlier.end.step)
         };
-        for later in done.iter().filter(began_later) {
+        for later in completed.iter().filter(began_later) {
             let may_be_repeat = earlier.call.request != Read
                 && matches!(
                     (later.call.request, later.end.outcome),
--- a/coordination/src/register/tests/explore/world.rs
+++ b/coordination/src/register/tests/explore/world.rs
@@ -1,53 +1,53 @@
-//! The modelled world: voters and joiners with their disks, the network, the operators, and what may happen next.
+//! The modelled system: voters and joiners with their disks, the network, the operators, and the possible next actions.
 
 use super::{
-    history::{Call, CallEnd, Request, contradiction_among},
+    history::{Call, CallEnd, Request, find_violation},
     *,
 };
 use crate::voter_placement;
 
 pub(super) const KEY: &str = "spec";
 
-/// A mechanism that is taken away, to see that it is needed.
+/// A mechanism that is left out, to show that it is necessary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Ablation {
     Nothing,
-    /// A disk confirms before it has synced.
+    /// A disk confirms a write before it has synced.
     SyncBeforeAnswer,
-    /// An owner answers reads without asking whether it still is the owner.
+    /// An owner answers reads without confirming its ownership with a majority.
     ConfirmedRead,
-    /// A new owner does not learn what voters accepted.
+    /// Promises do not carry the value that the voter accepted.
     AcceptedInPromise,
-    /// A voter accepts what an owner offers below its promise.
+    /// A voter accepts values with an epoch below its promise.
     PromiseKept,
-    /// Which values were replaced is not known.
+    /// Voters do not know which values were replaced.
     History,
-    /// Each voter is a majority of its own.
+    /// Each voter alone counts as a majority.
     Majority,
-    /// A new voter votes as soon as it is listed.
+    /// A joiner votes as soon as it is listed as a voter.
     CatchUpBeforeVote,
-    /// Votes count whatever member epoch they are of, also those of a voter that has lost its place.
+    /// Votes of any member epoch count, including those of a removed voter.
     MemberEpochInVote,
-    /// A new voter votes once it has read one former voter.
+    /// A joiner votes after reading a single former voter.
     MajorityOfFormerVoters,
-    /// A new voter reads voters that have not ended the former member epoch.
+    /// A joiner reads voters that have not closed the former member epoch.
     ClosedMemberEpoch,
 }
 
-/// A step before the exploration: its messages are delivered at once, and all disks are synced.
+/// A step before the exploration, with messages delivered and disks synced immediately.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Setup {
-    /// A daemon is asked for something.
+    /// Sends a request to a daemon.
     Call(usize, Request),
-    /// The same, but no other voter learns of what it commits.
+    /// Sends a request to a daemon; the resulting commits do not reach the other voters.
     CallWithLostCommits(usize, Request),
-    /// A new voter reads all others.
+    /// A joiner reads the slots of all other daemons.
     Join(usize),
-    /// Messages from and to this daemon are lost until the exploration begins.
-    CutOff(usize),
+    /// Drops all messages from and to this daemon until the exploration begins.
+    Partition(usize),
 }
 
-/// What is explored.
+/// Initial state, faults and calls of an exploration.
 #[derive(Clone, Copy)]
 pub(super) struct Scenario {
     pub(super) name: &'static str,
@@ -55,20 +55,20 @@
     /// Further daemons, with blank disks.
     pub(super) joiners: usize,
     pub(super) crashes: u32,
-    /// Messages that arrive twice.
+    /// Number of messages that may be delivered twice.
     pub(super) copies: u32,
-    /// A voter that comes back with a blank disk, at any time.
+    /// A voter that may restart with a blank disk at any time.
     pub(super) wiped: Option<usize>,
-    /// How often new voters ask one other daemon for its slots.
+    /// Number of slot requests of joiners, each to one other daemon.
     pub(super) slots_requests: u32,
-    /// Done before anything else.
+    /// Steps before the exploration.
     pub(super) prologue: &'static [Setup],
-    /// Which daemon is asked for what, in the order in which the calls begin.
+    /// The called daemon and the request of each call, in the order in which the calls begin.
     pub(super) calls: &'static [(usize, Request)],
 }
 
-/// Three voters that nothing happens to.
-pub(super) const CALM: Scenario = Scenario {
+/// Three voters without faults and calls: the base of other scenarios.
+pub(super) const NO_FAULTS: Scenario = Scenario {
     name: "",
     voters: 3,
     joiners: 0,
@@ -80,7 +80,7 @@
     calls: &[],
 };
 
-/// Rows that wait for the disk, and the effects that follow once they are synced.
+/// Rows not yet synced to disk, and the effects to execute once they are.
 #[derive(Clone, Debug)]
 struct UnsyncedRows {
     rows: Vec<Row>,
@@ -92,7 +92,7 @@
     registers: Registers,
     disk: BTreeMap<String, Row>,
     unsynced: VecDeque<UnsyncedRows>,
-    /// Of all the above that affects what follows.
+    /// Digest of the parts of the fields above that affect later steps.
     digest: u128,
 }
 
@@ -129,8 +129,8 @@
     }
 }
 
-/// A message in flight. Messages are in the order of their digests: that in which they were sent says nothing of when
-/// they arrive.
+/// A message in flight. Messages are ordered by digest, since the order in which they were sent does not determine the
+/// order of delivery.
 #[derive(Clone)]
 struct SentMessage {
     digest: u128,
@@ -139,7 +139,7 @@
     message: Arc<Message>,
 }
 
-/// What is still to come, as far as it is bounded.
+/// Remaining number of each bounded action.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Budget {
     crashes: u32,
@@ -151,7 +151,7 @@
 #[derive(Clone)]
 pub(super) struct World {
     ablation: Ablation,
-    /// Steps of the history: each beginning and end of a call is one. It is the voters' clock as well.
+    /// Current step of the history, which counts each beginning and end of a call. Serves as the voters' clock as well.
     step: u64,
     nodes: Vec<Arc<Node>>,
     in_flight: Vec<SentMessage>,
@@ -159,16 +159,17 @@
     budget: Budget,
 }
 
-/// One thing that may happen next.
+/// A possible next action.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Action {
     Call(usize),
     Deliver(usize),
-    /// Delivers a message and keeps a copy of it on its way.
+    /// Delivers a message and keeps a copy in flight.
     DeliverCopy(usize),
     Sync(usize),
     Crash(usize),
-    /// A new voter asks a daemon for its slots. The question arrives at once: later is as if it were asked later.
+    /// A joiner requests the slots of a daemon. The request arrives immediately: a delayed arrival is equivalent to a
+    /// later request.
     RequestSlots {
         at: usize,
         from: usize,
@@ -205,11 +206,11 @@
             nodes: (0..scenario.voters + scenario.joiners).map(node).collect(),
             in_flight: vec![],
             calls: vec![],
-            // What happens in the prologue is synced at once.
+            // Without crashes in the budget, the steps of the prologue are synced immediately.
             budget: Budget::default(),
         };
-        world.play(scenario.prologue);
-        world.calls.extend(scenario.calls.iter().map(Call::of));
+        world.run_prologue(scenario.prologue);
+        world.calls.extend(scenario.calls.iter().map(Call::new));
         world.budget = Budget {
             crashes: scenario.crashes,
             copies: scenario.copies,
@@ -219,12 +220,12 @@
         world
     }
 
-    fn play(&mut self, prologue: &[Setup]) {
-        let mut cut_off = vec![];
+    fn run_prologue(&mut self, prologue: &[Setup]) {
+        let mut partitioned = vec![];
         for setup in prologue {
             match *setup {
                 Setup::Call(at, request) | Setup::CallWithLostCommits(at, request) => {
-                    self.calls.push(Call::of(&(at, request)));
+                    self.calls.push(Call::new(&(at, request)));
                     self.call(self.calls.len() - 1);
                 }
                 Setup::Join(at) => {
@@ -234,26 +235,26 @@
                         self.request_slots(at, from);
                     }
                 }
-                Setup::CutOff(at) => cut_off.push(at),
+                Setup::Partition(at) => partitioned.push(at),
             }
-            let loses_commits = matches!(setup, Setup::CallWithLostCommits(..));
-            self.deliver_all(&cut_off, loses_commits);
+            let drops_commits = matches!(setup, Setup::CallWithLostCommits(..));
+            self.deliver_all(&partitioned, drops_commits);
         }
     }
 
-    fn deliver_all(&mut self, cut_off: &[usize], loses_commits: bool) {
+    fn deliver_all(&mut self, partitioned: &[usize], drops_commits: bool) {
         while let Some(sent) = self.in_flight.pop() {
-            let is_lost_commit = loses_commits
+            let is_lost_commit = drops_commits
                 && matches!(&*sent.message, Message::Commit(_))
                 && self.nodes[sent.to].is_voting();
-            let is_cut_off = cut_off.contains(&sent.from) || cut_off.contains(&sent.to);
-            if !is_lost_commit && !is_cut_off {
+            let is_partitioned = partitioned.contains(&sent.from) || partitioned.contains(&sent.to);
+            if !is_lost_commit && !is_partitioned {
                 self.deliver(sent.from, sent.to, &sent.message);
             }
         }
     }
 
-    /// Whether calls have not ended yet, so that more can be reported.
+    /// Returns whether a call has not ended, so that its outcome may still be reported.
     pub(super) fn has_open_calls(&self) -> bool {
         self.calls.iter().any(|call| call.end.is_none())
     }
@@ -267,7 +268,7 @@
     }
 
     pub(super) fn actions(&self) -> Vec<Action> {
-        // A call that is the same as one before it and has not begun is the same choice. Who does not vote rejects it.
+        // Calls begin in order, so that only the first that has not begun is a choice. A non-voter would reject it.
         let calls = (0..self.calls.len())
             .filter(|i| self.calls[*i].began.is_none())
             .take(1)
@@ -343,7 +344,7 @@
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let is_commit_of_key =
             matches!(&message, Message::Commit(commit) if &*commit.change.key == KEY);
-        // A joiner learns the key's value with the slots that it reads: as if this message were lost.
+        // A joiner receives the key's value with the slots that it reads, so this message is treated as lost.
         if is_commit_of_key && !self.nodes[to].registers.is_listed_voter() {
             return;
         }
@@ -383,10 +384,10 @@
                 registers.propose(token, &MEMBERS_KEY.into(), Some(on), value, step, &mut out);
             }
         }
-        self.carry_out(at, out);
+        self.execute(at, out);
     }
 
-    /// The daemons of these indices as the voters after those that a daemon knows.
+    /// Returns the daemons with these indices as the next voters, based on the voters known to daemon `at`.
     fn voters_at(&self, at: usize, indices: &[usize]) -> Vec<Voter> {
         let members = &self.nodes[at].registers.members;
         let voter = |index: &usize| {
@@ -434,7 +435,7 @@
             }
             _ => {}
         }
-        self.carry_out(to, out);
+        self.execute(to, out);
     }
 
     fn request_slots(&mut self, at: usize, from: usize) {
@@ -443,13 +444,13 @@
         let (step, mut out) = (self.step, vec![]);
         let registers = &mut self.node(from).registers;
         registers.on_slots_request(&name(at), request, step, &mut out);
-        self.carry_out(from, out);
+        self.execute(from, out);
     }
 
-    fn carry_out(&mut self, at: usize, out: Effects) {
+    fn execute(&mut self, at: usize, out: Effects) {
         for effect in out {
             match effect {
-                // What a voter says to itself does not cross the network.
+                // Messages of a voter to itself do not cross the network.
                 Effect::Send { to, msg } if to == name(at) => self.deliver(at, at, &msg),
                 Effect::Send { to, msg } => {
                     let to = self.indices().find(|index| name(*index) == to).unwrap();
@@ -464,13 +465,13 @@
                 _ => {}
             }
         }
-        self.follow_members(at);
+        self.adopt_members_and_followers(at);
         self.ablate(at);
         self.node(at).update_digest();
     }
 
-    /// Adopts committed voters, and has commits sent to those that do not vote.
-    fn follow_members(&mut self, at: usize) {
+    /// Adopts the committed voters and makes all non-voters followers, which receive commits.
+    fn adopt_members_and_followers(&mut self, at: usize) {
         let mut out = vec![];
         let all: Vec<Name> = self.indices().map(name).collect();
         let registers = &mut self.node(at).registers;
@@ -482,11 +483,11 @@
             .filter(|daemon| !members.has_voter(daemon))
             .collect();
         if !out.is_empty() {
-            self.carry_out(at, out);
+            self.execute(at, out);
         }
     }
 
-    /// Takes away what a voter needs for the mechanism that is left out.
+    /// Removes the state of a voter that the left-out mechanism depends on.
     fn ablate(&mut self, at: usize) {
         let (ablation, all) = (self.ablation, self.indices());
         let registers = &mut self.node(at).registers;
@@ -526,12 +527,12 @@
             _ => vec![],
         };
         self.node(at).unsynced.push_back(unsynced);
-        self.carry_out(at, early);
-        self.sync_if_no_crash_is_left(at);
+        self.execute(at, early);
+        self.sync_unless_crash_is_possible(at);
     }
 
-    /// Without crashes to come a sync is nothing but another delay of what is sent after it.
-    fn sync_if_no_crash_is_left(&mut self, at: usize) {
+    /// Syncs immediately if no crash can follow: a later sync would only delay the messages sent after it.
+    fn sync_unless_crash_is_possible(&mut self, at: usize) {
         while self.budget.crashes == 0 && !self.nodes[at].unsynced.is_empty() {
             self.sync(at);
         }
@@ -545,43 +546,43 @@
         for row in rows {
             node.disk.insert(row_key(&row), row);
         }
-        self.carry_out(at, then);
+        self.execute(at, then);
     }
 
-    /// Loses what is not synced and all that is not on the disk, and starts again.
+    /// Drops unsynced rows and all state in memory, and restarts the node from its disk.
     fn crash(&mut self, at: usize) {
         self.budget.crashes -= 1;
         let node = self.node(at);
         let disk_id = node.registers.disk_id();
         let rows = node.disk.values().cloned().collect();
         *node = Node::new(at, disk_id, rows);
-        self.start_again(at);
+        self.restart(at);
         for index in self.indices() {
-            self.sync_if_no_crash_is_left(index);
+            self.sync_unless_crash_is_possible(index);
         }
     }
 
-    /// Comes back with a blank disk, which has another number.
+    /// Restarts the node with a blank disk, which has a new disk id.
     fn wipe(&mut self, at: usize) {
         self.budget.wiped = None;
         let disk_id = (self.nodes.len() + at) as u64 + 1;
         *self.node(at) = Node::new(at, disk_id, vec![]);
-        self.start_again(at);
+        self.restart(at);
     }
 
-    fn start_again(&mut self, at: usize) {
+    fn restart(&mut self, at: usize) {
         let node = self.node(at);
         node.registers.newly_committed.clear();
         node.update_digest();
-        self.follow_members(at);
+        self.adopt_members_and_followers(at);
     }
 
-    /// What the history holds that no register could have done; none if it is linearizable as far as it was reported.
+    /// Describes the first violation of linearizability in the reported history or the committed slots, if any.
     pub(super) fn violation(&self) -> Option<String> {
-        contradiction_among(&self.calls)
-            .or_else(|| self.ambiguous_version(KEY))
-            .or_else(|| self.ambiguous_version(MEMBERS_KEY))
-            .or_else(|| self.committed_rejected_write())
+        find_violation(&self.calls)
+            .or_else(|| self.find_ambiguous_version(KEY))
+            .or_else(|| self.find_ambiguous_version(MEMBERS_KEY))
+            .or_else(|| self.find_committed_rejected_write())
     }
 
     fn committed_slots(&self, key: &str) -> Vec<&Slot> {
@@ -592,8 +593,8 @@
             .collect()
     }
 
-    /// A version that is known to be committed has one value, wherever it is known.
-    fn ambiguous_version(&self, key: &str) -> Option<String> {
+    /// Describes a version that is known to be committed with two different values.
+    fn find_ambiguous_version(&self, key: &str) -> Option<String> {
         let committed = self.committed_slots(key);
         let has_rival = |slot: &&&Slot| {
             committed
@@ -607,8 +608,8 @@
         ))
     }
 
-    /// A committed value is never that of a write which was rejected.
-    fn committed_rejected_write(&self) -> Option<String> {
+    /// Describes a committed value whose write was rejected.
+    fn find_committed_rejected_write(&self) -> Option<String> {
         let committed = self.committed_slots(KEY);
         let is_committed_though_rejected = |call: &&Call| match (call.request, call.end) {
             (
@@ -625,7 +626,7 @@
         self.calls
             .iter()
             .find(is_committed_though_rejected)
-            .map(|call| format!("{call:?} was rejected and is committed"))
+            .map(|call| format!("{call:?} was rejected but is committed"))
     }
 
     pub(super) fn digest(&self) -> u128 {
@@ -639,7 +640,7 @@
         xxh3_128(&all.flat_map(u128::to_be_bytes).collect::<Vec<u8>>())
     }
 
-    /// Whether a step has made no difference but that a message is gone: it might as well have been lost.
+    /// Returns whether a step changed nothing but removed a message, which is equivalent to losing the message.
     pub(super) fn changed_nothing_since(&self, before: &World) -> bool {
         let is_same = |(node, before): (&Arc<Node>, &Arc<Node>)| {
             Arc::ptr_eq(node, before) || node.digest == before.digest
@@ -651,7 +652,7 @@
     }
 }
 
-/// A message as it arrives where a mechanism is left out.
+/// Returns the message as it is delivered when a mechanism is left out.
 fn ablated(
     mut message: Message,
     ablation: Ablation,
--- a/coordination/src/register/tests/proposer.rs
+++ b/coordination/src/register/tests/proposer.rs
@@ -1,4 +1,4 @@
-//! The rules that an owner keeps: one test for each.
+//! Tests of the proposer role of an owner, one per rule.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 
 const KEY: &str = "k";
 
-/// Voters whose messages a test delivers one by one.
+/// Voters whose messages are delivered one at a time by the test.
 struct Cluster {
     voters: Vec<Registers>,
     disks: Vec<Vec<Row>>,
@@ -24,13 +24,13 @@
         }
     }
 
-    /// Starts a voter again from its disk.
+    /// Restarts a voter from its disk.
     fn restart(&mut self, index: usize) {
         let rows = self.disks[index].clone();
         self.voters[index] = Registers::new(name(index), index as u64 + 1, rows, LEASE_DURATION, 1);
     }
 
-    /// Delivers one message, and returns what the receiver sends once it has synced.
+    /// Delivers a message and returns the messages that the receiver sends after syncing.
     fn deliver(&mut self, to: usize, from: usize, message: Message) -> Sends {
         let (registers, from_addr) = (&mut self.voters[to], name(from));
         let mut out = vec![];
@@ -44,7 +44,7 @@
         sync(&mut self.disks[to], out)
     }
 
-    /// Acquires the key at `owner` by the promises of two voters, and writes; the write reaches `reached` only.
+    /// Acquires the key at `owner` with the promises of two voters and writes `value`, which reaches only `reached`.
     fn write(&mut self, owner: usize, value: &str, promised_by: [usize; 2], reached: &[usize]) {
         let mut out = vec![];
         self.voters[owner].propose(7, &KEY.into(), None, Blob(value.into()), 1, &mut out);
@@ -61,7 +61,7 @@
     }
 }
 
-/// The first message to a voter.
+/// Returns the first message to a voter.
 fn message_to(sends: &Sends, index: usize) -> Message {
     sends
         .iter()
@@ -70,16 +70,16 @@
         .unwrap()
 }
 
-/// An owner crashes before its own disk has its promise, and comes back at once: its second ownership must not pass for
-/// its first, or a value that was accepted could lose against one that never was.
+/// An owner crashes before its own promise is synced and restarts at once. If its second ownership reused the epoch of
+/// the first, an accepted value could be replaced by one that was never accepted.
 #[gtest]
-fn an_owner_that_crashed_never_reuses_an_epoch() {
+fn a_crashed_owner_never_reuses_an_epoch() {
     let mut cluster = Cluster::new();
     cluster.write(0, "never", [1, 2], &[1]);
     cluster.restart(0);
     cluster.write(0, "accepted", [0, 2], &[0, 2]);
     expect_that!(slot(&cluster.voters[0], KEY).committed_version, eq(1));
-    // The third acquires the key with the second's promise, which comes first, and its own.
+    // Voter 2 acquires the key with the promise of voter 1, which arrives first, and its own.
     cluster.write(2, "next", [1, 2], &[1, 2]);
     expect_that!(
         String::from_utf8_lossy(&slot(&cluster.voters[2], KEY).value.0),
@@ -87,8 +87,8 @@
     );
 }
 
-/// A document's release is read from the very value that is current: not from another key's of the same version, nor
-/// from one that a later owner has put in its place.
+/// The release of a document is read from the current value, not from a value of another key with the same version and
+/// not from a value that a later owner has replaced.
 #[gtest]
 fn a_release_is_read_from_the_current_value() {
     let document = |release: u64| {
@@ -135,7 +135,7 @@
     );
 }
 
-/// A voter that acquires the key and has its own promise: a second one would be a majority.
+/// Returns a voter that is acquiring the key and holds its own promise: one more promise makes a majority.
 fn acquiring_with_own_promise() -> (Registers, Promise) {
     let mut registers = voter(0);
     let mut out = vec![];
@@ -162,8 +162,8 @@
     )
 }
 
-/// A promise that was given on a disk which has been lost since must not be counted with those of the present voters:
-/// the joiner in its place has read the others, and lacks what was in flight.
+/// A promise recorded on a disk that was lost since must not count together with promises of the current voters: the
+/// joiner that replaced it has read the other voters and lacks the writes that were in flight.
 #[gtest]
 fn only_promises_of_this_member_epoch_and_ownership_are_counted() {
     let (registers, promise) = acquiring_with_own_promise();
@@ -183,7 +183,7 @@
         expect_that!(
             owns_key(&registers),
             eq(counts),
-            "a promise of member epoch {member_epoch} by {from}"
+            "promise of member epoch {member_epoch} by {from}"
         );
     }
     let mut registers = registers.clone();
@@ -195,11 +195,11 @@
     expect_that!(
         owns_key(&registers),
         eq(false),
-        "a promise of an earlier ownership"
+        "promise of an earlier ownership"
     );
 }
 
-/// As with promises: who accepted what, under which epochs, decides whether it counts.
+/// An acceptance counts only if its voter, version, epoch and member epoch match the write, as with promises.
 #[gtest]
 fn only_acceptances_of_this_member_epoch_and_write_are_counted() {
     let (mut registers, promise) = acquiring_with_own_promise();
@@ -245,9 +245,9 @@
     }
 }
 
-/// A read is confirmed by a majority that answered a question asked since it came.
+/// A read is confirmed only by a majority of replies to requests sent since the read arrived.
 #[gtest]
-fn a_read_waits_for_a_majority_that_was_asked_since() {
+fn a_read_waits_for_a_majority_of_replies_to_later_requests() {
     let key: Name = KEY.into();
     let mut registers = voter(0);
     let committed = Change {
@@ -284,11 +284,15 @@
             )
         })
     };
-    expect_that!(finishes_read(0, 7, 100, 1), eq(false), "one is no majority");
+    expect_that!(
+        finishes_read(0, 7, 100, 1),
+        eq(false),
+        "one voter is not a majority"
+    );
     expect_that!(
         finishes_read(1, 7, 99, 1),
         eq(false),
-        "asked before the read came"
+        "request sent before the read arrived"
     );
     expect_that!(finishes_read(1, 6, 100, 1), eq(false), "another ownership");
     expect_that!(
@@ -296,13 +300,13 @@
         eq(false),
         "another member epoch"
     );
-    expect_that!(finishes_read(9, 7, 100, 1), eq(false), "no voter");
+    expect_that!(finishes_read(9, 7, 100, 1), eq(false), "not a voter");
     expect_that!(finishes_read(2, 7, 100, 1), eq(true));
 }
 
-/// A new owner goes by the epoch under which a value was accepted, and by what it has accepted itself.
+/// A new owner compares values by the epoch in which they were accepted, and includes the value in its own slot.
 #[gtest]
-fn a_new_owner_takes_over_the_value_of_the_highest_epoch() {
+fn a_new_owner_adopts_the_value_of_the_highest_epoch() {
     let voter_slot = |epoch, version, value: &str| Slot {
         key: KEY.into(),
         promised_epoch: epoch,
@@ -313,7 +317,7 @@
     };
     let older = voter_slot(5, 3, "older epoch");
     let newer = voter_slot(6, 2, "newer epoch");
-    // Promised by others, in either order, or known to the owner itself alone.
+    // The values come with promises of other voters, in either order, or from the owner's own slot.
     for (own, first, second) in [
         (None, &older, &newer),
         (None, &newer, &older),
@@ -346,6 +350,10 @@
                 Message::Accept(accept) => Some((accept.version, accept.value)),
                 _ => None,
             });
-        expect_that!(written, some(eq(&(2, newer.value.clone()))), "own {own:?}");
+        expect_that!(
+            written,
+            some(eq(&(2, newer.value.clone()))),
+            "own slot: {own:?}"
+        );
     }
 }
--- a/coordination/src/register/tests/random_faults.rs
+++ b/coordination/src/register/tests/random_faults.rs
@@ -1,4 +1,5 @@
-//! Three voters over a network that delays and loses, with slow disks, and crashes that drop what was not synced.
+//! Randomized fault test: three voters on a network that delays and loses messages, with slow disks and crashes that
+//! drop unsynced rows.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +11,7 @@
 
 const KEY: &str = "k";
 
-/// What is going to happen.
+/// A scheduled event.
 enum Event {
     Deliver {
         to: usize,
@@ -34,12 +35,12 @@
     voters: Vec<Option<Registers>>,
     incarnations: Vec<u64>,
     disks: Vec<BTreeMap<String, Row>>,
-    /// When each disk ends what it was last given: it works in order.
+    /// Time at which each disk finishes its last write; a disk writes in order.
     disk_busy_until: Vec<Ms>,
-    /// By time, and by the order in which they were scheduled.
+    /// Pending events by time and scheduling order.
     events: BTreeMap<(Ms, u64), Event>,
-    last_event: u64,
-    /// Every value that was reported accepted, or known to be committed anywhere, by version.
+    last_event_id: u64,
+    /// By version, every value reported as accepted or known to any voter as committed.
     committed: BTreeMap<u64, BTreeSet<Vec<u8>>>,
     proposed: BTreeMap<u64, Vec<u8>>,
 }
@@ -54,7 +55,7 @@
             disks: vec![[("members".to_string(), voting_row())].into(); VOTER_COUNT],
             disk_busy_until: vec![0; VOTER_COUNT],
             events: BTreeMap::new(),
-            last_event: 0,
+            last_event_id: 0,
             committed: BTreeMap::new(),
             proposed: BTreeMap::new(),
         };
@@ -65,9 +66,9 @@
     }
 
     fn schedule(&mut self, after: Ms, event: Event) {
-        self.last_event += 1;
+        self.last_event_id += 1;
         self.events
-            .insert((self.now + after, self.last_event), event);
+            .insert((self.now + after, self.last_event_id), event);
     }
 
     fn start(&mut self, index: usize) {
@@ -89,7 +90,7 @@
         self.schedule(downtime, Event::Start { at: index });
     }
 
-    fn carry_out(&mut self, index: usize, out: Effects) {
+    fn execute(&mut self, index: usize, out: Effects) {
         for effect in out {
             match effect {
                 Effect::Send { to, msg } => self.send(index, &to, msg),
@@ -155,7 +156,7 @@
                 for row in rows {
                     self.disks[at].insert(row_key(&row), row);
                 }
-                self.carry_out(at, then);
+                self.execute(at, then);
             }
             Event::Deliver { to, from, message } => self.deliver(to, from, *message),
         }
@@ -177,10 +178,10 @@
             }
             _ => {}
         }
-        self.carry_out(to, out);
+        self.execute(to, out);
     }
 
-    /// Runs for a while; with faults, voters crash, write, and mistake each other for dead.
+    /// Runs for `duration`. With faults, voters crash, write, and wrongly consider each other down.
     fn run(&mut self, duration: Ms, with_faults: bool) {
         let end = self.now + duration;
         while self.now < end {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// A millisecond of one voter.
+    /// Advances one voter by a millisecond.
     fn step(&mut self, index: usize, with_faults: bool) {
         if with_faults && self.rng.u32(..700) == 0 && self.voters[index].is_some() {
             self.crash(index);
@@ -208,7 +209,7 @@
             .filter(|other| self.voters[*other].is_some())
             .map(name)
             .collect();
-        // Whom each takes for live is now and then wrong, so that two acquire a key at once.
+        // Sometimes a voter considers all others down, so that two voters acquire the key concurrently.
         let is_mistaken = with_faults && self.rng.u8(..) < 20;
         let is_live = |voter: &str| {
             if is_mistaken {
@@ -227,20 +228,21 @@
                 .preferred_owner(KEY, &is_live)
                 .is_some_and(|voter| voter.name == name(index))
         {
-            let token = self.last_event + 1_000_000 * (index as u64 + 1);
+            let token = self.last_event_id + 1_000_000 * (index as u64 + 1);
             let value = format!("{token}").into_bytes();
             self.proposed.insert(token, value.clone());
             registers.propose(token, &KEY.into(), None, Blob(value), now, &mut out);
-            self.last_event += 1;
+            self.last_event_id += 1;
         }
         if now.is_multiple_of(50) {
             registers.tick(now, &is_live, &[], &mut out);
         }
-        self.carry_out(index, out);
+        self.execute(index, out);
     }
 }
 
-/// Whatever crashes, is late or is lost: a version has one value for good, and in the end some voter has the newest.
+/// Whatever crashes and whichever messages are delayed or lost, a committed version keeps a single value, and in the
+/// end at least one voter stores the newest version.
 #[gtest]
 fn a_committed_version_keeps_its_value_under_random_faults() {
     let mut version_count = 0;
@@ -256,7 +258,7 @@
         expect_that!(ambiguous, is_empty(), "seed {seed}");
         let newest = network.committed.keys().max().copied().unwrap_or(0);
         version_count += newest;
-        // A voter that missed a commit is repaired by digests, which are not part of this.
+        // A voter that missed a commit is repaired through digests, which this test does not run.
         let newest_on_voters = network
             .voters
             .iter()
--- a/coordination/tests/catching_up.rs
+++ b/coordination/tests/catching_up.rs
@@ -1,5 +1,5 @@
-//! Voters that missed changes: however many there were, and though more come all the time, they catch up soon and never go
-//! back.
+//! Tests that voters that missed changes catch up quickly, however many they missed and while more are written, and
+//! that they never report an older version again.
 
 mod fleet;
 
@@ -9,19 +9,21 @@
 use wire_messages::Message;
 
 const ZONE: &str = "zone/z1";
-/// ms between two changes, as quick as was ever seen.
+/// Interval between two changes, in ms: the shortest ever observed.
 const CHANGE_INTERVAL: Ms = 80;
 
 fn settled_fleet(seed: u64, daemons: usize) -> Fleet {
     let mut fleet = Fleet::bootstrapped(seed, daemons, |i| format!("r{}", i % 3));
     fleet
         .run_until(10_000, |fleet| {
-            (0..3).all(|i| fleet.control(i).is_some_and(|b| b.is_settled()))
+            (0..3).all(|i| fleet.control(i).is_some_and(|control| control.is_settled()))
         })
         .expect("the fleet settles");
     fleet
 }
-/// Changes the spec at short intervals for a while, and calls `after_each`; returns how many changes were accepted.
+
+/// Changes the spec every `CHANGE_INTERVAL` for `ms`, calling `after_each` after each change. Returns the number of
+/// finished changes.
 fn change_repeatedly(
     fleet: &mut Fleet,
     at: usize,
@@ -31,7 +33,7 @@
     let end = fleet.now + ms;
     let before = fleet.write_outcomes.len();
     while fleet.now < end {
-        let version = fleet.value(at, SPEC_KEY).map_or(0, |h| h.0);
+        let version = fleet.value(at, SPEC_KEY).map_or(0, |value| value.0);
         let value = format!("at {}", fleet.now).into_bytes();
         fleet.write(at, SPEC_KEY, Some(version), &value);
         fleet.run(CHANGE_INTERVAL);
@@ -40,22 +42,22 @@
     fleet.write_outcomes.len() - before
 }
 
-/// One member misses a change of a key; other keys go on changing so fast that no two of its comparisons with the others
-/// come out the same.
+/// A voter misses a change of one key while another key changes so fast that no two digest comparisons with the other
+/// voters give the same result. The missed change must still arrive.
 #[gtest]
-fn missed_change_arrives_though_other_keys_keep_changing() {
+fn missed_change_arrives_while_other_keys_change() {
     for seed in 0..20 {
         let fleet = &mut settled_fleet(seed, 3);
         let owner = |fleet: &Fleet, key| {
             (0..3).find(|i| {
                 fleet
                     .control(*i)
-                    .is_some_and(|b| b.registers.held_until(key, fleet.now).is_some())
+                    .is_some_and(|control| control.registers.held_until(key, fleet.now).is_some())
             })
         };
         fleet
             .write_until_accepted(ZONE, b"before", 5_000)
-            .expect("it is accepted");
+            .expect("the write is accepted");
         fleet.run(1_000);
         let zone_owner = owner(fleet, ZONE).unwrap();
         let spec_owner = owner(fleet, SPEC_KEY).unwrap_or(0);
@@ -73,12 +75,12 @@
         });
         fleet
             .write_until_accepted(ZONE, b"after", 5_000)
-            .expect("it is accepted");
-        let value = |fleet: &Fleet| fleet.value(lagging, ZONE).map(|h| h.1);
+            .expect("the write is accepted");
+        let value = |fleet: &Fleet| fleet.value(lagging, ZONE).map(|value| value.1);
         expect_that!(
             value(fleet),
             some(eq(b"before")),
-            "seed {seed}: it missed nothing"
+            "seed {seed}: the voter did not miss the change"
         );
         let changes = change_repeatedly(fleet, spec_owner, 4_000, |_| ());
         expect_that!(changes, gt(20), "seed {seed}: too few changes");
@@ -90,10 +92,10 @@
     }
 }
 
-/// One is down, or cut off, for hundreds of changes, and is restarted while more come. What it reports from then on never
-/// goes back, and it is settled and has the newest value while the changes go on.
+/// A voter is down or partitioned for hundreds of changes and returns while more are written. The version that it
+/// reports must never decrease, and it must settle with the newest value while the changes continue.
 #[gtest]
-fn member_that_missed_hundreds_of_changes_catches_up_soon() {
+fn voter_that_missed_hundreds_of_changes_catches_up_quickly() {
     for seed in 0..12u64 {
         let daemons = if seed % 3 == 2 { 6 } else { 3 };
         let fleet = &mut settled_fleet(seed, daemons);
@@ -113,30 +115,38 @@
             fleet.partitioned.clear();
         }
         let returned_at = fleet.now;
-        let newest_seen = std::cell::Cell::new(0);
+        let highest_seen = std::cell::Cell::new(0);
         let caught_up_after = std::cell::Cell::new(None);
         change_repeatedly(fleet, at, 6_000, |fleet| {
-            let has = fleet.value(lagging, SPEC_KEY).map_or(0, |h| h.0);
-            expect_that!(has, ge(newest_seen.get()), "seed {seed}: it goes back");
-            newest_seen.set(has);
-            // With daemons to spare another has its vote by then, and it is a learner.
+            let version = fleet.value(lagging, SPEC_KEY).map_or(0, |value| value.0);
+            expect_that!(
+                version,
+                ge(highest_seen.get()),
+                "seed {seed}: the version decreased"
+            );
+            highest_seen.set(version);
+            // With spare daemons, another one has replaced it as voter by then, and it is a learner.
             let votes = fleet.voters(lagging).contains(&format!("c{lagging}"));
-            let is_caught_up =
-                has >= newest && (!votes || fleet.control(lagging).is_some_and(|b| b.is_settled()));
-            let took = is_caught_up.then_some(fleet.now - returned_at);
-            caught_up_after.set(caught_up_after.get().or(took));
+            let is_caught_up = version >= newest
+                && (!votes
+                    || fleet
+                        .control(lagging)
+                        .is_some_and(|control| control.is_settled()));
+            let elapsed = is_caught_up.then_some(fleet.now - returned_at);
+            caught_up_after.set(caught_up_after.get().or(elapsed));
         });
         expect_that!(
             caught_up_after.get(),
             some(le(3_000)),
-            "seed {seed}, {daemons} daemons, {lagging} was away"
+            "seed {seed}, {daemons} daemons, daemon {lagging} returned"
         );
     }
 }
 
-/// It crashes again and again while it catches up: what it has synced by then is kept, and nothing older comes back.
+/// A voter crashes repeatedly while it catches up. It must keep the version that it has synced and never report an
+/// older one.
 #[gtest]
-fn member_that_crashes_while_catching_up_never_goes_back() {
+fn version_never_decreases_when_a_voter_crashes_while_catching_up() {
     for seed in 0..12u64 {
         let fleet = &mut settled_fleet(seed, 3);
         let lagging = (seed as usize) % 3;
@@ -148,8 +158,8 @@
             fleet.start(lagging);
             let ms = fleet.rng.u64(20..500);
             change_repeatedly(fleet, at, ms, |_| ());
-            let has = fleet.value(lagging, SPEC_KEY).map_or(0, |h| h.0);
-            expect_that!(has, ge(synced), "seed {seed}: it goes back");
+            let version = fleet.value(lagging, SPEC_KEY).map_or(0, |value| value.0);
+            expect_that!(version, ge(synced), "seed {seed}: the version decreased");
             let on_disk = fleet.daemons[lagging].disk.get(SPEC_KEY).cloned();
             if let Some(coordination::Row::Slot(slot)) = on_disk {
                 synced = slot.committed_version;
@@ -160,15 +170,20 @@
         fleet.run(4_000);
         let newest = fleet.value(at, SPEC_KEY).unwrap().0;
         expect_that!(
-            fleet.value(lagging, SPEC_KEY).map(|h| h.0),
+            fleet.value(lagging, SPEC_KEY).map(|value| value.0),
             some(eq(newest)),
             "seed {seed}"
         );
-        expect_true!(fleet.control(lagging).is_some_and(|b| b.is_settled()));
+        expect_true!(
+            fleet
+                .control(lagging)
+                .is_some_and(|control| control.is_settled())
+        );
     }
 }
 
-/// Operators see of each daemon whether it hears a majority, and of each voter whether it has what the others have.
+/// The status shows operators whether each daemon is in contact with a majority, and whether each voter has the same
+/// state as the others.
 #[gtest]
 fn status_shows_which_voters_are_partitioned_and_which_are_lagging() {
     let fleet = &mut settled_fleet(1, 3);
@@ -203,19 +218,19 @@
             counter(fleet, i, "voters_live"),
             some(eq(if i == 2 { 1 } else { 2 }))
         );
-        let unheard: Vec<&str> = status
+        let unreachable: Vec<&str> = status
             .members
             .iter()
             .filter(|member| member.heard_ms_ago.is_some_and(|ms| ms >= 2_500))
             .map(|member| member.name.as_str())
             .collect();
         expect_that!(
-            unheard,
+            unreachable,
             eq(&if i == 2 { vec!["c0", "c1"] } else { vec!["c2"] }),
             "daemon {i}"
         );
     }
-    // It is heard again and its state is older, until it has caught up.
+    // The voter is reachable again, but its state is older until it has caught up.
     fleet.partitioned.clear();
     fleet.delivers = Box::new(|_, to, message| {
         *to != fleet::addr(2)
--- a/coordination/tests/joiners.rs
+++ b/coordination/tests/joiners.rs
@@ -1,15 +1,15 @@
-//! What a daemon that is given a place among the voters reads before it votes, and what those that
-//! are read report of themselves: one rule each.
+//! Tests of joiners: which daemons a joiner must read before it votes, and how those daemons report
+//! their own state, one test per rule.
 
 use coordination::{Effect, Effects, Row, control::Control, control::ControlConfig};
 use googletest::prelude::*;
 use wire_messages::{Bootstrap, List, Message, Name, SlotsReply, SlotsRequest, Voter};
 
-/// Of the daemon under test.
+/// Disk id of the daemon under test.
 const DISK_ID: u64 = 9;
-/// How a daemon relates to its member epoch, as `SlotsReply` reports it.
-const NO_VOTER: u8 = 0;
-const VOTES: u8 = 1;
+/// Values of `SlotsReply::voting`: whether a daemon votes in its member epoch.
+const NOT_VOTING: u8 = 0;
+const VOTING: u8 = 1;
 const LEFT: u8 = 2;
 
 fn voter(name: &str, disk_id: u64, since_epoch: u32) -> Voter {
@@ -37,12 +37,12 @@
     }
 }
 
-/// A daemon with these rows on its disk.
+/// Starts a daemon with these rows on its disk.
 fn start(rows: Vec<Row>) -> Control {
     Control::new(config(), DISK_ID, rows, 1, 0)
 }
 
-/// A daemon whose disk has these voters.
+/// Starts a daemon with this member configuration on its disk.
 fn daemon(member_epoch: u32, voters: Vec<Voter>, voting: bool) -> Control {
     start(vec![Row::Members {
         member_epoch,
@@ -53,8 +53,8 @@
     }])
 }
 
-/// Voters among which the daemon has a place.
-fn with_place(since_epoch: u32) -> Vec<Voter> {
+/// Returns voters that include the daemon under test.
+fn voters_with_daemon(since_epoch: u32) -> Vec<Voter> {
     vec![
         voter("a", 1, 1),
         voter("b", 2, 1),
@@ -62,11 +62,12 @@
     ]
 }
 
-fn without_place() -> Vec<Voter> {
+/// Returns voters that do not include the daemon under test.
+fn voters_without_daemon() -> Vec<Voter> {
     vec![voter("a", 1, 1), voter("b", 2, 1), voter("c", 3, 1)]
 }
 
-/// Another daemon reports its slots; gives whether the daemon then votes.
+/// Delivers a slots reply of another daemon and returns whether the daemon votes afterwards.
 fn votes_after_reply(
     control: &mut Control,
     from: &str,
@@ -90,8 +91,8 @@
     control.registers.members.voting
 }
 
-/// The member epoch and the relation to it that a daemon reports to one that asks.
-fn reported(control: &mut Control) -> Option<(u32, u8)> {
+/// Returns the member epoch and the voting state that a daemon reports in its slots reply.
+fn reported_state(control: &mut Control) -> Option<(u32, u8)> {
     let request = SlotsRequest {
         member_epoch: control.registers.members.member_epoch,
         known: List::default(),
@@ -102,7 +103,7 @@
         Message::SlotsRequest(request),
         6_000,
     );
-    // Only once all that it has voted is on its disk.
+    // The reply is sent only once all votes of the daemon are synced to its disk.
     effects.iter().find_map(|effect| match effect {
         Effect::Persist { then, .. } => then.iter().find_map(reply),
         _ => None,
@@ -132,130 +133,130 @@
 }
 
 #[gtest]
-fn a_joiner_votes_once_it_has_read_a_majority_of_those_that_closed_the_former_epoch() {
-    let start_joiner = || daemon(2, with_place(2), false);
-    // Two of the three former voters.
-    for second in [VOTES, LEFT] {
+fn a_joiner_votes_once_it_has_read_a_majority_of_the_former_voters() {
+    let start_joiner = || daemon(2, voters_with_daemon(2), false);
+    // Two of the three former voters are a majority.
+    for second in [VOTING, LEFT] {
         let mut control = start_joiner();
         expect_false!(votes_after_reply(
             &mut control,
             "a",
             2,
-            VOTES,
-            with_place(2)
+            VOTING,
+            voters_with_daemon(2)
         ));
         expect_true!(votes_after_reply(
             &mut control,
             "b",
             2,
             second,
-            with_place(2)
+            voters_with_daemon(2)
         ));
     }
     let mut control = start_joiner();
-    votes_after_reply(&mut control, "a", 2, VOTES, with_place(2));
+    votes_after_reply(&mut control, "a", 2, VOTING, voters_with_daemon(2));
     expect_false!(
-        votes_after_reply(&mut control, "a", 2, VOTES, with_place(2)),
-        "the same one again"
+        votes_after_reply(&mut control, "a", 2, VOTING, voters_with_daemon(2)),
+        "the same voter again"
     );
     expect_false!(
-        votes_after_reply(&mut control, "s", 2, NO_VOTER, with_place(2)),
-        "a learner, or one that reads itself"
+        votes_after_reply(&mut control, "s", 2, NOT_VOTING, voters_with_daemon(2)),
+        "a learner, or a joiner that is still catching up"
     );
     expect_false!(
-        votes_after_reply(&mut control, "b", 1, VOTES, without_place()),
-        "one that has not closed it"
+        votes_after_reply(&mut control, "b", 1, VOTING, voters_without_daemon()),
+        "a voter that has not closed the former epoch"
     );
     expect_true!(votes_after_reply(
         &mut control,
         "b",
         2,
-        VOTES,
-        with_place(2)
+        VOTING,
+        voters_with_daemon(2)
     ));
-    // One that has no place reads nothing.
-    let mut control = daemon(2, without_place(), false);
-    votes_after_reply(&mut control, "a", 2, VOTES, without_place());
+    // A daemon that is not listed as a voter never starts to vote.
+    let mut control = daemon(2, voters_without_daemon(), false);
+    votes_after_reply(&mut control, "a", 2, VOTING, voters_without_daemon());
     expect_false!(votes_after_reply(
         &mut control,
         "b",
         2,
-        VOTES,
-        without_place()
+        VOTING,
+        voters_without_daemon()
     ));
 }
 
 #[gtest]
-fn what_was_read_under_one_member_epoch_does_not_count_under_the_next() {
-    let mut control = daemon(2, with_place(2), false);
+fn replies_of_one_member_epoch_do_not_count_in_the_next() {
+    let mut control = daemon(2, voters_with_daemon(2), false);
     expect_false!(votes_after_reply(
         &mut control,
         "a",
         2,
-        VOTES,
-        with_place(2)
+        VOTING,
+        voters_with_daemon(2)
     ));
-    // The place is given anew; whoever reports it is read at once.
+    // A later epoch lists the daemon anew; the reply that reports that epoch counts as read under it.
     expect_false!(votes_after_reply(
         &mut control,
         "b",
         3,
-        VOTES,
-        with_place(3)
+        VOTING,
+        voters_with_daemon(3)
     ));
     expect_that!(control.registers.members.member_epoch, eq(3));
     expect_true!(votes_after_reply(
         &mut control,
         "a",
         3,
-        VOTES,
-        with_place(3)
+        VOTING,
+        voters_with_daemon(3)
     ));
 }
 
-/// Joiners count those that have left as former voters: only who voted until that very epoch may
-/// say so.
+/// Joiners count daemons that report `LEFT` as former voters, so only a daemon that voted in the
+/// epoch directly before may report it.
 #[gtest]
-fn only_a_voter_of_the_epoch_before_says_that_it_has_left() {
-    let mut former_voter = daemon(2, with_place(1), true);
-    expect_that!(reported(&mut former_voter), some(eq((2, VOTES))));
-    votes_after_reply(&mut former_voter, "a", 3, VOTES, without_place());
-    expect_that!(reported(&mut former_voter), some(eq((3, LEFT))));
-    votes_after_reply(&mut former_voter, "a", 4, VOTES, without_place());
+fn only_a_voter_of_the_previous_epoch_reports_that_it_left() {
+    let mut former_voter = daemon(2, voters_with_daemon(1), true);
+    expect_that!(reported_state(&mut former_voter), some(eq((2, VOTING))));
+    votes_after_reply(&mut former_voter, "a", 3, VOTING, voters_without_daemon());
+    expect_that!(reported_state(&mut former_voter), some(eq((3, LEFT))));
+    votes_after_reply(&mut former_voter, "a", 4, VOTING, voters_without_daemon());
     expect_that!(
-        reported(&mut former_voter),
-        some(eq((4, NO_VOTER))),
-        "it has not voted in the epoch before"
+        reported_state(&mut former_voter),
+        some(eq((4, NOT_VOTING))),
+        "it did not vote in the epoch before"
     );
-    let mut learner = daemon(2, without_place(), false);
-    votes_after_reply(&mut learner, "a", 3, VOTES, without_place());
-    expect_that!(reported(&mut learner), some(eq((3, NO_VOTER))));
-    let mut lagging = daemon(2, with_place(1), true);
-    votes_after_reply(&mut lagging, "a", 4, VOTES, without_place());
+    let mut learner = daemon(2, voters_without_daemon(), false);
+    votes_after_reply(&mut learner, "a", 3, VOTING, voters_without_daemon());
+    expect_that!(reported_state(&mut learner), some(eq((3, NOT_VOTING))));
+    let mut lagging = daemon(2, voters_with_daemon(1), true);
+    votes_after_reply(&mut lagging, "a", 4, VOTING, voters_without_daemon());
     expect_that!(
-        reported(&mut lagging),
-        some(eq((4, NO_VOTER))),
-        "it knows nothing of the epoch before"
+        reported_state(&mut lagging),
+        some(eq((4, NOT_VOTING))),
+        "it missed the epoch before"
     );
-    let mut reading = daemon(2, with_place(2), false);
-    votes_after_reply(&mut reading, "a", 3, VOTES, without_place());
+    let mut catching_up = daemon(2, voters_with_daemon(2), false);
+    votes_after_reply(&mut catching_up, "a", 3, VOTING, voters_without_daemon());
     expect_that!(
-        reported(&mut reading),
-        some(eq((3, NO_VOTER))),
+        reported_state(&mut catching_up),
+        some(eq((3, NOT_VOTING))),
         "it never voted"
     );
-    // A voter that keeps its place goes on, but not through a change that gave it away in between.
-    let mut remaining = daemon(2, with_place(1), true);
-    votes_after_reply(&mut remaining, "a", 3, VOTES, with_place(1));
-    expect_that!(reported(&mut remaining), some(eq((3, VOTES))));
-    votes_after_reply(&mut remaining, "a", 5, VOTES, with_place(5));
-    expect_that!(reported(&mut remaining), some(eq((5, NO_VOTER))));
+    // A voter that remains listed continues to vote, unless it was removed and listed again in between.
+    let mut remaining = daemon(2, voters_with_daemon(1), true);
+    votes_after_reply(&mut remaining, "a", 3, VOTING, voters_with_daemon(1));
+    expect_that!(reported_state(&mut remaining), some(eq((3, VOTING))));
+    votes_after_reply(&mut remaining, "a", 5, VOTING, voters_with_daemon(5));
+    expect_that!(reported_state(&mut remaining), some(eq((5, NOT_VOTING))));
 }
 
-/// The first voters are written to their own disks only: a blank one that comes later is not among
-/// them, whatever its name.
+/// The first voters are written only to their own disks: a blank disk added later is not one of
+/// them, even under the same name.
 #[gtest]
-fn only_a_disk_among_the_first_voters_takes_their_list() {
+fn only_disks_of_the_first_voters_adopt_the_bootstrap_list() {
     let started_with = |voters: Vec<Voter>| {
         let mut control = start(vec![]);
         bootstrap(&mut control, voters);
@@ -264,17 +265,17 @@
             control.registers.members.member_epoch,
         )
     };
-    expect_that!(started_with(with_place(1)), eq((true, 1)));
-    expect_that!(started_with(without_place()), eq((false, 0)));
+    expect_that!(started_with(voters_with_daemon(1)), eq((true, 1)));
+    expect_that!(started_with(voters_without_daemon()), eq((false, 0)));
     let with_other_disk = vec![
         voter("a", 1, 1),
         voter("b", 2, 1),
         voter("n", DISK_ID + 1, 1),
     ];
     expect_that!(started_with(with_other_disk), eq((false, 0)));
-    // Nor does one that knows voters already.
-    let mut control = daemon(2, without_place(), false);
-    bootstrap(&mut control, with_place(1));
+    // A daemon that already knows voters ignores the list as well.
+    let mut control = daemon(2, voters_without_daemon(), false);
+    bootstrap(&mut control, voters_with_daemon(1));
     expect_that!(
         (
             control.registers.members.voting,
