--- a/coordination/src/bounds.rs
+++ b/coordination/src/bounds.rs
@@ -1,72 +1,72 @@
-//! What operators promise their callers, as times, shares and rates. Runtimes read them from their settings;
-//! state machines derive leases, expiries, drains and budgets from them.
+//! Service bounds that operators guarantee to their callers, as times, shares and rates. Runtimes read them from the
+//! settings; state machines derive lease durations, expiries, drain times and budgets from them.
 
 use serde::Deserialize;
 
 use crate::{Ms, timing::LEASE_DURATION};
 
-/// Leases in a contact bound: a singleton role whose holder died is taken over, one lease later, well within it.
+/// Leases per contact bound. A singleton role is taken over one lease after its holder died, well within the bound.
 const LEASES_PER_CONTACT_BOUND: Ms = 2;
 
 /// The bounds of one deployment.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// ms. A daemon undisturbed for so long must keep all bounds below.
+    /// Time without disturbance, in ms, after which a daemon must meet all bounds below.
     pub contact: Ms,
-    /// ms. An operator's order is answered by then.
+    /// Time limit for answering an operator's request, in ms.
     pub answer: Ms,
-    /// ms. A daemon that came back with a lost disk has caught up after so long.
+    /// Time limit for a daemon that restarted with a lost disk to catch up, in ms.
     pub sync: Ms,
-    /// ms. A draining replica gets nothing new after so long.
+    /// Time after which a draining replica gets no new requests, in ms.
     pub drain: Ms,
-    /// ms. From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL, in ms.
     pub grace: Ms,
-    /// ms. A new spec is honoured everywhere after so long.
+    /// Time after which a new spec is in effect everywhere, in ms.
     pub apply: Ms,
-    /// ms. An evacuated zone gets nothing after so long.
+    /// Time after which an evacuated zone gets no requests, in ms.
     pub evacuate: Ms,
-    /// ms. A bad version gets nothing after so long.
+    /// Time after which an unhealthy version gets no requests, in ms.
     pub rollback: Ms,
-    /// Part of a service's requests that a version on trial may take.
+    /// Fraction of a service's requests that a canary version may get.
     pub canary_share: f64,
-    /// Requests that it may take besides.
+    /// Requests that a canary version may get on top of that fraction.
     pub canary_slack: f64,
-    /// Retries, as a part of first attempts over the window.
+    /// Allowed retries over the retry window, as a fraction of first attempts.
     pub retry_share: f64,
-    /// ms. That window.
+    /// Length of the retry window, in ms.
     pub retry_window: Ms,
-    /// Retries that are allowed besides.
+    /// Retries allowed per window on top of that fraction.
     pub retry_slack: f64,
     /// Factor by which the rate of a replica that is warming up may be exceeded.
     pub cold_over: f64,
-    /// Requests that it may get besides.
+    /// Requests that such a replica may get on top of that rate.
     pub cold_slack: f64,
-    /// s. Longest that callers may keep an answer on where to go.
+    /// Longest time for which callers may cache a directory answer, in seconds.
     pub directory_s: u64,
-    /// ms. A new holder of a singleton role makes no call to the platform for so long.
+    /// Time for which a new holder of a singleton role makes no platform calls, in ms.
     pub role_pause: Ms,
-    /// Daemons with a disk that may be lost at once.
+    /// Number of daemons with a disk that may be lost at once.
     pub lost_disks: u32,
-    /// Zones that may be lost at once.
+    /// Number of zones that may be lost at once.
     pub lost_zones: u32,
-    /// Regions that may be lost at once.
+    /// Number of regions that may be lost at once.
     pub lost_regions: u32,
-    /// ms. Length of the windows by which usage is counted; 0: usage is not counted.
+    /// Length of the usage windows, in ms; 0 disables counting usage.
     pub usage_window: Ms,
-    /// ms. The usage report of a window is due so long after the window's end.
+    /// Time from the end of a usage window until its report is due, in ms.
     pub usage_delay: Ms,
 }
 
 impl Bounds {
-    /// ms. How long a lease lasts.
+    /// Returns the duration of a lease, in ms.
     pub fn lease(&self) -> Ms {
         LEASE_DURATION.min(self.contact / LEASES_PER_CONTACT_BOUND)
     }
 }
 
 impl Default for Bounds {
-    /// The brief's own bounds.
+    /// Returns the bounds that the requirements set.
     fn default() -> Self {
         Bounds {
             contact: 5_000,
--- a/coordination/src/compressed/tests.rs
+++ b/coordination/src/compressed/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn long_values_are_compressed_and_all_are_decoded_as_they_were() {
+fn long_values_are_compressed_and_all_values_round_trip() {
     for replica_count in [0, 1, 30, 3_000] {
         let record = record(replica_count);
         let bytes = encode(&record).unwrap();
@@ -39,16 +39,16 @@
             eq(serde_json::to_vec(&record).unwrap().len() >= COMPRESSION_THRESHOLD_BYTES)
         );
     }
-    // Long values that an earlier build wrote are not compressed.
+    // Builds before compression wrote long values uncompressed.
     let uncompressed = serde_json::to_vec(&record(3_000)).unwrap();
     expect_true!(decode::<RolloutRecord>(&uncompressed).is_some());
 }
 
-// At 299 machines and 3,000 replicas a record of 600 KB could not be sent to an edge within a frame's time limit: no
-// edge ever received anything.
+// Guards against a record too long to be sent within a frame's time limit: with 299 machines and 3,000 replicas the
+// uncompressed record had 600 KB, and no edge ever received anything.
 #[gtest]
 fn a_record_of_three_thousand_replicas_is_sent_in_a_tenth_of_a_frames_time_limit() {
-    // Bytes that a link of 10 Mbit/s carries in 100 ms.
+    // Bytes that a link of 10 Mbit/s transfers in 100 ms.
     const BYTES_IN_A_TENTH: usize = 125_000;
     expect_that!(
         serde_json::to_vec(&record(3_000)).unwrap().len(),
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn bytes_that_are_no_value_or_decompress_to_too_much_are_none() {
+fn invalid_bytes_and_values_over_the_limit_are_not_decoded() {
     expect_that!(decode::<RolloutRecord>(&[COMPRESSED_MARK, 7, 7, 7]), none());
     expect_that!(decode::<RolloutRecord>(b""), none());
     let bytes = encode(&"a".repeat(DECOMPRESSED_MAX_BYTES)).unwrap();
--- a/coordination/src/effect.rs
+++ b/coordination/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a state machine wants done. Runtimes carry effects out; nothing else touches the world.
+//! Effects: the actions that a state machine requests. Runtimes execute them; state machines do no I/O themselves.
 
 use std::fmt;
 
@@ -6,39 +6,39 @@
 
 use crate::{events::Event, platform_call::LeasedCall, rollout::Order};
 
-/// Milliseconds of a clock that also runs while the machine sleeps.
+/// Milliseconds of a clock that also advances while the machine sleeps.
 pub type Ms = u64;
-/// What a state machine wants done, in this order.
+/// Effects to execute, in this order.
 pub type Effects = Vec<Effect>;
 
-/// What the disk stores.
+/// A row of the durable state on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Row {
     /// The acceptor's state for one key.
     Slot(Slot),
-    /// The membership; there is one.
+    /// The member configuration; a disk stores only one.
     Members {
-        /// Rises with each change of the voters.
+        /// The member epoch, which rises with each change of the voters.
         member_epoch: u32,
-        /// How many voters there were in the epoch before.
+        /// Number of voters in the previous member epoch.
         before: u32,
         /// The voters of this epoch.
         voters: Vec<Voter>,
-        /// Whether this disk has caught up and votes.
+        /// Whether this daemon has caught up and votes.
         voting: bool,
-        /// Whether it voted until this member epoch, which gave its place away.
+        /// Whether this daemon was a voter until this member epoch replaced it.
         left: bool,
     },
 }
 
-/// Why a write was never offered to a disk. Operators see the texts.
+/// Why a write was rejected before it was sent to any acceptor. The texts are shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotAcceptedReason {
-    /// This daemon was suspended until just now, and the write may have waited for it.
+    /// This daemon was suspended until just now, and the write may have been queued meanwhile.
     Suspended,
-    /// Other writes of the key came first, for as long as an unconditional write is tried again.
+    /// Other writes of the key were accepted first until the retries of this unconditional write ran out.
     Overtaken,
-    /// No voter is live that could own the key.
+    /// No voter that could own the key is live.
     NoLiveVoter,
     /// The key has moved to another owner.
     KeyMoved,
@@ -48,14 +48,14 @@
     NoMajority,
     /// This daemon does not vote.
     NotVoting,
-    /// Too many writes wait for this key.
+    /// Too many writes of this key are pending.
     TooManyPending,
     /// This daemon's disk does not work.
     DiskFailed,
 }
 
 impl NotAcceptedReason {
-    /// The text for operators, which also goes over the wire.
+    /// Returns the text for operators, which is also sent over the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             NotAcceptedReason::Suspended => "this daemon stood still until just now; ask again",
@@ -77,71 +77,72 @@
     }
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Synced on a majority as this version.
+    /// The write was synced on a majority as this version.
     Accepted(u64),
-    /// Another write came first; this version is current.
+    /// Another write was accepted first; this version is current.
     Conflict(u64),
-    /// It was never offered to a disk and never will be.
+    /// The write was not and never will be sent to an acceptor.
     NotAccepted(NotAcceptedReason),
-    /// It may or may not become the value; read the key to find out.
+    /// The write may or may not be committed; read the key to find out.
     Unknown,
 }
 
-/// One thing that a state machine wants done.
+/// An action that a state machine requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a message to another process; it may get lost.
+    /// Send a message to another process. The message may be lost.
     Send {
         /// The receiver.
         to: Name,
-        /// What to send.
+        /// The message.
         msg: Message,
     },
-    /// Sync the rows, then do `then`. If syncing fails `then` is dropped and the machine restarts from disk.
+    /// Sync the rows, then execute `then`. If the sync fails, `then` is dropped and the state machine restarts from
+    /// disk.
     Persist {
-        /// What to store.
+        /// The rows to store.
         rows: Vec<Row>,
-        /// What must not happen before the rows are durable.
+        /// Effects that must not be executed before the rows are durable.
         then: Effects,
     },
-    /// A local caller's write ended.
+    /// Report the outcome of a local caller's write.
     WriteFinished {
-        /// The token that the write got when it was submitted.
+        /// The token that was returned when the write was submitted.
         token: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: WriteOutcome,
     },
-    /// An order under the lease of a service's rollout. Whoever carries it out checks `until` again first: the process
-    /// may have been suspended.
+    /// An order under the lease of a service's rollout. The runtime must check `until` again before it executes the
+    /// order, as the process may have been suspended.
     Order {
         /// The service.
         service: String,
         /// Orders under a lower epoch are rejected.
         epoch: u64,
-        /// When the lease ends, by this daemon's monotonic clock.
+        /// When the lease expires, by this daemon's monotonic clock.
         until: Ms,
-        /// What to order.
+        /// The order.
         order: Order,
     },
-    /// A call to the platform under the lease of a singleton role. Whoever carries it out checks the lease again at the
-    /// moment of sending, ends the call with the lease at the latest, and hands the outcome back: see
+    /// A call to the platform under the lease of a singleton role. The runtime must check the lease again right before
+    /// sending, abort the call when the lease expires, and report the outcome to
     /// [`crate::control::Control::on_platform_call_finished`].
     PlatformCall(LeasedCall),
     /// Log an event.
     Log {
-        /// Which.
+        /// The event.
         event: Event,
-        /// The process, service or key that it is about; may be empty.
+        /// The process, service or key concerned; may be empty.
         peer: Name,
         /// Details.
         text: String,
     },
 }
 
-/// The effect that sends a message.
+/// Returns the effect that sends a message.
 pub fn send(to: &Name, msg: impl Into<Message>) -> Effect {
     Effect::Send {
         to: to.clone(),
@@ -149,7 +150,7 @@
     }
 }
 
-/// The effect that logs an event.
+/// Returns the effect that logs an event.
 pub fn log_event(event: Event, peer: &str, text: impl Into<String>) -> Effect {
     Effect::Log {
         event,
--- a/coordination/src/effect/tests.rs
+++ b/coordination/src/effect/tests.rs
@@ -2,7 +2,7 @@
 
 use super::NotAcceptedReason::{self, *};
 
-/// Operators and their tools read these texts, and daemons of other releases send them.
+/// Operators and their tools match these texts, and daemons of other releases send them.
 #[gtest]
 fn texts_of_rejected_writes_do_not_change() {
     let texts: [(NotAcceptedReason, &str); 9] = [
--- a/coordination/src/event_stream.rs
+++ b/coordination/src/event_stream.rs
@@ -1,33 +1,33 @@
-//! Event streams that may be resumed at another replica. Only complete events are forwarded, so that after a cut the next
-//! run follows the last of them, with none missing, torn or twice.
+//! Event streams that can be resumed at another replica. Only complete events are forwarded, so that after an
+//! interruption the next run continues after the last of them without missing, truncated or duplicate events.
 
 use std::{borrow::Cow, mem};
 
-/// Bytes of one event of a stream that may be resumed; the largest seen are a hundredth of it.
+/// Maximum size of an event in a resumable stream, in bytes; the largest events seen are a hundredth of it.
 pub(crate) const EVENT_BYTES_MAX: usize = 64 << 10;
 
-/// The events of one response, over all runs that make it up.
+/// The events of one response, across all runs that contribute to it.
 #[derive(Clone, Debug, Default)]
 pub struct ResumableEvents {
-    /// Bytes of an event that is not complete yet.
+    /// Bytes of an incomplete event.
     incomplete: Vec<u8>,
     /// Id of the last complete event that was forwarded.
     last_event_id: Option<String>,
-    /// An event without an id was forwarded since: no run could be told to follow it.
-    has_unnamed_event: bool,
-    /// An event outgrew the bound: bytes are forwarded as they come, and nothing can follow a cut.
-    is_unbounded: bool,
-    /// This run follows another: what that one forwarded is left out.
+    /// Whether an event without an id was forwarded since: no run can be asked to continue after it.
+    has_event_without_id: bool,
+    /// Whether an event exceeded the limit: bytes are forwarded as they arrive, and the stream cannot be resumed.
+    is_oversized: bool,
+    /// Whether this run follows another one, whose forwarded events must be skipped.
     is_resumed: bool,
 }
 
 impl ResumableEvents {
-    /// Takes bytes as they came; gives those that are forwarded now.
+    /// Processes received bytes and returns those to forward now.
     pub fn pass_through<'a>(&mut self, bytes: &'a [u8]) -> Cow<'a, [u8]> {
-        if self.is_unbounded {
+        if self.is_oversized {
             return Cow::Borrowed(bytes);
         }
-        // The common case: bytes that are complete events are forwarded without a copy.
+        // Common case: complete events are forwarded without copying them.
         if self.incomplete.is_empty() && !self.is_resumed {
             let end = self.record_events(bytes);
             self.incomplete.extend_from_slice(&bytes[end..]);
@@ -50,33 +50,33 @@
         Cow::Owned(complete)
     }
 
-    /// The replica ended its response: what is left belongs to it too.
+    /// Returns the buffered rest of the stream after the replica ended its response.
     pub fn take_remainder(&mut self) -> Vec<u8> {
         mem::take(&mut self.incomplete)
     }
 
-    /// The run was cut; another will follow. Drops the torn event.
+    /// Drops the incomplete event after the run was interrupted; another run will follow.
     pub fn on_interrupted(&mut self) {
         self.incomplete.clear();
         self.is_resumed = true;
     }
 
-    /// Whether a run that follows can be told where to resume.
+    /// Whether a following run can be told where to resume.
     pub fn is_resumable(&self) -> bool {
-        !self.is_unbounded && !self.has_unnamed_event
+        !self.is_oversized && !self.has_event_without_id
     }
 
-    /// Id of the last complete event that was forwarded, if any was.
+    /// Returns the id of the last complete event that was forwarded, if any.
     pub fn last_event_id(&self) -> Option<&str> {
         self.last_event_id.as_deref()
     }
 
-    /// A stream that hides its events for so long cannot be resumed; memory is bounded.
+    /// Marks the stream as not resumable if its incomplete event exceeds the limit, which bounds the memory used.
     fn check_bound(&mut self) {
-        self.is_unbounded = self.incomplete.len() > EVENT_BYTES_MAX && !self.is_resumed;
+        self.is_oversized = self.incomplete.len() > EVENT_BYTES_MAX && !self.is_resumed;
     }
 
-    /// Records all complete events and says where they end.
+    /// Records all complete events and returns the offset at which they end.
     fn record_events(&mut self, bytes: &[u8]) -> usize {
         let mut end = 0;
         for event in complete_events(bytes) {
@@ -90,14 +90,14 @@
         match (event_id(event), has_data(event)) {
             (Some(id), _) => {
                 self.last_event_id = Some(id.to_string());
-                self.has_unnamed_event = false;
+                self.has_event_without_id = false;
             }
-            (None, true) => self.has_unnamed_event = true,
+            (None, true) => self.has_event_without_id = true,
             (None, false) => {}
         }
     }
 
-    /// Events of a run that follows another: only those behind what was forwarded.
+    /// Returns and records the events that an earlier run has not forwarded.
     fn without_forwarded(&mut self, bytes: &[u8]) -> Vec<u8> {
         let mut new_events = Vec::with_capacity(bytes.len());
         for event in complete_events(bytes) {
@@ -109,7 +109,7 @@
         new_events
     }
 
-    /// Whether an event's id is the last one that was forwarded, or a number not above it.
+    /// Whether the event's id equals the last forwarded one or, as a number, is lower.
     fn was_forwarded(&self, event: &[u8]) -> bool {
         let (Some(id), Some(last_id)) = (event_id(event), self.last_event_id()) else {
             return false;
@@ -122,22 +122,22 @@
     }
 }
 
-/// The complete events at the beginning of these bytes.
+/// Iterates over the complete events at the beginning of the bytes.
 fn complete_events(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
-        let (event, behind) = rest.split_at(event_length(rest)?);
-        rest = behind;
+        let (event, tail) = rest.split_at(event_length(rest)?);
+        rest = tail;
         Some(event)
     })
 }
 
-/// Bytes of all complete events.
+/// Returns the total length of the complete events at the beginning of the bytes.
 fn complete_length(bytes: &[u8]) -> usize {
     complete_events(bytes).map(<[u8]>::len).sum()
 }
 
-/// Length of the event that begins here, with the empty line that ends it.
+/// Returns the length of the first event including the empty line that ends it, if it is complete.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     while let Some(length) = bytes[line_start..].iter().position(|byte| *byte == b'\n') {
--- a/coordination/src/event_stream/tests.rs
+++ b/coordination/src/event_stream/tests.rs
@@ -10,14 +10,14 @@
 fn events(numbers: std::ops::RangeInclusive<u64>) -> String {
     numbers.map(event).collect()
 }
-/// Feeds bytes in pieces of random sizes.
+/// Feeds bytes in chunks of random sizes.
 fn feed(events: &mut ResumableEvents, bytes: &[u8], rng: &mut fastrand::Rng) -> Vec<u8> {
     let mut out = vec![];
     let mut rest = bytes;
     while !rest.is_empty() {
-        let (chunk, behind) = rest.split_at(rng.usize(1..=rest.len().min(40)));
+        let (chunk, tail) = rest.split_at(rng.usize(1..=rest.len().min(40)));
         out.extend_from_slice(&events.pass_through(chunk));
-        rest = behind;
+        rest = tail;
     }
     out
 }
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn after_any_cut_the_runs_make_one_stream_without_a_torn_missing_or_doubled_event() {
+fn after_any_interruption_the_runs_form_one_stream_without_truncated_missing_or_duplicate_events() {
     let all = events(1..=8);
     for seed in 0..400 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -54,7 +54,7 @@
         let mut out = feed(&mut stream, &all.as_bytes()[..cut], &mut rng);
         expect_true!(stream.is_resumable());
         stream.on_interrupted();
-        // A run that honours the id, or one that begins a little earlier.
+        // The next run starts after the last event id, or repeats that event.
         let last: u64 = stream.last_event_id().map_or(0, |id| id.parse().unwrap());
         let from = if rng.bool() { last + 1 } else { last.max(1) };
         out.extend(feed(&mut stream, events(from..=8).as_bytes(), &mut rng));
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn an_event_without_an_id_cannot_be_resumed_behind() {
+fn a_stream_cannot_be_resumed_after_an_event_without_an_id() {
     let mut stream = ResumableEvents::default();
     stream.pass_through(b"id: 1\ndata: a\n\n: nothing\n\n");
     expect_true!(stream.is_resumable());
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn an_event_over_the_bound_is_not_buffered() {
+fn a_stream_with_an_event_over_the_limit_is_not_resumable() {
     let mut stream = ResumableEvents::default();
     let bytes = vec![b'x'; EVENT_BYTES_MAX / 2 + 1];
     expect_that!(stream.pass_through(&bytes).len(), eq(0));
--- a/coordination/src/events.rs
+++ b/coordination/src/events.rs
@@ -1,11 +1,11 @@
-//! Numbered log events. `docs/events.md` is the catalogue; a test keeps the two equal.
+//! Numbered log events. A test checks that `docs/events.md` lists all of them.
 
-/// How urgent an event is.
+/// The severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Level {
     /// Normal operation.
     Info,
-    /// Something is degraded and mends itself, or may need an operator.
+    /// Something is degraded; it recovers by itself or may need an operator.
     Warn,
     /// An operator has to act.
     Error,
@@ -14,11 +14,11 @@
 /// A kind of log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Event {
-    /// Its number; never used again for another event.
+    /// The number of the event, which is never reused for another one.
     pub number: u16,
-    /// Its name in log lines.
+    /// The name in log lines.
     pub name: &'static str,
-    /// How urgent it is.
+    /// The severity.
     pub level: Level,
     /// What happened.
     pub meaning: &'static str,
@@ -27,7 +27,7 @@
 macro_rules! events {
     ($($number:literal $id:ident $level:ident $meaning:literal)*) => {
         $(#[doc = $meaning] pub const $id: Event = Event { number: $number, name: stringify!($id), level: Level::$level, meaning: $meaning };)*
-        /// All events, by number.
+        /// All events, in ascending order of their numbers.
         pub const ALL: &[Event] = &[$($id),*];
     };
 }
--- a/coordination/src/exchange.rs
+++ b/coordination/src/exchange.rs
@@ -1,5 +1,5 @@
-//! An exchange: a request that comes by host and path, and the attempts that are made for it, without any wire format.
-//! How it is spelled on a wire is a protocol adapter's business; what it may do is decided by the proxy's state machine.
+//! Types of an exchange: a request routed by host and path, and the attempts made for it. They are independent of the
+//! wire format, which a protocol adapter defines; the proxy's state machine decides how the exchange proceeds.
 
 use std::{cmp::Reverse, collections::BTreeMap, sync::Arc};
 
@@ -7,87 +7,87 @@
 
 use crate::Ms;
 
-/// A block of a prompt: its id and its size in tokens. A block is cached only behind all blocks before it.
+/// A block of a prompt: its id and its size in tokens. A block is cached only together with all preceding blocks.
 pub type PrefixBlock = (u64, u32);
 
-/// What a request's head says of the request.
+/// The information in a request's head.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// Host that the client named.
+    /// Host that the client requested.
     pub host: String,
     /// Path of the request, without its query.
     pub path: String,
-    /// The caller's name for this attempt of its own; it comes to one edge only.
+    /// The caller's own id of this attempt, which it sends to one edge only.
     pub attempt_id: String,
-    /// ms that the caller will wait, if it says so.
+    /// Time that the caller will wait, in ms, if it is given.
     pub time_left_ms: Option<Ms>,
-    /// Id of the last event that the caller already has, if it resumes.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<String>,
-    /// Model that the client asks for.
+    /// Requested model.
     pub model: String,
-    /// Tokens of the prompt, and most output tokens.
+    /// Number of prompt tokens and maximum number of output tokens.
     pub tokens: (u32, u32),
-    /// The blocks of its prompt in order; the last is its own or its session's.
+    /// The blocks of the prompt in order. The last one is specific to the request or its session.
     pub prefix_blocks: Vec<PrefixBlock>,
-    /// Key of a tenant that it bears, if it bears one.
+    /// The tenant access key in the request, if there is one.
     pub access_key: Option<AccessKey>,
-    /// Tenant that sent it; empty where that is nobody's.
+    /// The tenant that sent the request; empty if there is none.
     pub tenant: String,
 }
 
-/// Whose request it is, by the spec in force.
+/// The sender of a request according to the current spec.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// The spec knows no tenants.
+    /// The spec defines no tenants.
     Untenanted,
-    /// It bears no tenant's key, and its lane asks for none.
+    /// The request has no access key, and its lane requires none.
     Anonymous,
-    /// The tenant whose key it bears.
+    /// The tenant whose access key the request has.
     Tenant(Arc<str>),
 }
 
-/// What a response's head says of its replica.
+/// The information about the replica in a response's head.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseSignals {
-    /// The caller's name of the attempt that is answered.
+    /// The caller's id of the attempt that this response answers.
     pub attempt_id: Option<String>,
-    /// The replica says that it did not run the request.
+    /// The replica reports that it did not run the request.
     pub not_run: bool,
-    /// Another replica, or another version, is at this address.
+    /// The address belongs to another replica or another version.
     pub is_other_replica: bool,
-    /// Requests that run and that wait, and slots.
+    /// Number of running requests, queued requests and slots.
     pub load: Option<(u32, u32, u32)>,
-    /// ms for which it stays cold.
+    /// Time for which the replica continues to warm up, in ms.
     pub warmup_left_ms: Option<Ms>,
-    /// Versions of weights that it ran, as it spells them.
+    /// Versions of weights with which the replica ran the request, in the replica's notation.
     pub weights_versions: Option<String>,
 }
 
 /// How an attempt at a replica ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The response came to its end.
+    /// The response was received completely.
     Completed,
-    /// The response's time ran out while it came.
+    /// The time limit expired while the response was being received.
     BodyTimedOut,
-    /// It may have run: a reset, a garbled response, an early end, the replica's own failure.
+    /// The attempt failed and may have run: connection reset, invalid or truncated response, or replica failure.
     Failed,
-    /// No connection: nothing was sent.
+    /// The connection was refused; nothing was sent.
     ConnectRefused,
-    /// A connection did not open in time: the machine is off, or the network to it is partitioned. Nothing was sent.
+    /// Connecting timed out, because the machine is off or unreachable; nothing was sent.
     ConnectTimedOut,
-    /// Its time ran out before a response's head came.
+    /// The time limit expired before a response head was received.
     ResponseTimedOut,
-    /// The replica says that it did not run it and is full.
+    /// The replica reports that it did not run the request because it is full.
     AtCapacity,
-    /// Another replica or version is at the address.
+    /// The address belongs to another replica or version.
     WrongReplica,
-    /// The client left.
+    /// The client disconnected.
     ClientGone,
 }
 
 impl AttemptOutcome {
-    /// Whether the replica counts as failing: it could not be reached, did not answer or answered wrongly.
+    /// Whether the outcome counts as a replica failure: it was unreachable, did not respond or responded wrongly.
     pub fn is_replica_fault(self) -> bool {
         matches!(
             self,
@@ -99,17 +99,17 @@
     }
 }
 
-/// A host as lanes name it: a port in it names the edge, not the lane.
+/// Strips the port from a host, as lanes are defined by host name alone; the port belongs to the edge.
 pub fn host_name(host: &str) -> &str {
     host.rsplit_once(':')
         .filter(|(_, port)| port.bytes().all(|byte| byte.is_ascii_digit()))
         .map_or(host, |(name, _)| name)
 }
 
-/// Index of a spec's lanes: the lane with the longest prefix of a path wins.
+/// Index of a spec's lanes by host. Of several lanes whose prefix matches a path, the one with the longest is used.
 #[derive(Clone, Debug, Default)]
 pub struct LaneIndex {
-    /// Lanes of each host, those with the longest prefix first.
+    /// Lanes of each host by descending length of their prefix.
     lanes_by_host: BTreeMap<String, Vec<Arc<PathSpec>>>,
 }
 
@@ -130,7 +130,7 @@
         LaneIndex { lanes_by_host }
     }
 
-    /// The lane of a request, if there is one.
+    /// Returns the lane of a request, if there is one.
     pub fn find(&self, host: &str, path: &str) -> Option<Arc<PathSpec>> {
         let path = path.split(['?', '#']).next().unwrap_or(path);
         let lanes = self
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,6 +1,6 @@
-//! landingslip's coordination parts: state machines that take `(event, now)` and give effects.
-//! Nothing here reads a clock, opens a socket or file, or starts a thread: daemons and the
-//! simulator drive the same code.
+//! Landingslip's coordination logic as deterministic state machines that take `(event, now)` and return effects.
+//! Nothing here reads a clock, opens a socket or file, or starts a thread, so the daemons and the simulator run the
+//! same code.
 
 pub mod bounds;
 pub mod claims;
--- a/coordination/src/numbered_counts.rs
+++ b/coordination/src/numbered_counts.rs
@@ -1,19 +1,19 @@
-//! Cumulative counts whose changes are numbered, so that a receiver can say which of them it has.
+//! Cumulative counts with numbered changes, so that a receiver can acknowledge the changes that it has received.
 
 use std::collections::BTreeMap;
 
-/// A count and the number of its newest change.
+/// A count and the number of its latest change.
 #[derive(Clone, Copy, Debug)]
 struct NumberedCount {
     count: u64,
     change: u64,
 }
 
-/// Counts that changed, oldest change first.
+/// Changed counts, oldest change first.
 pub(crate) struct ChangedCounts<'a, Key> {
     /// Each key with its count.
     pub counts: Vec<(&'a Key, u64)>,
-    /// The change up to which these are all, where they are not all that changed.
+    /// The last change covered by `counts` if the limit cut off later changes; otherwise none.
     pub through_change: Option<u64>,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct NumberedCounts<Key> {
     counts: BTreeMap<Key, NumberedCount>,
-    /// Each key once, by its newest change.
+    /// Each key once, under the number of its latest change.
     by_change: BTreeMap<u64, Key>,
 }
 
@@ -35,26 +35,26 @@
 }
 
 impl<Key: Ord + Clone> NumberedCounts<Key> {
-    /// The count of a key; 0 where there is none.
+    /// Returns the count of a key, or 0 if there is none.
     pub fn get(&self, key: &Key) -> u64 {
         self.counts.get(key).map_or(0, |numbered| numbered.count)
     }
 
-    /// Raises the count of a key under the number of the change, which must be above all numbers before. A count that is
-    /// no larger than the known one changes nothing; returns whether it was.
+    /// Raises the count of a key under the number of the change, which must exceed all earlier ones. Ignores a count
+    /// that does not exceed the current one. Returns whether the count was raised.
     pub fn raise(&mut self, key: Key, count: u64, change: u64) -> bool {
         if count <= self.get(&key) {
             return false;
         }
         let numbered = NumberedCount { count, change };
-        if let Some(former) = self.counts.insert(key.clone(), numbered) {
-            self.by_change.remove(&former.change);
+        if let Some(previous) = self.counts.insert(key.clone(), numbered) {
+            self.by_change.remove(&previous.change);
         }
         self.by_change.insert(change, key);
         true
     }
 
-    /// Up to `limit` counts that changed after a change.
+    /// Returns up to `limit` counts that changed after the given change.
     pub fn changed_after(&self, change: u64, limit: usize) -> ChangedCounts<'_, Key> {
         let mut changes = self.by_change.range(change.saturating_add(1)..);
         let page: Vec<(&u64, &Key)> = changes.by_ref().take(limit).collect();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Keeps the counts of these keys alone.
+    /// Retains only the counts whose key satisfies the predicate.
     pub fn retain(&mut self, is_kept: impl Fn(&Key) -> bool) {
         self.counts.retain(|key, _| is_kept(key));
         self.by_change.retain(|_, key| is_kept(key));
--- a/coordination/src/policy.rs
+++ b/coordination/src/policy.rs
@@ -1,4 +1,4 @@
-//! The mechanisms that a placement decision rests on. Each has a name and can be left out, to learn what it is worth.
+//! The mechanisms behind placement decisions. Each has a name and can be disabled to measure its effect (ablation).
 
 use std::{collections::BTreeSet, fmt, str::FromStr};
 
@@ -14,11 +14,11 @@
         impl Mechanism {
             /// All mechanisms, in the order of the list that operators see.
             pub const ALL: &[Mechanism] = &[$(Mechanism::$id),*];
-            /// The name by which a setting leaves it out.
+            /// Returns the name by which a setting disables the mechanism.
             pub fn name(self) -> &'static str {
                 match self { $(Mechanism::$id => $name),* }
             }
-            /// What it does, in a line.
+            /// Returns a one-line description of the mechanism.
             pub fn meaning(self) -> &'static str {
                 match self { $(Mechanism::$id => $meaning),* }
             }
@@ -48,7 +48,7 @@
     ContextCopies "context_copies" "Popular shared context stands ready in regions that ask for it."
 }
 
-/// A name that is no mechanism's.
+/// Error for a name that no mechanism has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownMechanism(pub String);
 
@@ -85,14 +85,14 @@
     }
 }
 
-/// Which mechanisms are in force; by default all.
+/// The set of enabled mechanisms; by default all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
     disabled_bits: u32,
 }
 
 impl Policy {
-    /// A policy with all mechanisms but these.
+    /// Returns a policy with all mechanisms except the given ones.
     pub fn without(disabled: impl IntoIterator<Item = Mechanism>) -> Self {
         Policy {
             disabled_bits: disabled
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Whether a mechanism is in force.
+    /// Whether a mechanism is enabled.
     pub fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.disabled_bits & (1 << mechanism as u32) == 0
     }
 }
 
-/// A policy as a settings file spells it: `{"without": ["doubt"]}`.
+/// A policy as written in a settings file: `{"without": ["doubt"]}`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[derive(Default)]
--- a/coordination/src/policy/tests.rs
+++ b/coordination/src/policy/tests.rs
@@ -3,7 +3,7 @@
 use super::{Mechanism, Policy};
 
 #[gtest]
-fn nothing_is_left_out_by_default_and_each_mechanism_alone_can_be() {
+fn all_mechanisms_are_enabled_by_default_and_each_can_be_disabled_alone() {
     let all = Policy::default();
     for mechanism in Mechanism::ALL {
         expect_true!(all.is_enabled(*mechanism));
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn a_name_that_is_none_is_refused_with_its_line_and_all_names() {
+fn an_unknown_mechanism_is_rejected_with_its_line_and_all_names() {
     let text = "{\n  \"without\": [\n    \"doubt\",\n    \"luck\"]\n}";
     let error = serde_json::from_str::<Policy>(text)
         .unwrap_err()
--- a/coordination/src/request.rs
+++ b/coordination/src/request.rs
@@ -1,5 +1,5 @@
-//! The way of a request that names a service through a proxy: checked, claimed, assigned, called, with an outcome that
-//! stays true. The runtime does what each step says and reports the result.
+//! State machine of a request that names a service: the proxy checks, claims, assigns and calls it, and the outcome it
+//! reports is final. The runtime executes each step and reports its result.
 
 use remote_calls::{Fault, Outcome, RunRequest};
 
@@ -11,11 +11,11 @@
 /// Why an attempt did not start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptError {
-    /// The replica said that it runs nothing of it, or no connection was opened: certainly not run.
+    /// The request certainly did not run: the replica reported so, or no connection was opened.
     NotRun(Fault),
-    /// A byte may have reached the replica.
+    /// A byte may have reached the replica, so the request may have run.
     Unknown(Fault),
-    /// The process was suspended between the assignment and the call: what the assignment was based on may have lapsed.
+    /// The process was suspended between the assignment and the call, so the assignment may be outdated.
     StaleAssignment,
 }
 
@@ -23,13 +23,13 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             AttemptError::NotRun(fault) | AttemptError::Unknown(fault) => fault.fmt(formatter),
-            AttemptError::StaleAssignment => formatter.write_str("the place was stale"),
+            AttemptError::StaleAssignment => formatter.write_str("the assignment was stale"),
         }
     }
 }
 
 impl AttemptError {
-    /// How the attempt is counted.
+    /// Returns the class in which the attempt is counted.
     pub fn outcome_class(&self) -> OutcomeClass {
         match self {
             AttemptError::NotRun(fault) if fault.code == "busy" => OutcomeClass::NotRun,
@@ -39,25 +39,25 @@
     }
 }
 
-/// What the runtime does next.
+/// The next step that the runtime executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Check the request.
     Check,
-    /// Claim its single run.
+    /// Claim the request's single run.
     Claim {
-        /// Void the id instead, so that it never runs.
+        /// Void the claim instead, so that the request never runs.
         void: bool,
     },
     /// Assign a replica.
     Assign,
     /// Call the replica.
     Call(Assignment),
-    /// Draw a retry on the budget.
+    /// Draw a retry from the retry budget.
     DrawRetry,
-    /// The attempt has started: forward its lines.
+    /// Forward the lines of the attempt, which has started.
     Stream(Assignment),
-    /// The final answer, at once.
+    /// Send the final response at once.
     Reply(Fault),
 }
 
@@ -66,13 +66,13 @@
 pub enum StepResult {
     /// The rank of the request's tier.
     Checked(Result<u32, Fault>),
-    /// State of the claim, as on the wire.
+    /// The claim's state as encoded on the wire.
     Claimed(u8),
-    /// The assignment, or the rejection to give.
+    /// The assignment, or the rejection to send.
     Assigned(Result<Assignment, Fault>),
     /// Whether the attempt has started.
     Started(Result<(), AttemptError>),
-    /// Whether there was a retry; if not, the rejection to give.
+    /// Whether the budget allowed a retry; if not, the rejection to send.
     RetryDrawn(Result<(), Fault>),
 }
 
@@ -81,21 +81,21 @@
 pub struct Request {
     /// The request.
     pub run_request: RunRequest,
-    /// Tells this call of the request from every other.
+    /// Distinguishes this call of the request from every other one.
     pub attempt_seed: u64,
-    /// Rank of its tier.
+    /// Rank of the request's tier.
     pub rank: u32,
-    /// Replicas that failed it.
+    /// Replicas at which an attempt failed.
     pub tried: Vec<String>,
     assignment: Option<Assignment>,
-    /// A rejection that waits for the request to be voided.
+    /// A rejection to send once the claim is voided.
     pending_rejection: Option<Fault>,
-    /// An attempt may have run.
+    /// Whether an attempt may have run.
     may_have_run: bool,
 }
 
 impl Request {
-    /// A request that has just come.
+    /// Creates the state machine of a newly received request.
     pub fn new(run_request: RunRequest, attempt_seed: u64) -> Self {
         Request {
             run_request,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// What a claim is made on, and ms since it was first used: the caller's own key, or the id.
+    /// Returns the name to claim, which is the caller's own key or the request id, and the ms since its first use.
     pub fn claimed_name(&self) -> (String, u64) {
         match &self.run_request.key {
             Some(key) => (
@@ -123,12 +123,12 @@
         self.run_request.resume.is_some()
     }
 
-    /// A resumed run was claimed when it began.
+    /// Whether the request must be claimed. A resumed run was claimed when it started.
     fn needs_claim(&self) -> bool {
         self.run_request.run_once && !self.is_resumed()
     }
 
-    /// Takes the result of the last step and gives the next one.
+    /// Processes the result of the last step and returns the next one.
     pub fn next(&mut self, result: StepResult) -> Step {
         match result {
             StepResult::Checked(Ok(rank)) => {
@@ -161,7 +161,7 @@
             AttemptError::StaleAssignment => Step::Assign,
             AttemptError::Unknown(fault) => {
                 self.may_have_run = true;
-                // What may run only once is never tried again after a byte may have reached a replica.
+                // A run-once request is never retried after a byte may have reached a replica.
                 if self.run_request.run_once || self.is_resumed() {
                     return Step::Reply(fault.outcome(Outcome::Unknown));
                 }
@@ -181,7 +181,7 @@
         Step::DrawRetry
     }
 
-    /// "Not run" must stay true: a majority voids a run-once id before it is said.
+    /// Rejects the request. "Not run" must be final, so a majority voids a run-once id before it is reported.
     fn reject(&mut self, mut fault: Fault) -> Step {
         if self.may_have_run || self.is_resumed() || fault.outcome == Some(Outcome::Unknown) {
             fault.outcome = Some(Outcome::Unknown);
@@ -210,18 +210,18 @@
         match state {
             GRANTED => Step::Assign,
             VOIDED => Step::Reply(
-                fault("voided", "the request was given up before and never runs")
+                fault("voided", "the request was voided earlier and never runs")
                     .outcome(Outcome::NotRun),
             ),
             HELD_BY_OTHER => Step::Reply(
                 fault(
                     "claimed",
-                    "another round of this request may have run or may be running",
+                    "another attempt of this request may have run or may be running",
                 )
                 .outcome(Outcome::Unknown),
             ),
             _ => {
-                let message = "no majority of the claim's holders answered";
+                let message = "no majority of the claim's holders responded";
                 self.reject(fault("no_claim", message).retry(1_000))
             }
         }
--- a/coordination/src/request/tests.rs
+++ b/coordination/src/request/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn run_once_is_never_called_again_after_a_byte_may_have_left() {
+fn run_once_request_is_not_retried_after_a_byte_may_have_been_sent() {
     let mut request = request_of(true);
     request.next(StepResult::Checked(Ok(0)));
     request.next(StepResult::Claimed(GRANTED));
@@ -45,7 +45,7 @@
         outcome(request.next(StepResult::Started(Err(AttemptError::Unknown(fault()))))),
         eq(Some(Outcome::Unknown))
     );
-    // The same for what may run often ends in a second round, but never in "not run".
+    // A request that may run repeatedly is retried in that case, but never reported as "not run".
     let mut request = request_of(false);
     request.next(StepResult::Checked(Ok(0)));
     request.next(StepResult::Assigned(Ok(assignment())));
@@ -60,8 +60,8 @@
 }
 
 #[gtest]
-fn not_run_is_said_only_once_a_majority_has_voided_the_id() {
-    for (state, said) in [
+fn not_run_is_reported_only_after_a_majority_voided_the_id() {
+    for (state, reported) in [
         (GRANTED, Outcome::NotRun),
         (VOIDED, Outcome::NotRun),
         (HELD_BY_OTHER, Outcome::Unknown),
@@ -74,7 +74,7 @@
         );
         expect_that!(
             outcome(request.next(StepResult::Claimed(state))),
-            eq(Some(said))
+            eq(Some(reported))
         );
     }
 }
--- a/coordination/src/shutdown.rs
+++ b/coordination/src/shutdown.rs
@@ -1,38 +1,38 @@
-//! Graceful shutdown of a serving process: what it still accepts from the moment it is asked to stop, and when it ends.
+//! Graceful shutdown of a serving process: which requests it accepts after SIGTERM, and when it exits.
 //!
-//! Clients keep lists of addresses and open connections, so a process that stops goes on serving for as long as a list
-//! may be kept. Then it rejects what is new, so that what it accepted has the rest of the grace period to end.
+//! Clients cache address lists and keep connections open, so a stopping process continues to serve while a list may be
+//! cached. Then it rejects new requests; accepted ones have the rest of the grace period to complete.
 
 use crate::Ms;
 
-/// ms. A process that is asked to stop serves on for so long: clients keep the directory's answers for two seconds, and
-/// until the directory has left a stopping edge out some more pass. What is accepted last has the rest of the grace
-/// period.
+/// Time for which a process continues to serve after SIGTERM, in ms. Clients cache the directory's answers for two
+/// seconds, and the directory takes some more time to omit a stopping edge. Requests accepted last have the rest of the
+/// grace period.
 pub const SERVE_AFTER_SIGTERM: Ms = 2_800;
-/// ms before the end of the grace period. What has no response then gets one, and the process ends.
+/// Time before the end of the grace period, in ms, at which requests without a response get one and the process exits.
 pub const FINAL_RESPONSE_MARGIN: Ms = 600;
 
-/// What a process does at a moment.
+/// A phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It was not asked to stop.
+    /// The process was not asked to stop.
     Serving,
-    /// It accepts requests, and says with each response that the connection ends with it.
+    /// It accepts requests, and each response announces that the connection will be closed.
     Draining,
-    /// It rejects what is new; what was accepted goes on.
+    /// It rejects new requests; accepted ones continue.
     Rejecting,
-    /// Its grace period is over: what has no response yet gets one, and the process ends.
+    /// The grace period is over: requests without a response get one, and the process exits.
     Expired,
 }
 
-/// When the phases begin.
+/// Start times of the last two phases.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     rejecting_at: Ms,
     expired_at: Ms,
 }
 
-/// Requests that are open, and the phase that decides what becomes of them.
+/// The shutdown phase of a process and its open requests.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
     schedule: Option<Schedule>,
@@ -41,11 +41,10 @@
 }
 
 impl Shutdown {
-    /// The process is asked to stop and will be killed after the grace period. A second signal changes nothing.
+    /// Starts the shutdown of a process that will be killed after the grace period. A second signal changes nothing.
     pub fn begin(&mut self, grace: Ms, now: Ms) {
         let expires_after = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
-        // However long the grace period, no more than half of it is spent on accepting what then needs the other half
-        // to end.
+        // At most half of the grace period is spent on accepting requests, which need the other half to complete.
         let rejects_after = SERVE_AFTER_SIGTERM.min(expires_after / 2);
         self.schedule.get_or_insert(Schedule {
             rejecting_at: now + rejects_after,
@@ -53,7 +52,7 @@
         });
     }
 
-    /// What the process does now.
+    /// Returns the current phase.
     pub fn phase(&self, now: Ms) -> Phase {
         match self.schedule {
             None => Phase::Serving,
@@ -68,22 +67,22 @@
         self.schedule.is_some()
     }
 
-    /// A request has begun to come in, whatever becomes of it.
+    /// Counts a request from its first byte on, also if it is rejected later.
     pub fn on_request_opened(&mut self) {
         self.open_requests += 1;
     }
 
-    /// Its response has ended, or its client has left.
+    /// Counts the end of a request: its response has ended, or its client has disconnected.
     pub fn on_request_closed(&mut self) {
         self.open_requests = self.open_requests.saturating_sub(1);
     }
 
-    /// Requests that have begun to come in and have not ended.
+    /// Returns the number of requests that have started to arrive and have not ended.
     pub fn open_requests(&self) -> usize {
         self.open_requests
     }
 
-    /// Whether a request that was received completely is accepted; otherwise it is to be rejected at once.
+    /// Returns whether a completely received request is accepted; otherwise the caller must reject it at once.
     pub fn accept(&mut self, now: Ms) -> bool {
         let is_accepted = self.phase(now) < Phase::Rejecting;
         if is_accepted {
@@ -92,12 +91,12 @@
         is_accepted
     }
 
-    /// When a request was last accepted.
+    /// Returns when a request was last accepted.
     pub fn last_accepted_at(&self) -> Ms {
         self.last_accepted_at
     }
 
-    /// Whether the process is to end: its grace period is over, or nothing is open that it accepted.
+    /// Whether the process must exit: its grace period is over, or it rejects new requests and none is open.
     pub fn is_done(&self, now: Ms) -> bool {
         match self.phase(now) {
             Phase::Serving | Phase::Draining => false,
--- a/coordination/src/state_table.rs
+++ b/coordination/src/state_table.rs
@@ -1,5 +1,5 @@
-//! The replicated state table: the newest committed value of each key. Copies merge by (epoch, version), so that they
-//! converge whatever the order in which values arrive, and never go back.
+//! The replicated state table: the newest committed value of each key. Tables merge values by (epoch, version), so that
+//! they converge regardless of the order in which values arrive, and never return to an older value.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,21 @@
 
 use crate::compressed;
 
-/// Ranges that keys are split into for repair.
+/// Number of hash ranges into which keys are divided for repair.
 const REPAIR_RANGES: u16 = 16;
 
-/// Reads the operator's document, as it is stored under its key, into a spec.
+/// Parses the operator's spec document as stored under its key.
 pub type SpecParser = fn(&[u8]) -> Option<Spec>;
 
-/// The parser of the product's own documents.
+/// Parses a spec document in landingslip's native JSON format.
 pub fn parse_native_spec(document: &[u8]) -> Option<Spec> {
     serde_json::from_slice(document).ok()
 }
 
-/// Orders the values of one key: epoch, then version.
+/// Orders the values of one key by epoch, then by version.
 pub type VersionStamp = (u64, u64);
 
-/// Where a value is in the order of its key's values.
+/// Returns the position of a value in the order of its key's values.
 pub fn version_stamp(change: &Change) -> VersionStamp {
     (change.epoch, change.version)
 }
@@ -37,30 +37,30 @@
     change.value.0.is_empty()
 }
 
-/// A copy of the state table.
+/// One process's state table.
 #[derive(Clone, Default, Debug)]
 pub struct StateTable {
     entries: BTreeMap<Name, Change>,
 }
 
 impl StateTable {
-    /// The newest value of a key, cleared or not.
+    /// Returns the newest value of a key, including a cleared one.
     pub fn get(&self, key: &str) -> Option<&Change> {
         self.entries.get(key)
     }
 
-    /// The newest values of all keys.
+    /// Iterates over the newest values of all keys, including cleared ones.
     pub fn entries(&self) -> impl Iterator<Item = &Change> {
         self.entries.values()
     }
 
-    /// The value of a key, as daemons write it; none if there is none, it was cleared, or it cannot be read.
+    /// Decodes the value of a key that daemons write. Returns `None` if it is missing, cleared or not decodable.
     pub fn read<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         let change = self.get(key).filter(|change| !is_cleared(change))?;
         compressed::decode(&change.value.0)
     }
 
-    /// The values of all keys that begin with `prefix`, with the rest of the key. Cleared ones are left out.
+    /// Iterates over all values that are not cleared and whose key begins with `prefix`, each with the rest of its key.
     pub fn with_prefix<'a>(
         &'a self,
         prefix: &'a str,
@@ -73,9 +73,9 @@
             .map(move |(key, change)| (&key[prefix.len()..], change))
     }
 
-    /// Takes a value if it is newer; returns whether it was.
+    /// Stores a value if it is newer than the current one, and returns whether it was.
     pub fn merge(&mut self, change: &Change) -> bool {
-        // An equal or older stamp is never taken: that is how no copy ever goes back.
+        // Values with an equal or older stamp are dropped, so a table never returns to an older value.
         if self
             .get(&change.key)
             .is_some_and(|current| version_stamp(current) >= version_stamp(change))
@@ -86,7 +86,7 @@
         true
     }
 
-    /// A digest over key, epoch and version of all values in each range of keys.
+    /// Returns a digest of each range over the key, epoch and version of all values in the range.
     pub fn range_digests(&self) -> Vec<RangeDigest> {
         let mut digests: Vec<RangeDigest> = (0..REPAIR_RANGES)
             .map(|index| RangeDigest { index, digest: 0 })
@@ -98,7 +98,7 @@
         digests
     }
 
-    /// The ranges in which another copy's digests differ.
+    /// Returns the ranges in which the digests of another table differ from this one's.
     pub fn differing_ranges(&self, others: &[RangeDigest]) -> Vec<RangeDigest> {
         let own = self.range_digests();
         let differs = |other: &&RangeDigest| {
@@ -108,7 +108,7 @@
         others.iter().filter(differs).cloned().collect()
     }
 
-    /// All values in the ranges.
+    /// Returns all values in the given ranges.
     pub fn entries_in(&self, ranges: &[RangeDigest]) -> Vec<Change> {
         let is_in_ranges = |change: &&Change| {
             let index = range_of(&change.key);
@@ -117,7 +117,7 @@
         self.entries().filter(is_in_ranges).cloned().collect()
     }
 
-    /// One digest over everything.
+    /// Returns a digest of the whole table.
     pub fn digest(&self) -> u64 {
         self.range_digests().iter().fold(0, |digest, range| {
             digest ^ range.digest.rotate_left(u32::from(range.index))
--- a/coordination/src/state_table/tests.rs
+++ b/coordination/src/state_table/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn copies_converge_whatever_the_order_and_never_go_back() {
+fn tables_converge_in_any_order_and_never_return_to_older_values() {
     let all: Vec<_> = (0..40)
         .map(|index| change(&format!("k{}", index % 7), index / 9, index))
         .collect();
@@ -34,7 +34,7 @@
             expect_that!(first.get(&change.key).map(version_stamp), ge(before));
         }
         merge_all(&mut second, &shuffled[20..]);
-        // One exchange of digests and ranges in each direction repairs both.
+        // One exchange of digests and differing ranges in each direction repairs both tables.
         let ranges = first.differing_ranges(&second.range_digests());
         let (from_first, from_second) = (first.entries_in(&ranges), second.entries_in(&ranges));
         merge_all(&mut first, &from_second);
--- a/coordination/src/stream/tests.rs
+++ b/coordination/src/stream/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn only_a_complete_response_to_the_very_request_counts() {
+fn only_a_complete_response_to_this_request_is_accepted() {
     expect_true!(is_complete(0, vec![start("q"), chunk(1), chunk(2), end(2)]));
     expect_true!(is_complete(2, vec![start("q"), chunk(3), end(3)]));
     let bad = [
--- a/coordination/src/suspension.rs
+++ b/coordination/src/suspension.rs
@@ -1,21 +1,22 @@
-//! Whether this process was suspended: a daemon that did not run for a while reads messages that waited for long, and
-//! their senders have gone to other daemons since.
+//! Detection of suspensions of this process. After a suspension a daemon reads messages that were queued for long, and
+//! whose senders may have turned to other daemons since.
 
 use crate::Ms;
 
-/// ms without a tick after which a daemon takes itself to have been suspended: a client goes on to another daemon after a
+/// Time without a tick after which a daemon considers itself suspended, in ms: a caller tries another daemon after one
 /// second without an answer.
 const SUSPENSION_THRESHOLD: Ms = 1_000;
-/// ms from its resumption for which a daemon accepts nothing that may have waited in its sockets.
+/// Time after resuming, in ms, during which a daemon rejects whatever may have been queued in its sockets.
 const RESUME_GRACE: Ms = 500;
 
 /// Detects suspension by the gap between ticks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SuspensionDetector {
     last_tick: Ms,
-    /// When the process last ran before the newest suspension, or before several that followed each other closely.
+    /// Last time at which the process ran before the newest suspension, or before a series of suspensions in close
+    /// succession.
     suspended_since: Ms,
-    /// When the grace after it ended.
+    /// When the grace period after that suspension ended.
     suspended_until: Ms,
 }
 
@@ -32,20 +33,20 @@
         self.last_tick = now;
     }
 
-    /// The time of the last tick, or of the start.
+    /// Returns the time of the last tick, or of the start.
     pub(crate) fn last_tick(&self) -> Ms {
         self.last_tick
     }
 
-    /// Whether the process runs: it ticked lately.
+    /// Whether the process is running, which means that it ticked recently.
     pub(crate) fn ticked_recently(&self, now: Ms) -> bool {
         now.saturating_sub(self.last_tick) <= SUSPENSION_THRESHOLD
     }
 
-    /// Whether the process was suspended until just now.
+    /// Whether the process was suspended until less than the grace period ago.
     pub(crate) fn was_suspended(&mut self, now: Ms) -> bool {
         if !self.ticked_recently(now) {
-            // A short run may leave messages in the sockets.
+            // A run shorter than the grace period may leave messages in the sockets.
             if self.last_tick >= self.suspended_until {
                 self.suspended_since = self.last_tick;
             }
@@ -54,8 +55,8 @@
         now < self.suspended_until
     }
 
-    /// The earliest time at which what was received then may have been sent: it may have waited since the process was
-    /// suspended.
+    /// Returns the earliest time at which a message received at `received_at` may have been sent: it may have been
+    /// queued since the process was suspended.
     pub(crate) fn earliest_sent(&self, received_at: Ms) -> Ms {
         if (self.suspended_since..self.suspended_until).contains(&received_at) {
             self.suspended_since
--- a/coordination/src/timing.rs
+++ b/coordination/src/timing.rs
@@ -1,25 +1,26 @@
-//! Times that several state machines keep to.
+//! Intervals and timeouts shared by several state machines.
 
 use crate::Ms;
 
-/// ms. How often a state machine is ticked; a fifth of the shortest interval it keeps.
+/// Interval between ticks of a state machine, in ms: a fifth of the shortest interval that it times.
 pub const TICK_INTERVAL: Ms = 50;
-/// ms. Control daemons' heartbeats to each other: five may be lost before a peer counts as gone.
+/// Interval between heartbeats of control daemons, in ms. Five may be lost before a peer counts as unreachable.
 pub const HEARTBEAT_INTERVAL: Ms = 200;
-/// ms. A control daemon that was not heard from for so long is unreachable; above five heartbeats, so that one slow disk
-/// sync is no failure.
+/// Time without a heartbeat after which a control daemon is unreachable, in ms. It is longer than five heartbeats, so
+/// that one slow disk sync does not count as a failure.
 pub(crate) const PEER_TIMEOUT: Ms = 1_100;
-/// ms. The longest that a lease lasts: the brief's evacuation and canary bounds are 5 s, so an expiry leaves 2 s to act.
+/// Longest duration of a lease, in ms. Evacuation and rollback are bounded by 5 s, so 2 s remain after an expiry.
 pub(crate) const LEASE_DURATION: Ms = 3_000;
-/// ms. A sync that takes longer is a disk that does not work: others take over what this daemon owns.
+/// Longest duration of a disk sync, in ms. After that the disk counts as failed, and other daemons take over the keys
+/// that this daemon owns.
 pub const DISK_SYNC_TIMEOUT: Ms = 1_000;
-/// ms. A node whose heartbeat has not risen for this long is unreachable; rumours need a few shuffles to cross.
+/// Time without a new heartbeat after which a node is unreachable, in ms. Gossip needs a few rounds to reach all nodes.
 pub const NODE_TIMEOUT: Ms = 2_000;
-/// ms. A node that is unreachable for so long is forgotten: longer than any suspension that is expected to end.
+/// Time after which an unreachable node is removed, in ms: longer than any suspension that is expected to end.
 pub(crate) const NODE_RETENTION: Ms = 600_000;
-/// ms. Replicas and the platform are asked this often.
+/// Interval between polls of the replicas and of the platform, in ms.
 pub const REPORT_INTERVAL: Ms = 300;
-/// ms. A replica whose report is older is not used; three reports may be lost.
+/// Age of a replica's load report beyond which the replica is not used, in ms. Three reports may be lost.
 pub(crate) const REPORT_MAX_AGE: Ms = 1_200;
-/// ms. A replica that is warming up gets from one slot to all of them in this time.
+/// Time in which slow start raises a replica's usable slots from one to all, in ms.
 pub const SLOW_START_DURATION: Ms = 4_000;
--- a/coordination/tests/regions.rs
+++ b/coordination/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Gossip between regions: heartbeats cross seldom and still soon enough.
+//! Tests of gossip between regions: few messages cross regions, but heartbeats still arrive in time.
 
 mod support;
 
@@ -15,10 +15,10 @@
 const ZONE_COUNT: usize = 6;
 const ZONES_PER_REGION: usize = 2;
 
-/// Nodes of three regions.
+/// A fleet of nodes in three regions.
 struct Fleet {
     network: Network,
-    /// Messages inside regions and between them.
+    /// Number of messages inside regions; `remote_count` is the number between regions.
     local_count: usize,
     remote_count: usize,
 }
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn a_large_fleet_shuffles_mostly_inside_its_regions_and_suspects_no_live_node() {
+fn a_large_fleet_gossips_mostly_inside_regions_and_hardly_suspects_live_nodes() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(90, seed);
         fleet.run(15_000);
@@ -86,19 +86,19 @@
             false_suspicion_count += fleet.network.false_suspicion_count();
         }
         let (local, remote) = (fleet.local_count, fleet.remote_count);
-        // Of neighbours drawn from all two thirds would be in other regions.
+        // If neighbours were drawn from all nodes, two thirds of them would be in other regions.
         expect_that!(
             remote * 100 / (local + remote),
             le(36),
             "seed {seed}: {local} and {remote}"
         );
-        // Of 320,400 looks of one node at another, one in ten thousand.
+        // One in ten thousand of the 320,400 checks of one node by another.
         expect_that!(false_suspicion_count, le(32), "seed {seed}");
     }
 }
 
 #[gtest]
-fn a_small_fleet_draws_from_all_regions() {
+fn a_small_fleet_gossips_with_all_regions() {
     for seed in 0..30 {
         let mut fleet = Fleet::new(11, seed);
         fleet.run(5_000);
--- a/coordination/tests/shutdown.rs
+++ b/coordination/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of a serving process.
+//! Tests of the graceful shutdown of a serving process.
 
 use coordination::{
     Ms,
@@ -16,7 +16,7 @@
 }
 
 #[gtest]
-fn phases_follow_each_other_and_none_comes_back() {
+fn phases_follow_in_order_and_never_repeat() {
     let idle = Shutdown::default();
     expect_that!(
         (
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn a_second_signal_prolongs_nothing() {
+fn a_second_signal_does_not_extend_the_shutdown() {
     let mut shutdown = stopping();
     shutdown.begin(GRACE, STOPPED_AT + 2_000);
     expect_that!(
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn what_is_accepted_last_has_more_than_half_of_the_grace_period_to_end() {
+fn the_last_accepted_request_has_more_than_half_of_the_grace_period() {
     for grace in [400, 1_000, 3_000, GRACE, 30_000, 600_000] {
         let mut shutdown = Shutdown::default();
         shutdown.begin(grace, STOPPED_AT);
@@ -57,7 +57,7 @@
         let expired = (0..grace).find(|ms| shutdown.phase(STOPPED_AT + ms) == Phase::Expired);
         let expires = grace.saturating_sub(FINAL_RESPONSE_MARGIN);
         expect_that!(expired, some(eq(expires)), "grace {grace}");
-        // A grace period that leaves no time rejects from the first moment.
+        // With a grace period that is too short, requests are rejected at once.
         expect_that!(
             last_accepted.map_or(0, |t| t + 1),
             eq(SERVE_AFTER_SIGTERM.min(expires / 2)),
@@ -67,14 +67,14 @@
 }
 
 #[gtest]
-fn it_ends_with_the_last_request_it_accepted_and_not_before_it_rejects() {
+fn process_exits_when_it_rejects_requests_and_none_is_open() {
     let mut shutdown = stopping();
     expect_true!(shutdown.accept(STOPPED_AT + 10));
     shutdown.on_request_opened();
     shutdown.on_request_opened();
     shutdown.on_request_closed();
     expect_false!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM));
-    // One that is rejected keeps it until its response has gone out.
+    // A rejected request delays the exit until its response has been sent.
     shutdown.on_request_opened();
     expect_false!(shutdown.accept(STOPPED_AT + SERVE_AFTER_SIGTERM));
     shutdown.on_request_closed();
@@ -86,7 +86,7 @@
     );
     expect_false!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM - 1));
     expect_true!(shutdown.is_done(STOPPED_AT + SERVE_AFTER_SIGTERM));
-    // Whatever is still open, the grace period ends.
+    // At the end of the grace period the process exits even with open requests.
     shutdown.on_request_opened();
     expect_false!(shutdown.is_done(STOPPED_AT + GRACE - FINAL_RESPONSE_MARGIN - 1));
     expect_true!(shutdown.is_done(STOPPED_AT + GRACE - FINAL_RESPONSE_MARGIN));
