--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -251,7 +251,7 @@
             .followers
             .get(&edge.name)
             .map(|follower| now.saturating_sub(follower.polled_at));
-        let by_gossip = self.membership.unheard_for(&edge.name, now);
+        let by_gossip = self.membership.time_since_heartbeat(&edge.name, now);
         let unheard_for = by_poll.into_iter().chain(by_gossip).min();
         unheard_for.map_or(Ms::MAX, |unheard_for| {
             let heard_at = now.saturating_sub(unheard_for);
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -143,8 +143,10 @@
 
     /// Ms since a node made the newest heartbeat that this node received; none for a node that is
     /// not known.
-    pub fn unheard_for(&self, name: &str, now: Ms) -> Option<Ms> {
-        self.known.get(name).map(|known| known.unheard_for(now))
+    pub fn time_since_heartbeat(&self, name: &str, now: Ms) -> Option<Ms> {
+        self.known
+            .get(name)
+            .map(|known| known.time_since_heartbeat(now))
     }
 
     /// The description of another node.
@@ -260,7 +262,7 @@
         let unresponsive = self
             .known
             .live()
-            .filter(|known| known.unheard_for(now) > failure_timeout / 2);
+            .filter(|known| known.time_since_heartbeat(now) > failure_timeout / 2);
         let selected = self.rng.choose_multiple(unresponsive, 1);
         targets.extend(selected.into_iter().map(|known| known.node.addr.clone()));
         targets
--- a/coordination/src/membership/known_nodes.rs
+++ b/coordination/src/membership/known_nodes.rs
@@ -32,7 +32,7 @@
 
 impl KnownNode {
     /// Ms since it made the newest heartbeat that this node received.
-    pub fn unheard_for(&self, now: Ms) -> Ms {
+    pub fn time_since_heartbeat(&self, now: Ms) -> Ms {
         now.saturating_sub(self.heartbeat_at)
     }
 
@@ -55,7 +55,7 @@
 
     /// Rounded up, so that a heartbeat never gets younger on its way.
     fn heartbeat_age(&self, now: Ms) -> u16 {
-        let age = self.unheard_for(now).div_ceil(HEARTBEAT_AGE_UNIT);
+        let age = self.time_since_heartbeat(now).div_ceil(HEARTBEAT_AGE_UNIT);
         u16::try_from(age).unwrap_or(u16::MAX)
     }
 
@@ -147,7 +147,9 @@
         let timeout =
             |node_count: usize| NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * node_count as Ms);
         let longest = timeout(self.count());
-        let recent = self.all().filter(|known| known.unheard_for(now) <= longest);
+        let recent = self
+            .all()
+            .filter(|known| known.time_since_heartbeat(now) <= longest);
         timeout(recent.count())
     }
 
@@ -155,13 +157,13 @@
     /// gone.
     pub fn expire(&mut self, failure_timeout: Ms, now: Ms, out: &mut Effects) {
         for known in self.by_name.values_mut() {
-            if known.is_live && known.unheard_for(now) > failure_timeout {
+            if known.is_live && known.time_since_heartbeat(now) > failure_timeout {
                 known.is_live = false;
                 out.push(log_event(events::NODE_UNREACHABLE, &known.node.name, ""));
             }
         }
         self.by_name
-            .retain(|_, known| known.unheard_for(now) < NODE_RETENTION);
+            .retain(|_, known| known.time_since_heartbeat(now) < NODE_RETENTION);
         let (by_name, own_name) = (&self.by_name, &self.own_name);
         self.names_by_digest
             .retain(|_, name| by_name.contains_key(name) || name == own_name);
@@ -226,7 +228,7 @@
         let Some(known) = self.by_name.get_mut(name) else {
             return;
         };
-        if known.unheard_for(now) <= failure_timeout {
+        if known.time_since_heartbeat(now) <= failure_timeout {
             known.is_live = true;
             let text = if is_new {
                 known.node.addr.to_string()
