--- a/coordination/src/control/directory.rs
+++ b/coordination/src/control/directory.rs
@@ -251,7 +251,7 @@
             .followers
             .get(&edge.name)
             .map(|follower| now.saturating_sub(follower.polled_at));
-        let by_gossip = self.membership.unheard_for(&edge.name, now);
+        let by_gossip = self.membership.time_since_heartbeat(&edge.name, now);
         let time_since_received = by_poll.into_iter().chain(by_gossip).min();
         time_since_received.map_or(Ms::MAX, |time_since_received| {
             let received_at = now.saturating_sub(time_since_received);
