--- a/wire-messages/src/fields.rs
+++ b/wire-messages/src/fields.rs
@@ -1,4 +1,4 @@
-//! The field shapes that `binrw` has no bounded form of: text, bytes, lists and numbers of variable length.
+//! Field types for which `binrw` has no bounded form: text, bytes, lists and variable-length numbers.
 
 use std::{fmt, io, io::Read, ops::Deref};
 
@@ -6,30 +6,30 @@
 
 use crate::{MAX_FRAME, MAX_LIST, MAX_NAME};
 
-/// Reads a length as a [`Varint`] and compares it with its limit before anything is read or reserved for it.
+/// Reads a length as a [`Varint`] and checks it against its limit before anything is read or allocated for it.
 fn read_length<R: io::Read + io::Seek>(
     reader: &mut R,
     endian: Endian,
-    what: &str,
+    field: &str,
     limit: usize,
 ) -> BinResult<usize> {
     let encoded = Varint::read_options(reader, endian, ())?.0;
     let length = usize::try_from(encoded).unwrap_or(usize::MAX);
     if length > limit {
-        return Err(too_long(reader.stream_position()?, what, length));
+        return Err(too_long(reader.stream_position()?, field, length));
     }
     Ok(length)
 }
 
-fn too_long(position: u64, what: &str, length: usize) -> binrw::Error {
+fn too_long(position: u64, field: &str, length: usize) -> binrw::Error {
     binrw::Error::AssertFail {
         pos: position,
-        message: format!("{what} of {length} is over its limit"),
+        message: format!("{field} of {length} is over its limit"),
     }
 }
 
 fn read_bytes<R: io::Read + io::Seek>(reader: &mut R, length: usize) -> BinResult<Vec<u8>> {
-    // The buffer grows with what really arrives, so that a false length cannot reserve memory.
+    // The buffer grows with the bytes received, so that a false length cannot allocate memory.
     let mut bytes = Vec::new();
     io::Read::take(reader, length as u64).read_to_end(&mut bytes)?;
     if bytes.len() < length {
@@ -210,16 +210,16 @@
     }
 }
 
-/// An unsigned number that is small most of the time, as LEB128: seven bits a byte, the lowest first. Each number has
-/// exactly one encoding; longer ones are refused.
+/// An unsigned number that is usually small, as LEB128: seven bits per byte, least significant first. Each number has
+/// exactly one encoding; longer encodings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Varint(pub u64);
 
 impl Varint {
-    /// Bits of the number in one byte.
+    /// Bits of the number per byte.
     const BITS: u32 = 7;
-    /// Set in a byte that is not the last.
-    const CONTINUES: u8 = 1 << Self::BITS;
+    /// Continuation bit, set in every byte but the last.
+    const CONTINUATION: u8 = 1 << Self::BITS;
 }
 
 impl BinRead for Varint {
@@ -232,14 +232,14 @@
         let mut number = 0u64;
         for shift in (0..u64::BITS).step_by(Self::BITS as usize) {
             let byte = u8::read_options(reader, endian, ())?;
-            let bits = u64::from(byte & !Self::CONTINUES);
+            let bits = u64::from(byte & !Self::CONTINUATION);
             let overflows = (bits << shift) >> shift != bits;
             let is_padding = byte == 0 && shift > 0;
             if overflows || is_padding {
                 break;
             }
             number |= bits << shift;
-            if byte & Self::CONTINUES == 0 {
+            if byte & Self::CONTINUATION == 0 {
                 return Ok(Varint(number));
             }
         }
@@ -259,8 +259,8 @@
         _: (),
     ) -> BinResult<()> {
         let mut number = self.0;
-        while number >= u64::from(Self::CONTINUES) {
-            (number as u8 | Self::CONTINUES).write_options(writer, endian, ())?;
+        while number >= u64::from(Self::CONTINUATION) {
+            (number as u8 | Self::CONTINUATION).write_options(writer, endian, ())?;
             number >>= Self::BITS;
         }
         (number as u8).write_options(writer, endian, ())
--- a/wire-messages/src/fields/tests.rs
+++ b/wire-messages/src/fields/tests.rs
@@ -5,12 +5,12 @@
 use super::Varint;
 use crate::*;
 
-fn written(n: u64) -> Vec<u8> {
+fn encode_varint(n: u64) -> Vec<u8> {
     let mut cursor = Cursor::new(vec![]);
     Varint(n).write_be(&mut cursor).unwrap();
     cursor.into_inner()
 }
-fn read(bytes: &[u8]) -> Option<u64> {
+fn decode_varint(bytes: &[u8]) -> Option<u64> {
     Varint::read_be(&mut Cursor::new(bytes))
         .ok()
         .map(|number| number.0)
@@ -22,23 +22,23 @@
         .flat_map(|i| [(1u64 << i) - 1, 1 << i, (1 << i) + 1])
         .chain([u64::MAX]);
     for n in boundaries {
-        let bytes = written(n);
+        let bytes = encode_varint(n);
         assert_eq!(
             bytes.len(),
             (u64::BITS - (n | 1).leading_zeros()).div_ceil(7) as usize,
             "{n}"
         );
-        assert_eq!(read(&bytes), Some(n), "{n}");
+        assert_eq!(decode_varint(&bytes), Some(n), "{n}");
         assert!(
-            (0..bytes.len()).all(|i| read(&bytes[..i]).is_none()),
-            "{n} cut short"
+            (0..bytes.len()).all(|i| decode_varint(&bytes[..i]).is_none()),
+            "{n} truncated"
         );
     }
 }
 
 #[test]
 fn a_varint_has_exactly_one_encoding() {
-    // Longer than it must be, more than 64 bits, and without an end.
+    // Longer than necessary, more than 64 bits, and unterminated.
     for bytes in [
         vec![0x80, 0],
         vec![0xff, 0x80, 0],
@@ -46,7 +46,7 @@
         vec![0x80; 11],
         vec![0xff; 11],
     ] {
-        assert_eq!(read(&bytes), None, "{bytes:?}");
+        assert_eq!(decode_varint(&bytes), None, "{bytes:?}");
     }
 }
 
@@ -86,29 +86,29 @@
         assert_eq!(decode(&frame[4..]), Ok(envelope.clone()));
         assert!(
             (4..frame.len()).all(|i| decode(&frame[4..i]).is_err()),
-            "{n} cut short"
+            "{n} truncated"
         );
     }
 }
 
 #[test]
-fn a_length_over_its_limit_is_refused_before_its_bytes_are_read() {
-    let refused = |envelope: binrw::Error| envelope.to_string().contains("over its limit");
+fn a_length_over_its_limit_is_rejected_before_its_bytes_are_read() {
+    let is_over_limit = |error: binrw::Error| error.to_string().contains("over its limit");
     for n in [MAX_NAME + 1, MAX_LIST + 1, MAX_FRAME + 1, usize::MAX] {
-        let mut bytes = written(n as u64);
+        let mut bytes = encode_varint(n as u64);
         bytes.extend([0; 8]);
         assert_eq!(
-            Name::read_be(&mut Cursor::new(&bytes)).is_err_and(refused),
+            Name::read_be(&mut Cursor::new(&bytes)).is_err_and(is_over_limit),
             n > MAX_NAME,
             "{n}"
         );
         assert_eq!(
-            List::<u64>::read_be(&mut Cursor::new(&bytes)).is_err_and(refused),
+            List::<u64>::read_be(&mut Cursor::new(&bytes)).is_err_and(is_over_limit),
             n > MAX_LIST,
             "{n}"
         );
         assert_eq!(
-            Blob::read_be(&mut Cursor::new(&bytes)).is_err_and(refused),
+            Blob::read_be(&mut Cursor::new(&bytes)).is_err_and(is_over_limit),
             n > MAX_FRAME,
             "{n}"
         );
@@ -117,7 +117,7 @@
         let name = Name("x".repeat(n));
         let mut cursor = Cursor::new(vec![]);
         name.write_be(&mut cursor).unwrap();
-        assert_eq!(cursor.get_ref().len(), n + written(n as u64).len());
+        assert_eq!(cursor.get_ref().len(), n + encode_varint(n as u64).len());
         cursor.set_position(0);
         assert_eq!(Name::read_be(&mut cursor).unwrap(), name);
     }
--- a/wire-messages/src/frame.rs
+++ b/wire-messages/src/frame.rs
@@ -1,4 +1,4 @@
-//! One frame on a channel: a length of four bytes, the wire version, then an [`Envelope`].
+//! Frames on a channel: a four-byte length, the wire version, then an [`Envelope`].
 
 use std::io::Cursor;
 
@@ -6,19 +6,19 @@
 
 use crate::{Envelope, MAX_FRAME, WIRE_VERSION};
 
-/// Bytes of the length before a frame's body.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are not a frame, or an envelope cannot be one. The channel on which such bytes came is closed.
+/// Error of encoding or decoding a frame. A channel that receives an invalid frame is closed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrameError {
-    /// The body has so many bytes, more than [`MAX_FRAME`].
+    /// The body has this many bytes, more than [`MAX_FRAME`].
     TooLong(usize),
-    /// The body does not have the layout of a message, or a field is over its limit.
+    /// The body is not a valid message, or a field exceeds its limit.
     Malformed(String),
-    /// So many bytes are left after the message.
+    /// This many bytes follow the message.
     Trailing(usize),
-    /// The sender speaks this other version of the messages.
+    /// The sender uses this other wire version.
     Version(u16),
 }
 
@@ -46,10 +46,10 @@
     FrameError::Malformed(error.to_string())
 }
 
-/// Reads the length of a frame's body, in bytes.
+/// Decodes the length of a frame's body, in bytes.
 ///
 /// # Errors
-/// [`FrameError::TooLong`], before anything is read for such a body.
+/// [`FrameError::TooLong`], before any of the body is read.
 pub fn read_length(prefix: [u8; LENGTH_BYTES]) -> Result<usize, FrameError> {
     let length = u32::from_be_bytes(prefix) as usize;
     if length > MAX_FRAME {
@@ -58,10 +58,10 @@
     Ok(length)
 }
 
-/// The bytes of a frame, length included.
+/// Encodes an envelope as a frame, including the length prefix.
 ///
 /// # Errors
-/// [`FrameError::Malformed`] where a field is over its limit, [`FrameError::TooLong`] where the whole is.
+/// [`FrameError::Malformed`] if a field exceeds its limit, [`FrameError::TooLong`] if the body does.
 pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, FrameError> {
     let mut cursor = Cursor::new(vec![0u8; LENGTH_BYTES]);
     cursor.set_position(LENGTH_BYTES as u64);
@@ -76,13 +76,13 @@
     Ok(frame)
 }
 
-/// Reads the body of a frame.
+/// Decodes the body of a frame.
 ///
 /// # Errors
-/// [`FrameError::Version`], [`FrameError::Malformed`], or [`FrameError::Trailing`]: no sender leaves bytes over.
+/// [`FrameError::Version`], [`FrameError::Malformed`], or [`FrameError::Trailing`]: no sender appends bytes.
 pub fn decode(body: &[u8]) -> Result<Envelope, FrameError> {
     let mut cursor = Cursor::new(body);
-    // Compared before anything else is read: another version's bytes may be read as a message with another meaning.
+    // Checked first: the bytes of another version may decode as a message with another meaning.
     let version = u16::read_be(&mut cursor).map_err(malformed)?;
     if version != WIRE_VERSION {
         return Err(FrameError::Version(version));
--- a/wire-messages/src/parts.rs
+++ b/wire-messages/src/parts.rs
@@ -1,11 +1,11 @@
-//! Structures and states that stand inside messages.
+//! Structs and enums that messages contain.
 
 use binrw::binrw;
 
 use crate::{Blob, List, Name, Varint};
 
-/// Declares structures with one binary layout: fields in their order, big-endian. A number `as Varint` takes one byte
-/// where it is small.
+/// Declares structs with a common binary layout: fields in declaration order, big-endian. A number `as Varint` has a
+/// variable length: one byte if it is small.
 macro_rules! parts {
     ($(
         $(#[$struct_doc:meta])*
@@ -29,31 +29,32 @@
 pub(crate) use parts;
 
 parts! {
-    /// One process as the others know it.
+    /// Description of a process, as gossip spreads it.
     Node {
-        /// Lasting name of the process.
+        /// Name of the process, which is stable across restarts.
         name: Name,
-        /// What it is: 1 a control daemon, 2 an edge agent.
+        /// 1: control daemon; 2: edge agent.
         role: u8,
-        /// Zone that its machine stands in.
+        /// Zone of its machine.
         zone: Name,
-        /// IP:port at which other processes of the system reach it.
+        /// IP:port on which it listens for other processes of the system.
         addr: Name,
-        /// IP:port of its HTTP interface; of an edge, of the proxy beside it, and empty while that serves nobody.
+        /// IP:port of its HTTP interface; for an edge that of the colocated proxy, empty while that does not serve.
         http_addr: Name,
-        /// Rises with each start of the process.
+        /// Increases with each start of the process.
         incarnation: u64,
-        /// Rises while the process lives.
+        /// Increases while the process runs.
         heartbeat: u32,
-        /// How long ago the heartbeat was made, in hundredths of a second; added to wherever it is passed on.
+        /// Age of the heartbeat, in hundredths of a second; a node that forwards it adds the time since it received it.
         heartbeat_age: u16,
     }
 
-    /// The edges that a control daemon does not hear from.
+    /// Edges that are unreachable for a control daemon.
     UnreachableEdges {
-        /// Rises with each change of the report within an incarnation of the daemon; 0: it cannot know which they are.
+        /// Increases with each change of the report within an incarnation of the daemon; 0: the daemon cannot know
+        /// which edges are unreachable.
         version: u64 as Varint,
-        /// Digests of their names.
+        /// Digests of the edges' names.
         edges: List<u32>,
     }
 
@@ -67,45 +68,45 @@
         heartbeat_age: u16,
     }
 
-    /// A committed value of a key, or its metadata alone where the value is left empty.
+    /// A committed value of a key, or only its metadata if the value is left empty.
     Change {
         /// The key.
         key: Name,
-        /// Epoch of the owner that wrote it; orders owners.
+        /// Epoch of the owner that wrote the value; orders owners.
         epoch: u64,
-        /// Number of the value; orders values.
+        /// Version of the value; orders values.
         version: u64,
-        /// The value; empty for a key that was cleared.
+        /// The value; empty for a cleared key.
         value: Blob,
     }
 
-    /// A value that was accepted and then replaced by a newer one.
+    /// An accepted value that a newer one replaced.
     ReplacedValue {
-        /// Release that the document told, 0 if it told none.
+        /// Release named in the document; 0: none.
         release: u64 as Varint,
         /// First half of the value's SHA-256.
         digest: u128,
     }
 
-    /// All that a voter knows of a key.
+    /// A voter's stored state of a key.
     Slot {
         /// The key.
         key: Name,
-        /// Highest epoch that this voter has promised to.
+        /// Highest epoch that this voter has promised.
         promised_epoch: u64,
         /// Epoch under which the value was accepted.
         accepted_epoch: u64,
         /// Version of the value.
         version: u64,
-        /// Newest version that is known to be committed.
+        /// Newest version known to be committed.
         committed_version: u64,
-        /// The newest accepted value.
+        /// Newest accepted value.
         value: Blob,
-        /// The accepted values that this one replaced, newest last.
+        /// Accepted values that this value replaced, newest last.
         replaced: List<ReplacedValue>,
     }
 
-    /// What the lease holder of a service's rollout lets an edge do for a while.
+    /// Time-limited permission for an edge, granted by the lease holder of a service's rollout.
     Lease {
         /// The service.
         service: Name,
@@ -113,29 +114,29 @@
         epoch: u64,
         /// Version of the rollout record that the edge may follow.
         record_version: u64,
-        /// Percent of the service's requests that the canary may get.
+        /// Percentage of the service's requests that the canary may receive.
         canary_share_percent: u32,
-        /// ms that it lasts, counted from the sending of the poll that it answers.
+        /// Duration in ms, from the send time of the poll that it answers.
         ttl_ms: u32,
     }
 
-    /// A lease as an agent hands it to the proxy beside it: both read the same machine's clock.
+    /// A lease as an agent sends it to its colocated proxy: both use the same machine's clock.
     ProxyLease {
         /// The lease.
         lease: Lease,
-        /// ms of the machine's clock at which it ends.
+        /// Time on the machine's clock at which the lease expires, in ms.
         expires_at: u64,
     }
 
-    /// A digest over the keys whose hash falls into one range.
+    /// Digest of the keys whose hash is in one range.
     RangeDigest {
         /// Number of the range.
         index: u16,
-        /// Digest over the metadata of its keys.
+        /// Digest of the metadata of its keys.
         digest: u64,
     }
 
-    /// Cumulative outcome counters of a proxy since its start, for one kind of attempt.
+    /// Cumulative outcome counters of a proxy since its start, for one combination of the labels below.
     OutcomeCounters {
         /// Service that was called.
         service: Name,
@@ -153,39 +154,39 @@
         succeeded: u64 as Varint,
         /// Attempts that failed.
         failed: u64 as Varint,
-        /// Attempts that succeeded, but took far longer than expected.
+        /// Attempts that succeeded but took far longer than expected.
         slow: u64 as Varint,
         /// First chunks received.
         first_chunks: u64 as Varint,
         /// Sum of the logarithms of the times to the first chunk.
         first_chunk_log_sum: u64 as Varint,
-        /// Set of the replicas that failed, one or a few to a bit.
+        /// Set of failed replicas; each bit stands for one or a few replicas.
         failed_replicas: u64 as Varint,
-        /// Attempts of the last half minute that ended, for a daemon that hears from this proxy for the first time.
+        /// Attempts that ended in the last half minute, for a daemon that receives its first report of this proxy.
         recent_ended: u64 as Varint,
-        /// Of these, those that failed.
+        /// Attempts in `recent_ended` that failed.
         recent_failed: u64 as Varint,
-        /// Of these, those that were slow.
+        /// Attempts in `recent_ended` that were slow.
         recent_slow: u64 as Varint,
     }
 
-    /// Streams that a proxy has open on a version of a replica.
+    /// Number of streams that a proxy has open on a version of a replica.
     OpenStreams {
         /// Id of the replica.
         replica: Name,
         /// The version.
         version: Name,
-        /// How many; 0 tells that the last one has ended.
+        /// Number of open streams; 0: the last one has ended.
         streams: u32,
     }
 
-    /// Cumulative usage of one tenant in one window, as one incarnation of a proxy counts it.
+    /// Cumulative usage of one tenant in one window, counted by one incarnation of a proxy.
     TenantUsage {
-        /// Number of the window: the time of day in ms since 1970, divided by the windows' length.
+        /// Number of the window: ms since the Unix epoch (1970), divided by the window length.
         window: u64 as Varint,
         /// The tenant.
         tenant: Name,
-        /// Requests that began to run.
+        /// Requests that started to run.
         count: u64 as Varint,
     }
 
@@ -193,53 +194,53 @@
     ProxyUsage {
         /// Incarnation of the proxy.
         proxy_incarnation: u64,
-        /// What it counted.
+        /// Usage per tenant and window.
         usage: List<TenantUsage>,
     }
 
-    /// A voter.
+/// A control daemon that is a voter.
     Voter {
-        /// Lasting name of the daemon.
+        /// Name of the daemon, which is stable across restarts.
         name: Name,
-        /// Number of its disk.
+        /// Id of its disk.
         disk_id: u64,
-        /// IP:port at which other processes reach it.
+        /// IP:port on which it listens for other processes.
         addr: Name,
-        /// Zone that its machine stands in.
+        /// Zone of its machine.
         zone: Name,
-        /// Member epoch since which it is a voter without a break.
+        /// Member epoch since which it has been a voter without interruption.
         since_epoch: u32,
     }
 
     /// A long prompt that a proxy sent to a replica.
     Prefill {
-        /// Number of the replica's incarnation.
+        /// Incarnation number of the replica.
         replica_number: u64,
-        /// ms that its prefill takes there.
+        /// Duration of the prefill on that replica, in ms.
         duration_ms: u32,
-        /// Ids of the prompt's shared blocks.
+        /// Ids of the prompt's shared prefix blocks.
         blocks: List<u64>,
     }
 
-    /// Demand for one chain of shared prefix blocks, over a decaying window. Counts are in parts of one request.
+    /// Demand for one chain of shared prefix blocks, over a decaying window. Counts are in fractions of a request.
     ChainDemand {
-        /// Digest of the version of the weights.
+        /// Digest of the weights version.
         weights_version: u64,
-        /// Digest of the regions that may serve it.
+        /// Digest of the regions that may serve the chain.
         homes_digest: u64,
         /// Digest of the chain.
         chain: u64,
-        /// Tokens of the chain.
+        /// Number of tokens in the chain.
         tokens: u32,
-        /// Requests for it.
+        /// Requests for the chain.
         requests: u32,
-        /// By how much `requests` may be too high.
+        /// Upper bound of the overcount in `requests`.
         overcount: u32,
-        /// Requests that found it missing where it was expected in the cache.
+        /// Requests that missed the cache where the chain was expected.
         cache_misses: u32,
     }
 
-    /// A key and the epoch under which a daemon owns it.
+    /// A key and the epoch in which a daemon owns it.
     OwnedKey {
         /// The key.
         key: Name,
@@ -248,29 +249,29 @@
     }
 }
 
-/// How a control daemon relates to the set of voters.
+/// State of a control daemon relative to the set of voters.
 #[binrw]
 #[brw(repr = u8)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PeerState {
-    /// It votes.
+    /// A voter.
     #[default]
     Voter,
-    /// Its disk is blank.
+    /// The disk is blank.
     Blank,
-    /// It is listed as a voter and has not caught up.
+    /// Listed as a voter, but not caught up.
     CatchingUp,
-    /// It is about to stop.
+    /// About to stop.
     Stopping,
-    /// Its disk is blank and it takes part in the bootstrap of the system.
+    /// The disk is blank and the daemon takes part in the bootstrap of the system.
     Bootstrapping,
-    /// It is not listed as a voter: an empty machine that has just come.
+    /// Not listed as a voter: a new machine without state.
     Joiner,
-    /// It is not listed as a voter and follows what is committed.
+    /// Not listed as a voter; follows committed values.
     Learner,
 }
 
-/// What must hold for a forwarded write to be taken.
+/// Condition for accepting a forwarded write.
 #[binrw]
 #[brw(repr = u8)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -278,31 +279,31 @@
     /// The current version equals the expected one.
     #[default]
     Version,
-    /// The version that was current when the write was submitted still is; a value that is current already is accepted
-    /// under any version.
+    /// The version has not changed since the write was submitted; a value equal to the current one is accepted under
+    /// any version.
     UnchangedSince,
     /// The release of the current document equals the expected one.
     Release,
-    /// Nothing is written: the newest version is asked for.
+    /// Nothing is written: the request reads the newest version.
     Read,
 }
 
-/// What became of a forwarded write or read.
+/// Outcome of a forwarded write or read.
 #[binrw]
 #[brw(repr = u8)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// It is committed, or the newest version was read.
+    /// The write is committed, or the newest version was read.
     #[default]
     Accepted,
-    /// Another value stands.
+    /// Another value is current.
     Conflict,
-    /// It was not offered to any disk and never will be.
+    /// The write was not proposed to any voter and never will be.
     NotAccepted,
-    /// It may or may not be committed.
+    /// The write may or may not be committed.
     Unknown,
-    /// Not accepted, as the daemon that was asked is not the key's owner.
+    /// Not accepted, because the receiving daemon is not the key's owner.
     NotOwner,
-    /// Offered to disks as the version named, by an owner that then lost the key.
+    /// Proposed to voters under the returned version, by an owner that then lost the key.
     Deposed,
 }
--- a/wire-messages/tests/frames.rs
+++ b/wire-messages/tests/frames.rs
@@ -1,18 +1,18 @@
-//! The bytes of every message, as processes of this wire version write them.
+//! Checks the bytes of every message, as processes of this wire version write them.
 //!
-//! Each field of each message holds a value of its own, so that a field that is moved, dropped or read as another one
-//! changes the bytes. A change to a message that is meant raises [`WIRE_VERSION`] and writes the fixture
-//! anew: `WRITE_FRAMES=1 cargo test --package wire-messages --test frames`.
+//! Each field of each message has a distinct value, so that moving, dropping or confusing fields changes the bytes.
+//! An intended change to a message increments [`WIRE_VERSION`] and regenerates the fixture:
+//! `WRITE_FRAMES=1 cargo test --package wire-messages --test frames`.
 
 use wire_messages::*;
 
-/// Messages in the protocol.
+/// Number of message types in the protocol.
 const NUMBER_OF_MESSAGES: usize = 27;
 
-/// One frame a line, in hexadecimal, length prefix included, behind the name of its message.
+/// One frame per line: the name of its message, then its bytes in hexadecimal, including the length prefix.
 const FIXTURE: &str = include_str!("fixtures/frames.hex");
 
-/// One instance of every message, and one of each state that a message can carry.
+/// Returns an instance of every message, and one for each value of the enums in them.
 #[rustfmt::skip]
 fn instances() -> Vec<Message> {
     vec![
@@ -68,11 +68,11 @@
     }
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn from_hexadecimal(text: &str) -> Vec<u8> {
+fn from_hex(text: &str) -> Vec<u8> {
     let digits: Vec<char> = text.chars().collect();
     digits
         .chunks(2)
@@ -82,7 +82,7 @@
 
 fn frame_line(msg: Message) -> String {
     let name = msg.name();
-    format!("{name} {}", hexadecimal(&encode(&envelope(msg)).unwrap()))
+    format!("{name} {}", to_hex(&encode(&envelope(msg)).unwrap()))
 }
 
 #[test]
@@ -94,7 +94,7 @@
             written.join("\n") + "\n",
         )
         .unwrap();
-        panic!("the fixture was written anew; run again without WRITE_FRAMES");
+        panic!("the fixture was regenerated; run again without WRITE_FRAMES");
     }
     let expected: Vec<&str> = FIXTURE.lines().collect();
     assert_eq!(written.len(), expected.len(), "frames");
@@ -107,12 +107,12 @@
 fn every_frame_of_the_fixture_is_read_as_its_message_and_written_the_same() {
     for (line, msg) in FIXTURE.lines().zip(instances()) {
         let (name, digits) = line.split_once(' ').unwrap();
-        let frame = from_hexadecimal(digits);
+        let frame = from_hex(digits);
         let length = read_length(frame[..4].try_into().unwrap()).unwrap();
         assert_eq!(length, frame.len() - 4, "{name}");
         let read = decode(&frame[4..]).unwrap();
         assert_eq!(read, envelope(msg), "{name}");
-        assert_eq!(hexadecimal(&encode(&read).unwrap()), digits, "{name}");
+        assert_eq!(to_hex(&encode(&read).unwrap()), digits, "{name}");
     }
 }
 
