--- a/coordination/src/control/forwarding.rs
+++ b/coordination/src/control/forwarding.rs
@@ -300,7 +300,7 @@
         let owner = self.registers.preferred_owner(&request.key, &is_live);
         // Forwarding again could loop; the sender looks up the owner again instead.
         if owner.is_none_or(|voter| voter.name != self.config.name) {
-            let reason = "the receiving daemon is not the preferred owner of this key";
+            let reason = "the daemon asked does not come first for this key";
             out.push(origin.reply(ForwardOutcome::NotOwner, 0, reason));
             return;
         }
