--- a/coordination/src/edge_agent.rs
+++ b/coordination/src/edge_agent.rs
@@ -1,7 +1,7 @@
-//! The state machine of an edge agent. It takes part in the membership, follows the control
-//! daemons' change streams into one state table, repairs that table with its neighbours, decides
-//! the rule under which its proxy serves, and claims run-once requests. The proxy on its machine
-//! knows the fleet by its updates alone.
+//! The state machine of an edge agent. The agent participates in membership gossip, merges the
+//! control daemons' change feeds into one state table, repairs that table with its neighbours,
+//! decides its proxy's serving rule, and claims run-once requests. The colocated proxy receives all
+//! fleet state from the agent's updates.
 
 mod claims;
 mod control_sources;
@@ -26,7 +26,7 @@
 pub use self::{
     control_sources::POLL_INTERVAL,
     serving_rule::{
-        MAJORITY_MISSED_AFTER, REJECT_ALL, RULE_DURATION, SERVE_ALL, STABLE_ONLY, ServingRule,
+        MAJORITY_TIMEOUT, REJECT_ALL, RULE_DURATION, SERVE_ALL, STABLE_ONLY, ServingRule,
     },
 };
 use crate::{
@@ -38,7 +38,7 @@
     state_table::StateTable,
 };
 
-/// A key's epoch and version without its value.
+/// Returns a change's metadata: its key, epoch and version without the value.
 fn without_value(change: Change) -> Change {
     Change {
         value: Default::default(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// The state machine of an edge agent: takes messages and ticks, gives effects.
+/// The state machine of an edge agent: consumes messages and ticks, returns effects.
 #[derive(Clone, Debug)]
 pub struct EdgeAgent {
     membership: Membership,
@@ -61,8 +61,8 @@
 }
 
 impl EdgeAgent {
-    /// An agent that starts at `now` and knows only the addresses in `seeds`. `random_seed` sets
-    /// all its random choices.
+    /// Creates an agent that starts at `now` and knows only the addresses in `seeds`. `random_seed`
+    /// seeds all its random choices.
     pub fn new(me: Node, seeds: Vec<Name>, random_seed: u64, now: Ms) -> Self {
         let me = Node {
             role: NodeRole::Edge.to_byte(),
@@ -81,9 +81,9 @@
         }
     }
 
-    /// Whether the agent goes on with stable versions while it is out of contact, by what it knew
-    /// last. That is for operators who would rather serve by stale values than reject; bounds then
-    /// hold for daemons in contact only.
+    /// Sets whether the agent continues to serve stable versions from its last known state while it
+    /// is out of contact. For operators who prefer serving from stale values to rejecting requests;
+    /// bounds then hold only for daemons in contact.
     pub fn set_serve_when_partitioned(&mut self, on: bool) {
         self.serving.serve_when_partitioned = on;
     }
@@ -94,23 +94,23 @@
         self.regions = regions;
     }
 
-    /// The nodes that this agent knows.
+    /// Returns the nodes that this agent knows.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Committed values as this agent knows them.
+    /// Returns the committed values that this agent knows.
     pub fn state_table(&self) -> &StateTable {
         &self.state_table
     }
 
-    /// The rule under which its proxy serves.
+    /// Returns the rule under which the proxy serves.
     pub fn serving_rule(&self) -> ServingRule {
         self.serving.rule()
     }
 
-    /// Whether the proxy beside this agent still reports but sends clients elsewhere: the machine
-    /// is shutting down.
+    /// Whether the colocated proxy still reports but no longer accepts clients because the machine is
+    /// shutting down.
     pub fn proxy_is_draining(&self, now: Ms) -> bool {
         self.membership.me().http_addr.is_empty() && self.proxy.is_reporting(now)
     }
@@ -148,20 +148,20 @@
             Message::ContextDemand(demand) => self.on_context_demand(addr, demand, &mut out),
             _ => {}
         }
-        // Changes go to the proxy as they come, not at the next tick.
+        // Forwards changes to the proxy immediately, not at the next tick.
         if self.proxy.has_unsent_changes() {
             self.update_proxy(now, &mut out);
         }
         out
     }
 
-    /// Does what is due.
+    /// Runs all work that is due.
     pub fn tick(&mut self, now: Ms) -> Effects {
         let mut out = Vec::new();
         if self.sources.was_suspended(now) {
             self.serving.set_resumed(now);
         }
-        // A proxy that does not report serves nobody: clients are not sent there until it reports
+        // A proxy that does not report cannot serve: its address is withdrawn until it reports
         // again.
         if self.proxy.is_unresponsive(now) {
             self.membership.set_http_addr("");
@@ -178,7 +178,7 @@
         self.comparisons.tick(
             &self.membership,
             &self.state_table,
-            self.serving.misses_majority(now),
+            self.serving.has_lost_majority(now),
             now,
             &mut out,
         );
@@ -189,7 +189,7 @@
         out
     }
 
-    /// An agent that has just started polls each control daemon as soon as it has discovered it.
+    /// Expedites the next poll if an agent that is not ready has discovered a control daemon.
     fn poll_discovered_daemons(&mut self, now: Ms) {
         let discovers = self
             .membership
@@ -220,7 +220,7 @@
         self.update_serving_rule(now, out);
     }
 
-    /// Merges changes into the table; gives how many of them were newer.
+    /// Merges changes into the table and returns how many of them were newer.
     fn merge(&mut self, changes: Vec<Change>) -> usize {
         let mut newer_count = 0;
         for change in changes {
@@ -238,8 +238,8 @@
                 let responses = repair::respond_to_metadata(&self.state_table, &repair);
                 out.extend(responses.map(|response| send(addr, response)));
             }
-            // Values of a neighbour are committed: they merge even before a majority's updates have
-            // come.
+            // A neighbour's values are committed, so they are merged even before a majority has sent
+            // updates.
             RepairKind::Values => {
                 let repaired_count = self.merge(repair.changes.0);
                 if repaired_count > 0 {
@@ -261,12 +261,13 @@
         now: Ms,
         out: &mut Effects,
     ) {
-        let edges = self.with_me(self.membership.known(NodeRole::Edge));
+        let edges = self.with_own_node(self.membership.known(NodeRole::Edge));
         self.claims.on_request(proxy, request, &edges, now, out);
     }
 
-    /// Sends prefills that the own proxy reports to the edges of its region and of the region that
-    /// it sent them to: those share replicas with it. What other edges report goes to the proxy.
+    /// Forwards the proxy's prefill reports to the edges of this region and of the region that the
+    /// prefills ran in, because these share replicas with it. Forwards reports of other edges to the
+    /// proxy.
     fn on_prefill_report(&self, from: &Name, report: PrefillReport, now: Ms, out: &mut Effects) {
         let Some(proxy_addr) = self.proxy.addr() else {
             return;
@@ -288,8 +289,8 @@
         );
     }
 
-    /// Sends the demand that the own proxy reports to the daemon that holds the service's role, and
-    /// to nobody else.
+    /// Forwards the proxy's context demand to the daemon that holds the service's role, and to no
+    /// other.
     fn on_context_demand(&self, from: &Name, demand: ContextDemand, out: &mut Effects) {
         if self.proxy.addr() != Some(from) {
             return;
@@ -304,7 +305,7 @@
         out.extend(holder_node.map(|daemon| send(&daemon.addr, demand)));
     }
 
-    /// Decides the rule anew and has the proxy notified if it changed.
+    /// Updates the serving rule and, if it changed, expedites the update to the proxy.
     fn update_serving_rule(&mut self, now: Ms, out: &mut Effects) -> Decision {
         let contact = Contact {
             majority_poll_sent_at: self.sources.majority_poll_sent_at(),
@@ -327,12 +328,12 @@
         let update = ProxyUpdate {
             decision: self.update_serving_rule(now, out),
             leases: self.leases.unexpired(now),
-            nodes: List(self.with_me(self.live_edges(now))),
+            nodes: List(self.with_own_node(self.live_edges(now))),
         };
         self.proxy.send_update(&self.state_table, update, now, out);
     }
 
-    /// Other edges that count as alive, by gossip and by the control daemons' reports.
+    /// Returns the other edges that are live according to gossip and the control daemons' reports.
     fn live_edges(&self, now: Ms) -> impl Iterator<Item = &Node> {
         let unreachable = self.sources.unreachable_edges(now);
         self.membership
@@ -340,8 +341,8 @@
             .filter(move |edge| !unreachable.contains(edge))
     }
 
-    /// Nodes and this one.
-    fn with_me<'a>(&'a self, nodes: impl Iterator<Item = &'a Node>) -> Vec<Node> {
+    /// Returns the given nodes and this one.
+    fn with_own_node<'a>(&'a self, nodes: impl Iterator<Item = &'a Node>) -> Vec<Node> {
         nodes.chain([self.membership.me()]).cloned().collect()
     }
 }
--- a/coordination/src/edge_agent/claims.rs
+++ b/coordination/src/edge_agent/claims.rs
@@ -1,4 +1,4 @@
-//! Claims at an agent: it grants them as a holder and asks for them on behalf of its proxy.
+//! Run-once claims at an agent: grants them as a holder and requests them on behalf of the proxy.
 
 use wire_messages::{Claim, ClaimReply, ClaimRequest, ClaimResult, Name, Node};
 
@@ -8,11 +8,11 @@
     effect::send,
 };
 
-/// An agent knows all edges after so long; before that its majority of them could be another's
-/// minority.
+/// Time after its start by which an agent knows all edges, in ms. Before that, its majority of the
+/// known edges could be a minority of all.
 const EDGE_DISCOVERY_TIME: Ms = 3_000;
 
-/// Both sides of claims.
+/// Holder and claimer sides of run-once claims.
 #[derive(Clone, Debug)]
 pub(super) struct EdgeClaims {
     started_at: Ms,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Another agent's claim.
+    /// Handles another agent's claim.
     pub fn on_claim(
         &mut self,
         me: &Node,
@@ -41,14 +41,14 @@
         self.grants.on_claim(me, claimer_addr, claim, now, out);
     }
 
-    /// A holder's reply.
+    /// Handles a holder's reply.
     pub fn on_reply(&mut self, from: &Name, reply: ClaimReply, out: &mut Effects) {
         if let Some(ended) = self.claimer.on_reply(from, reply) {
             send_result(&ended, out);
         }
     }
 
-    /// The proxy asks for a claim; `edges` are all that are known, this one among them.
+    /// Handles the proxy's claim request. `edges` are all known edges, including this one.
     pub fn on_request(
         &mut self,
         proxy: &Name,
@@ -57,8 +57,8 @@
         now: Ms,
         out: &mut Effects,
     ) {
-        let knows_few_edges = now.saturating_sub(self.started_at) < EDGE_DISCOVERY_TIME;
-        if knows_few_edges && is_caller_key(&request.request) {
+        let is_discovering_edges = now.saturating_sub(self.started_at) < EDGE_DISCOVERY_TIME;
+        if is_discovering_edges && is_caller_key(&request.request) {
             let abstained = ClaimEnded {
                 requester: proxy.clone(),
                 token: request.token,
@@ -70,7 +70,7 @@
         self.claimer.request(proxy, request, edges, now, out);
     }
 
-    /// Reports claims that got no majority in time.
+    /// Reports claims that timed out without a majority.
     pub fn tick(&mut self, now: Ms, out: &mut Effects) {
         for ended in self.claimer.tick(now) {
             send_result(&ended, out);
--- a/coordination/src/edge_agent/control_sources.rs
+++ b/coordination/src/edge_agent/control_sources.rs
@@ -1,5 +1,5 @@
-//! The control daemons as this agent follows them: what each has sent and acknowledged, and when it
-//! is polled.
+//! The control daemons that this agent follows: what each has sent and acknowledged, and when it is
+//! polled.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,20 +18,21 @@
     timing::{LEASE_DURATION, TICK_INTERVAL},
 };
 
-/// Agents poll each control daemon for updates this often; updates are also pushed.
+/// Interval between polls of a control daemon, in ms. Daemons also push updates.
 pub const POLL_INTERVAL: Ms = 400;
-/// For each edge that is known: an agent that has just started, and may not serve yet, polls again
-/// after so long.
+/// Interval between polls of an agent that has just started and may not serve yet, in ms for each
+/// known edge.
 const STARTUP_POLL_INTERVAL_PER_EDGE: Ms = 20;
-/// An agent that starts in a small fleet polls this often at most.
+/// Minimum interval between polls of an agent that starts in a small fleet, in ms.
 const MIN_POLL_INTERVAL: Ms = 2 * TICK_INTERVAL;
-/// A daemon of another region that holds no role and has this agent's versions is polled this
-/// often.
+/// Interval between polls of a daemon in another region that holds no role and has this agent's
+/// versions, in ms.
 const REMOTE_POLL_INTERVAL: Ms = 2 * POLL_INTERVAL;
-/// A poll that is late by more, far over the period of ticks, shows that the process was suspended.
+/// A poll that is overdue by more than this shows that the process was suspended; far longer than
+/// the tick interval.
 const SUSPENSION_MIN_GAP: Ms = 20 * TICK_INTERVAL;
 
-/// The versions of all keys as a control daemon was last sent them.
+/// The versions of all keys that were last sent to a control daemon.
 #[derive(Clone, Copy, Debug, Default)]
 struct SentVersions {
     sent_at: Ms,
@@ -39,43 +40,44 @@
 }
 
 impl SentVersions {
-    /// Nothing that an update could acknowledge.
+    /// No versions sent: no update acknowledges this.
     const NONE: SentVersions = SentVersions {
         sent_at: Ms::MAX,
         digest: 0,
     };
 }
 
-/// One control daemon.
+/// State of one followed control daemon.
 #[derive(Clone, Debug, Default)]
 struct ControlSource {
     incarnation: u64,
-    /// Position in its change stream up to which this agent has everything.
+    /// Position in its change feed up to which this agent has all changes.
     position: u64,
-    /// When the newest poll was sent to which it responded with a settled update.
+    /// Send time of the newest poll to which it responded with a settled update.
     settled_poll_sent_at: Ms,
-    /// It has sent a settled update to this incarnation of the agent.
+    /// Whether it has sent a settled update to this incarnation of the agent.
     sent_settled_update: bool,
     versions_sent: SentVersions,
     /// Digest of the versions that it has acknowledged.
     acknowledged_digest: Option<u64>,
     polled_at: Ms,
-    /// When it last sent a lease: it holds a singleton role.
+    /// When it last sent a lease, which shows that it holds a singleton role.
     lease_received_at: Ms,
-    /// When the newest poll was sent to which it responded.
+    /// Send time of the newest poll to which it responded.
     acknowledged_poll_sent_at: Ms,
-    /// The agent's report up to which it has the proxy's counters, by its newest response.
+    /// The agent's report up to which it has the proxy's counters, according to its newest response.
     counters_through: u64,
-    /// The counters that it keeps, by its newest response, and the number of that selection.
+    /// The counters that it keeps, according to its newest response, and the number of that
+    /// selection.
     selected: SelectedCounters,
     selection: u64,
-    /// The edges that it does not hear from, by its newest report.
+    /// The edges that it cannot reach, according to its newest report.
     unreachable_edges: UnreachableEdges,
 }
 
 impl ControlSource {
-    /// Follows another incarnation of the daemon from its beginning. What its former incarnation
-    /// was sent means nothing to this one, whichever of them a poll reached.
+    /// Follows a new incarnation of the daemon from the start of its feed. Versions sent to the
+    /// former incarnation do not count for this one, whichever of them received the poll.
     fn restart(&mut self, incarnation: u64) {
         *self = ControlSource {
             incarnation,
@@ -86,7 +88,7 @@
         };
     }
 
-    /// Records what an update reports of the daemon itself.
+    /// Records what an update reports about the daemon itself.
     fn on_update(&mut self, update: &Update, now: Ms) {
         self.position = self.position.max(update.through_position);
         if update.poll_sent_at >= self.versions_sent.sent_at {
@@ -101,7 +103,7 @@
                 wants_usage: update.wants_usage != 0,
             };
         }
-        // Only a settled voter counts towards a majority: others may lack what a majority has
+        // Only a settled voter counts towards a majority: others may lack values that a majority has
         // accepted.
         if update.is_settled != 0 {
             self.settled_poll_sent_at = self.settled_poll_sent_at.max(update.poll_sent_at);
@@ -124,7 +126,7 @@
     }
 }
 
-/// Edges that are unreachable, by digests of their names.
+/// Unreachable edges, identified by the digests of their names.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnreachableEdgeSet(BTreeSet<u32>);
 
@@ -134,7 +136,7 @@
     }
 }
 
-/// What polls to all daemons have in common.
+/// Inputs common to the polls to all daemons.
 pub(super) struct PollContext<'a> {
     pub membership: &'a Membership,
     pub table: &'a StateTable,
@@ -143,12 +145,12 @@
     pub is_ready: bool,
 }
 
-/// All control daemons that this agent follows.
+/// All control daemons that this agent follows, by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ControlSources {
     by_name: BTreeMap<Name, ControlSource>,
-    /// The largest number of voters that any daemon reported. They disagree only while voters
-    /// change, and the largest asks for the largest majority.
+    /// The largest number of voters that any daemon reported. Reports differ only during a
+    /// reconfiguration, and the largest requires the largest majority.
     voter_count: usize,
     next_poll: Ms,
 }
@@ -175,8 +177,8 @@
         settled.count() >= self.majority()
     }
 
-    /// The latest time such that a majority of settled daemons has responded to a poll that was
-    /// sent then or later; 0 if there is none.
+    /// Returns the latest time such that a majority of settled daemons has responded to a poll that
+    /// was sent then or later; 0 if there is none.
     pub fn majority_poll_sent_at(&self) -> Ms {
         let mut sent_at: Vec<Ms> = self
             .by_name
@@ -187,8 +189,8 @@
         sent_at.get(self.majority() - 1).copied().unwrap_or(0)
     }
 
-    /// Records what an update reports of its sender. False if the update must not be used: it
-    /// continues the change stream of an incarnation whose beginning this agent lacks.
+    /// Records what an update reports about its sender. Returns false if the update must not be
+    /// applied: it continues the change feed of an incarnation whose start this agent lacks.
     pub fn on_update(&mut self, from: &Name, update: &Update, now: Ms) -> bool {
         self.voter_count = self.voter_count.max(update.voter_count as usize);
         let source = self.by_name.entry(from.clone()).or_default();
@@ -202,8 +204,8 @@
         true
     }
 
-    /// The edges that most of the responding control daemons which can know do not hear from. Gossip notices them too,
-    /// but the later the larger the fleet is.
+    /// Returns the edges that are unreachable according to most of the responding control daemons that have a report.
+    /// Gossip detects them too, but takes longer the larger the fleet is.
     pub fn unreachable_edges(&self, now: Ms) -> UnreachableEdgeSet {
         let reports: Vec<&UnreachableEdges> = self
             .by_name
@@ -220,23 +222,23 @@
         UnreachableEdgeSet(report_counts.into_keys().collect())
     }
 
-    /// Whether the process did not run for a while, so that a poll is long overdue.
+    /// Whether the process was suspended, judged by a long overdue poll.
     pub fn was_suspended(&self, now: Ms) -> bool {
         self.next_poll > 0 && now > self.next_poll + SUSPENSION_MIN_GAP
     }
 
-    /// Makes the next tick poll.
+    /// Schedules a poll for the next tick.
     pub fn expedite_poll(&mut self, now: Ms) {
         self.next_poll = now;
     }
 
-    /// Polls the control daemons if that is due.
+    /// Polls the control daemons if a poll is due.
     pub fn tick(&mut self, context: &PollContext, now: Ms, out: &mut Effects) {
         if now < self.next_poll {
             return;
         }
         self.next_poll = now + poll_interval(context);
-        self.forget_unknown(context.membership);
+        self.remove_unknown(context.membership);
         let digest = context.table.digest();
         let versions: List<Change> = context
             .table
@@ -246,10 +248,10 @@
             .collect();
         for daemon in context.membership.known(NodeRole::Control) {
             let source = self.by_name.entry(daemon.name.clone()).or_default();
-            // The list of all versions goes only to a daemon that has not acknowledged the same
-            // one.
+            // The list of all versions is omitted for a daemon that has acknowledged the same
+            // list.
             let has_versions = source.acknowledged_digest != Some(digest);
-            if !has_versions && may_wait(source, daemon, context, now) {
+            if !has_versions && can_skip_poll(source, daemon, context, now) {
                 continue;
             }
             source.polled_at = now;
@@ -272,7 +274,7 @@
         }
     }
 
-    fn forget_unknown(&mut self, membership: &Membership) {
+    fn remove_unknown(&mut self, membership: &Membership) {
         let known: BTreeSet<&Name> = membership
             .known(NodeRole::Control)
             .map(|node| &node.name)
@@ -281,7 +283,8 @@
     }
 }
 
-/// A large fleet that starts together does not poll more often than one that serves.
+/// Returns the interval until the next poll. A large fleet that starts at once does not poll more
+/// often than one that serves.
 fn poll_interval(context: &PollContext) -> Ms {
     if context.is_ready {
         return POLL_INTERVAL;
@@ -290,17 +293,18 @@
     (edge_count * STARTUP_POLL_INTERVAL_PER_EDGE).clamp(MIN_POLL_INTERVAL, POLL_INTERVAL)
 }
 
-/// Whether a daemon that has all versions is not polled yet. Bytes to other regions are expensive,
-/// and only the holder of a role acts on counters: the others there are polled half as often.
-fn may_wait(source: &ControlSource, daemon: &Node, context: &PollContext, now: Ms) -> bool {
+/// Whether the poll of a daemon that has all versions can be skipped. Cross-region traffic is
+/// expensive and only the holder of a role uses counters, so other remote daemons are polled half as
+/// often.
+fn can_skip_poll(source: &ControlSource, daemon: &Node, context: &PollContext, now: Ms) -> bool {
     context.is_ready
         && !context.membership.is_same_region(daemon)
         && !source.holds_role(now)
         && now < source.polled_at + REMOTE_POLL_INTERVAL
 }
 
-/// A poll with the counters that the daemon lacks. A daemon that does not respond would be sent
-/// more each time: it gets none until it does.
+/// Builds a poll with the counters that the daemon lacks. Counters for a daemon that does not
+/// respond would accumulate from poll to poll, so it is sent none until it responds.
 fn poll_with_counters(source: &ControlSource, context: &PollContext, now: Ms) -> Poll {
     let counters_since = context
         .proxy
--- a/coordination/src/edge_agent/leases.rs
+++ b/coordination/src/edge_agent/leases.rs
@@ -1,5 +1,5 @@
-//! Leases that control daemons grant under their singleton roles, as this agent hands them to its
-//! proxy.
+//! Leases that control daemons grant under their singleton roles, and that this agent forwards to
+//! its proxy.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 struct ReceivedLease {
     lease: Lease,
     expires_at: Ms,
-    /// The control daemon that sent it and holds the service's role.
+    /// The control daemon that sent the lease and holds the service's role.
     holder: Name,
 }
 
@@ -28,9 +28,9 @@
 }
 
 impl Leases {
-    /// Takes a lease that came in response to a poll. It counts from when the poll was sent, so
-    /// that it ends no later here than at its holder. A lease of a lower epoch is a former
-    /// holder's: it grants nothing any more.
+    /// Records a lease received in response to a poll. Its duration counts from the send time of
+    /// the poll, so that it expires no later here than at its holder. A lease of a lower epoch is
+    /// from a former holder and is ignored.
     pub fn receive(&mut self, holder: &Name, lease: Lease, poll_sent_at: Ms) {
         let expires_at = poll_sent_at + Ms::from(lease.ttl_ms);
         let is_newer = self
@@ -48,14 +48,14 @@
         }
     }
 
-    /// The control daemon that last sent the newest lease of a service.
+    /// Returns the control daemon that last sent the newest lease of a service.
     pub fn holder(&self, service: &Name) -> Option<&Name> {
         self.by_service
             .get(service)
             .map(|received| &received.holder)
     }
 
-    /// Leases that still run.
+    /// Returns the leases that have not expired.
     pub fn unexpired(&self, now: Ms) -> List<ProxyLease> {
         self.by_service
             .values()
--- a/coordination/src/edge_agent/local_proxy.rs
+++ b/coordination/src/edge_agent/local_proxy.rs
@@ -1,5 +1,5 @@
-//! The proxy on the agent's machine: its outcome counters and open streams on their way to the
-//! control daemons, and the table updates that it gets.
+//! The colocated proxy: its outcome counters and open streams, which are forwarded to the control
+//! daemons, and the table updates sent to it.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,14 @@
     version_health::HEALTH_WINDOWS,
 };
 
-/// Streams that have ended are remembered for so long: control daemons are back sooner, after most
+/// Retention of ended streams, in ms: longer than control daemons are out of contact in most
 /// partitions.
 const ENDED_STREAM_RETENTION: Ms = 60_000;
-/// Between two updates to the proxy, so that several of them would have to be lost before its rule
-/// lapses.
+/// Interval between updates to the proxy, in ms. Several would have to be lost before its rule
+/// expires.
 const PROXY_UPDATE_INTERVAL: Ms = RULE_DURATION / 5;
-/// Counters of recent outcomes are reported for so long; the longest window of version health.
+/// Time for which counters of recent outcomes are reported, in ms: the longest window of version
+/// health.
 const RECENT_OUTCOME_DURATION: Ms = HEALTH_WINDOWS[HEALTH_WINDOWS.len() - 1];
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,17 +48,17 @@
     }
 }
 
-/// Counters as the proxy last reported them.
+/// Counters last reported by the proxy.
 #[derive(Clone, Debug)]
 struct ReportedCounters {
     counters: OutcomeCounters,
-    /// The report that brought them, as the agent numbers reports.
+    /// Number of the report that contained them, as assigned by the agent.
     report: u64,
     received_at: Ms,
 }
 
 impl ReportedCounters {
-    /// The counters as they are now: what was recent when it was received need not be any more.
+    /// Returns the counters, without recent outcomes once these are too old to count as recent.
     fn current(&self, now: Ms) -> OutcomeCounters {
         if now.saturating_sub(self.received_at) <= RECENT_OUTCOME_DURATION {
             return self.counters.clone();
@@ -86,11 +87,11 @@
     }
 }
 
-/// Open streams as the proxy last reported them; none are open where they have ended.
+/// Open streams last reported by the proxy; the count is 0 once they have ended.
 #[derive(Clone, Debug)]
 struct ReportedStreams {
     streams: OpenStreams,
-    /// The report that brought them, as the agent numbers reports.
+    /// Number of the report that contained them, as assigned by the agent.
     report: u64,
     received_at: Ms,
 }
@@ -100,24 +101,24 @@
         self.streams.streams > 0
     }
 
-    fn is_forgotten(&self, now: Ms) -> bool {
+    fn is_expired(&self, now: Ms) -> bool {
         !self.are_open() && now.saturating_sub(self.received_at) >= ENDED_STREAM_RETENTION
     }
 }
 
-/// One incarnation of the proxy.
+/// State of one incarnation of the proxy.
 #[derive(Clone, Debug, Default)]
 struct LocalProxy {
     addr: Name,
     incarnation: u64,
     last_report_at: Ms,
-    /// Up to which of the proxy's changes this agent has its counters and streams.
+    /// The proxy's change up to which this agent has its counters and streams.
     counters_through: u64,
-    /// When the newest report came by which it has all of them.
+    /// When the newest report arrived that completed them.
     complete_at: Option<Ms>,
     counters: BTreeMap<CountersKey, ReportedCounters>,
     open_streams: BTreeMap<StreamsKey, ReportedStreams>,
-    /// Whether it has had the complete state table.
+    /// Whether it was sent the complete state table.
     has_snapshot: bool,
 }
 
@@ -126,11 +127,11 @@
         now.saturating_sub(self.last_report_at) >= RULE_DURATION
     }
 
-    /// Takes a report: a snapshot or what changed. After a gap it takes nothing; the proxy reports
-    /// everything again when the next update acknowledges nothing.
-    fn take_report(&mut self, message: ProxyReport, report: u64, now: Ms) {
+    /// Applies a report, which is a snapshot or a list of changes. Ignores it after a gap: the next
+    /// update then acknowledges nothing, and the proxy reports everything again.
+    fn apply_report(&mut self, message: ProxyReport, report: u64, now: Ms) {
         let usage_follows = message.usage.len() >= MAX_COUNTS_PER_MESSAGE;
-        // What a late report brings was reported again since.
+        // The content of a late report was reported again since.
         if message.through_change < self.counters_through {
             return;
         }
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Streams that a snapshot does not list have ended.
+    /// Marks all streams as ended before a snapshot is applied, which reopens those that it lists.
     fn end_open_streams(&mut self, report: u64, now: Ms) {
         for reported in self.open_streams.values_mut() {
             if reported.are_open() {
@@ -176,31 +177,31 @@
         }
     }
 
-    /// Removes streams that ended long ago; gives the newest report that brought the end of one of
-    /// them.
-    fn forget_ended_streams(&mut self, now: Ms) -> Option<u64> {
-        let forgotten_through = self
+    /// Removes streams that ended long ago. Returns the newest report that contained the end of one
+    /// of them.
+    fn remove_expired_streams(&mut self, now: Ms) -> Option<u64> {
+        let removed_through = self
             .open_streams
             .values()
-            .filter(|reported| reported.is_forgotten(now))
+            .filter(|reported| reported.is_expired(now))
             .map(|reported| reported.report)
             .max();
-        if forgotten_through.is_some() {
+        if removed_through.is_some() {
             self.open_streams
-                .retain(|_, reported| !reported.is_forgotten(now));
+                .retain(|_, reported| !reported.is_expired(now));
         }
-        forgotten_through
+        removed_through
     }
 }
 
-/// What a control daemon gets of the proxy's counters in a poll.
+/// The part of the proxy's counters that a poll sends to a control daemon.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CountersSince {
-    /// The incarnation of the proxy that counted; 0 if nothing is reported.
+    /// The incarnation of the proxy that counted them; 0 if nothing is reported.
     pub proxy_incarnation: u64,
-    /// The report up to which the daemon has everything once it has these.
+    /// The report up to which the daemon has everything once it has received these.
     pub through_report: u64,
-    /// ms since the newest report came by which the agent has all counters.
+    /// Time since the newest report that completed the agent's counters, in ms.
     pub report_age: Ms,
     pub counters: List<OutcomeCounters>,
     pub open_streams: List<OpenStreams>,
@@ -216,7 +217,7 @@
     pub wants_usage: bool,
 }
 
-/// What an update hands to the proxy besides changed values.
+/// Content of an update to the proxy other than changed values.
 pub(super) struct ProxyUpdate {
     pub decision: Decision,
     pub leases: List<ProxyLease>,
@@ -227,23 +228,23 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ProxyLink {
     proxy: Option<LocalProxy>,
-    /// Number of the newest report, or of the newest change of usage, from any incarnation of the proxy.
+    /// Number of the newest report or usage change of any incarnation of the proxy.
     last_report: u64,
     usage: ReportedUsage,
-    /// The newest report that brought the end of a stream which is forgotten here.
-    forgotten_through: u64,
+    /// The newest report that contained the end of a stream that has been removed here.
+    removed_through: u64,
     next_update: Ms,
-    /// Changed values that the proxy has not been sent.
+    /// Changed values not yet sent to the proxy.
     unsent_changes: Vec<Change>,
 }
 
 impl ProxyLink {
-    /// The proxy's address.
+    /// Returns the proxy's address.
     pub fn addr(&self) -> Option<&Name> {
         self.proxy.as_ref().map(|proxy| &proxy.addr)
     }
 
-    /// Whether there is a proxy that lately reported.
+    /// Whether there is a proxy that reported recently.
     pub fn is_reporting(&self, now: Ms) -> bool {
         self.proxy
             .as_ref()
@@ -257,7 +258,7 @@
             .is_some_and(|proxy| proxy.is_unresponsive(now))
     }
 
-    /// Takes the proxy's report of its counters and streams.
+    /// Handles the proxy's report of its counters and streams.
     pub fn on_report(&mut self, addr: &Name, message: ProxyReport, now: Ms) {
         let mut proxy = self.reporting_proxy(addr, message.incarnation, now);
         proxy.last_report_at = now;
@@ -265,29 +266,29 @@
         self.usage
             .merge(message.incarnation, &message.usage, &mut self.last_report);
         self.last_report += 1;
-        proxy.take_report(message, self.last_report, now);
-        // A control daemon that did not hear in time that these streams have ended is sent
-        // everything again.
-        if let Some(report) = proxy.forget_ended_streams(now) {
-            self.forgotten_through = self.forgotten_through.max(report);
+        proxy.apply_report(message, self.last_report, now);
+        // A control daemon that was not sent the end of these streams in time is sent everything
+        // again.
+        if let Some(report) = proxy.remove_expired_streams(now) {
+            self.removed_through = self.removed_through.max(report);
         }
-        // A proxy that has nothing yet is updated at the next tick.
+        // A proxy without a snapshot is updated at the next tick.
         if !proxy.has_snapshot {
             self.next_update = now;
         }
         self.proxy = Some(proxy);
     }
 
-    /// The proxy as it was known, or another incarnation of it, which has nothing, however soon it
-    /// came back.
+    /// Returns the known proxy, or a new one for another incarnation, which has no snapshot however
+    /// quickly it restarted.
     fn reporting_proxy(&mut self, addr: &Name, incarnation: u64, now: Ms) -> LocalProxy {
         match self.proxy.take() {
             Some(proxy) if proxy.addr == *addr && proxy.incarnation == incarnation => LocalProxy {
                 has_snapshot: proxy.has_snapshot && !proxy.is_unresponsive(now),
                 ..proxy
             },
-            // The streams of the former incarnation have ended, of which those that knew them are
-            // notified.
+            // The streams of the former incarnation have ended; they are kept so that control daemons
+            // that know them are notified.
             former => LocalProxy {
                 addr: addr.clone(),
                 incarnation,
@@ -297,19 +298,19 @@
         }
     }
 
-    /// The report after which a control daemon is sent counters that has them up to
-    /// `counters_through`: 0, which is everything, if it may have missed the end of a stream.
+    /// Returns the report after which to resume for a control daemon that has counters up to
+    /// `counters_through`: 0, which resends everything, if it may have missed the end of a stream.
     pub fn report_to_resume_after(&self, counters_through: u64) -> u64 {
-        if counters_through < self.forgotten_through {
+        if counters_through < self.removed_through {
             0
         } else {
             counters_through
         }
     }
 
-    /// Selected counters and open streams that changed after a report; all of them after 0, without
-    /// streams that have ended. Where more usage changed than one message takes, the rest is left
-    /// to the next one.
+    /// Returns the selected counters and open streams that changed after a report; after 0, all of
+    /// them except ended streams. If more usage changed than fits into one message, the rest is sent
+    /// in the next one.
     pub fn counters_since(
         &self,
         report: u64,
@@ -351,12 +352,12 @@
         self.unsent_changes.push(change);
     }
 
-    /// Whether changed values wait to be sent.
+    /// Whether changed values are queued.
     pub fn has_unsent_changes(&self) -> bool {
         !self.unsent_changes.is_empty()
     }
 
-    /// Makes the next tick send an update.
+    /// Schedules an update for the next tick.
     pub fn expedite_update(&mut self) {
         self.next_update = 0;
     }
@@ -366,8 +367,8 @@
         now >= self.next_update
     }
 
-    /// Sends the proxy what changed, or the complete table if the proxy is new. Without a proxy
-    /// changes are dropped: the next one gets a snapshot.
+    /// Sends the queued changes to the proxy, or the complete table if the proxy is new. Without a
+    /// proxy, drops the changes: the next proxy is sent a snapshot.
     pub fn send_update(
         &mut self,
         table: &StateTable,
--- a/coordination/src/edge_agent/repair.rs
+++ b/coordination/src/edge_agent/repair.rs
@@ -1,5 +1,5 @@
 //! Repair of the state table between agents (anti-entropy): neighbours compare digests of key
-//! ranges and exchange what differs.
+//! ranges and exchange the entries that differ.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +13,15 @@
     state_table::{StateTable, version_stamp},
 };
 
-/// Between two comparisons with a neighbour.
+/// Interval between comparisons with a neighbour, in ms.
 const REPAIR_INTERVAL: Ms = 500;
-/// A comparison of tables counts as recent for so long.
+/// Age up to which a comparison of tables counts as recent, in ms.
 const COMPARISON_MAX_AGE: Ms = 900;
-/// Comparisons with each edge that are tried within [`COMPARISON_MAX_AGE`] while there is no
-/// contact with a control majority.
+/// Comparisons attempted with each edge within [`COMPARISON_MAX_AGE`] while there is no contact with
+/// a control majority.
 const COMPARISON_ATTEMPTS: Ms = 3;
 
-/// What a repair message brings.
+/// Content of a repair message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RepairKind {
     /// Epochs and versions, without values, of all keys in ranges that differ.
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Reads the byte on the wire. An unknown one is taken for a request, which changes nothing
-    /// here.
+    /// Decodes the byte on the wire. An unknown byte is treated as a request, which does not change
+    /// the table.
     pub const fn from_byte(byte: u8) -> Self {
         match byte {
             0 => RepairKind::Metadata,
@@ -60,71 +60,71 @@
     }
 }
 
-/// When comparisons are due and with whom they were made.
+/// Schedule of comparisons and the times of those completed with each edge.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Comparisons {
     next_comparison: Ms,
-    /// When the newest digests were sent to which each edge responded.
+    /// Send time of the newest digests to which each edge responded.
     compared_at: BTreeMap<Name, Ms>,
 }
 
 impl Comparisons {
-    /// Records a response to digests; other repair messages carry 0.
+    /// Records a response to digests; `request_sent_at` is 0 in other repair messages.
     pub fn on_repair(&mut self, from: &Name, request_sent_at: Ms) {
         let compared_at = self.compared_at.entry(from.clone()).or_insert(0);
         *compared_at = (*compared_at).max(request_sent_at);
     }
 
-    /// Whether most edges have lately compared tables with this one. Gossip would not do: a
-    /// heartbeat that is passed on may be seconds old, while a value that most edges have must have
-    /// come here by now.
+    /// Whether most edges have recently compared tables with this one. Gossip is not sufficient: a
+    /// relayed heartbeat may be seconds old, while after a comparison a value that most edges have
+    /// must have arrived here.
     pub fn includes_most_edges(&self, membership: &Membership, now: Ms) -> bool {
         let is_recent = |edge: &&Node| {
             self.compared_at
                 .get(&edge.name)
                 .is_some_and(|at| now.saturating_sub(*at) <= COMPARISON_MAX_AGE)
         };
-        // This edge is one of them.
+        // Includes this edge.
         let edge_count = membership.known(NodeRole::Edge).count() + 1;
         let compared_count = membership.known(NodeRole::Edge).filter(is_recent).count() + 1;
         compared_count * 2 > edge_count
     }
 
-    /// Starts a comparison with one neighbour if it is due, or with every edge while the control
-    /// majority is missed.
+    /// Starts a comparison, if due, with one neighbour, or with every edge while contact with the
+    /// control majority is lost.
     pub fn tick(
         &mut self,
         membership: &Membership,
         table: &StateTable,
-        misses_majority: bool,
+        lost_majority: bool,
         now: Ms,
         out: &mut Effects,
     ) {
         if now < self.next_comparison {
             return;
         }
-        let ask = |edge: &Node| {
+        let send_digests = |edge: &Node| {
             let digests = TableDigests {
                 sent_at: now,
                 ranges: List(table.range_digests()),
             };
             send(&edge.addr, digests)
         };
-        if misses_majority {
+        if lost_majority {
             self.next_comparison = now + COMPARISON_MAX_AGE / COMPARISON_ATTEMPTS;
-            out.extend(membership.known(NodeRole::Edge).map(ask));
+            out.extend(membership.known(NodeRole::Edge).map(send_digests));
             return;
         }
         self.next_comparison = now + REPAIR_INTERVAL;
         let mut neighbours = membership.view();
         neighbours.retain(|node| NodeRole::Edge.is_role_of(node));
         let turn = (now / REPAIR_INTERVAL) as usize % neighbours.len().max(1);
-        out.extend(neighbours.get(turn).map(ask));
+        out.extend(neighbours.get(turn).map(send_digests));
     }
 }
 
-/// Responds to another's digests with metadata of the ranges that differ: values are long, and most
-/// often it is the other that lags.
+/// Responds to a neighbour's digests with the metadata of the ranges that differ. Omits values
+/// because they are long and usually the neighbour is the one that lags.
 pub(super) fn respond_to_digests(table: &StateTable, digests: &TableDigests) -> Repair {
     let ranges = table.differing_ranges(&digests.ranges);
     let changes = table
@@ -139,46 +139,47 @@
     }
 }
 
-/// Responds to another's metadata: sends what is newer here and requests what is newer there.
+/// Responds to a neighbour's metadata: sends values that are newer locally and requests those that
+/// are newer at the neighbour.
 pub(super) fn respond_to_metadata(
     table: &StateTable,
     metadata: &Repair,
 ) -> impl Iterator<Item = Repair> {
-    let theirs: BTreeMap<&Name, &Change> = metadata
+    let remote_changes: BTreeMap<&Name, &Change> = metadata
         .changes
         .iter()
         .map(|change| (&change.key, change))
         .collect();
-    let is_newer_here = |ours: &Change| {
-        theirs
-            .get(&ours.key)
-            .is_none_or(|their| version_stamp(ours) > version_stamp(their))
+    let is_newer_locally = |local: &Change| {
+        remote_changes
+            .get(&local.key)
+            .is_none_or(|remote| version_stamp(local) > version_stamp(remote))
     };
-    let is_newer_there = |their: &&Change| {
+    let is_newer_remotely = |remote: &&Change| {
         table
-            .get(&their.key)
-            .is_none_or(|ours| version_stamp(ours) < version_stamp(their))
+            .get(&remote.key)
+            .is_none_or(|local| version_stamp(local) < version_stamp(remote))
     };
-    let newer_here = table
+    let newer_local = table
         .entries_in(&metadata.ranges)
         .into_iter()
-        .filter(is_newer_here)
+        .filter(is_newer_locally)
         .collect();
-    let newer_there = metadata
+    let newer_remote = metadata
         .changes
         .iter()
-        .filter(is_newer_there)
+        .filter(is_newer_remotely)
         .cloned()
         .collect();
     [
-        RepairKind::Values.message(newer_here),
-        RepairKind::Requests.message(newer_there),
+        RepairKind::Values.message(newer_local),
+        RepairKind::Requests.message(newer_remote),
     ]
     .into_iter()
     .filter(|repair| !repair.changes.is_empty())
 }
 
-/// The values that another requests.
+/// Returns the values that a neighbour requests.
 pub(super) fn requested_values(table: &StateTable, request: &Repair) -> Repair {
     let values = request
         .changes
--- a/coordination/src/edge_agent/serving_rule.rs
+++ b/coordination/src/edge_agent/serving_rule.rs
@@ -1,20 +1,21 @@
-//! The rule under which an edge serves, decided from what the agent can still hear.
+//! The serving rule of an edge, decided from the agent's contact with control daemons and other
+//! edges.
 
 use crate::{
     Ms,
     timing::{LEASE_DURATION, NODE_TIMEOUT},
 };
 
-/// A rule that was handed to a proxy is valid for so long: within it a dead agent is noticed.
+/// Time for which a rule sent to a proxy is valid, in ms. A failed agent is detected within it.
 pub const RULE_DURATION: Ms = 1_500;
-/// Without a control majority for so long an agent compares tables with every edge, well before its
-/// rule lapses.
-pub const MAJORITY_MISSED_AFTER: Ms = 1_200;
-/// How long an edge without a control majority goes on with stable versions while it compares
-/// tables with most edges.
+/// Time without contact with a control majority after which an agent compares tables with every
+/// edge, in ms; well before its rule expires.
+pub const MAJORITY_TIMEOUT: Ms = 1_200;
+/// Maximum time for which an edge without a control majority continues to serve stable versions
+/// while it compares tables with most edges, in ms.
 const STABLE_ONLY_MAX_DURATION: Ms = 60_000;
 
-/// What an edge may serve.
+/// What an edge is allowed to serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServingRule {
     /// Every request is rejected at once.
@@ -22,7 +23,7 @@
     RejectAll,
     /// Stable versions only.
     StableOnly,
-    /// All that leases allow.
+    /// All versions that leases allow.
     ServeAll,
 }
 
@@ -34,7 +35,7 @@
 pub const SERVE_ALL: u8 = ServingRule::ServeAll.to_byte();
 
 impl ServingRule {
-    /// The byte on the wire.
+    /// Returns the byte on the wire.
     pub const fn to_byte(self) -> u8 {
         match self {
             ServingRule::RejectAll => 0,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Reads the byte on the wire. Proxies take an unknown one for neither of the ends.
+    /// Decodes the byte on the wire. An unknown byte is treated as [`ServingRule::StableOnly`], the
+    /// middle rule.
     pub const fn from_byte(byte: u8) -> Self {
         match byte {
             0 => ServingRule::RejectAll,
@@ -53,7 +55,7 @@
     }
 }
 
-/// An agent's contact with the control plane, from which its rule follows.
+/// An agent's contact with the control plane, which determines its rule.
 pub(super) struct Contact {
     /// The latest time such that a majority of settled control daemons has responded to a poll that
     /// was sent then or later; 0 if there is none.
@@ -62,26 +64,28 @@
     pub knows_voters: bool,
 }
 
-/// A rule and when it ends.
+/// A serving rule and its expiry time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Decision {
     pub rule: ServingRule,
-    /// The rule until this decision.
+    /// The rule before this decision.
     pub former_rule: ServingRule,
     pub valid_until: Ms,
 }
 
-/// The state from which the rule is decided.
+/// State from which the serving rule is decided.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServingState {
     rule: ServingRule,
-    /// A majority of control daemons has sent settled updates to this incarnation of the agent.
+    /// Whether a majority of control daemons has sent settled updates to this incarnation of the
+    /// agent.
     is_ready: bool,
-    /// When the newest poll was sent to which a control majority has responded in time.
+    /// Send time of the newest poll to which a control majority has responded in time.
     majority_contact_at: Ms,
-    /// When the process last ran again after it had been suspended.
+    /// When the process last resumed after a suspension.
     resumed_at: Ms,
-    /// Out of contact with the control plane it serves stable versions on, by what it knew last.
+    /// Whether to continue serving stable versions from the last known state while out of contact
+    /// with the control plane.
     pub serve_when_partitioned: bool,
 }
 
@@ -102,17 +106,17 @@
         self.resumed_at = now;
     }
 
-    /// Whether the agent once was in contact with a control majority and has been without it long
-    /// enough to look for a majority of edges. One that serves when partitioned all the same has no
-    /// use for that.
-    pub fn misses_majority(&self, now: Ms) -> bool {
+    /// Whether the agent has been out of contact with a control majority long enough to look for a
+    /// majority of edges. False if it never was in contact, or if it serves when partitioned and so
+    /// does not need the edges.
+    pub fn has_lost_majority(&self, now: Ms) -> bool {
         !self.serve_when_partitioned
             && self.majority_contact_at > 0
-            && now.saturating_sub(self.majority_contact_at) > MAJORITY_MISSED_AFTER
+            && now.saturating_sub(self.majority_contact_at) > MAJORITY_TIMEOUT
     }
 
-    /// Decides the rule. `compared_with_most_edges`, whether most edges have lately compared tables
-    /// with this one, is asked only if it matters.
+    /// Decides the rule. `compared_with_most_edges` returns whether most edges have recently compared
+    /// tables with this one, and is evaluated only if needed.
     pub fn update(
         &mut self,
         contact: &Contact,
@@ -120,14 +124,14 @@
         now: Ms,
     ) -> Decision {
         let lease_until = contact.majority_poll_sent_at + LEASE_DURATION;
-        let hears_majority = self.is_ready
+        let has_majority = self.is_ready
             && contact.knows_voters
             && contact.majority_poll_sent_at > 0
             && lease_until > now;
-        if hears_majority {
+        if has_majority {
             self.majority_contact_at = contact.majority_poll_sent_at;
         }
-        let (rule, valid_until) = if hears_majority {
+        let (rule, valid_until) = if has_majority {
             (ServingRule::ServeAll, lease_until)
         } else if self.may_serve_stable(compared_with_most_edges, now) {
             (ServingRule::StableOnly, now + RULE_DURATION)
@@ -147,14 +151,14 @@
         if !self.is_ready {
             return false;
         }
-        // Bounds bind daemons in contact; what always binds is guaranteed by each edge's own part
-        // of it.
+        // Bounds apply to daemons in contact; limits that always apply hold because each edge
+        // enforces its own share of them.
         if self.serve_when_partitioned {
             return true;
         }
-        // An agent that was partitioned or suspended may have stale values: from then on only a
-        // control majority lets it serve again. The stable rule is for those that went on hearing
-        // the others all along.
+        // An agent that was partitioned or suspended may have stale values and serves again only
+        // after contact with a control majority. The stable-only rule is for agents that have been
+        // in contact with other edges without interruption.
         let is_continuous = self.rule != ServingRule::RejectAll
             && now.saturating_sub(self.resumed_at) > NODE_TIMEOUT;
         let is_recent = now.saturating_sub(self.majority_contact_at) <= STABLE_ONLY_MAX_DURATION;
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -1,7 +1,7 @@
-//! Gossip membership with partial views. Each node has a few neighbours, shuffles its view with
-//! them, and spreads rising heartbeats by which every node judges every other. A heartbeat carries
-//! its age, so that it is as old at the last node that hears of it as at the first; a node that was
-//! not heard from for long is asked itself before it counts as unreachable.
+//! Gossip membership with partial views. Each node shuffles its view with a few neighbours and
+//! disseminates increasing heartbeats, from which every node decides which others are live. A
+//! heartbeat carries its age, so that relaying does not make it look newer. A node without a recent
+//! heartbeat is contacted directly before it is marked as unreachable.
 
 mod known_nodes;
 mod shuffle;
@@ -26,17 +26,17 @@
     suspension::SuspensionDetector,
 };
 
-/// Of so many shuffles one goes to a neighbour in any region; the others stay in the own region if
-/// it is large.
+/// One in this many shuffles goes to a neighbour in any region; the others stay within the node's
+/// region if it is large.
 const REMOTE_SHUFFLE_PERIOD: u32 = 3;
-/// Of so many shuffles one goes to a seed as well.
+/// One in this many shuffles also goes to a seed.
 const SEED_SHUFFLE_PERIOD: u32 = 16;
-/// Of so many shuffles one goes to an unreachable node as well.
+/// One in this many shuffles also goes to an unreachable node.
 const UNREACHABLE_SHUFFLE_PERIOD: u32 = 4;
-/// A node with fewer neighbours asks a seed at each shuffle.
+/// A node with fewer neighbours than this contacts a seed at each shuffle.
 const MIN_VIEW_SIZE: usize = 2;
 
-/// What a process does in the fleet.
+/// Role of a node in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
     /// A control daemon.
@@ -46,7 +46,7 @@
 }
 
 impl NodeRole {
-    /// The byte on the wire.
+    /// Returns the byte on the wire.
     pub const fn to_byte(self) -> u8 {
         match self {
             NodeRole::Control => 1,
@@ -54,14 +54,13 @@
         }
     }
 
-    /// Whether a node has this role. A node with an unknown byte has none; it is a member all the
-    /// same.
+    /// Whether a node has this role. A node with an unknown role byte is a member without a role.
     pub fn is_role_of(self, node: &Node) -> bool {
         node.role == self.to_byte()
     }
 }
 
-/// One node's view of the fleet.
+/// One node's knowledge of the fleet.
 #[derive(Clone, Debug)]
 pub struct Membership {
     me: Node,
@@ -70,13 +69,15 @@
     known: KnownNodes,
     view: PartialView,
     next_shuffle: Ms,
-    /// What arrives when the process resumes may have waited in its sockets: no age includes that time.
+    /// Corrects heartbeat ages after a suspension: messages that arrive then may have waited in the sockets for a time
+    /// that their ages do not include.
     suspension: Option<SuspensionDetector>,
     rng: fastrand::Rng,
 }
 
 impl Membership {
-    /// A node that knows only the addresses in `seeds`. `random_seed` sets all its random choices.
+    /// Creates a node that knows only the addresses in `seeds`. `random_seed` seeds all its random
+    /// choices.
     pub fn new(me: Node, seeds: Vec<Name>, random_seed: u64) -> Self {
         Membership {
             known: KnownNodes::new(me.name.clone()),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// This node's description.
+    /// Returns this node's description.
     pub fn me(&self) -> &Node {
         &self.me
     }
@@ -100,17 +101,17 @@
         self.regions = regions;
     }
 
-    /// Changes the address for HTTP in this node's description.
+    /// Sets the HTTP address in this node's description.
     pub fn set_http_addr(&mut self, http_addr: &str) {
         self.me.http_addr = http_addr.into();
     }
 
-    /// Whether a node is in this one's region.
+    /// Whether a node is in this node's region.
     pub fn is_same_region(&self, node: &Node) -> bool {
         region_of(&self.regions, &node.zone) == region_of(&self.regions, &self.me.zone)
     }
 
-    /// The neighbours.
+    /// Returns the neighbours in the partial view.
     pub fn view(&self) -> Vec<Node> {
         let neighbours = self
             .view
@@ -120,7 +121,7 @@
         neighbours.collect()
     }
 
-    /// Other nodes of a role that count as alive.
+    /// Returns the other nodes of a role that are live.
     pub fn live(&self, role: NodeRole) -> impl Iterator<Item = &Node> {
         self.known
             .live()
@@ -128,7 +129,7 @@
             .filter(move |node| role.is_role_of(node))
     }
 
-    /// Other nodes of a role, also those that are unreachable.
+    /// Returns the other nodes of a role, including unreachable ones.
     pub fn known(&self, role: NodeRole) -> impl Iterator<Item = &Node> {
         self.known
             .all()
@@ -136,25 +137,25 @@
             .filter(move |node| role.is_role_of(node))
     }
 
-    /// Whether a node counts as alive.
+    /// Whether a node is live.
     pub fn is_live(&self, name: &str) -> bool {
         self.known.get(name).is_some_and(|known| known.is_live)
     }
 
-    /// Ms since a node made the newest heartbeat that this node received; none for a node that is
-    /// not known.
+    /// Returns the time since a node created the newest heartbeat that this node received, in ms;
+    /// none for an unknown node.
     pub fn time_since_heartbeat(&self, name: &str, now: Ms) -> Option<Ms> {
         self.known
             .get(name)
             .map(|known| known.time_since_heartbeat(now))
     }
 
-    /// The description of another node.
+    /// Returns the description of another node.
     pub fn get(&self, name: &str) -> Option<&Node> {
         self.known.get(name).map(|known| &known.node)
     }
 
-    /// A message that describes this node to another, which does not respond to it.
+    /// Returns a message that describes this node to another and requests no response.
     pub fn introduction(&self) -> Shuffle {
         Shuffle {
             nodes: List(vec![self.me.clone()]),
@@ -163,13 +164,13 @@
         }
     }
 
-    /// Takes another node's description.
+    /// Merges another node's description.
     pub fn on_description(&mut self, node: &Node, now: Ms, out: &mut Effects) {
         let sent_at = self.earliest_sent(now);
         self.known.merge_description(node, sent_at, now, out);
     }
 
-    /// The earliest time at which a message that arrives now may have been sent.
+    /// Returns the earliest time at which a message that arrives now may have been sent.
     fn earliest_sent(&mut self, now: Ms) -> Ms {
         let Some(suspension) = &mut self.suspension else {
             return now;
@@ -178,11 +179,11 @@
         suspension.earliest_sent(now)
     }
 
-    /// Takes a message of an exchange from the node at `addr`, and responds if the exchange goes
-    /// on.
+    /// Handles a shuffle message from the node at `addr` and responds unless the exchange is
+    /// complete.
     #[allow(
         clippy::needless_pass_by_value,
-        reason = "handlers take the message that they were sent"
+        reason = "message handlers take ownership of the message"
     )]
     pub fn on_shuffle(&mut self, addr: &Name, message: Shuffle, now: Ms, out: &mut Effects) {
         let sent_at = self.earliest_sent(now);
@@ -199,8 +200,8 @@
         if !shuffle::needs_response(&message, &lacking) {
             return;
         }
-        // A node that has just started gets everybody's heartbeats: it serves nobody until it knows
-        // them.
+        // A node that has just started is sent all heartbeats, because it cannot serve before it
+        // knows all nodes.
         let max_heartbeat_count = if shuffle::is_from_starting_node(&message) {
             self.known.count()
         } else {
@@ -216,7 +217,7 @@
         out.push(send(addr, response));
     }
 
-    /// Makes a heartbeat and shuffles if that is due; notices the unreachable.
+    /// If a shuffle is due, increments the heartbeat, expires unreachable nodes and starts exchanges.
     pub fn tick(&mut self, now: Ms, out: &mut Effects) {
         let suspension = self
             .suspension
@@ -244,21 +245,21 @@
         }
     }
 
-    /// Addresses with which this node begins an exchange at this heartbeat.
+    /// Returns the addresses with which this node starts an exchange at this heartbeat.
     fn shuffle_targets(&mut self, failure_timeout: Ms, now: Ms) -> Vec<Name> {
         let mut targets: Vec<Name> = Vec::new();
         targets.extend(self.select_neighbour());
         targets.extend(self.select_seeds());
-        // A node that counts as unreachable is asked now and then: after a partition nobody else
-        // may know of it.
+        // An unreachable node is contacted from time to time, because after a partition no other node
+        // may know it.
         if self.me.heartbeat.is_multiple_of(UNREACHABLE_SHUFFLE_PERIOD) {
             let unreachable: Vec<&KnownNode> =
                 self.known.all().filter(|known| !known.is_live).collect();
             let selected = self.rng.choice(&unreachable);
             targets.extend(selected.map(|known| known.node.addr.clone()));
         }
-        // A node that was not heard from for half of its timeout is asked itself: gossip misses
-        // some at times.
+        // A node without a heartbeat for half of the failure timeout is contacted directly, because
+        // gossip sometimes misses a live node.
         let unresponsive = self
             .known
             .live()
@@ -268,9 +269,9 @@
         targets
     }
 
-    /// The neighbour to shuffle with. Bytes to other regions are expensive: where this region alone
-    /// has more nodes than a view holds, heartbeats go round inside it, and one of a few shuffles
-    /// is enough to carry them across.
+    /// Selects the neighbour to shuffle with. Cross-region traffic is expensive: if this region has
+    /// more nodes than a view holds, heartbeats spread within it and one in
+    /// [`REMOTE_SHUFFLE_PERIOD`] shuffles suffices to pass them to other regions.
     fn select_neighbour(&mut self) -> Option<Name> {
         let mut neighbours = self.view();
         let region_size = self
@@ -278,9 +279,9 @@
             .live()
             .filter(|known| self.is_same_region(&known.node))
             .count();
-        let may_cross = self.me.heartbeat.is_multiple_of(REMOTE_SHUFFLE_PERIOD);
+        let may_leave_region = self.me.heartbeat.is_multiple_of(REMOTE_SHUFFLE_PERIOD);
         if region_size > VIEW_SIZE
-            && !may_cross
+            && !may_leave_region
             && neighbours.iter().any(|node| self.is_same_region(node))
         {
             neighbours.retain(|node| self.is_same_region(node));
@@ -288,9 +289,9 @@
         self.rng.choice(neighbours).map(|node| node.addr)
     }
 
-    /// The seeds to shuffle with: they bring a lonely node in, or join two halves that lost sight
-    /// of each other. A node that has just started asks them all: it serves nobody until it is in
-    /// contact with most control daemons.
+    /// Selects the seeds to shuffle with, which let an isolated node join and reconnect partitioned
+    /// halves of a fleet. A node that has just started contacts all of them, because it cannot serve
+    /// before it is in contact with most control daemons.
     fn select_seeds(&mut self) -> Vec<Name> {
         let is_other = |seed: &&Name| **seed != self.me.addr;
         if self.me.heartbeat == 1 {
--- a/coordination/src/membership/known_nodes.rs
+++ b/coordination/src/membership/known_nodes.rs
@@ -1,4 +1,4 @@
-//! The other nodes that a node knows, and which of them count as alive: the failure detector.
+//! The failure detector: the other nodes that a node knows, and which of them are live.
 
 use std::collections::BTreeMap;
 
@@ -12,31 +12,31 @@
     timing::{NODE_RETENTION, NODE_TIMEOUT},
 };
 
-/// For each node of which a recent heartbeat came. Heartbeats come round by samples of a fixed
-/// size, so that those of one node get rarer as the fleet grows: from 12 nodes on they are given
-/// more time, or live nodes would count as unreachable.
+/// Failure timeout per node with a recent heartbeat, in ms. Shuffles carry heartbeat samples of a
+/// fixed size, so that those of one node become rarer as the fleet grows: from 12 nodes on the
+/// timeout increases, or live nodes would be marked as unreachable.
 pub const NODE_TIMEOUT_PER_NODE: Ms = 170;
-/// Unit of a heartbeat's age on the wire.
+/// Unit of a heartbeat's age on the wire, in ms.
 const HEARTBEAT_AGE_UNIT: Ms = 10;
 
-/// Another node as this one knows it.
+/// Last known state of another node.
 #[derive(Clone, Debug)]
 pub(super) struct KnownNode {
     pub node: Node,
     /// Digest of its description.
     pub digest: u32,
-    /// When its newest heartbeat was made, by this node's clock.
+    /// When its newest heartbeat was created, by this node's clock.
     heartbeat_at: Ms,
     pub is_live: bool,
 }
 
 impl KnownNode {
-    /// Ms since it made the newest heartbeat that this node received.
+    /// Returns the time since the node created its newest received heartbeat, in ms.
     pub fn time_since_heartbeat(&self, now: Ms) -> Ms {
         now.saturating_sub(self.heartbeat_at)
     }
 
-    /// Its newest heartbeat as it is passed on.
+    /// Returns its newest heartbeat with the current age, to be relayed.
     pub fn heartbeat(&self, now: Ms) -> NodeHeartbeat {
         NodeHeartbeat {
             node_digest: self.digest,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Its description as it is passed on.
+    /// Returns its description with the current heartbeat age, to be relayed.
     pub fn description(&self, now: Ms) -> Node {
         Node {
             heartbeat_age: self.heartbeat_age(now),
@@ -53,16 +53,16 @@
         }
     }
 
-    /// Rounded up, so that a heartbeat never gets younger on its way.
+    /// Returns the heartbeat's age for the wire, rounded up so that relaying never makes it newer.
     fn heartbeat_age(&self, now: Ms) -> u16 {
         let age = self.time_since_heartbeat(now).div_ceil(HEARTBEAT_AGE_UNIT);
         u16::try_from(age).unwrap_or(u16::MAX)
     }
 
-    /// Whether what is known is at least as new as a description. A later incarnation supersedes an
-    /// earlier one's heartbeats; within an incarnation only a risen heartbeat is new. An
-    /// incarnation that seems earlier counts only once the later one is unreachable: a machine's
-    /// clock was set back.
+    /// Whether the known state is at least as new as a description. A later incarnation supersedes
+    /// the heartbeats of an earlier one; within an incarnation only a higher heartbeat is newer. An
+    /// apparently earlier incarnation is accepted only once the later one is unreachable: the
+    /// machine's clock was set back.
     fn supersedes(&self, description: &Node, heartbeat_at: Ms) -> bool {
         let known = (self.node.incarnation, self.node.heartbeat);
         let clock_was_set_back = description.incarnation < self.node.incarnation
@@ -72,8 +72,8 @@
     }
 }
 
-/// Digest of a node's description without its heartbeat: whoever has the description needs only
-/// heartbeats.
+/// Returns the digest of a node's description without its heartbeat, by which heartbeats refer to a
+/// description that the receiver already has.
 pub(super) fn description_digest(node: &Node) -> u32 {
     let mut hasher = Xxh3Default::new();
     for text in [&node.name, &node.zone, &node.addr, &node.http_addr] {
@@ -85,22 +85,23 @@
     hasher.digest() as u32
 }
 
-/// Digest of a node's name.
+/// Returns the digest of a node's name.
 pub fn name_digest(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// When a heartbeat was made that had that age when it was sent.
+/// Returns the creation time of a heartbeat that had the given age when it was sent.
 fn heartbeat_time(age: u16, sent_at: Ms) -> Ms {
     sent_at.saturating_sub(Ms::from(age) * HEARTBEAT_AGE_UNIT)
 }
 
-/// All nodes but this one.
+/// All known nodes except this one.
 #[derive(Clone, Debug)]
 pub(super) struct KnownNodes {
     own_name: Name,
     by_name: BTreeMap<Name, KnownNode>,
-    /// Descriptions that were received, also former ones of known nodes and this node's own.
+    /// Names by digests of received descriptions, including former ones of known nodes and this
+    /// node's own.
     names_by_digest: BTreeMap<u32, Name>,
 }
 
@@ -129,20 +130,21 @@
         self.all().filter(|known| known.is_live)
     }
 
-    /// The node whose present description has this digest.
+    /// Returns the node whose current description has this digest.
     pub fn described_by(&self, digest: u32) -> Option<&KnownNode> {
         let known = self.by_name.get(self.names_by_digest.get(&digest)?)?;
         (known.digest == digest).then_some(known)
     }
 
-    /// Makes heartbeats of this node's own description known ones.
+    /// Registers the digest of this node's own description, so that heartbeats with it are not
+    /// reported as unknown.
     pub fn set_own_digest(&mut self, digest: u32) {
         self.names_by_digest.insert(digest, self.own_name.clone());
     }
 
-    /// How long a node may go unheard before it counts as unreachable. Heartbeats come round by
-    /// samples of a fixed size, so that a large fleet gives them more time; nodes that are long
-    /// gone are no part of it.
+    /// Returns the time without a heartbeat after which a node is marked as unreachable. It grows
+    /// with the fleet because shuffles carry heartbeat samples of a fixed size; nodes that have been
+    /// gone for long are not counted.
     pub fn failure_timeout(&self, now: Ms) -> Ms {
         let timeout =
             |node_count: usize| NODE_TIMEOUT.max(NODE_TIMEOUT_PER_NODE * node_count as Ms);
@@ -153,8 +155,8 @@
         timeout(recent.count())
     }
 
-    /// Marks nodes that were not heard from in time as unreachable, and forgets those that are long
-    /// gone.
+    /// Marks nodes without a heartbeat within the timeout as unreachable, and removes those
+    /// without one for [`NODE_RETENTION`].
     pub fn expire(&mut self, failure_timeout: Ms, now: Ms, out: &mut Effects) {
         for known in self.by_name.values_mut() {
             if known.is_live && known.time_since_heartbeat(now) > failure_timeout {
@@ -169,8 +171,8 @@
             .retain(|_, name| by_name.contains_key(name) || name == own_name);
     }
 
-    /// Takes a node's description if it is newer than the known one. `sent_at`: the earliest time at which it may have
-    /// been sent.
+    /// Merges a node's description if it is newer than the known one. `sent_at` is the earliest time at which it may
+    /// have been sent.
     pub fn merge_description(&mut self, node: &Node, sent_at: Ms, now: Ms, out: &mut Effects) {
         if node.name == self.own_name {
             return;
@@ -189,11 +191,11 @@
         };
         self.names_by_digest.insert(known.digest, node.name.clone());
         self.by_name.insert(node.name.clone(), known);
-        self.revive(&node.name, is_new, now, out);
+        self.mark_live_if_recent(&node.name, is_new, now, out);
     }
 
-    /// Takes a heartbeat; false if it is of a description that this node lacks. `sent_at`: the earliest time at which it may
-    /// have been sent.
+    /// Merges a heartbeat. Returns false if this node lacks the description that it refers to.
+    /// `sent_at` is the earliest time at which it may have been sent.
     pub fn merge_heartbeat(
         &mut self,
         heartbeat: &NodeHeartbeat,
@@ -215,12 +217,12 @@
         }
         known.node.heartbeat = heartbeat.heartbeat;
         known.heartbeat_at = heartbeat_time(heartbeat.heartbeat_age, sent_at);
-        self.revive(&name, false, now, out);
+        self.mark_live_if_recent(&name, false, now, out);
         true
     }
 
-    /// A heartbeat that is young enough makes its node live.
-    fn revive(&mut self, name: &Name, is_new: bool, now: Ms, out: &mut Effects) {
+    /// Marks a node as live if its newest heartbeat is within the failure timeout.
+    fn mark_live_if_recent(&mut self, name: &Name, is_new: bool, now: Ms, out: &mut Effects) {
         if self.by_name.get(name).is_none_or(|known| known.is_live) {
             return;
         }
@@ -233,7 +235,7 @@
             let text = if is_new {
                 known.node.addr.to_string()
             } else {
-                "came back".into()
+                "reachable again".into()
             };
             out.push(log_event(events::NODE_REACHABLE, name, text));
         }
--- a/coordination/src/membership/shuffle.rs
+++ b/coordination/src/membership/shuffle.rs
@@ -1,4 +1,4 @@
-//! Messages of a shuffle. One node sends a request, the other responds, and each then sends
+//! Messages of a shuffle: one node sends a request, the peer responds, and each then sends the
 //! descriptions that the other lacks.
 
 use wire_messages::{List, Node, Shuffle};
@@ -6,63 +6,63 @@
 use super::known_nodes::KnownNodes;
 use crate::Ms;
 
-/// Between two shuffles with neighbours in a small fleet.
+/// Interval between shuffles with neighbours in a small fleet, in ms.
 pub const SHUFFLE_INTERVAL: Ms = 250;
-/// Between two shuffles in a fleet of any size, at most.
+/// Maximum interval between shuffles in a fleet of any size, in ms.
 pub const MAX_SHUFFLE_INTERVAL: Ms = 1_000;
-/// Nodes up to which a fleet shuffles each [`SHUFFLE_INTERVAL`]. A larger one shuffles less often:
-/// what it sends to neighbours is a part of its total traffic that does not grow.
+/// Number of nodes up to which a fleet shuffles every [`SHUFFLE_INTERVAL`]. A larger fleet shuffles
+/// less often, so that a node's traffic to neighbours does not grow with the fleet.
 const SMALL_FLEET_NODE_COUNT: Ms = 88;
-/// Heartbeats in one shuffle, ten bytes each: all of a small fleet's.
+/// Maximum number of heartbeats in one shuffle, ten bytes each; enough for all of a small fleet.
 pub(super) const MAX_HEARTBEAT_COUNT: usize = 24;
-/// Descriptions in one shuffle, besides the sender's own: those that the other asked for.
+/// Maximum number of requested descriptions in one shuffle, not counting the sender's own.
 pub(super) const MAX_DESCRIPTION_COUNT: usize = 128;
-/// Heartbeats during which a node has just started: it asks seeds, and gets the heartbeats of all
-/// whom they know.
+/// Number of heartbeats during which a node is starting: it contacts seeds and is sent all
+/// heartbeats that they know.
 pub(super) const STARTUP_HEARTBEATS: u32 = 8;
 
-/// The message that opens an exchange.
+/// Step of the message that starts an exchange.
 pub(super) const FIRST_STEP: u8 = 0;
-/// The last message that carries heartbeats; those after it only bring what was wanted.
+/// The last step whose message carries heartbeats; later ones carry only requested descriptions.
 const LAST_HEARTBEAT_STEP: u8 = 1;
-/// The message that gets no response: it follows a request, its response, and what the one lacked
-/// of the other's.
+/// Step of the message that gets no response. It follows a request, the response, and the
+/// descriptions that the responder lacked.
 pub(super) const LAST_STEP: u8 = 3;
 
-/// Ms until the next shuffle of a node that knows so many live ones.
+/// Returns the time until the next shuffle of a node that knows this many live nodes, in ms.
 pub(super) fn interval(live_node_count: usize) -> Ms {
     (SHUFFLE_INTERVAL * live_node_count as Ms / SMALL_FLEET_NODE_COUNT)
         .clamp(SHUFFLE_INTERVAL, MAX_SHUFFLE_INTERVAL)
 }
 
-/// Whether the exchange goes on: a request always gets a response, a response only if one of both
+/// Whether a message needs a response: a request always does, a later message only if either node
 /// lacks descriptions.
 pub(super) fn needs_response(message: &Shuffle, lacking: &[u32]) -> bool {
     let is_complete = lacking.is_empty() && message.wanted.is_empty();
     message.step == FIRST_STEP || message.step < LAST_STEP && !is_complete
 }
 
-/// Whether this is a request of a node that has just started; the sender's own description comes
-/// last.
+/// Whether this is a request of a node that has just started, judged by the sender's own
+/// description, which is the last one.
 pub(super) fn is_from_starting_node(message: &Shuffle) -> bool {
     let sender = message.nodes.last();
     message.step == FIRST_STEP && sender.is_some_and(|node| node.heartbeat <= STARTUP_HEARTBEATS)
 }
 
-/// What a message of an exchange carries besides the sender's own description.
+/// Content of a shuffle message other than the sender's own description.
 pub(super) struct ShuffleContent<'a> {
-    /// Which message of the exchange it is.
+    /// Position of the message in the exchange.
     pub step: u8,
-    /// Digests of the descriptions that the other wants.
+    /// Digests of the descriptions that the peer requested.
     pub requested: &'a [u32],
-    /// Digests of the descriptions that this node wants.
+    /// Digests of the descriptions that this node requests.
     pub wanted: Vec<u32>,
     pub max_heartbeat_count: usize,
 }
 
 impl ShuffleContent<'_> {
-    /// The message. Only heartbeats of live nodes are passed on: gossip of the gone ends everywhere
-    /// at once.
+    /// Builds the message. Only heartbeats of live nodes are relayed, so that gossip about unreachable
+    /// nodes ends everywhere at the same time.
     pub fn message(
         self,
         me: &Node,
--- a/coordination/src/membership/view.rs
+++ b/coordination/src/membership/view.rs
@@ -1,11 +1,11 @@
-//! The partial view: the few neighbours with which a node shuffles.
+//! The partial view: the neighbours with which a node shuffles.
 
 use wire_messages::Name;
 
 use super::known_nodes::KnownNodes;
 
-/// Neighbours in a partial view: enough that a view of 5 in a fleet of 11 stays connected when four
-/// go.
+/// Number of neighbours in a partial view. With 5, a fleet of 11 stays connected when four nodes
+/// fail.
 pub const VIEW_SIZE: usize = 5;
 
 /// Names of the neighbours, the oldest first.
@@ -23,8 +23,8 @@
         self.neighbours.iter()
     }
 
-    /// Drops unreachable neighbours and fills the view from live nodes. A random one takes the
-    /// oldest neighbour's place in a full view, so that views keep mixing.
+    /// Drops unreachable neighbours and fills the view with random live nodes. In a full view a random
+    /// node replaces the oldest neighbour, so that views keep mixing.
     pub fn refill(&mut self, known: &KnownNodes, rng: &mut fastrand::Rng) {
         self.neighbours
             .retain(|name| known.get(name).is_some_and(|known| known.is_live));
--- a/coordination/tests/edge_agent.rs
+++ b/coordination/tests/edge_agent.rs
@@ -1,11 +1,11 @@
-//! What an edge agent sends, and to whom: repairs to neighbours, polls to control daemons, updates
-//! to its proxy.
+//! Messages that an edge agent sends: repairs to neighbours, polls to control daemons, updates to
+//! its proxy.
 
 mod support;
 
 use coordination::{
     Effect, Ms,
-    edge_agent::{EdgeAgent, MAJORITY_MISSED_AFTER, POLL_INTERVAL, ServingRule},
+    edge_agent::{EdgeAgent, MAJORITY_TIMEOUT, POLL_INTERVAL, ServingRule},
     membership::NodeRole,
     timing::TICK_INTERVAL,
     wire::{
@@ -16,10 +16,10 @@
 use googletest::prelude::*;
 use support::agents::{change, deliver, descriptions, node, sends};
 
-/// Bytes of a long spec.
+/// Size of a long spec, in bytes.
 const LONG_VALUE_BYTES: usize = 30_000;
 
-/// A settled snapshot that answers the poll sent at `poll_sent_at`.
+/// Returns a settled snapshot in response to the poll sent at `poll_sent_at`.
 fn update(changes: Vec<Change>, poll_sent_at: Ms) -> Update {
     Update {
         poll_sent_at,
@@ -33,7 +33,7 @@
     }
 }
 
-/// An agent that has heard these values from all three control daemons.
+/// Returns an agent that has received these values from all three control daemons.
 fn agent(name: &str, changes: Vec<Change>) -> EdgeAgent {
     let me = node(name, NodeRole::Edge);
     let mut agent = EdgeAgent::new(me, vec!["c1".into()], 7, 0);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Polls among the effects, with the daemons they go to.
+/// Returns the polls among the effects, with the daemons that they are sent to.
 fn polls(effects: Vec<Effect>) -> Vec<(Name, Poll)> {
     sends(effects)
         .into_iter()
@@ -69,7 +69,7 @@
         .collect()
 }
 
-/// Polls that the agent sends from one time to another.
+/// Returns the polls that the agent sends in a time range.
 fn polls_between(agent: &mut EdgeAgent, from: Ms, to: Ms) -> Vec<Poll> {
     (from..to)
         .step_by(TICK_INTERVAL as usize)
@@ -89,8 +89,8 @@
         .sum()
 }
 
-/// Passes repair messages between `a` and `b` until there are none; gives the bytes of values that
-/// were sent.
+/// Delivers repair messages between `a` and `b` until none are left. Returns the bytes of values
+/// that were sent.
 fn repair(a: &mut EdgeAgent, b: &mut EdgeAgent) -> usize {
     let digests = TableDigests {
         sent_at: 20,
@@ -107,7 +107,7 @@
         };
         let answers = sends(deliver(receiver, from, message, 30));
         pending.extend(answers.into_iter().filter(|(to, message)| {
-            // Other messages go to the proxy or to control daemons, whose names are longer.
+            // Skips messages to the proxy and to control daemons, whose names are longer.
             to.len() == 1 && matches!(message, Message::Repair(_))
         }));
     }
@@ -115,8 +115,8 @@
 }
 
 #[gtest]
-fn a_repair_sends_only_what_is_lacking() {
-    // Sixteen ranges and forty keys: the long one shares its range with some that differ.
+fn a_repair_sends_only_missing_values() {
+    // With 16 ranges and 40 keys, the long value shares its range with values that differ.
     let short_values = |version: u64| {
         (0..40)
             .map(|index| change(&format!("k{index}"), version, 10))
@@ -131,19 +131,19 @@
     let (mut a, mut b) = (agent("a", all_values(1)), agent("b", all_values(2)));
     expect_that!(repair(&mut a, &mut b), le(40 * 10));
     expect_that!(a.state_table().digest(), eq(b.state_table().digest()));
-    // The long one goes where it is lacking, once.
+    // The long value is sent once, to the agent that lacks it.
     let (mut a, mut b) = (agent("a", short_values(2)), agent("b", all_values(2)));
     expect_that!(repair(&mut a, &mut b), eq(LONG_VALUE_BYTES));
     expect_that!(a.state_table().digest(), eq(b.state_table().digest()));
 }
 
 #[gtest]
-fn an_agent_that_serves_when_partitioned_does_not_ask_every_edge_meanwhile() {
+fn an_agent_that_serves_when_partitioned_does_not_compare_tables_with_every_edge() {
     let mut agent = agent("a", vec![change("spec", 1, 10)]);
     let edges = (0..87).map(|index| node(&format!("e{index}"), NodeRole::Edge));
     deliver(&mut agent, "e0", descriptions(edges), 10);
     let mut digests_count = 0;
-    for now in (20..2 * MAJORITY_MISSED_AFTER + 3_000).step_by(TICK_INTERVAL as usize) {
+    for now in (20..2 * MAJORITY_TIMEOUT + 3_000).step_by(TICK_INTERVAL as usize) {
         digests_count += sends(agent.tick(now))
             .iter()
             .filter(|(_, message)| matches!(message, Message::TableDigests(_)))
@@ -153,7 +153,7 @@
 }
 
 #[gtest]
-fn versions_are_sent_to_a_daemon_until_it_has_answered_to_them() {
+fn versions_are_sent_to_a_daemon_until_it_acknowledges_them() {
     let mut agent = agent("a", vec![change("spec", 1, 10)]);
     let daemon = node("c1", NodeRole::Control);
     deliver(&mut agent, "c1", descriptions([daemon]), 10);
@@ -163,7 +163,7 @@
         first
             .iter()
             .all(|poll| poll.has_versions == 1 && poll.versions.len() == 1),
-        "nothing was answered yet"
+        "no poll was answered yet"
     );
     let last_sent_at = first.last().map_or(0, |poll| poll.sent_at);
     deliver(&mut agent, "c1", update(vec![], last_sent_at), 1_510);
@@ -181,8 +181,8 @@
     );
 }
 
-/// Polls to c1, c2 and c3 from one time to another; each is answered at once, and c2 holds a
-/// singleton role.
+/// Returns the numbers of polls to c1, c2 and c3 in a time range. Each is answered at once, and c2
+/// holds a singleton role.
 fn answer_polls(agent: &mut EdgeAgent, from: Ms, to: Ms) -> [usize; 3] {
     let lease = Lease {
         service: "s".into(),
@@ -211,8 +211,7 @@
 }
 
 #[gtest]
-fn daemons_of_other_regions_without_a_role_are_polled_half_as_often_but_at_once_with_new_versions()
-{
+fn remote_daemons_without_a_role_are_polled_half_as_often_unless_versions_changed() {
     let mut agent = agent("a", vec![change("spec", 1, 10)]);
     set_regions(&mut agent, &[("z", "r1"), ("y", "r2")]);
     let daemons = [("c1", "z"), ("c2", "y"), ("c3", "y")]
@@ -223,23 +222,23 @@
     expect_that!(local, all!(ge(35), eq(holder)));
     expect_that!(remote * 2, all!(ge(local - 2), le(local + 2)));
     expect_that!(agent.serving_rule(), eq(ServingRule::ServeAll));
-    for turn in 0..10 {
-        let version = turn + 2;
-        let start = 18_050 + turn * 1_000;
+    for index in 0..10 {
+        let version = index + 2;
+        let start = 18_050 + index * 1_000;
         let newer = update(vec![change("spec", version, 10)], start - 10);
         deliver(&mut agent, "c1", newer, start);
         let next_poll_by = start + POLL_INTERVAL + TICK_INTERVAL;
         expect_that!(
             answer_polls(&mut agent, start, next_poll_by)[2],
             ge(1),
-            "update {turn}"
+            "update {index}"
         );
         answer_polls(&mut agent, next_poll_by, start + 1_000);
     }
 }
 
 #[gtest]
-fn prefills_of_a_proxy_go_once_to_the_edges_that_share_the_replica_with_it() {
+fn prefill_reports_are_forwarded_once_to_the_edges_that_share_the_replica() {
     let mut agent = agent("a", vec![change("spec", 1, 10)]);
     let regions = [("z", "r1"), ("z2", "r1"), ("y", "r2"), ("x", "r3")];
     set_regions(&mut agent, &regions);
@@ -284,7 +283,7 @@
         receivers(deliver(&mut agent, "p", report("r1"), 40)),
         unordered_elements_are![eq("e1"), eq("e2")]
     );
-    // A prefill in another region delays requests from there too.
+    // A prefill in another region also delays requests from that region.
     expect_that!(
         receivers(deliver(&mut agent, "p", report("r2"), 45)),
         unordered_elements_are![eq("e1"), eq("e2"), eq("e3")]
@@ -296,7 +295,7 @@
 }
 
 #[gtest]
-fn an_agent_that_starts_polls_a_control_daemon_as_soon_as_it_knows_of_it() {
+fn a_starting_agent_polls_a_control_daemon_as_soon_as_it_discovers_it() {
     let describe = |agent: &mut EdgeAgent, names: &[&str], now: Ms| {
         let nodes = names.iter().map(|name| {
             let role = if name.starts_with('c') {
@@ -315,7 +314,7 @@
     expect_that!(polls(agent.tick(2 * TICK_INTERVAL)).len(), eq(1));
     describe(&mut agent, &["c1", "c2", "c3"], 110);
     expect_that!(polls(agent.tick(3 * TICK_INTERVAL)).len(), eq(3));
-    // From then on as often as its fleet bears, until a majority has answered.
+    // Until a majority has answered, the poll interval depends on the size of the fleet.
     expect_that!(
         polls_between(&mut agent, 200, 2_200).len(),
         all!(ge(45), le(63))
@@ -331,7 +330,7 @@
 }
 
 #[gtest]
-fn a_proxy_that_starts_beside_its_agent_gets_a_snapshot_at_once() {
+fn a_new_proxy_incarnation_gets_a_snapshot_at_once() {
     let mut agent = agent("a", vec![change("spec", 1, 10)]);
     let snapshot_count = |effects: Vec<Effect>| {
         sends(effects)
@@ -360,7 +359,7 @@
     names.iter().map(|name| (*name).into()).collect()
 }
 
-/// A settled update by which a daemon tells its selection of services.
+/// Returns a settled update with a daemon's selection of services.
 fn selection(selection: u64, services: &[&str], poll_sent_at: Ms) -> Update {
     Update {
         poll_sent_at,
@@ -375,7 +374,7 @@
 }
 
 #[gtest]
-fn counters_go_to_the_daemons_that_select_them_and_all_again_after_another_selection() {
+fn counters_are_sent_to_daemons_that_select_them_and_all_again_after_a_new_selection() {
     let mut agent = agent("e1", vec![]);
     let daemons = ["c1", "c2", "c3"].map(|name| node(name, NodeRole::Control));
     deliver(&mut agent, "c1", descriptions(daemons), 10);
@@ -392,7 +391,7 @@
         counters: List(vec![counters("s1"), counters("s2")]),
         ..ProxyReport::default()
     };
-    // A proxy that has nothing new to report, and what the agent then polls: daemon, selection and
+    // Delivers a proxy report without changes and returns the agent's polls: daemon, selection and
     // services.
     let reported = |agent: &mut EdgeAgent, now: Ms| -> Vec<(Name, u64, Vec<Name>)> {
         let unchanged = ProxyReport {
--- a/edge-agent/src/actor.rs
+++ b/edge-agent/src/actor.rs
@@ -15,7 +15,8 @@
     look::Look,
 };
 
-/// The only owner of the state machine. Its channels to other processes open once it runs.
+/// Owns the state machine, sends and receives its messages and executes its effects. The channels to
+/// other processes are opened when the actor starts.
 pub(crate) struct AgentActor {
     name: String,
     listen_addr: String,
@@ -24,7 +25,7 @@
 }
 
 impl AgentActor {
-    /// An actor whose messages carry `listen_addr` as the address for replies.
+    /// Creates an actor whose messages carry `listen_addr` as the reply address.
     pub fn new(name: String, listen_addr: String, agent: EdgeAgent) -> Self {
         AgentActor {
             name,
@@ -34,17 +35,17 @@
         }
     }
 
-    /// The state machine.
+    /// Returns the state machine.
     pub fn agent(&self) -> &EdgeAgent {
         &self.agent
     }
 
     fn tick(&mut self) {
         let effects = self.agent.tick(clock::now());
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    fn carry_out(&mut self, effects: Effects) {
+    fn execute(&mut self, effects: Effects) {
         for effect in effects {
             match effect {
                 Effect::Send { to, msg } => {
@@ -87,7 +88,7 @@
         let effects =
             self.agent
                 .on_message(&envelope.from, &envelope.addr, envelope.msg, clock::now());
-        self.carry_out(effects);
+        self.execute(effects);
     }
 }
 
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The runtime of an edge agent: drives its state machine by messages and a timer, and carries its
-//! effects out.
+//! The runtime of an edge agent: feeds messages and timer ticks to its state machine and executes
+//! the effects.
 
 mod actor;
 
@@ -18,10 +18,10 @@
 
 use crate::actor::AgentActor;
 
-/// Runs an edge agent until the process is asked to stop.
+/// Runs an edge agent until the process receives a stop signal.
 ///
 /// # Errors
-/// If logging, the signal handlers or the listener can't be started.
+/// Returns an error if logging, the signal handlers or the listener cannot be started.
 pub async fn run(params: Params) -> Result<(), Report<StartFault>> {
     let _log = logging::start(&params.log)?;
     let agent = new_agent(&params);
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// The state machine of a new incarnation.
+/// Creates the state machine of a new incarnation.
 fn new_agent(params: &Params) -> EdgeAgent {
     let incarnation = clock::born();
     let me = Node {
@@ -57,8 +57,8 @@
     agent
 }
 
-/// Goes on while the proxy drains, but not beyond the grace period: a proxy that was asked to stop
-/// as well still serves what comes, by this agent's rule and updates.
+/// Waits while the proxy drains, up to the grace period: a proxy that is stopping too still serves
+/// incoming requests and needs this agent's rule and updates.
 async fn wait_for_proxy(actor: &Addr<AgentActor>, params: &Params) {
     let deadline = clock::now() + params.bounds.grace.saturating_sub(AGENT_LAST);
     tokio::time::sleep(FAREWELL).await;
--- a/edge-agent/src/main.rs
+++ b/edge-agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `edge-agent`: reads its settings and runs the agent.
+//! The `edge-agent` program: reads its settings and runs the agent.
 
 use daemon_parts::params::{self, EXIT_FAILED};
 
@@ -6,7 +6,7 @@
 async fn main() {
     let command = params::command(
         "edge-agent",
-        "Keeps the link to the control plane and feeds the proxy on its machine",
+        "Connects the proxy on its machine to the control plane",
     );
     let params = params::read_or_exit(command, &["name", "zone", "listen", "seeds"]);
     if let Err(fault) = edge_agent::run(params).await {
