--- a/control-daemon/src/actor.rs
+++ b/control-daemon/src/actor.rs
@@ -15,8 +15,8 @@
 use daemon_parts::{
     channels::{Channels, Incoming},
     clock,
-    limits::{DISK_AGAIN, MAILBOX},
-    look::Look,
+    inspect::Inspect,
+    limits::{DISK_RETRY_INTERVAL, MAILBOX_CAPACITY},
 };
 use remote_calls::Fault;
 use tokio::sync::oneshot;
@@ -138,7 +138,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
         self.channels = Some(Channels::new(
             &self.config.name,
             &self.config.addr,
@@ -183,10 +183,14 @@
     }
 }
 
-impl<T: Send + 'static> Handler<Look<Control, T>> for ControlActor {
+impl<T: Send + 'static> Handler<Inspect<Control, T>> for ControlActor {
     type Result = Result<T, ()>;
 
-    fn handle(&mut self, Look(access): Look<Control, T>, _: &mut Self::Context) -> Self::Result {
+    fn handle(
+        &mut self,
+        Inspect(access): Inspect<Control, T>,
+        _: &mut Self::Context,
+    ) -> Self::Result {
         let now = clock::now();
         self.control
             .as_mut()
@@ -217,5 +221,5 @@
         "look",
         "this daemon's disk does not take writes",
     )
-    .retry(DISK_AGAIN)
+    .retry(DISK_RETRY_INTERVAL)
 }
--- a/control-daemon/src/actor/lifecycle.rs
+++ b/control-daemon/src/actor/lifecycle.rs
@@ -4,7 +4,7 @@
 
 use actix::prelude::*;
 use coordination::{Ms, WriteOutcome, control::Control, events, timing::DISK_SYNC_TIMEOUT};
-use daemon_parts::{clock, limits::DISK_AGAIN, logging::event};
+use daemon_parts::{clock, limits::DISK_RETRY_INTERVAL, logging::event};
 
 use super::ControlActor;
 use crate::disk::DiskState;
@@ -62,7 +62,7 @@
     }
 
     fn retry_later(&mut self, now: Ms) {
-        self.next_open_at = now + DISK_AGAIN;
+        self.next_open_at = now + DISK_RETRY_INTERVAL;
     }
 }
 
@@ -120,7 +120,7 @@
             self.config.clone(),
             state.disk_id,
             state.rows,
-            clock::born(),
+            clock::new_incarnation(),
             clock::now(),
         ));
     }
--- a/control-daemon/src/actor/orders.rs
+++ b/control-daemon/src/actor/orders.rs
@@ -3,7 +3,7 @@
 use actix::prelude::*;
 use awc::Client;
 use coordination::{Ms, events, rollout::Order};
-use daemon_parts::{clock, http, limits::CALL_LIMIT, logging::event};
+use daemon_parts::{clock, http, limits::CALL_TIMEOUT, logging::event};
 use remote_calls::{
     Call, Fault, OrderAnswer, PlatformDrain, PlatformStart, PlatformStarted, ReplicaOrder, calls,
 };
@@ -100,7 +100,7 @@
     call: Call,
     body: &Body,
 ) -> Result<(), Fault> {
-    http::call::<_, Answer>(client, addr, call, Some(body), CALL_LIMIT)
+    http::call::<_, Answer>(client, addr, call, Some(body), CALL_TIMEOUT)
         .await
         .map(drop)
 }
--- a/control-daemon/src/actor/platform_calls.rs
+++ b/control-daemon/src/actor/platform_calls.rs
@@ -8,7 +8,7 @@
     Ms, events,
     platform_call::{CallOutcome, LeasedCall},
 };
-use daemon_parts::{clock, limits::CALL_LIMIT, logging::event};
+use daemon_parts::{clock, limits::CALL_TIMEOUT, logging::event};
 
 use super::ControlActor;
 use crate::platform_adapter::{CallRateLimiter, RoleCallRequest, RoleCalls};
@@ -87,7 +87,7 @@
         let turn = self.rate_limiter.acquire();
         let has_turn = tokio::time::timeout(time_left(lease_until), turn).await;
         // The process may have been suspended between the decision and here.
-        let time_limit = time_left(lease_until).min(CALL_LIMIT);
+        let time_limit = time_left(lease_until).min(CALL_TIMEOUT);
         if has_turn.is_err() || time_limit.is_zero() {
             event(
                 events::LEASE_EXPIRED,
--- a/control-daemon/src/actor/polling.rs
+++ b/control-daemon/src/actor/polling.rs
@@ -4,7 +4,7 @@
 
 use actix::prelude::*;
 use coordination::{Ms, events, timing::REPORT_INTERVAL};
-use daemon_parts::{http, limits::CALL_LIMIT, logging::event};
+use daemon_parts::{http, limits::CALL_TIMEOUT, logging::event};
 use remote_calls::{PlatformList, ReplicaReport, calls};
 
 use super::ControlActor;
@@ -64,7 +64,7 @@
         let (client, addr) = (self.client.clone(), self.platform_addr.clone());
         let listed = async move {
             let call = calls::PLATFORM_LIST;
-            http::call::<(), PlatformList>(&client, &addr, call, None, CALL_LIMIT).await
+            http::call::<(), PlatformList>(&client, &addr, call, None, CALL_TIMEOUT).await
         };
         ctx.spawn(listed.into_actor(self).map(move |result, actor, _| {
             if let (Ok(list), Some(control)) = (result, &mut actor.control) {
@@ -78,7 +78,7 @@
         for (_, addr) in replicas {
             let client = self.client.clone();
             let reported = async move {
-                http::call::<(), ReplicaReport>(&client, &addr, calls::REPORT, None, CALL_LIMIT)
+                http::call::<(), ReplicaReport>(&client, &addr, calls::REPORT, None, CALL_TIMEOUT)
                     .await
             };
             ctx.spawn(reported.into_actor(self).map(move |result, actor, _| {
--- a/control-daemon/src/disk.rs
+++ b/control-daemon/src/disk.rs
@@ -4,7 +4,7 @@
 use std::{path::PathBuf, sync::mpsc, thread};
 
 use coordination::Row;
-use daemon_parts::limits::DISK_BUFFER;
+use daemon_parts::limits::DISK_QUEUE_CAPACITY;
 use error_stack::{Report, ResultExt};
 use tokio::sync::oneshot;
 
@@ -44,7 +44,7 @@
 
     /// The same on a storage of the caller's.
     pub fn start_on(storage: Storage, folder: PathBuf, max_bytes: u64) -> Self {
-        let (commands, receiver) = mpsc::sync_channel(DISK_BUFFER);
+        let (commands, receiver) = mpsc::sync_channel(DISK_QUEUE_CAPACITY);
         thread::spawn(move || Worker::new(storage, folder, max_bytes).run(&receiver));
         Disk(commands)
     }
--- a/control-daemon/src/http.rs
+++ b/control-daemon/src/http.rs
@@ -4,8 +4,8 @@
 use coordination::control::{DRAINING_PREFIX, KILL_SWITCH_KEY, PLAN_PREFIX, SPEC_KEY, ZONE_PREFIX};
 use daemon_parts::{
     clock,
-    http::{Answer, json_config, no_such_path},
-    limits::VERSION_MAX,
+    http::{FaultResponse, json_config, no_such_path},
+    limits::MAX_VERSION_BYTES,
 };
 use remote_calls::{
     Accepted, Counter, Counters, Fault, KillSwitch, PlanPut, PlanState, PlatformWarning,
@@ -25,7 +25,7 @@
 use spec_lookup::{has_zone, not_in_spec, require};
 
 /// What a handler answers.
-pub type HandlerResult = Result<HttpResponse, Answer>;
+pub type HandlerResult = Result<HttpResponse, FaultResponse>;
 
 /// Writes a key as JSON and answers with its version.
 async fn write_json(
@@ -69,7 +69,7 @@
     write_json(&handle, key, Some(body.expect_version), &body.plan).await
 }
 
-fn check_plan(plan: &ReleasePlan, service: &str) -> Result<(), Answer> {
+fn check_plan(plan: &ReleasePlan, service: &str) -> Result<(), FaultResponse> {
     let invalid = |field: &str, message: &str| {
         let fault = Fault::new("bad_plan", "check_plan", message);
         Err(fault.field(format!("plan.{field}")).into())
@@ -79,7 +79,7 @@
     }
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     if plan.target.is_empty()
-        || plan.target.len() > VERSION_MAX
+        || plan.target.len() > MAX_VERSION_BYTES
         || !plan.target.bytes().all(is_allowed)
     {
         return invalid("target", "must be 1 to 64 letters, digits, '-', '_' or '.'");
@@ -160,7 +160,7 @@
     Ok(HttpResponse::Ok().json(Accepted { version: 0 }))
 }
 
-async fn own_name(handle: &ControlHandle) -> Result<String, Answer> {
+async fn own_name(handle: &ControlHandle) -> Result<String, FaultResponse> {
     with_control(handle, |control, _| {
         control.membership.me().name.to_string()
     })
--- a/control-daemon/src/http/control_access.rs
+++ b/control-daemon/src/http/control_access.rs
@@ -4,9 +4,9 @@
 use actix_web::web;
 use coordination::{Ms, WriteOutcome, control::Control, register::Expect, wire::Change};
 use daemon_parts::{
-    http::Answer,
-    limits::{NEWS_EVERY, NEWS_TURNS},
-    look::Look,
+    http::FaultResponse,
+    inspect::Inspect,
+    limits::{MAX_NEWEST_VERSION_POLLS, NEWEST_VERSION_POLL_INTERVAL},
 };
 use remote_calls::Fault;
 
@@ -16,7 +16,7 @@
 pub type ControlHandle = web::Data<Addr<ControlActor>>;
 
 /// The answer where the actor's mailbox is full.
-pub(super) fn overload<E>(_: E) -> Answer {
+pub(super) fn overload<E>(_: E) -> FaultResponse {
     Fault::new("overload", "ask_owner", "the daemon's buffer is full")
         .retry(1_000)
         .into()
@@ -29,9 +29,9 @@
 pub async fn with_control<T: Send + 'static>(
     handle: &ControlHandle,
     access: impl FnOnce(&mut Control, Ms) -> T + Send + 'static,
-) -> Result<T, Answer> {
+) -> Result<T, FaultResponse> {
     handle
-        .send(Look(Box::new(access)))
+        .send(Inspect(Box::new(access)))
         .await
         .map_err(overload)?
         .map_err(|()| disk_failed_fault().into())
@@ -46,7 +46,7 @@
     key: &str,
     expect: Expect,
     value: Vec<u8>,
-) -> Result<u64, Answer> {
+) -> Result<u64, FaultResponse> {
     let write = WriteKey {
         key: key.into(),
         expect,
@@ -60,7 +60,10 @@
 ///
 /// # Errors
 /// If no majority answers, or the value has not come here in time.
-pub async fn read_newest(handle: &ControlHandle, key: &str) -> Result<Option<Change>, Answer> {
+pub async fn read_newest(
+    handle: &ControlHandle,
+    key: &str,
+) -> Result<Option<Change>, FaultResponse> {
     let read = ReadNewest(key.into());
     let outcome = handle.send(read).await.map_err(overload)?;
     let version = committed_version(key, outcome)?;
@@ -68,7 +71,7 @@
         return Ok(None);
     }
     // The owner has sent it to all others by now; one who missed that is repaired.
-    for _ in 0..NEWS_TURNS {
+    for _ in 0..MAX_NEWEST_VERSION_POLLS {
         let key = key.to_string();
         let current = with_control(handle, move |control, _| {
             control
@@ -81,7 +84,7 @@
         if current.is_some() {
             return Ok(current);
         }
-        actix_rt::time::sleep(NEWS_EVERY).await;
+        actix_rt::time::sleep(NEWEST_VERSION_POLL_INTERVAL).await;
     }
     Err(Fault::new(
         "not_settled",
@@ -92,7 +95,7 @@
     .into())
 }
 
-fn committed_version(key: &str, outcome: WriteOutcome) -> Result<u64, Answer> {
+fn committed_version(key: &str, outcome: WriteOutcome) -> Result<u64, FaultResponse> {
     let fault = match outcome {
         WriteOutcome::Accepted(version) => return Ok(version),
         WriteOutcome::Conflict(version) => {
--- a/control-daemon/src/http/spec_lookup.rs
+++ b/control-daemon/src/http/spec_lookup.rs
@@ -1,7 +1,7 @@
 //! Whether the newest spec has a service or a zone of a name.
 
 use coordination::control::SPEC_KEY;
-use daemon_parts::http::Answer;
+use daemon_parts::http::FaultResponse;
 use remote_calls::{Fault, Spec};
 
 use super::{ControlHandle, read_newest, with_control};
@@ -25,8 +25,8 @@
     handle: &ControlHandle,
     name: &str,
     has_name: fn(&Spec, &str) -> bool,
-) -> Result<SpecLookup, Answer> {
-    let look_up_here = async || -> Result<SpecLookup, Answer> {
+) -> Result<SpecLookup, FaultResponse> {
+    let look_up_here = async || -> Result<SpecLookup, FaultResponse> {
         let spec = with_control(handle, |control, _| control.spec()).await?;
         Ok(match spec {
             Some(spec) if has_name(&spec, name) => SpecLookup::Found,
@@ -47,7 +47,7 @@
     kind: &str,
     name: &str,
     has_name: fn(&Spec, &str) -> bool,
-) -> Result<(), Answer> {
+) -> Result<(), FaultResponse> {
     match look_up_in_spec(handle, name, has_name).await? {
         SpecLookup::Found => Ok(()),
         SpecLookup::NotFound => Err(not_in_spec(kind, name)),
@@ -62,7 +62,7 @@
 }
 
 /// The answer about a name that the spec does not have.
-pub(super) fn not_in_spec(kind: &str, name: &str) -> Answer {
+pub(super) fn not_in_spec(kind: &str, name: &str) -> FaultResponse {
     Fault::new(
         "not_found",
         "check_request",
--- a/control-daemon/src/lib.rs
+++ b/control-daemon/src/lib.rs
@@ -12,8 +12,8 @@
 use coordination::control::ControlConfig;
 use daemon_parts::{
     channels,
-    limits::{CONTROL_STOP, WORKERS},
-    logging::{self, StartFault},
+    limits::{CONTROL_STOP_TIMEOUT, HTTP_WORKERS},
+    logging::{self, StartError},
     params::Params,
     stop::{self, StopSignals},
 };
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// If the log, the signals or a port cannot be set up.
-pub async fn run(params: Params, adapter: PlatformAdapter) -> Result<(), Report<StartFault>> {
+pub async fn run(params: Params, adapter: PlatformAdapter) -> Result<(), Report<StartError>> {
     let _log = logging::start(&params.log)?;
     let signals = StopSignals::listen()?;
     let disk = Disk::start(params.data.clone().unwrap_or_default(), params.data_limit);
@@ -77,7 +77,7 @@
     params: &Params,
     adapter: PlatformAdapter,
     control: Addr<ControlActor>,
-) -> Result<Server, Report<StartFault>> {
+) -> Result<Server, Report<StartError>> {
     let control = web::Data::new(control);
     let mut server = HttpServer::new(move || {
         App::new()
@@ -86,14 +86,14 @@
             .configure(adapter.configure_routes)
             .configure(http::routes)
     })
-    .workers(WORKERS)
-    .shutdown_timeout(CONTROL_STOP.as_secs())
+    .workers(HTTP_WORKERS)
+    .shutdown_timeout(CONTROL_STOP_TIMEOUT.as_secs())
     .disable_signals();
     let addresses = [&params.http, &params.directory];
     for address in addresses.into_iter().filter(|address| !address.is_empty()) {
         server = server
             .bind(address)
-            .change_context(StartFault("bind the HTTP port"))
+            .change_context(StartError("bind the HTTP port"))
             .attach_with(|| address.clone())?;
     }
     Ok(server.run())
--- a/control-daemon/src/platform_adapter.rs
+++ b/control-daemon/src/platform_adapter.rs
@@ -12,7 +12,7 @@
 };
 use daemon_parts::{
     clock,
-    limits::{BODY_MAX, PACE_LOOK},
+    limits::{MAX_BODY_BYTES, PACE_CHECK_INTERVAL},
 };
 use futures_util::future::LocalBoxFuture;
 use remote_calls::{Fault, PlatformList};
@@ -81,7 +81,7 @@
     /// Waits until one more call may be made.
     pub async fn acquire(&self) {
         while !self.0.borrow_mut().try_draw(clock::now()) {
-            tokio::time::sleep(PACE_LOOK).await;
+            tokio::time::sleep(PACE_CHECK_INTERVAL).await;
         }
     }
 }
@@ -126,7 +126,7 @@
             configure_routes: |_| (),
             replica_source: ReplicaSource::Polled,
             role_calls: None,
-            max_body_bytes: BODY_MAX,
+            max_body_bytes: MAX_BODY_BYTES,
         }
     }
 }
--- a/daemon-parts/src/channels.rs
+++ b/daemon-parts/src/channels.rs
@@ -18,10 +18,11 @@
 
 use crate::{
     limits::{
-        CHANNEL_BUFFER, CHANNELS, CONNECT_LIMIT, IDLE_LIMIT, PEER_PROBES, PEER_QUIET, PROBE_EVERY,
-        SENT_LIMIT, WRITE_LIMIT, WRITER_IDLE,
+        CHANNEL_QUEUE_CAPACITY, CONNECT_TIMEOUT, FRAME_WRITE_TIMEOUT, KEEPALIVE_INTERVAL,
+        KEEPALIVE_RETRIES, KEEPALIVE_TIME, MAX_CHANNELS, READER_IDLE_TIMEOUT,
+        UNACKNOWLEDGED_TIMEOUT, WRITER_IDLE_TIMEOUT,
     },
-    logging::{StartFault, event},
+    logging::{StartError, event},
 };
 
 /// A message that was received.
@@ -77,8 +78,8 @@
     /// go, and those that are gone cost nothing.
     fn writer(&mut self, to: &Name) -> &mpsc::Sender<Vec<u8>> {
         if self.writers.get(to).is_none_or(mpsc::Sender::is_closed) {
-            let (sender, receiver) = mpsc::channel(CHANNEL_BUFFER);
-            actix_rt::spawn(write_frames(to.clone(), receiver, WRITER_IDLE));
+            let (sender, receiver) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
+            actix_rt::spawn(write_frames(to.clone(), receiver, WRITER_IDLE_TIMEOUT));
             self.writers.retain(|_, writer| !writer.is_closed());
             self.writers.insert(to.clone(), sender);
         }
@@ -90,20 +91,20 @@
 /// intervals, up to the partition's own length; a connection that is given up and opened anew works at once.
 fn configure_outgoing(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(SENT_LIMIT))
+    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 /// Sets up a connection that this process reads: one whose writer died without closing it ends soon and frees its slot.
 fn configure_incoming(stream: &TcpStream) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
-        .with_time(PEER_QUIET)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PEER_PROBES);
+        .with_time(KEEPALIVE_TIME)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
 
 async fn connect(to: &Name) -> Option<TcpStream> {
-    let connected = timeout(CONNECT_LIMIT, TcpStream::connect(&**to)).await;
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(&**to)).await;
     let Ok(Ok(stream)) = connected else {
         return None;
     };
@@ -124,7 +125,7 @@
             while queue.try_recv().is_ok() {}
             continue;
         };
-        let written = timeout(WRITE_LIMIT, stream.write_all(&frame)).await;
+        let written = timeout(FRAME_WRITE_TIMEOUT, stream.write_all(&frame)).await;
         if !matches!(written, Ok(Ok(()))) {
             event(events::CONNECTION_LOST, &to, "while writing");
             connection = None;
@@ -136,20 +137,20 @@
 ///
 /// # Errors
 /// The port could not be bound.
-pub async fn listen(addr: &str, inbox: Recipient<Incoming>) -> Result<(), Report<StartFault>> {
+pub async fn listen(addr: &str, inbox: Recipient<Incoming>) -> Result<(), Report<StartError>> {
     let listener = TcpListener::bind(addr)
         .await
-        .change_context(StartFault("bind the port for our processes"))
+        .change_context(StartError("bind the port for our processes"))
         .attach(addr.to_string())?;
     actix_rt::spawn(accept_connections(listener, inbox));
     Ok(())
 }
 
 async fn accept_connections(listener: TcpListener, inbox: Recipient<Incoming>) {
-    let slots = Arc::new(Semaphore::new(CHANNELS));
+    let slots = Arc::new(Semaphore::new(MAX_CHANNELS));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(CONNECT_LIMIT).await;
+            tokio::time::sleep(CONNECT_TIMEOUT).await;
             continue;
         };
         // Over the limit a connection is closed at once, so that strangers cannot hold memory.
@@ -171,7 +172,7 @@
 async fn read_frames(mut stream: TcpStream, inbox: Recipient<Incoming>) -> Result<(), String> {
     loop {
         let mut prefix = [0; 4];
-        let read = timeout(IDLE_LIMIT, stream.read_exact(&mut prefix)).await;
+        let read = timeout(READER_IDLE_TIMEOUT, stream.read_exact(&mut prefix)).await;
         if !matches!(read, Ok(Ok(_))) {
             return Ok(());
         }
@@ -179,7 +180,7 @@
         let mut body = Vec::new();
         // Memory grows with what arrives, not with what the length claims.
         let mut limited = (&mut stream).take(length as u64);
-        let read = timeout(WRITE_LIMIT, limited.read_to_end(&mut body)).await;
+        let read = timeout(FRAME_WRITE_TIMEOUT, limited.read_to_end(&mut body)).await;
         if !matches!(read, Ok(Ok(bytes)) if bytes == length) {
             return Err(format!("frame of {length} bytes was cut short"));
         }
--- a/daemon-parts/src/channels/tests.rs
+++ b/daemon-parts/src/channels/tests.rs
@@ -23,7 +23,10 @@
         configure_outgoing(&a).unwrap();
         configure_incoming(&b).unwrap();
         let (a, b) = (SockRef::from(&a), SockRef::from(&b));
-        expect_that!(a.tcp_user_timeout().unwrap(), some(eq(SENT_LIMIT)));
+        expect_that!(
+            a.tcp_user_timeout().unwrap(),
+            some(eq(UNACKNOWLEDGED_TIMEOUT))
+        );
         expect_true!(a.tcp_nodelay().unwrap());
         expect_true!(b.keepalive().unwrap());
         expect_that!(
@@ -31,14 +34,14 @@
                 b.tcp_keepalive_time().unwrap(),
                 b.tcp_keepalive_retries().unwrap()
             ),
-            eq((PEER_QUIET, PEER_PROBES))
+            eq((KEEPALIVE_TIME, KEEPALIVE_RETRIES))
         );
         // Half of the shortest bound for daemons in touch that users have named is left for all that follows.
         expect_that!(
-            SENT_LIMIT + CONNECT_LIMIT,
+            UNACKNOWLEDGED_TIMEOUT + CONNECT_TIMEOUT,
             le(Duration::from_secs(4) * 6 / 10)
         );
-        expect_that!(WRITER_IDLE, lt(IDLE_LIMIT));
+        expect_that!(WRITER_IDLE_TIMEOUT, lt(READER_IDLE_TIMEOUT));
     });
 }
 
@@ -47,7 +50,7 @@
     run(async {
         let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to: Name = l.local_addr().unwrap().to_string().as_str().into();
-        let (s, r) = mpsc::channel(CHANNEL_BUFFER);
+        let (s, r) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
         let end = actix_rt::spawn(write_frames(to.clone(), r, Duration::MAX));
         let mut got = [0; 1];
         for turn in [1, 2] {
@@ -64,7 +67,7 @@
         }
         drop(s);
         end.await.unwrap();
-        let (s, r) = mpsc::channel(CHANNEL_BUFFER);
+        let (s, r) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
         write_frames(to, r, Duration::ZERO).await;
         expect_true!(s.is_closed());
     });
--- a/daemon-parts/src/clock.rs
+++ b/daemon-parts/src/clock.rs
@@ -33,6 +33,6 @@
 }
 
 /// The incarnation of a process that starts now.
-pub fn born() -> u64 {
+pub fn new_incarnation() -> u64 {
     wall_ms()
 }
--- a/daemon-parts/src/http.rs
+++ b/daemon-parts/src/http.rs
@@ -8,22 +8,22 @@
 use remote_calls::{Call, Fault};
 use serde::{Serialize, de::DeserializeOwned};
 
-use crate::limits::BODY_MAX;
+use crate::limits::MAX_BODY_BYTES;
 
 /// A response may be so many times larger than a request's body: a status of a whole fleet is.
 const RESPONSE_FACTOR: usize = 64;
 
 /// A fault as a response, with its status.
 #[derive(Debug)]
-pub struct Answer(pub StatusCode, pub Fault);
+pub struct FaultResponse(pub StatusCode, pub Fault);
 
-impl std::fmt::Display for Answer {
+impl std::fmt::Display for FaultResponse {
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         self.1.fmt(formatter)
     }
 }
 
-impl ResponseError for Answer {
+impl ResponseError for FaultResponse {
     fn status_code(&self) -> StatusCode {
         self.0
     }
@@ -54,18 +54,18 @@
     }
 }
 
-impl From<Fault> for Answer {
+impl From<Fault> for FaultResponse {
     fn from(fault: Fault) -> Self {
-        Answer(status(&fault), fault)
+        FaultResponse(status(&fault), fault)
     }
 }
 
 /// How JSON bodies are read: limited, unknown fields rejected by the types, faults in the one shape.
 pub fn json_config() -> web::JsonConfig {
     web::JsonConfig::default()
-        .limit(BODY_MAX)
+        .limit(MAX_BODY_BYTES)
         .content_type_required(false)
-        .error_handler(|error, _: &HttpRequest| Answer::from(body_fault(&error)).into())
+        .error_handler(|error, _: &HttpRequest| FaultResponse::from(body_fault(&error)).into())
 }
 
 /// An error of serde's without the text that it quotes, which may be a tenant's key.
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// Always: a fault with code `not_found`.
-pub async fn no_such_path(request: HttpRequest) -> Result<HttpResponse, Answer> {
+pub async fn no_such_path(request: HttpRequest) -> Result<HttpResponse, FaultResponse> {
     let message = format!("no call {} {}", request.method(), request.path());
     Err(Fault::new("not_found", "find_path", message).into())
 }
@@ -144,7 +144,7 @@
     let mut response = sent.map_err(|error| unreachable("send_call", error.to_string()))?;
     let bytes = response
         .body()
-        .limit(RESPONSE_FACTOR * BODY_MAX)
+        .limit(RESPONSE_FACTOR * MAX_BODY_BYTES)
         .await
         .map_err(|error| unreachable("read_answer", error.to_string()))?;
     if !response.status().is_success() {
--- a/daemon-parts/src/look.rs
+++ b/daemon-parts/src/inspect.rs
@@ -6,9 +6,9 @@
 type Inspection<A, T> = Box<dyn FnOnce(&mut A, Ms) -> T + Send>;
 
 /// Runs a function on the actor's state with the time.
-pub struct Look<A, T>(pub Inspection<A, T>);
+pub struct Inspect<A, T>(pub Inspection<A, T>);
 
-impl<A, T: Send + 'static> Message for Look<A, T> {
+impl<A, T: Send + 'static> Message for Inspect<A, T> {
     /// An error where the owner has no state at the moment.
     type Result = Result<T, ()>;
 }
--- a/daemon-parts/src/lib.rs
+++ b/daemon-parts/src/lib.rs
@@ -3,9 +3,9 @@
 pub mod channels;
 pub mod clock;
 pub mod http;
+pub mod inspect;
 pub mod limits;
 pub mod logging;
-pub mod look;
 pub mod operator;
 pub mod params;
 pub mod stop;
--- a/daemon-parts/src/logging.rs
+++ b/daemon-parts/src/logging.rs
@@ -8,15 +8,15 @@
 
 /// A program could not start: what it was about to do. The report carries the cause and what it concerns.
 #[derive(Debug)]
-pub struct StartFault(pub &'static str);
+pub struct StartError(pub &'static str);
 
-impl fmt::Display for StartFault {
+impl fmt::Display for StartError {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         write!(formatter, "could not {}", self.0)
     }
 }
 
-impl std::error::Error for StartFault {}
+impl std::error::Error for StartError {}
 
 fn write_line(
     output: &mut dyn io::Write,
@@ -36,13 +36,13 @@
 ///
 /// # Errors
 /// The level is none that the logger knows, or a logger runs already.
-pub fn start(level: &str) -> Result<LoggerHandle, Report<StartFault>> {
+pub fn start(level: &str) -> Result<LoggerHandle, Report<StartError>> {
     // Reports go into log lines: no colours there.
     Report::set_color_mode(error_stack::fmt::ColorMode::None);
     // Libraries only log warnings; numbered events come from this package.
     Logger::try_with_str(format!("warn, daemon_parts={level}"))
         .and_then(|logger| logger.format(write_line).log_to_stderr().start())
-        .change_context(StartFault("start the log"))
+        .change_context(StartError("start the log"))
 }
 
 /// Logs one numbered event.
--- a/daemon-parts/src/operator.rs
+++ b/daemon-parts/src/operator.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-use crate::{clock, http::call_path, limits::OPERATOR_LIMIT};
+use crate::{clock, http::call_path, limits::OPERATOR_CALL_TIMEOUT};
 
 /// A client of the control daemons.
 pub struct Operator {
@@ -49,7 +49,16 @@
                 let message = format!("{addr:?} is no IP:port");
                 return Err(Fault::new("bad_request", "call_control", message).field("control"));
             }
-            match call_path(&self.client, addr, method, path, body, OPERATOR_LIMIT).await {
+            match call_path(
+                &self.client,
+                addr,
+                method,
+                path,
+                body,
+                OPERATOR_CALL_TIMEOUT,
+            )
+            .await
+            {
                 Err(fault) if body.is_some() && may_have_arrived(&fault) => {
                     let message = "the answer was lost; read the key to find out";
                     return Err(Fault::new("unknown", "read_answer", message).peer(addr));
--- a/daemon-parts/src/params.rs
+++ b/daemon-parts/src/params.rs
@@ -59,7 +59,7 @@
 }
 
 /// A field that a program needs.
-pub type Need = &'static str;
+pub type RequiredField = &'static str;
 
 /// Longest name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
@@ -152,7 +152,7 @@
 ///
 /// # Errors
 /// Every error that was found.
-pub fn read(matches: &ArgMatches, needs: &[Need]) -> Result<Params, Vec<String>> {
+pub fn read(matches: &ArgMatches, needs: &[RequiredField]) -> Result<Params, Vec<String>> {
     let mut params = from_file(matches).map_err(|error| vec![error])?;
     apply_flags(&mut params, matches);
     if params.bind.is_empty() {
@@ -208,7 +208,7 @@
 
 /// Every error in the settings. A program that needs `founders` instead of `seeds` and `members` is bootstrapped by the
 /// daemons at the seeds, and no names are given.
-pub fn check(params: &Params, needs: &[Need]) -> Vec<String> {
+pub fn check(params: &Params, needs: &[RequiredField]) -> Vec<String> {
     let mut errors = Vec::new();
     errors.extend(check_name("name", &params.name, needs));
     errors.extend(check_name("zone", &params.zone, needs));
@@ -227,7 +227,7 @@
     errors
 }
 
-fn check_name(field: &str, name: &str, needs: &[Need]) -> Option<String> {
+fn check_name(field: &str, name: &str, needs: &[RequiredField]) -> Option<String> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
     let valid = !name.is_empty() && name.len() <= NAME_BYTES_MAX && name.bytes().all(allowed);
     if valid || !needs.contains(&field) {
@@ -243,14 +243,14 @@
         .is_ok_and(|address| address.port() > 0)
 }
 
-fn check_address(field: &str, address: &str, needs: &[Need]) -> Option<String> {
+fn check_address(field: &str, address: &str, needs: &[RequiredField]) -> Option<String> {
     if !needs.contains(&field) || is_address(address) {
         return None;
     }
     Some(format!("{field}: {address:?} is no IP:port"))
 }
 
-fn check_seeds(params: &Params, needs: &[Need]) -> Vec<String> {
+fn check_seeds(params: &Params, needs: &[RequiredField]) -> Vec<String> {
     let bootstraps = needs.contains(&"founders");
     if !needs.contains(&"seeds") && !bootstraps {
         return Vec::new();
@@ -268,7 +268,7 @@
     errors
 }
 
-fn check_members(params: &Params, needs: &[Need]) -> Vec<String> {
+fn check_members(params: &Params, needs: &[RequiredField]) -> Vec<String> {
     if !needs.contains(&"members") {
         return Vec::new();
     }
@@ -289,7 +289,7 @@
 }
 
 /// Reads the settings or ends the program: with the errors, or after `--check-params`.
-pub fn read_or_exit(command: Command, needs: &[Need]) -> Params {
+pub fn read_or_exit(command: Command, needs: &[RequiredField]) -> Params {
     let matches = command.get_matches();
     match read(&matches, needs) {
         Ok(_) if matches.get_flag("check-params") => {
--- a/daemon-parts/src/stop.rs
+++ b/daemon-parts/src/stop.rs
@@ -5,7 +5,7 @@
 use error_stack::{Report, ResultExt};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-use crate::logging::{StartFault, event};
+use crate::logging::{StartError, event};
 
 /// The signals that ask a process to stop. Listened to before the first port is served: until then a signal ends the
 /// process at once, when it has accepted nothing yet.
@@ -19,8 +19,8 @@
     ///
     /// # Errors
     /// The handlers could not be installed.
-    pub fn listen() -> Result<Self, Report<StartFault>> {
-        let listen = |kind| signal(kind).change_context(StartFault("listen to signals"));
+    pub fn listen() -> Result<Self, Report<StartError>> {
+        let listen = |kind| signal(kind).change_context(StartError("listen to signals"));
         Ok(StopSignals {
             terminate: listen(SignalKind::terminate())?,
             interrupt: listen(SignalKind::interrupt())?,
@@ -28,7 +28,7 @@
     }
 
     /// Returns when the process is asked to stop.
-    pub async fn asked(&mut self, name: &str) {
+    pub async fn received(&mut self, name: &str) {
         tokio::select! {
             _ = self.terminate.recv() => (),
             _ = self.interrupt.recv() => (),
@@ -48,7 +48,7 @@
     let handle = server.handle();
     let served = actix_rt::spawn(server);
     event(events::STARTED, name, ports);
-    signals.asked(name).await;
+    signals.received(name).await;
     farewell.await;
     handle.stop(true).await;
     let _ = served.await;
--- a/edge-agent/src/actor.rs
+++ b/edge-agent/src/actor.rs
@@ -10,9 +10,9 @@
 use daemon_parts::{
     channels::{Channels, Incoming},
     clock,
-    limits::MAILBOX,
+    inspect::Inspect,
+    limits::MAILBOX_CAPACITY,
     logging::event,
-    look::Look,
 };
 
 /// The only owner of the state machine. Its channels to other processes open once it runs.
@@ -71,7 +71,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        context.set_mailbox_capacity(MAILBOX);
+        context.set_mailbox_capacity(MAILBOX_CAPACITY);
         let inbox: Recipient<Incoming> = context.address().recipient();
         self.channels = Some(Channels::new(&self.name, &self.listen_addr, inbox));
         let tick_interval = Duration::from_millis(TICK_INTERVAL);
@@ -91,10 +91,10 @@
     }
 }
 
-impl<T: Send + 'static> Handler<Look<Self, T>> for AgentActor {
+impl<T: Send + 'static> Handler<Inspect<Self, T>> for AgentActor {
     type Result = Result<T, ()>;
 
-    fn handle(&mut self, look: Look<Self, T>, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, look: Inspect<Self, T>, _: &mut Self::Context) -> Self::Result {
         Ok((look.0)(self, clock::now()))
     }
 }
--- a/edge-agent/src/lib.rs
+++ b/edge-agent/src/lib.rs
@@ -7,9 +7,9 @@
 use coordination::{edge_agent::EdgeAgent, events};
 use daemon_parts::{
     channels, clock,
-    limits::{AGENT_LAST, FAREWELL},
-    logging::{self, StartFault, event},
-    look::Look,
+    inspect::Inspect,
+    limits::{AGENT_STOP_MARGIN, PROXY_STOP_CHECK_INTERVAL},
+    logging::{self, StartError, event},
     params::Params,
     stop::StopSignals,
 };
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// If logging, the signal handlers or the listener can't be started.
-pub async fn run(params: Params) -> Result<(), Report<StartFault>> {
+pub async fn run(params: Params) -> Result<(), Report<StartError>> {
     let _log = logging::start(&params.log)?;
     let agent = new_agent(&params);
     let mut signals = StopSignals::listen()?;
@@ -30,7 +30,7 @@
     channels::listen(&params.bind, actor.clone().recipient()).await?;
     let text = format!("processes {}", params.listen);
     event(events::STARTED, &params.name, &text);
-    signals.asked(&params.name).await;
+    signals.received(&params.name).await;
     wait_for_proxy(&actor, &params).await;
     event(events::STOPPED, &params.name, "");
     Ok(())
@@ -38,7 +38,7 @@
 
 /// The state machine of a new incarnation.
 fn new_agent(params: &Params) -> EdgeAgent {
-    let incarnation = clock::born();
+    let incarnation = clock::new_incarnation();
     let me = Node {
         name: params.name.as_str().into(),
         zone: params.zone.as_str().into(),
@@ -60,15 +60,15 @@
 /// Goes on while the proxy drains, but not beyond the grace period: a proxy that was asked to stop
 /// as well still serves what comes, by this agent's rule and updates.
 async fn wait_for_proxy(actor: &Addr<AgentActor>, params: &Params) {
-    let deadline = clock::now() + params.bounds.grace.saturating_sub(AGENT_LAST);
-    tokio::time::sleep(FAREWELL).await;
+    let deadline = clock::now() + params.bounds.grace.saturating_sub(AGENT_STOP_MARGIN);
+    tokio::time::sleep(PROXY_STOP_CHECK_INTERVAL).await;
     while clock::now() < deadline {
-        let is_draining = Look(Box::new(|actor: &mut AgentActor, now| {
+        let is_draining = Inspect(Box::new(|actor: &mut AgentActor, now| {
             actor.agent().proxy_is_draining(now)
         }));
         if !matches!(actor.send(is_draining).await, Ok(Ok(true))) {
             break;
         }
-        tokio::time::sleep(FAREWELL).await;
+        tokio::time::sleep(PROXY_STOP_CHECK_INTERVAL).await;
     }
 }
--- a/edge-proxy/src/actor.rs
+++ b/edge-proxy/src/actor.rs
@@ -14,9 +14,9 @@
 use daemon_parts::{
     channels::{Channels, Incoming},
     clock, http,
-    limits::{CALL_LIMIT, HELLO_EVERY, MAILBOX},
+    inspect::Inspect,
+    limits::{CALL_TIMEOUT, MAILBOX_CAPACITY, PROXY_REPORT_INTERVAL},
     logging::event,
-    look::Look,
 };
 use remote_calls::{Fault, ReplicaReport, RunRequest, calls};
 use tokio::sync::oneshot;
@@ -134,7 +134,7 @@
         for (_, addr) in replicas {
             let client = self.client.clone();
             let call = async move {
-                http::call::<(), ReplicaReport>(&client, &addr, calls::REPORT, None, CALL_LIMIT)
+                http::call::<(), ReplicaReport>(&client, &addr, calls::REPORT, None, CALL_TIMEOUT)
                     .await
             };
             context.spawn(call.into_actor(self).map(move |report, actor, _| {
@@ -159,7 +159,7 @@
         if now < self.next_report_at {
             return;
         }
-        self.next_report_at = now + HELLO_EVERY;
+        self.next_report_at = now + PROXY_REPORT_INTERVAL;
         let mut report = lock(&self.proxy).changed_report(now);
         // A proxy that stops is no longer nominated.
         if self.is_stopping {
@@ -189,7 +189,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        context.set_mailbox_capacity(MAILBOX);
+        context.set_mailbox_capacity(MAILBOX_CAPACITY);
         self.channels = Some(Channels::new(
             &self.name,
             &self.listen_addr,
@@ -237,10 +237,10 @@
     }
 }
 
-impl<T: Send + 'static> Handler<Look<Self, T>> for ProxyActor {
+impl<T: Send + 'static> Handler<Inspect<Self, T>> for ProxyActor {
     type Result = Result<T, ()>;
 
-    fn handle(&mut self, look: Look<Self, T>, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, look: Inspect<Self, T>, _: &mut Self::Context) -> Self::Result {
         Ok((look.0)(self, clock::now()))
     }
 }
--- a/edge-proxy/src/client_connections.rs
+++ b/edge-proxy/src/client_connections.rs
@@ -16,8 +16,8 @@
 use daemon_parts::{
     clock,
     limits::{
-        DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT,
-        DOWNSTREAM_TAKEN_UP, LATE_SLACK,
+        CLIENT_CHECK_INTERVAL, CLIENT_CHECK_LATE, CLIENT_CHECK_SUSPENDED, CLIENT_HEAD_TIMEOUT,
+        CLIENT_IDLE_TIMEOUT, CLIENT_REUSE_FIFTHS, LATE_RESPONSE_SLACK,
     },
 };
 use remote_calls::DownstreamLimits;
@@ -44,15 +44,15 @@
 impl ConnectionState {
     /// When the connection is to be closed.
     pub fn closes_at(self, limits: &DownstreamLimits) -> Ms {
-        let head = limit_or(limits.header_ms, DOWNSTREAM_HEAD);
-        let idle = limit_or(limits.idle_ms, DOWNSTREAM_IDLE);
+        let head = limit_or(limits.header_ms, CLIENT_HEAD_TIMEOUT);
+        let idle = limit_or(limits.idle_ms, CLIENT_IDLE_TIMEOUT);
         match self {
             ConnectionState::New(since) => since.saturating_add(head),
             // A head that begins when the connection may still be reused has its whole time.
             ConnectionState::Idle(since) => {
-                since.saturating_add(idle.max(idle / 5 * DOWNSTREAM_TAKEN_UP + head))
+                since.saturating_add(idle.max(idle / 5 * CLIENT_REUSE_FIFTHS + head))
             }
-            ConnectionState::Busy(until) => until.saturating_add(LATE_SLACK),
+            ConnectionState::Busy(until) => until.saturating_add(LATE_RESPONSE_SLACK),
         }
     }
 
@@ -164,10 +164,10 @@
     /// A check comes now.
     pub fn on_check(&mut self, now: Ms) {
         let elapsed = now.saturating_sub(mem::replace(&mut self.checked_at, now));
-        self.is_late = elapsed > DOWNSTREAM_LATE;
+        self.is_late = elapsed > CLIENT_CHECK_LATE;
         // Never twice in a row: what was sent during the first suspension has been read by now, and a machine that is slow
         // for long still closes what is idle.
-        self.was_suspended = elapsed > DOWNSTREAM_SLEPT && !self.was_suspended;
+        self.was_suspended = elapsed > CLIENT_CHECK_SUSPENDED && !self.was_suspended;
     }
 
     /// What a connection does now that this process runs again.
@@ -214,7 +214,7 @@
 async fn check_connections(registry: Rc<ConnectionRegistry>, proxy: SharedProxy) {
     let mut check_clock = CheckClock::new(clock::now());
     while !registry.connections.borrow().is_empty() {
-        tokio::time::sleep(Duration::from_millis(DOWNSTREAM_LOOK)).await;
+        tokio::time::sleep(Duration::from_millis(CLIENT_CHECK_INTERVAL)).await;
         check_clock.on_check(clock::now());
         let limits = lock(&proxy).client_limits().cloned().unwrap_or_default();
         let connections = mem::take(&mut *registry.connections.borrow_mut());
--- a/edge-proxy/src/exchange.rs
+++ b/edge-proxy/src/exchange.rs
@@ -13,7 +13,7 @@
 };
 use daemon_parts::{
     clock,
-    limits::{ONCE_IDLE, UNREACHED_MOST},
+    limits::{MAX_UNREACHED_REPLICAS, RUN_ONCE_MAX_IDLE},
     logging::event,
 };
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Response, StatusCode, Uri};
@@ -265,7 +265,7 @@
         let idle_max = if self.is_idempotent() {
             Ms::MAX
         } else {
-            ONCE_IDLE
+            RUN_ONCE_MAX_IDLE
         };
         self.pool
             .take_idle(&attempt.assignment.addr, idle_max, clock::now())
@@ -342,7 +342,7 @@
     /// The replica that was meant was not there.
     fn retry_unreached(&mut self) -> AttemptEnd {
         self.history.unreached += 1;
-        if self.history.unreached > UNREACHED_MOST {
+        if self.history.unreached > MAX_UNREACHED_REPLICAS {
             return AttemptEnd::Rejected(self.give_up("no replica can be reached"));
         }
         AttemptEnd::Retry
--- a/edge-proxy/src/http.rs
+++ b/edge-proxy/src/http.rs
@@ -9,9 +9,9 @@
 use coordination::{Ms, events};
 use daemon_parts::{
     clock,
-    http::{Answer, json_config, no_such_path},
+    http::{FaultResponse, json_config, no_such_path},
+    inspect::Inspect,
     logging::event,
-    look::Look,
 };
 use remote_calls::{Counter, Counters, Fault, Health, NominateRequest, Outcome, calls};
 
@@ -25,10 +25,10 @@
 /// The actor, as the calls get it.
 pub(crate) type ActorData = web::Data<Addr<ProxyActor>>;
 /// The response to a call.
-pub(crate) type Reply = Result<HttpResponse, Answer>;
+pub(crate) type Reply = Result<HttpResponse, FaultResponse>;
 
 /// The actor's mailbox is full.
-pub(crate) fn overloaded<E>(_: E) -> Answer {
+pub(crate) fn overloaded<E>(_: E) -> FaultResponse {
     Fault::new("overload", "ask_owner", "the proxy's buffer is full")
         .retry(1_000)
         .outcome(Outcome::NotRun)
@@ -39,8 +39,8 @@
 pub(crate) async fn ask_actor<T: Send + 'static>(
     actor: &ActorData,
     function: impl FnOnce(&mut ProxyActor, Ms) -> T + Send + 'static,
-) -> Result<T, Answer> {
-    let look = Look(Box::new(function));
+) -> Result<T, FaultResponse> {
+    let look = Inspect(Box::new(function));
     actor
         .send(look)
         .await
--- a/edge-proxy/src/lib.rs
+++ b/edge-proxy/src/lib.rs
@@ -33,9 +33,9 @@
 use coordination::{events, proxy::Proxy, state_table::SpecParser};
 use daemon_parts::{
     channels, clock,
-    limits::{BACKLOG, NOT_YET, STOP_LOOK, WORKERS},
-    logging::{self, StartFault, event},
-    look::Look,
+    inspect::Inspect,
+    limits::{HTTP_WORKERS, LISTEN_BACKLOG, STARTUP_WAIT, STOP_CHECK_INTERVAL},
+    logging::{self, StartError, event},
     params::Params,
     stop::StopSignals,
 };
@@ -55,7 +55,7 @@
         params.name.as_str().into(),
         params.zone.as_str().into(),
         params.http.as_str().into(),
-        clock::born(),
+        clock::new_incarnation(),
         fastrand::u64(..),
     );
     proxy.set_spec_parser(parse_spec);
@@ -80,7 +80,7 @@
     params: Params,
     adapter: Option<Arc<dyn ProtocolAdapter>>,
     parse_spec: SpecParser,
-) -> Result<(), Report<StartFault>> {
+) -> Result<(), Report<StartError>> {
     let _log = logging::start(&params.log)?;
     let signals = StopSignals::listen()?;
     let proxy: SharedProxy = Arc::new(Mutex::new(new_proxy(&params, parse_spec)));
@@ -102,7 +102,7 @@
 
 impl Daemon {
     /// Serves the product's own calls alone.
-    fn serve_own_calls(&self) -> Result<Server, Report<StartFault>> {
+    fn serve_own_calls(&self) -> Result<Server, Report<StartError>> {
         let actor = web::Data::new(self.actor.clone());
         let shutdown = web::Data::from(self.shutdown.clone());
         let server = HttpServer::new(move || {
@@ -112,10 +112,10 @@
                 .configure(http::routes)
         });
         let server = server
-            .workers(WORKERS)
+            .workers(HTTP_WORKERS)
             .disable_signals()
             .bind(&self.params.http)
-            .change_context(StartFault("bind the HTTP port"))
+            .change_context(StartError("bind the HTTP port"))
             .attach_with(|| self.params.http.clone())?;
         Ok(server.run())
     }
@@ -125,25 +125,25 @@
         &self,
         proxy: SharedProxy,
         adapter: Arc<dyn ProtocolAdapter>,
-    ) -> Result<Server, Report<StartFault>> {
+    ) -> Result<Server, Report<StartError>> {
         let listener = Listener {
             proxy,
             adapter,
             shutdown: self.shutdown.clone(),
             readiness_addr: self.params.readiness.clone(),
-            startup_wait: NOT_YET,
+            startup_wait: STARTUP_WAIT,
         };
         let ports = [&self.params.http, &self.params.readiness]
             .into_iter()
             .filter(|addr| !addr.is_empty())
             .map(|addr| {
                 listen(addr)
-                    .change_context(StartFault("bind an HTTP port"))
+                    .change_context(StartError("bind an HTTP port"))
                     .attach_with(|| addr.clone())
             })
             .collect::<Result<Vec<_>, _>>()?;
         serve(listener, self.actor.clone(), ports)
-            .change_context(StartFault("serve the HTTP ports"))
+            .change_context(StartError("serve the HTTP ports"))
     }
 
     /// Serves until the process is asked to stop, and on to its end.
@@ -153,11 +153,11 @@
         let params = &self.params;
         let text = format!("http {} processes {}", params.http, params.listen);
         event(events::STARTED, &params.name, &text);
-        self.signals.asked(&params.name).await;
-        let stop = Look(Box::new(|actor: &mut ProxyActor, now| actor.stop(now)));
+        self.signals.received(&params.name).await;
+        let stop = Inspect(Box::new(|actor: &mut ProxyActor, now| actor.stop(now)));
         let _ = self.actor.send(stop).await;
         shut_down(&self.shutdown, &handle, params.bounds.grace).await;
-        let _ = tokio::time::timeout(STOP_LOOK, served).await;
+        let _ = tokio::time::timeout(STOP_CHECK_INTERVAL, served).await;
         event(events::STOPPED, &params.name, "");
     }
 }
@@ -167,7 +167,7 @@
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
--- a/edge-proxy/src/listener.rs
+++ b/edge-proxy/src/listener.rs
@@ -13,7 +13,7 @@
 };
 use daemon_parts::{
     clock,
-    limits::{NO_LANE_LIMIT, NOT_YET_LOOK, STOP_RETRY},
+    limits::{NO_LANE_TIMEOUT, STARTUP_CHECK_INTERVAL, STOP_RETRY_AFTER},
     logging::event,
 };
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, Uri, header};
@@ -125,7 +125,7 @@
     async fn wait_until_ready(&self) {
         let until = clock::now() + self.startup_wait;
         while !lock(&self.proxy).is_ready(clock::now()) && clock::now() < until {
-            tokio::time::sleep(NOT_YET_LOOK).await;
+            tokio::time::sleep(STARTUP_CHECK_INTERVAL).await;
         }
     }
 
@@ -227,7 +227,7 @@
         check_head_size(request, &limits)?;
         let time_limit = admitted
             .as_ref()
-            .map_or(NO_LANE_LIMIT, |admitted| admitted.lane.time_limit_ms);
+            .map_or(NO_LANE_TIMEOUT, |admitted| admitted.lane.time_limit_ms);
         let time_left = head
             .time_left_ms
             .map_or(time_limit, |time_left| time_left.min(time_limit));
@@ -371,7 +371,7 @@
     let message = "its body did not come in its time left";
     let fault = Fault::new("no_time", "read_body", message)
         .outcome(Outcome::NotRun)
-        .retry(STOP_RETRY);
+        .retry(STOP_RETRY_AFTER);
     (StatusCode::REQUEST_TIMEOUT, fault)
 }
 
--- a/edge-proxy/src/pool.rs
+++ b/edge-proxy/src/pool.rs
@@ -17,8 +17,9 @@
 use daemon_parts::{
     clock,
     limits::{
-        CHANNEL_BYTES, IDLE_KEPT, IDLE_MARGIN, IDLE_SWEEP, OPEN_BASE, OPEN_FACTOR, OPEN_WEIGHT,
-        PROBE_EVERY, REJECTION_MAX, SENT_LIMIT,
+        CONNECT_ROUND_TRIPS, CONNECT_TIME_BASE, CONNECT_TIME_WEIGHT, CONNECTION_BUFFER_BYTES,
+        IDLE_CLOSE_MARGIN, IDLE_SWEEP_INTERVAL, KEEPALIVE_INTERVAL, MAX_IDLE, MAX_REJECTION_BYTES,
+        UNACKNOWLEDGED_TIMEOUT,
     },
 };
 use http::{HeaderMap, HeaderValue, Request, Response};
@@ -85,7 +86,9 @@
 
 impl Peer {
     fn record_connect_time(&self, took: Ms) {
-        let average = (self.connect_ms.get() * (100 - OPEN_WEIGHT) + took * OPEN_WEIGHT) / 100;
+        let average = (self.connect_ms.get() * (100 - CONNECT_TIME_WEIGHT)
+            + took * CONNECT_TIME_WEIGHT)
+            / 100;
         self.connect_ms.set(average);
     }
 
@@ -180,8 +183,8 @@
         self.keep_alive = if closes_connection(headers) {
             0
         } else {
-            keep_alive_timeout(headers).map_or(IDLE_KEPT, |timeout| {
-                timeout.saturating_sub(IDLE_MARGIN).min(IDLE_KEPT)
+            keep_alive_timeout(headers).map_or(MAX_IDLE, |timeout| {
+                timeout.saturating_sub(IDLE_CLOSE_MARGIN).min(MAX_IDLE)
             })
         };
     }
@@ -264,7 +267,7 @@
             .map_err(|error| ConnectError::failed(addr, error))?;
         let socket = new_socket().map_err(|error| ConnectError::failed(addr, error))?;
         let expected_ms = peer.connect_ms.get().max(round_trip_ms);
-        let limit = (OPEN_BASE + OPEN_FACTOR * expected_ms).min(time_left);
+        let limit = (CONNECT_TIME_BASE + CONNECT_ROUND_TRIPS * expected_ms).min(time_left);
         let begun_at = clock::now();
         let counted = CountedConnection::new(peer.clone());
         let connected = timeout(Duration::from_millis(limit), socket.connect(target)).await;
@@ -296,8 +299,8 @@
     /// Reads what little is left of a response that is not wanted, and takes the connection back.
     pub fn drain(self: Rc<Self>, connection: Connection, body: Incoming) {
         actix_rt::spawn(async move {
-            let rest = Limited::new(body, REJECTION_MAX as usize).collect();
-            if matches!(timeout(SENT_LIMIT, rest).await, Ok(Ok(_))) {
+            let rest = Limited::new(body, MAX_REJECTION_BYTES as usize).collect();
+            if matches!(timeout(UNACKNOWLEDGED_TIMEOUT, rest).await, Ok(Ok(_))) {
                 self.put_back(connection, clock::now());
             }
         });
@@ -305,7 +308,7 @@
 
     /// Replicas come and go: what is idle too long at any of them is closed.
     fn sweep(&self, now: Ms) {
-        if now.saturating_sub(self.swept_at.get()) < IDLE_SWEEP {
+        if now.saturating_sub(self.swept_at.get()) < IDLE_SWEEP_INTERVAL {
             return;
         }
         self.swept_at.set(now);
@@ -320,10 +323,10 @@
     let socket = TcpSocket::new_v4()?;
     let _ = socket.set_nodelay(true);
     let options = SockRef::from(&socket);
-    let _ = options.set_tcp_user_timeout(Some(SENT_LIMIT));
+    let _ = options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     let _ = options.set_tcp_keepalive(&keepalive);
     Ok(socket)
 }
@@ -335,7 +338,7 @@
 ) -> hyper::Result<Connection> {
     let fd = stream.as_raw_fd();
     let (sender, io) = Builder::new()
-        .max_buf_size(CHANNEL_BYTES)
+        .max_buf_size(CONNECTION_BUFFER_BYTES)
         .handshake(TokioIo::new(stream))
         .await?;
     let io_task = actix_rt::spawn(async move {
@@ -348,7 +351,7 @@
         fd,
         counted,
         idle_since: now,
-        keep_alive: IDLE_KEPT,
+        keep_alive: MAX_IDLE,
         was_used: false,
     })
 }
--- a/edge-proxy/src/replica_stream.rs
+++ b/edge-proxy/src/replica_stream.rs
@@ -12,7 +12,7 @@
 };
 use daemon_parts::{
     clock,
-    limits::{LINE_MAX, OPEN_LIMIT},
+    limits::{MAX_LINE_BYTES, REPLICA_CONNECT_TIMEOUT},
 };
 use futures_util::{Stream, StreamExt};
 use remote_calls::{Fault, GenerateRequest, Outcome, RunRequest, StreamLine, calls};
@@ -34,7 +34,7 @@
 
 /// Connecting on its own keeps "nothing was sent" provable for the commonest failure, a dead replica.
 async fn check_connects(assignment: &Assignment, time_left: Ms) -> Result<(), AttemptError> {
-    let connect_limit = Duration::from_millis(OPEN_LIMIT.min(time_left));
+    let connect_limit = Duration::from_millis(REPLICA_CONNECT_TIMEOUT.min(time_left));
     match timeout(connect_limit, TcpStream::connect(&*assignment.addr)).await {
         Ok(Ok(_)) => Ok(()),
         _ => Err(AttemptError::NotRun(replica_fault(
@@ -99,7 +99,11 @@
         .await
         .map_err(|error| AttemptError::Unknown(replica_fault(assignment, "replica_lost", error)))?;
     if !response.status().is_success() {
-        let body = response.body().limit(LINE_MAX).await.unwrap_or_default();
+        let body = response
+            .body()
+            .limit(MAX_LINE_BYTES)
+            .await
+            .unwrap_or_default();
         return Err(response_error(assignment, response.status(), &body));
     }
     Ok(ReplicaStream {
@@ -126,7 +130,7 @@
                         .broken("bad_stream", "a line is no stream line"),
                 };
             }
-            if self.buffer.len() > LINE_MAX {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return self.checker.broken("bad_stream", "a line is too long");
             }
             let time_left = Duration::from_millis(self.deadline.saturating_sub(clock::now()));
--- a/edge-proxy/src/request_body.rs
+++ b/edge-proxy/src/request_body.rs
@@ -10,7 +10,7 @@
 
 use actix_web::{dev::Payload, web::BytesMut};
 use bytes::Bytes;
-use daemon_parts::limits::UPLOAD_KEPT;
+use daemon_parts::limits::MAX_RETAINED_BODY_BYTES;
 use futures_util::{Stream, StreamExt};
 use http_body::{Body, Frame, SizeHint};
 
@@ -64,7 +64,7 @@
             let Some(bytes_allowed) = bytes_max.checked_sub(buffer.len() as u64) else {
                 return Err(BodyError::TooLarge);
             };
-            if buffer.len() > UPLOAD_KEPT {
+            if buffer.len() > MAX_RETAINED_BODY_BYTES {
                 return Ok(RequestBody::Streaming(StreamingBody {
                     beginning: buffer.freeze(),
                     rest: payload,
--- a/edge-proxy/src/response.rs
+++ b/edge-proxy/src/response.rs
@@ -10,7 +10,7 @@
 };
 use bytes::Bytes;
 use coordination::{event_stream::ResumableEvents, events, exchange::AttemptOutcome};
-use daemon_parts::{clock, limits::LATE_SLACK, logging::event};
+use daemon_parts::{clock, limits::LATE_RESPONSE_SLACK, logging::event};
 use futures_util::{Stream, stream};
 use http::{HeaderMap, StatusCode, header, response::Parts};
 use http_body_util::BodyExt;
@@ -107,7 +107,7 @@
 
 /// Ends when the response's time is over.
 fn deadline_timer(exchange: &Exchange) -> Sleep {
-    let time_left = exchange.deadline.saturating_sub(clock::now()) + LATE_SLACK;
+    let time_left = exchange.deadline.saturating_sub(clock::now()) + LATE_RESPONSE_SLACK;
     tokio::time::sleep(Duration::from_millis(time_left))
 }
 
--- a/edge-proxy/src/run_call.rs
+++ b/edge-proxy/src/run_call.rs
@@ -17,7 +17,7 @@
     request::{AttemptError, Request, Step, StepResult},
     stream::CheckedLine,
 };
-use daemon_parts::{clock, http::Answer, limits::LINES, logging::event};
+use daemon_parts::{clock, http::FaultResponse, limits::LINE_QUEUE_CAPACITY, logging::event};
 use futures_util::stream;
 use remote_calls::{Fault, Outcome, RunRequest, StreamLine};
 use tokio::sync::mpsc;
@@ -55,7 +55,7 @@
 ) -> Reply {
     let open_request = OpenRequest::new(&gate, &http_request);
     if !gate.try_accept() {
-        let mut rejection = Answer::from(shutdown_rejection()).error_response();
+        let mut rejection = FaultResponse::from(shutdown_rejection()).error_response();
         rejection
             .head_mut()
             .set_connection_type(ConnectionType::Close);
@@ -76,7 +76,7 @@
             return Err(fault.into());
         }
     };
-    let (sender, lines) = mpsc::channel(LINES);
+    let (sender, lines) = mpsc::channel(LINE_QUEUE_CAPACITY);
     actix_rt::spawn(forward(actor, request.run_request, started, sender));
     Ok(line_response(lines, open_request, gate.is_begun()))
 }
--- a/edge-proxy/src/shutdown.rs
+++ b/edge-proxy/src/shutdown.rs
@@ -9,7 +9,7 @@
 use coordination::{Ms, events, shutdown::Shutdown};
 use daemon_parts::{
     clock,
-    limits::{STOP_FLUSH, STOP_LOOK, STOP_RETRY},
+    limits::{STOP_CHECK_INTERVAL, STOP_FLUSH_TIME, STOP_RETRY_AFTER},
     logging::event,
 };
 use remote_calls::{Fault, Outcome};
@@ -61,7 +61,7 @@
 pub fn shutdown_rejection() -> Fault {
     Fault::new("stopping", "take_request", "this edge stops")
         .outcome(Outcome::NotRun)
-        .retry(STOP_RETRY)
+        .retry(STOP_RETRY_AFTER)
 }
 
 /// A request that is open, from its head to the end of its response.
@@ -101,7 +101,7 @@
     let begun_at = clock::now();
     gate.begin(grace, begun_at);
     while !gate.state().is_done(clock::now()) {
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
     let open_requests = gate.open_requests();
     let last_accepted_at = gate.state().last_accepted_at();
@@ -116,6 +116,6 @@
     gate.is_grace_over.send_replace(true);
     server.pause().await;
     // A stop of the HTTP server would wait for streams and for idle connections; both end with the process.
-    tokio::time::sleep(STOP_FLUSH).await;
+    tokio::time::sleep(STOP_FLUSH_TIME).await;
     drop(server.stop(false));
 }
--- a/edge-proxy/tests/limits.rs
+++ b/edge-proxy/tests/limits.rs
@@ -7,8 +7,8 @@
 
 use coordination::{Ms, bounds::Bounds};
 use daemon_parts::limits::{
-    DOWNSTREAM_HEAD, DOWNSTREAM_IDLE, DOWNSTREAM_LATE, DOWNSTREAM_LOOK, DOWNSTREAM_SLEPT,
-    LATE_SLACK, UNREACHED_MOST, UPLOAD_KEPT,
+    CLIENT_CHECK_INTERVAL, CLIENT_CHECK_LATE, CLIENT_CHECK_SUSPENDED, CLIENT_HEAD_TIMEOUT,
+    CLIENT_IDLE_TIMEOUT, LATE_RESPONSE_SLACK, MAX_RETAINED_BODY_BYTES, MAX_UNREACHED_REPLICAS,
 };
 use edge_proxy::client_connections::{CheckClock, CheckResult, ConnectionState};
 use googletest::prelude::*;
@@ -80,7 +80,7 @@
             )
         };
         // Kept whole, and flowing.
-        for most in [64, UPLOAD_KEPT + 64_000] {
+        for most in [64, MAX_RETAINED_BODY_BYTES + 64_000] {
             let r = Replica::plain("x").await;
             let l = limits(0, most as u64, 0, 0);
             let e = Edge::start(
@@ -107,7 +107,7 @@
                 "{most}"
             );
             // What flowed was cut off at its replica, which is waited for; no replica has got a whole request of it.
-            let flowed = usize::from(most > UPLOAD_KEPT);
+            let flowed = usize::from(most > MAX_RETAINED_BODY_BYTES);
             e.until(|_| r.cut.lock().unwrap().len() == flowed).await;
             expect_that!((r.count(), e.open(), e.tallies().2), eq((2, 0, 0)));
         }
@@ -169,8 +169,8 @@
         (0, 0),
     ] {
         let l = limits(0, 0, head, idle);
-        let idle = if idle > 0 { idle } else { DOWNSTREAM_IDLE };
-        let head = if head > 0 { head } else { DOWNSTREAM_HEAD };
+        let idle = if idle > 0 { idle } else { CLIENT_IDLE_TIMEOUT };
+        let head = if head > 0 { head } else { CLIENT_HEAD_TIMEOUT };
         // A head that begins after four fifths of the rest comes whole; and the rest ends.
         let ends = ConnectionState::Idle(1_000).closes_at(&l);
         expect_that!(
@@ -184,7 +184,7 @@
         expect_that!(ConnectionState::New(1_000).closes_at(&l), eq(1_000 + head));
         expect_that!(
             ConnectionState::Busy(1_000).closes_at(&l),
-            eq(1_000 + LATE_SLACK)
+            eq(1_000 + LATE_RESPONSE_SLACK)
         );
     }
     // What was sent while the process slept is still to be read.
@@ -208,7 +208,7 @@
 #[gtest]
 fn a_process_that_was_kept_from_running_tells_an_end_before_it_closes() {
     let l = limits(0, 0, 100, 100);
-    const ENDS: Ms = 1_000 + LATE_SLACK;
+    const ENDS: Ms = 1_000 + LATE_RESPONSE_SLACK;
     // A look at this time, so long after the one before.
     let check_after = |at: Ms, elapsed: Ms| {
         let mut check_clock = CheckClock::new(at - elapsed);
@@ -218,19 +218,19 @@
     let busy = ConnectionState::Busy(1_000);
     // Looks in time: closed once its time and the slack are over, and not before.
     expect_that!(
-        check_after(ENDS - 1, DOWNSTREAM_LOOK).check_connection(busy, &l, false),
+        check_after(ENDS - 1, CLIENT_CHECK_INTERVAL).check_connection(busy, &l, false),
         eq(checked(false, false))
     );
     expect_that!(
-        check_after(ENDS, DOWNSTREAM_LOOK).check_connection(busy, &l, false),
+        check_after(ENDS, CLIENT_CHECK_INTERVAL).check_connection(busy, &l, false),
         eq(checked(true, true))
     );
     // Its time and the slack may have ended in one pause: whoever answers it has had no turn yet, but has one before
     // the next look, however late that comes.
     for elapsed in [
-        DOWNSTREAM_LATE + 1,
-        2 * DOWNSTREAM_LOOK,
-        DOWNSTREAM_SLEPT + 1,
+        CLIENT_CHECK_LATE + 1,
+        2 * CLIENT_CHECK_INTERVAL,
+        CLIENT_CHECK_SUSPENDED + 1,
         60_000,
     ] {
         let late = check_after(ENDS + elapsed, elapsed);
@@ -246,12 +246,12 @@
         );
     }
     // Nor does what rests stay for ever where each look comes after a sleep.
-    let mut check_clock = check_after(10_000, DOWNSTREAM_SLEPT + 1);
+    let mut check_clock = check_after(10_000, CLIENT_CHECK_SUSPENDED + 1);
     expect_that!(
         check_clock.current_state(ConnectionState::Idle(0)),
         eq(ConnectionState::Idle(10_000))
     );
-    check_clock.on_check(10_000 + DOWNSTREAM_SLEPT + 1);
+    check_clock.on_check(10_000 + CLIENT_CHECK_SUSPENDED + 1);
     expect_that!(
         check_clock.current_state(ConnectionState::Idle(10_000)),
         eq(ConnectionState::Idle(10_000))
@@ -263,7 +263,7 @@
     // Who rests or has begun nothing is closed by the look itself: nobody else would answer.
     for state in [ConnectionState::New(0), ConnectionState::Idle(0)] {
         expect_that!(
-            check_after(1_000, 2 * DOWNSTREAM_LOOK).check_connection(state, &l, false),
+            check_after(1_000, 2 * CLIENT_CHECK_INTERVAL).check_connection(state, &l, false),
             eq(checked(true, true))
         );
     }
@@ -465,7 +465,7 @@
         );
         // And it is not looked for without end.
         let mut others = vec![];
-        for _ in 0..UNREACHED_MOST + 3 {
+        for _ in 0..MAX_UNREACHED_REPLICAS + 3 {
             others.push(Replica::start(another).await);
         }
         let e = Edge::start(
@@ -476,7 +476,7 @@
         expect_that!(ask(&e, request("a", "q")).await.status, eq(503));
         expect_that!(
             others.iter().map(Replica::count).sum::<usize>(),
-            eq(UNREACHED_MOST as usize + 1)
+            eq(MAX_UNREACHED_REPLICAS as usize + 1)
         );
     });
 }
--- a/edge-proxy/tests/pass.rs
+++ b/edge-proxy/tests/pass.rs
@@ -12,7 +12,7 @@
 };
 use daemon_parts::{
     clock,
-    limits::{IDLE_KEPT, NOT_YET},
+    limits::{MAX_IDLE, STARTUP_WAIT},
 };
 use edge_proxy::shared::lock;
 use googletest::prelude::*;
@@ -109,7 +109,7 @@
             eq(200)
         );
         expect_that!(r.got(0).body, eq(b"abc"));
-        for length in [daemon_parts::limits::UPLOAD_KEPT, 3 << 20] {
+        for length in [daemon_parts::limits::MAX_RETAINED_BODY_BYTES, 3 << 20] {
             let n = r.count();
             let big = "y".repeat(length);
             expect_that!(ask(&e, request("b", &big)).await.status, eq(200));
@@ -265,7 +265,7 @@
             (a.status, a.header("retry-after").is_some(), r.count()),
             eq((503, true, 1))
         );
-        expect_that!(clock::now() - began, ge(NOT_YET));
+        expect_that!(clock::now() - began, ge(STARTUP_WAIT));
     });
 }
 
@@ -588,7 +588,7 @@
     run(async {
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("repeatable", 1), &[r.addr]).await;
-        for wait in [0, 0, IDLE_KEPT + 100] {
+        for wait in [0, 0, MAX_IDLE + 100] {
             tokio::time::sleep(Duration::from_millis(wait)).await;
             expect_that!(ask(&e, request("a", "q")).await.status, eq(200));
             e.rests().await;
--- a/edge-proxy/tests/rounds.rs
+++ b/edge-proxy/tests/rounds.rs
@@ -7,7 +7,7 @@
     atomic::{AtomicUsize, Ordering::Relaxed},
 };
 
-use daemon_parts::{clock, limits::UPLOAD_KEPT};
+use daemon_parts::{clock, limits::MAX_RETAINED_BODY_BYTES};
 use googletest::prelude::*;
 use support::*;
 use tokio::sync::{Notify, watch};
@@ -153,9 +153,9 @@
     run(async {
         // Kept, and flowing; all of it is sent at once, or the end only after the answer.
         for (length, at_once) in [
-            (UPLOAD_KEPT / 2, true),
-            (UPLOAD_KEPT * 2, true),
-            (UPLOAD_KEPT * 2, false),
+            (MAX_RETAINED_BODY_BYTES / 2, true),
+            (MAX_RETAINED_BODY_BYTES * 2, true),
+            (MAX_RETAINED_BODY_BYTES * 2, false),
         ] {
             let (let_go, go) = watch::channel(false);
             let r = Replica::early(|g| whole(g, "x"), go).await;
@@ -165,7 +165,7 @@
             let sent = if at_once {
                 q.len()
             } else {
-                q.len() - UPLOAD_KEPT / 2
+                q.len() - MAX_RETAINED_BODY_BYTES / 2
             };
             let mut d = Downstream::to(e.addr).await;
             d.send(&q[..sent]).await;
@@ -211,9 +211,12 @@
             let e = Edge::start(Lane::of("once", 1), &[r.addr]).await;
             for i in 0..3 {
                 expect_that!(
-                    ask(&e, request(&format!("a{i}"), &"y".repeat(UPLOAD_KEPT)))
-                        .await
-                        .status,
+                    ask(
+                        &e,
+                        request(&format!("a{i}"), &"y".repeat(MAX_RETAINED_BODY_BYTES))
+                    )
+                    .await
+                    .status,
                     eq(status),
                     "{i}"
                 );
@@ -234,7 +237,7 @@
         .await;
         let r = Replica::plain("x").await;
         let e = Edge::start(Lane::of("once", 2), &[full.addr, r.addr]).await;
-        let body = "y".repeat(UPLOAD_KEPT / 2);
+        let body = "y".repeat(MAX_RETAINED_BODY_BYTES / 2);
         for i in 0..4 {
             expect_that!(
                 ask(&e, request(&format!("a{i}"), &body)).await.status,
--- a/edge-proxy/tests/support/mod.rs
+++ b/edge-proxy/tests/support/mod.rs
@@ -18,7 +18,7 @@
     proxy::{Assignment, Proxy},
     wire::{Blob, Change, TableUpdate},
 };
-use daemon_parts::{clock, limits::NOT_YET};
+use daemon_parts::{clock, limits::STARTUP_WAIT};
 use edge_proxy::{
     actor::ProxyActor,
     listener::Listener,
@@ -394,7 +394,7 @@
     }
     /// The same within these bounds.
     pub async fn within(bounds: Bounds, lane: Lane, replicas: &[SocketAddr]) -> Self {
-        Self::of(bounds, NOT_YET, lane, replicas).await
+        Self::of(bounds, STARTUP_WAIT, lane, replicas).await
     }
     /// The same; what comes before it may serve waits so long.
     pub async fn of(bounds: Bounds, not_yet: Ms, lane: Lane, replicas: &[SocketAddr]) -> Self {
--- a/fleet-tools/src/bin/fleet-runner.rs
+++ b/fleet-tools/src/bin/fleet-runner.rs
@@ -186,7 +186,7 @@
     }
     if load == 0 {
         println!("running; Ctrl-C ends it");
-        signals.asked("fleet-runner").await;
+        signals.received("fleet-runner").await;
         return Ok(());
     }
     let service = f.d.spec.services[0].name.clone();
--- a/fleet-tools/src/bin/stand-in-platform.rs
+++ b/fleet-tools/src/bin/stand-in-platform.rs
@@ -9,7 +9,7 @@
 
 use actix_web::{App, HttpResponse, HttpServer, web};
 use clap::{Arg, ArgAction, Command};
-use daemon_parts::http::{Answer, call, json_config, no_such_path};
+use daemon_parts::http::{FaultResponse, call, json_config, no_such_path};
 use fleet_tools::replica::{BEHAVE, Behaviour, HARM, Harm};
 use remote_calls::{
     Fault, OrderAction, OrderAnswer, PlatformDrain, PlatformList, PlatformReplica,
@@ -33,7 +33,7 @@
 #[derive(Clone)]
 struct Platform(Arc<Mutex<State>>);
 type Shared = web::Data<Platform>;
-type Reply = Result<HttpResponse, Answer>;
+type Reply = Result<HttpResponse, FaultResponse>;
 
 impl Platform {
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/fleet-tools/src/caller.rs
+++ b/fleet-tools/src/caller.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use awc::Client;
-use daemon_parts::{clock, http::call, limits::CALL_LIMIT};
+use daemon_parts::{clock, http::call, limits::CALL_TIMEOUT};
 use fleet_simulator::history::Told;
 use futures_util::StreamExt;
 use remote_calls::{
@@ -79,7 +79,7 @@
         ..Told::default()
     };
     let n = w.nominate();
-    match call::<_, Nomination>(c, edge, calls::NOMINATE, Some(&n), CALL_LIMIT).await {
+    match call::<_, Nomination>(c, edge, calls::NOMINATE, Some(&n), CALL_TIMEOUT).await {
         Ok(n) => run(c, w, n, &mut t).await,
         Err(f) => {
             // No answer at all is no rejection: nothing was nominated, so nothing can run.
--- a/fleet-tools/src/fleet.rs
+++ b/fleet-tools/src/fleet.rs
@@ -11,7 +11,7 @@
 };
 
 use awc::Client;
-use daemon_parts::{clock, http::call, limits::OPERATOR_LIMIT, operator::Operator};
+use daemon_parts::{clock, http::call, limits::OPERATOR_CALL_TIMEOUT, operator::Operator};
 use fleet_simulator::history::{History, Run, Told};
 use remote_calls::{Accepted, Fault, Health, PlatformList, ReplicaRuns, RunState, calls};
 
@@ -403,7 +403,7 @@
             &p.http,
             calls::PLATFORM_LIST,
             None,
-            OPERATOR_LIMIT,
+            OPERATOR_CALL_TIMEOUT,
         )
         .await?;
         let mut h = History {
@@ -412,8 +412,14 @@
             ..History::default()
         };
         for r in &l.replicas {
-            let runs: ReplicaRuns =
-                call::<(), _>(&self.client, &r.addr, calls::RUNS, None, OPERATOR_LIMIT).await?;
+            let runs: ReplicaRuns = call::<(), _>(
+                &self.client,
+                &r.addr,
+                calls::RUNS,
+                None,
+                OPERATOR_CALL_TIMEOUT,
+            )
+            .await?;
             h.runs.extend(runs.runs.into_iter().map(|x| Run {
                 run: x.run,
                 request: x.request,
--- a/fleet-tools/src/replica.rs
+++ b/fleet-tools/src/replica.rs
@@ -10,7 +10,7 @@
 use actix_web::{HttpResponse, web, web::Bytes};
 use daemon_parts::{
     clock,
-    http::{Answer, json_config, no_such_path},
+    http::{FaultResponse, json_config, no_such_path},
 };
 use fleet_simulator::wrong::{Spoiler, Wrong};
 use remote_calls::{
@@ -84,7 +84,7 @@
 #[derive(Clone)]
 pub struct Replica(Arc<Mutex<State>>);
 
-type Reply = Result<HttpResponse, Answer>;
+type Reply = Result<HttpResponse, FaultResponse>;
 type Shared = web::Data<Replica>;
 
 impl Replica {
@@ -92,7 +92,7 @@
         let loaded = [(p.version.clone(), clock::now() + p.load_ms)].into();
         Replica(Arc::new(Mutex::new(State {
             p,
-            born: clock::born(),
+            born: clock::new_incarnation(),
             epochs: BTreeMap::new(),
             loaded,
             leaving: false,
--- a/runbook-runner/src/conditions.rs
+++ b/runbook-runner/src/conditions.rs
@@ -1,6 +1,6 @@
 //! Whether the condition of a step holds, by the status of the fleet.
 
-use daemon_parts::{limits::EDGE_HEARD, operator::Operator};
+use daemon_parts::{limits::EDGE_UNREACHABLE_AFTER, operator::Operator};
 use remote_calls::{EdgeStatus, MemberStatus, RolloutPhase, Status};
 
 use crate::runbook::Condition;
@@ -99,7 +99,7 @@
 }
 
 fn is_heard(edge: &EdgeStatus) -> bool {
-    edge.heard_ms_ago <= EDGE_HEARD
+    edge.heard_ms_ago <= EDGE_UNREACHABLE_AFTER
 }
 
 fn honoured(status: &Status, spec: u64, wanted: usize) -> Observation {
--- a/runbook-runner/src/runbook.rs
+++ b/runbook-runner/src/runbook.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use daemon_parts::limits::WITHIN_MAX;
+use daemon_parts::limits::MAX_WITHIN_S;
 use serde::Deserialize;
 
 /// A runbook as its file has it.
@@ -159,8 +159,8 @@
     }
     match (&step.call, &step.wait) {
         (Some(_), None) if step.within_s == 0 => Ok(()),
-        (None, Some(_)) if (1..=WITHIN_MAX).contains(&step.within_s) => Ok(()),
-        (None, Some(_)) => invalid(format!("needs within_s of 1 to {WITHIN_MAX}")),
+        (None, Some(_)) if (1..=MAX_WITHIN_S).contains(&step.within_s) => Ok(()),
+        (None, Some(_)) => invalid(format!("needs within_s of 1 to {MAX_WITHIN_S}")),
         (Some(_), None) => invalid("calls; only waits take within_s".into()),
         _ => invalid("must either call or wait".into()),
     }
--- a/runbook-runner/src/runner.rs
+++ b/runbook-runner/src/runner.rs
@@ -1,7 +1,7 @@
 //! Runs the steps of a runbook, one after the other, and stops at the first that fails.
 
 use coordination::events;
-use daemon_parts::{clock, limits::LOOK_EVERY, logging, operator::Operator};
+use daemon_parts::{clock, limits::CONDITION_CHECK_INTERVAL, logging, operator::Operator};
 use remote_calls::Status;
 
 use crate::{
@@ -89,7 +89,7 @@
         if clock::now() >= deadline {
             return Err(format!("not within {within_s} s; last seen: {seen}"));
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CONDITION_CHECK_INTERVAL).await;
     }
 }
 
