--- a/daemon-parts/src/channels.rs
+++ b/daemon-parts/src/channels.rs
@@ -1,6 +1,6 @@
-//! Channels between processes: frames over TCP, one connection for each direction, each with a bounded buffer.
+//! Channels between processes: frames over TCP, one connection per direction, each with a bounded queue.
 //!
-//! A message that cannot be sent is dropped: the state machines expect that and send again.
+//! A message that cannot be sent is dropped: the state machines tolerate lost messages and resend.
 
 use std::{collections::HashMap, io, sync::Arc, time::Duration};
 
@@ -25,12 +25,12 @@
     logging::{StartError, event},
 };
 
-/// A message that was received.
+/// A received message.
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct Incoming(pub Envelope);
 
-/// This process's channels to others.
+/// Outgoing channels of this process.
 pub struct Channels {
     name: Name,
     addr: Name,
@@ -39,7 +39,7 @@
 }
 
 impl Channels {
-    /// `name` and `addr`: of this process; `inbox`: takes messages that it sends to itself.
+    /// Creates the channels of process `name` at `addr`. `inbox` receives messages that the process sends to itself.
     pub fn new(name: &str, addr: &str, inbox: Recipient<Incoming>) -> Self {
         Channels {
             name: name.into(),
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Queues a message for the process at `to`, or drops it where the queue is full.
+    /// Queues a message for the process at `to`, or drops it if the queue is full.
     pub fn send(&mut self, to: &Name, msg: Message) {
         let envelope = Envelope {
             from: self.name.clone(),
             addr: self.addr.clone(),
             msg,
         };
-        // Messages to itself go through the mailbox like all others, so that they keep their order.
+        // Messages to this process go through the mailbox like all others, which preserves their order.
         if *to == self.addr {
             self.inbox.do_send(Incoming(envelope));
             return;
@@ -65,7 +65,11 @@
         let frame = match encode(&envelope) {
             Ok(frame) => frame,
             Err(error) => {
-                event(events::INVALID_FRAME, to, &format!("own {kind}: {error}"));
+                event(
+                    events::INVALID_FRAME,
+                    to,
+                    &format!("outgoing {kind}: {error}"),
+                );
                 return;
             }
         };
@@ -74,8 +78,8 @@
         }
     }
 
-    /// The queue of the writer to a process. A writer that had nothing to write for long has ended: daemons come and
-    /// go, and those that are gone cost nothing.
+    /// Returns the queue of the writer to a process and starts a writer if none runs. Idle writers end, so that
+    /// processes that have left the fleet use no resources.
     fn writer(&mut self, to: &Name) -> &mpsc::Sender<Vec<u8>> {
         if self.writers.get(to).is_none_or(mpsc::Sender::is_closed) {
             let (sender, receiver) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
@@ -87,14 +91,15 @@
     }
 }
 
-/// Sets up a connection that this process writes. After a network partition the kernel would retransmit at ever longer
-/// intervals, up to the partition's own length; a connection that is given up and opened anew works at once.
+/// Configures a connection that this process writes to. After a network partition the kernel would retransmit at
+/// increasing intervals, up to the duration of the partition; a reopened connection works at once.
 fn configure_outgoing(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
-/// Sets up a connection that this process reads: one whose writer died without closing it ends soon and frees its slot.
+/// Configures a connection that this process reads from: keepalive closes it and frees its slot if the writer died
+/// without closing it.
 fn configure_incoming(stream: &TcpStream) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_TIME)
@@ -108,12 +113,12 @@
     let Ok(Ok(stream)) = connected else {
         return None;
     };
-    // A system that lacks an option serves all the same, only later after a partition.
+    // Without these options the connection still works, but recovers later after a partition.
     let _ = configure_outgoing(&stream);
     Some(stream)
 }
 
-/// Writes queued frames until the queue was empty for `idle`.
+/// Writes queued frames until the queue has been empty for `idle`.
 async fn write_frames(to: Name, mut queue: mpsc::Receiver<Vec<u8>>, idle: Duration) {
     let mut connection: Option<TcpStream> = None;
     while let Ok(Some(frame)) = timeout(idle, queue.recv()).await {
@@ -121,7 +126,7 @@
             connection = connect(&to).await;
         }
         let Some(stream) = connection.as_mut() else {
-            // What was queued meanwhile is as stale as this frame.
+            // Frames queued meanwhile are as stale as this one.
             while queue.try_recv().is_ok() {}
             continue;
         };
@@ -133,14 +138,14 @@
     }
 }
 
-/// Binds the port and reads frames into the inbox from then on.
+/// Binds the port and starts to read frames into the inbox.
 ///
 /// # Errors
 /// The port could not be bound.
 pub async fn listen(addr: &str, inbox: Recipient<Incoming>) -> Result<(), Report<StartError>> {
     let listener = TcpListener::bind(addr)
         .await
-        .change_context(StartError("bind the port for our processes"))
+        .change_context(StartError("bind the port for internal messages"))
         .attach(addr.to_string())?;
     actix_rt::spawn(accept_connections(listener, inbox));
     Ok(())
@@ -153,7 +158,7 @@
             tokio::time::sleep(CONNECT_TIMEOUT).await;
             continue;
         };
-        // Over the limit a connection is closed at once, so that strangers cannot hold memory.
+        // Connections above the limit are closed at once, so that unknown peers cannot occupy memory.
         let Ok(slot) = slots.clone().try_acquire_owned() else {
             continue;
         };
@@ -168,7 +173,7 @@
     }
 }
 
-/// Reads frames until the connection ends or is idle for long; an error where its bytes are not frames.
+/// Reads frames until the connection ends or idles too long. Returns an error if the bytes are not valid frames.
 async fn read_frames(mut stream: TcpStream, inbox: Recipient<Incoming>) -> Result<(), String> {
     loop {
         let mut prefix = [0; 4];
@@ -178,11 +183,11 @@
         }
         let length = read_length(prefix).map_err(|error| error.to_string())?;
         let mut body = Vec::new();
-        // Memory grows with what arrives, not with what the length claims.
+        // The buffer grows with the bytes received, not with the claimed length.
         let mut limited = (&mut stream).take(length as u64);
         let read = timeout(FRAME_WRITE_TIMEOUT, limited.read_to_end(&mut body)).await;
         if !matches!(read, Ok(Ok(bytes)) if bytes == length) {
-            return Err(format!("frame of {length} bytes was cut short"));
+            return Err(format!("frame of {length} bytes was truncated"));
         }
         let envelope = decode(&body).map_err(|error| error.to_string())?;
         let kind = envelope.msg.name();
--- a/daemon-parts/src/channels/tests.rs
+++ b/daemon-parts/src/channels/tests.rs
@@ -4,22 +4,24 @@
 
 use super::*;
 
-fn run(f: impl Future<Output = ()>) {
-    actix_rt::System::new().block_on(f);
+fn run(future: impl Future<Output = ()>) {
+    actix_rt::System::new().block_on(future);
 }
 
-async fn pair() -> (TcpStream, TcpStream) {
-    let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let a = TcpStream::connect(l.local_addr().unwrap()).await.unwrap();
-    (a, l.accept().await.unwrap().0)
+async fn connected_pair() -> (TcpStream, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let a = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
+    (a, listener.accept().await.unwrap().0)
 }
 
-// A cut of 6 s on ways of 80 ms was seen to keep an edge on an old spec for 5.6 s after it: the system's own pauses
-// between sending again double each time.
+// A partition of 6 s on links of 80 ms kept an edge on an old spec for another 5.6 s, because the kernel doubles its
+// retransmission interval each time.
 #[gtest]
-fn what_is_sent_and_not_acknowledged_ends_its_channel_long_before_a_bound() {
+fn unacknowledged_data_closes_a_channel_well_before_any_time_bound() {
     run(async {
-        let (a, b) = pair().await;
+        let (a, b) = connected_pair().await;
         configure_outgoing(&a).unwrap();
         configure_incoming(&b).unwrap();
         let (a, b) = (SockRef::from(&a), SockRef::from(&b));
@@ -36,7 +38,7 @@
             ),
             eq((KEEPALIVE_TIME, KEEPALIVE_RETRIES))
         );
-        // Half of the shortest bound for daemons in touch that users have named is left for all that follows.
+        // Leaves half of the shortest time bound that users set for daemons in contact to all later steps.
         expect_that!(
             UNACKNOWLEDGED_TIMEOUT + CONNECT_TIMEOUT,
             le(Duration::from_secs(4) * 6 / 10)
@@ -46,29 +48,29 @@
 }
 
 #[gtest]
-fn a_writer_opens_anew_after_its_peer_closed_and_ends_when_it_has_nothing_to_write() {
+fn a_writer_reconnects_after_its_peer_closes_and_ends_when_idle() {
     run(async {
-        let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let to: Name = l.local_addr().unwrap().to_string().as_str().into();
-        let (s, r) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
-        let end = actix_rt::spawn(write_frames(to.clone(), r, Duration::MAX));
-        let mut got = [0; 1];
-        for turn in [1, 2] {
-            // The first message on a channel that its peer closed is lost, the next opens another.
-            let mut c = loop {
-                s.send(vec![turn]).await.unwrap();
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let to: Name = listener.local_addr().unwrap().to_string().as_str().into();
+        let (sender, receiver) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
+        let writer = actix_rt::spawn(write_frames(to.clone(), receiver, Duration::MAX));
+        let mut received = [0; 1];
+        for round in [1, 2] {
+            // The first message on a channel that its peer closed is lost; the next one opens another channel.
+            let mut connection = loop {
+                sender.send(vec![round]).await.unwrap();
                 tokio::select! {
-                    c = l.accept() => break c.unwrap().0,
+                    incoming = listener.accept() => break incoming.unwrap().0,
                     _ = tokio::task::yield_now() => {}
                 }
             };
-            c.read_exact(&mut got).await.unwrap();
-            expect_that!(got, eq([turn]));
+            connection.read_exact(&mut received).await.unwrap();
+            expect_that!(received, eq([round]));
         }
-        drop(s);
-        end.await.unwrap();
-        let (s, r) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
-        write_frames(to, r, Duration::ZERO).await;
-        expect_true!(s.is_closed());
+        drop(sender);
+        writer.await.unwrap();
+        let (sender, receiver) = mpsc::channel(CHANNEL_QUEUE_CAPACITY);
+        write_frames(to, receiver, Duration::ZERO).await;
+        expect_true!(sender.is_closed());
     });
 }
--- a/daemon-parts/src/http.rs
+++ b/daemon-parts/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP by `actix-web` and `awc`: faults as responses, JSON that is checked, and calls as daemons and tools make them.
+//! HTTP with `actix-web` and `awc`: fault responses, validated JSON bodies, and calls by daemons and tools.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::limits::MAX_BODY_BYTES;
 
-/// A response may be so many times larger than a request's body: a status of a whole fleet is.
+/// Ratio of the maximum response size to the maximum request body: the status of a whole fleet is that large.
 const RESPONSE_FACTOR: usize = 64;
 
-/// A fault as a response, with its status.
+/// An HTTP response that reports a fault, with its status.
 #[derive(Debug)]
 pub struct FaultResponse(pub StatusCode, pub Fault);
 
@@ -31,7 +31,7 @@
     fn error_response(&self) -> HttpResponse {
         let mut response = HttpResponse::build(self.0);
         if let Some(ms) = self.1.retry_after_ms {
-            // The header has whole seconds; the body keeps the spread.
+            // The header has whole seconds; the body keeps the exact, jittered value in ms.
             let seconds = ms.div_ceil(1_000).max(1);
             response.insert_header(("Retry-After", seconds.to_string()));
         }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The status that belongs to the code of a fault.
+/// Returns the HTTP status for the code of a fault.
 pub fn status(fault: &Fault) -> StatusCode {
     match fault.code.as_str() {
         "bad_request" | "bad_spec" | "bad_json" | "bad_plan" => StatusCode::BAD_REQUEST,
@@ -60,7 +60,7 @@
     }
 }
 
-/// How JSON bodies are read: limited, unknown fields rejected by the types, faults in the one shape.
+/// Returns the configuration for JSON bodies: limited size, errors reported as faults. The types reject unknown fields.
 pub fn json_config() -> web::JsonConfig {
     web::JsonConfig::default()
         .limit(MAX_BODY_BYTES)
@@ -68,7 +68,7 @@
         .error_handler(|error, _: &HttpRequest| FaultResponse::from(body_fault(&error)).into())
 }
 
-/// An error of serde's without the text that it quotes, which may be a tenant's key.
+/// Removes the quoted text from an error message of serde, because it may be a tenant's key.
 fn without_quoted_text(message: &str) -> String {
     match (message.find('"'), message.rfind('"')) {
         (Some(first), Some(last)) if first < last => {
@@ -85,7 +85,7 @@
             Fault::new("too_large", "read_body", message)
         }
         _ => {
-            // The first quoted word of serde's message names the field.
+            // The first word in backticks in serde's message is the field.
             let field = message.split('`').nth(1).map(str::to_string);
             let fault = Fault::new("bad_json", "read_body", message);
             match field {
@@ -96,30 +96,30 @@
     }
 }
 
-/// The response to a path that is not served.
+/// Responds to an unknown path.
 ///
 /// # Errors
 /// Always: a fault with code `not_found`.
 pub async fn no_such_path(request: HttpRequest) -> Result<HttpResponse, FaultResponse> {
-    let message = format!("no call {} {}", request.method(), request.path());
+    let message = format!("no such call: {} {}", request.method(), request.path());
     Err(Fault::new("not_found", "find_path", message).into())
 }
 
-/// Makes a call and reads its response.
+/// Makes a call and decodes its response.
 ///
 /// # Errors
-/// The peer's own fault, or one with code `unreachable` where it gave none.
+/// The fault that the peer returned, or one with code `unreachable` if it returned none.
 pub async fn call<B: Serialize, T: DeserializeOwned>(
     client: &awc::Client,
     addr: &str,
     (method, path): Call,
     body: Option<&B>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<T, Fault> {
-    call_path(client, addr, method, path, body, limit).await
+    call_path(client, addr, method, path, body, timeout).await
 }
 
-/// As [`call`], with the path's parameter filled in.
+/// Makes a call like [`call`], with the path's parameter filled in.
 ///
 /// # Errors
 /// As [`call`].
@@ -129,14 +129,14 @@
     method: &str,
     path: &str,
     body: Option<&B>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<T, Fault> {
     let unreachable =
         |step: &str, reason: String| Fault::new("unreachable", step, reason).peer(addr);
     let method = method.parse().unwrap_or(awc::http::Method::GET);
     let request = client
         .request(method, format!("http://{addr}{path}"))
-        .timeout(limit);
+        .timeout(timeout);
     let sent = match body {
         Some(body) => request.send_json(body).await,
         None => request.send().await,
--- a/daemon-parts/src/lib.rs
+++ b/daemon-parts/src/lib.rs
@@ -1,4 +1,4 @@
-//! What landingslip's programs share: clock, params, logged events, channels between processes, HTTP.
+//! Code shared by landingslip's programs: clock, settings, event log, channels between processes, HTTP.
 
 pub mod channels;
 pub mod clock;
--- a/daemon-parts/src/limits.rs
+++ b/daemon-parts/src/limits.rs
@@ -1,128 +1,135 @@
-//! Constants of the shells, with unit and reason.
+//! Time-outs, intervals and size limits of the daemons and tools.
 
 use std::time::Duration;
 
 use coordination::Ms;
 
-/// Messages that wait for one peer; a second of the busiest pair's traffic.
+/// Messages queued for one peer: one second of the busiest pair's traffic.
 pub const CHANNEL_QUEUE_CAPACITY: usize = 512;
-/// Opening a channel; a peer in the same country answers in a tenth of it.
+/// Time-out for opening a channel; a peer in the same country answers in a tenth of it.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Writing one frame; a peer that reads nothing for so long is cut off.
+/// Time-out for writing or reading one frame; a peer that reads nothing for this long is disconnected.
 pub const FRAME_WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A channel that carried nothing for so long is closed by its writer, and by its reader some time after: nothing is
-/// under way then, and no message is lost on it.
+/// Idle time after which the writer closes a channel. The reader closes it only some time later, so that no message is
+/// in flight on the channel then and none is lost.
 pub const WRITER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A channel that carried nothing for so long is closed by its reader.
+/// Idle time after which the reader closes a channel.
 pub const READER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A writer that was quiet for so long is probed, every `KEEPALIVE_INTERVAL`, and after so many probes it is gone.
+/// Idle time after which the peer of a channel is probed, every `KEEPALIVE_INTERVAL`; after `KEEPALIVE_RETRIES`
+/// unanswered probes the channel is closed.
 pub const KEEPALIVE_TIME: Duration = Duration::from_secs(5);
-/// Probes without an answer after which a quiet writer is gone.
+/// Unanswered keepalive probes after which a channel is closed.
 pub const KEEPALIVE_RETRIES: u32 = 3;
-/// Channels a process accepts at once: twice the processes of a fleet of 400, as after a cut each opens another before
-/// the old one ends.
+/// Maximum number of incoming channels: twice the processes of a fleet of 400, because after a network partition each
+/// process opens another channel before the old one ends.
 pub const MAX_CHANNELS: usize = 1_024;
-/// Bytes of a JSON body: a practice's whole schedule and history fit several times.
+/// Maximum size of a JSON body, in bytes: several times a practice's whole schedule and history.
 pub const MAX_BODY_BYTES: usize = 2 << 20;
-/// A whole call to an operator's, platform's or replica's short endpoint.
+/// Time-out for a whole call to a short endpoint of an operator, the platform or a replica.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A whole operator call as a tool makes it; above the daemon's own limit on writes.
+/// Time-out for a whole operator call by a tool; longer than the daemon's own time-out for writes.
 pub const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// An actor's mailbox: commands that wait for the owner of a table.
+/// Capacity of an actor's mailbox: commands queued for the owner of a table.
 pub const MAILBOX_CAPACITY: usize = 4_096;
-/// Commands that may wait for the disk; far above what one round of all keys makes.
+/// Commands that may be queued for the disk; far more than one round over all keys creates.
 pub const DISK_QUEUE_CAPACITY: usize = 1_024;
-/// ms. A failed disk is tried again this often.
+/// Interval between attempts to use a failed disk, in ms.
 pub const DISK_RETRY_INTERVAL: Ms = 1_000;
-/// A daemon that asked for a key's newest version looks for it on its own board this often, so many times: two of
-/// the mendings between control daemons.
+/// Interval at which a daemon that requested a key's newest version checks its own state table for it. With
+/// `MAX_NEWEST_VERSION_POLLS` checks it waits for two repair intervals between control daemons.
 pub const NEWEST_VERSION_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// So many times.
+/// Number of checks at `NEWEST_VERSION_POLL_INTERVAL`.
 pub const MAX_NEWEST_VERSION_POLLS: u32 = 32;
-/// Open calls are let end for so long when a control daemon stops; the longest write takes so long.
+/// Time that a stopping control daemon allows calls in flight to complete; the longest write takes this long.
 pub const CONTROL_STOP_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest name of a version.
+/// Maximum length of a version name, in bytes.
 pub const MAX_VERSION_BYTES: usize = 64;
-/// HTTP threads of a daemon; its brain has one owner, so more would only wait for it.
+/// HTTP threads of a daemon; its state has a single owner, for which more threads would only wait.
 pub const HTTP_WORKERS: usize = 2;
-/// Longest line a replica may send, in bytes.
+/// Maximum length of a line from a replica, in bytes.
 pub const MAX_LINE_BYTES: usize = 256 << 10;
-/// ms. Opening a connection to a replica.
+/// Time-out for opening a connection to a replica, in ms.
 pub const REPLICA_CONNECT_TIMEOUT: Ms = 300;
-/// ms. Counts go to the agent this often.
+/// Interval between a proxy's reports of counters to its agent, in ms.
 pub const PROXY_REPORT_INTERVAL: Ms = 200;
-/// Lines that wait for a slow caller before its replica is slowed too.
+/// Lines queued for a slow client before backpressure slows the replica too.
 pub const LINE_QUEUE_CAPACITY: usize = 32;
-/// How often a call that waits for its turn looks whether that has come; a tenth of the time between two calls.
+/// Interval at which a paced call checks whether it may proceed; a tenth of the time between two calls.
 pub const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// s. Longest that one step may wait.
+/// Maximum time limit of one step, in s.
 pub const MAX_WITHIN_S: u64 = 3_600;
-/// How often a condition is looked at.
+/// Interval at which a condition is checked.
 pub const CONDITION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// ms. An edge heard longer ago is out of reach.
+/// Time without a heartbeat after which an edge counts as unreachable, in ms.
 pub const EDGE_UNREACHABLE_AFTER: u64 = 3_000;
-/// An agent that was asked to stop hears by then that its proxy was too: two of the proxy's hellos.
+/// Time after a stop request by which an agent knows whether its proxy stops too, and interval at which it then checks
+/// the proxy: two of the proxy's report intervals.
 pub const PROXY_STOP_CHECK_INTERVAL: Duration = Duration::from_millis(2 * PROXY_REPORT_INTERVAL);
-/// ms. An agent ends so long before its grace does: it looks every farewell whether its proxy still speaks.
+/// Time before the end of its grace period at which an agent stops, in ms. Every `PROXY_STOP_CHECK_INTERVAL` it checks
+/// whether its proxy still sends reports.
 pub const AGENT_STOP_MARGIN: Ms = 1_000;
-/// Bytes of a request's body that are kept so that a further round can send them again.
+/// Bytes of a request body that are retained so that a further attempt can send them again.
 pub const MAX_RETAINED_BODY_BYTES: usize = 256 << 10;
-/// ms. A channel to a replica that was idle for longer is not used for what may run only once: it could have been
-/// dropped without notice, and opening another costs little.
+/// Maximum idle time of a replica connection that is used for run-once requests, in ms: after a longer time it could
+/// have been dropped without notice, and opening another costs little.
 pub const RUN_ONCE_MAX_IDLE: Ms = 1_000;
-/// ms. A channel is dropped so long before its replica would close it: a request and a close must not cross.
+/// Time before the replica's keep-alive time-out at which a connection is dropped, in ms: a request and a close must
+/// not cross.
 pub const IDLE_CLOSE_MARGIN: Ms = 300;
-/// ms. Longest that a channel is kept idle: its buffers cost more than another opening, and what may run once does
-/// not use it for so long anyway.
+/// Maximum time that an idle connection is kept, in ms: its buffers cost more than opening another, and run-once
+/// requests do not use a connection that was idle for this long.
 pub const MAX_IDLE: Ms = 1_500;
-/// ms. Idle channels are looked over this often.
+/// Interval between sweeps over idle connections, in ms.
 pub const IDLE_SWEEP_INTERVAL: Ms = 1_000;
-/// What was sent on a channel is acknowledged by then, or the channel is lost: a machine without power says nothing.
+/// Time within which sent data must be acknowledged before the connection is lost: a machine without power does not
+/// close its connections.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// A silent channel is probed this often, so that a cut shows on streams that only come in.
+/// Interval between probes of a silent connection, so that a network partition is detected on streams that only
+/// receive.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// ms. Opening a channel may take this and so many times the way there and back, or what it took of late if that is
-/// more: a replica that is up answers at once, and who waits for one that is gone is late.
+/// Base of the time-out for opening a replica connection, in ms. The time-out is the base plus `CONNECT_ROUND_TRIPS`
+/// round trips, or the recent opening time if that is longer: a live replica answers at once, and waiting for a dead
+/// one delays the request.
 pub const CONNECT_TIME_BASE: Ms = 150;
-/// So many round trips in addition to `CONNECT_TIME_BASE`.
+/// Number of round trips in addition to `CONNECT_TIME_BASE`.
 pub const CONNECT_ROUND_TRIPS: u64 = 2;
-/// Weight of a new opening time against all before, in percent.
+/// Weight of a new opening time in the moving average, in percent.
 pub const CONNECT_TIME_WEIGHT: u64 = 25;
-/// Replicas that a request may find out of reach, or another in their place, before it is rejected.
+/// Number of replicas that a request may find unreachable, or replaced by another, before it is rejected.
 pub const MAX_UNREACHED_REPLICAS: u32 = 3;
-/// Bytes of a channel's buffers; heads are a hundredth of it.
+/// Buffer size of a connection, in bytes; heads are a hundredth of it.
 pub const CONNECTION_BUFFER_BYTES: usize = 64 << 10;
-/// ms. An answer that has begun is ended so long after its time: its replica stops at the very end by itself.
+/// Time after its deadline at which a started response is aborted, in ms: the replica stops by itself at the deadline.
 pub const LATE_RESPONSE_SLACK: Ms = 100;
-/// Bytes of a rejection that are read so that its channel can be used on; more, and it is closed.
+/// Bytes of a rejection that are read so that its connection can be reused; a connection with more is closed.
 pub const MAX_REJECTION_BYTES: u64 = 16 << 10;
-/// ms. A downstream's channel that is idle for longer is closed, where the spec does not say.
+/// Idle time after which a client connection is closed, in ms, if the spec has no value.
 pub const CLIENT_IDLE_TIMEOUT: Ms = 20_000;
-/// ms. A downstream's head comes by then, where the spec does not say.
+/// Time-out for receiving a client's request head, in ms, if the spec has no value.
 pub const CLIENT_HEAD_TIMEOUT: Ms = 20_000;
-/// ms. Downstreams' channels are looked over this often: with the slack of an answer that is late it stays below the
-/// quarter of a second that users grant.
+/// Interval between checks of client connections, in ms: with `LATE_RESPONSE_SLACK` it stays below the quarter of a
+/// second that users allow.
 pub const CLIENT_CHECK_INTERVAL: Ms = 100;
-/// ms. A look at downstreams' channels that comes so late was kept from running: what they sent meanwhile is still to
-/// be read.
+/// Time between two checks of client connections above which the process was suspended, in ms: data that clients sent
+/// meanwhile is still unread.
 pub const CLIENT_CHECK_SUSPENDED: Ms = 5 * CLIENT_CHECK_INTERVAL;
-/// ms. A look that comes so long after the one before was late by a quarter: timers of requests that were due since
-/// have had no turn either.
+/// Time between two checks of client connections above which a check is late, in ms, by a quarter of the interval:
+/// request timers that became due since then have not run either.
 pub const CLIENT_CHECK_LATE: Ms = CLIENT_CHECK_INTERVAL * 5 / 4;
-/// Parts of its longest rest, of five, after which a downstream still takes its channel up.
+/// Fifths of its longest idle time after which a client may still reuse its connection.
 pub const CLIENT_REUSE_FIFTHS: Ms = 4;
-/// What a stopping proxy said last is given so long to go out: a few turns of its own.
+/// Time for the last messages of a stopping proxy to be sent: a few rounds of its event loop.
 pub const STOP_FLUSH_TIME: Duration = Duration::from_millis(100);
-/// How often a stopping proxy looks whether anything is open.
+/// Interval at which a stopping proxy checks for open connections.
 pub const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// ms. A request that no lane takes is read for so long: as long as its head may take where the spec does not say.
+/// Time-out for reading a request that matches no lane, in ms: as long as its head may take if the spec has no value.
 pub const NO_LANE_TIMEOUT: Ms = CLIENT_HEAD_TIMEOUT;
-/// ms. What a stopping proxy tells those who come too late: another edge takes them at once.
+/// Retry time that a stopping proxy returns for new requests, in ms: another edge accepts them at once.
 pub const STOP_RETRY_AFTER: Ms = 50;
-/// New connections that wait to be taken; a burst of all downstreams.
+/// Backlog of unaccepted connections: a burst of all clients.
 pub const LISTEN_BACKLOG: i32 = 1_024;
-/// ms. A request that comes before a proxy may serve waits so long for it: a sixth of the shortest time within which
-/// users want an answer to begin.
+/// Time that a request waits for a proxy that may not serve yet, in ms: a sixth of the shortest time to the first chunk
+/// that users require.
 pub const STARTUP_WAIT: Ms = 100;
-/// How often it looks.
+/// Interval at which such a request checks whether the proxy may serve.
 pub const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
--- a/daemon-parts/src/logging.rs
+++ b/daemon-parts/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: time, level, number, name, peer, text.
+//! Event log. Each line has a time, level, event number, event name, peer and text.
 
 use std::{fmt, io};
 
@@ -6,7 +6,7 @@
 use error_stack::{Report, ResultExt};
 use flexi_logger::{DeferredNow, Logger, LoggerHandle};
 
-/// A program could not start: what it was about to do. The report carries the cause and what it concerns.
+/// Error at the start of a program, with the step that failed. The report has the cause and details.
 #[derive(Debug)]
 pub struct StartError(pub &'static str);
 
@@ -35,14 +35,14 @@
 /// Starts logging to standard error.
 ///
 /// # Errors
-/// The level is none that the logger knows, or a logger runs already.
+/// The level is unknown, or a logger is already running.
 pub fn start(level: &str) -> Result<LoggerHandle, Report<StartError>> {
-    // Reports go into log lines: no colours there.
+    // Reports are written to log lines, which have no colours.
     Report::set_color_mode(error_stack::fmt::ColorMode::None);
-    // Libraries only log warnings; numbered events come from this package.
+    // Libraries log warnings only; numbered events are logged by this package.
     Logger::try_with_str(format!("warn, daemon_parts={level}"))
         .and_then(|logger| logger.format(write_line).log_to_stderr().start())
-        .change_context(StartError("start the log"))
+        .change_context(StartError("start logging"))
 }
 
 /// Logs one numbered event.
--- a/daemon-parts/src/operator.rs
+++ b/daemon-parts/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' calls as tools make them: to the first control daemon that answers.
+//! Operator calls by tools, made to the first control daemon that answers.
 
 use awc::Client;
 use remote_calls::{
@@ -11,20 +11,19 @@
 
 /// A client of the control daemons.
 pub struct Operator {
-    /// Makes the calls.
+    /// HTTP client.
     pub client: Client,
-    /// Addresses of control daemons, in the order in which they are asked.
+    /// Addresses of control daemons, in the order in which they are tried.
     pub control: Vec<String>,
 }
 
-/// Whether a call may have been carried out although it failed: only a connection that was never made is certain to have
-/// carried nothing.
-fn may_have_arrived(fault: &Fault) -> bool {
+/// Returns whether a failed call may have been carried out: it certainly was not only if no connection was made.
+fn may_have_been_executed(fault: &Fault) -> bool {
     fault.code == "unreachable" && !fault.message.contains("onnect")
 }
 
 impl Operator {
-    /// A client of the control daemons at these addresses.
+    /// Creates a client of the control daemons at these addresses.
     pub fn new(control: Vec<String>) -> Self {
         Operator {
             client: Client::builder().disable_timeout().finish(),
@@ -32,21 +31,22 @@
         }
     }
 
-    /// Makes a call at the first control daemon that answers. A write is not repeated at another daemon where the first
-    /// may have taken it.
+    /// Calls the first control daemon that answers. A write is not retried at another daemon if the first one may have
+    /// executed it.
     ///
     /// # Errors
-    /// The daemon's fault; code `unknown` where the response to a write was lost, `unreachable` where no daemon answers.
-    pub async fn path<B: Serialize, T: DeserializeOwned>(
+    /// The daemon's fault; code `unknown` if the response to a write was lost, `unreachable` if no daemon answers.
+    pub async fn request<B: Serialize, T: DeserializeOwned>(
         &self,
         method: &str,
         path: &str,
         body: Option<&B>,
     ) -> Result<T, Fault> {
-        let mut last = Fault::new("unreachable", "call_control", "no control daemon is named");
+        let mut last_fault =
+            Fault::new("unreachable", "call_control", "no control daemon is given");
         for addr in &self.control {
             if addr.parse::<std::net::SocketAddr>().is_err() {
-                let message = format!("{addr:?} is no IP:port");
+                let message = format!("{addr:?} is not an IP:port");
                 return Err(Fault::new("bad_request", "call_control", message).field("control"));
             }
             match call_path(
@@ -59,25 +59,25 @@
             )
             .await
             {
-                Err(fault) if body.is_some() && may_have_arrived(&fault) => {
-                    let message = "the answer was lost; read the key to find out";
+                Err(fault) if body.is_some() && may_have_been_executed(&fault) => {
+                    let message = "the response was lost; read the key to learn the outcome";
                     return Err(Fault::new("unknown", "read_answer", message).peer(addr));
                 }
                 Err(fault) if fault.code == "unreachable" || fault.code == "disk_failed" => {
-                    last = fault;
+                    last_fault = fault;
                 }
-                answer => return answer,
+                result => return result,
             }
         }
-        Err(last)
+        Err(last_fault)
     }
 
     /// Makes a call without a body.
     ///
     /// # Errors
-    /// As [`Operator::path`].
+    /// As [`Operator::request`].
     pub async fn get<T: DeserializeOwned>(&self, (method, path): Call) -> Result<T, Fault> {
-        self.path::<(), T>(method, path, None).await
+        self.request::<(), T>(method, path, None).await
     }
 
     async fn put<B: Serialize>(
@@ -86,29 +86,30 @@
         parameter: &str,
         body: &B,
     ) -> Result<Accepted, Fault> {
-        self.path(call.0, &fill(call, parameter), Some(body)).await
+        self.request(call.0, &fill(call, parameter), Some(body))
+            .await
     }
 
-    /// The status of the fleet.
+    /// Returns the status of the fleet.
     ///
     /// # Errors
-    /// As [`Operator::path`].
+    /// As [`Operator::request`].
     pub async fn status(&self) -> Result<Status, Fault> {
         self.get(calls::STATUS).await
     }
 
-    /// The accepted spec and its version.
+    /// Returns the accepted spec and its version.
     ///
     /// # Errors
-    /// As [`Operator::path`].
+    /// As [`Operator::request`].
     pub async fn spec(&self) -> Result<SpecState, Fault> {
         self.get(calls::SPEC_GET).await
     }
 
-    /// Replaces the spec. Without `expect` the version read just before must still stand.
+    /// Replaces the spec. Without `expect`, the version read immediately before must still be current.
     ///
     /// # Errors
-    /// As [`Operator::path`]; code `conflict` where another version stands.
+    /// As [`Operator::request`]; code `conflict` if another version is current.
     pub async fn put_spec(&self, spec: Spec, expect: Option<u64>) -> Result<Accepted, Fault> {
         let expect_version = match expect {
             Some(version) => version,
@@ -121,19 +122,19 @@
         self.put(calls::SPEC_PUT, "", &body).await
     }
 
-    /// The release plan of a service and its version.
+    /// Returns the release plan of a service and its version.
     ///
     /// # Errors
-    /// As [`Operator::path`].
+    /// As [`Operator::request`].
     pub async fn plan(&self, service: &str) -> Result<PlanState, Fault> {
         let path = fill(calls::PLAN_GET, service);
-        self.path::<(), _>(calls::PLAN_GET.0, &path, None).await
+        self.request::<(), _>(calls::PLAN_GET.0, &path, None).await
     }
 
-    /// Moves a service to a version within so many seconds.
+    /// Moves a service to the version `target` within `within` seconds.
     ///
     /// # Errors
-    /// As [`Operator::path`]; code `conflict` where another version of the plan stands.
+    /// As [`Operator::request`]; code `conflict` if another version of the plan is current.
     pub async fn put_plan(
         &self,
         service: &str,
@@ -161,7 +162,7 @@
     /// Evacuates a zone, or restores it.
     ///
     /// # Errors
-    /// As [`Operator::path`].
+    /// As [`Operator::request`].
     pub async fn put_zone(&self, zone: &str, evacuated: bool) -> Result<Accepted, Fault> {
         let body = ZoneState {
             zone: zone.into(),
@@ -170,10 +171,10 @@
         self.put(calls::ZONE_PUT, zone, &body).await
     }
 
-    /// Stops all rollout activity, or allows it.
+    /// Stops all rollout activity, or allows it again.
     ///
     /// # Errors
-    /// As [`Operator::path`].
+    /// As [`Operator::request`].
     pub async fn kill_switch(&self, on: bool) -> Result<Accepted, Fault> {
         self.put(calls::KILL_SWITCH_PUT, "", &KillSwitch { on })
             .await
--- a/daemon-parts/src/params.rs
+++ b/daemon-parts/src/params.rs
@@ -1,4 +1,4 @@
-//! A program's settings: a JSON file, flags that override it, and all errors reported at once.
+//! Settings of a program: a JSON file and flags that override it. All errors are reported at once.
 
 use std::{collections::BTreeMap, net::SocketAddr, path::PathBuf};
 
@@ -9,78 +9,78 @@
 };
 use serde::Deserialize;
 
-/// Exit code of a program whose params are not valid.
+/// Exit code of a program with invalid settings.
 pub const EXIT_PARAMS: i32 = 2;
 /// Exit code of a program that failed.
 pub const EXIT_FAILED: i32 = 1;
 
-/// Settings of a daemon; each program needs some of them.
+/// Settings of a daemon; each program requires some of them.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Params {
-    /// This process's lasting name.
+    /// Name of this process, stable across restarts.
     pub name: String,
-    /// Zone that its machine stands in.
+    /// Zone of its machine.
     pub zone: String,
-    /// Where other processes of ours reach it.
+    /// Address on which other processes of the system reach it.
     pub listen: String,
-    /// Where it binds for them, if that is another address than they reach it at.
+    /// Address that it binds for them, if different from `listen`.
     pub bind: String,
-    /// Where HTTP callers reach it.
+    /// Address of its HTTP interface.
     pub http: String,
     /// Addresses of three other processes.
     pub seeds: Vec<String>,
     /// Control daemons only: names of all of them.
     pub members: Vec<String>,
-    /// Control daemons only: the data folder.
+    /// Control daemons only: the data directory.
     pub data: Option<PathBuf>,
     /// Control daemons only: the platform's address.
     pub platform: String,
     /// Proxies only: the agent's address on this machine.
     pub agent: String,
-    /// Proxies only: where a platform asks whether this proxy takes requests.
+    /// Proxies only: address at which a platform checks whether this proxy accepts requests.
     pub readiness: String,
-    /// Control daemons only: where callers ask for the edges' addresses.
+    /// Control daemons only: address at which clients look up the edges' addresses.
     pub directory: String,
-    /// Control daemons only: most bytes the database may grow to; 0 sets no bound.
+    /// Control daemons only: maximum size of the database, in bytes; 0: no limit.
     pub data_limit: u64,
     /// Log level: error, warn, info or debug.
     pub log: String,
     /// Region of each zone; a zone that is not named is its own region.
     pub regions: BTreeMap<String, String>,
-    /// Control daemons only: the whole system starts for the first time, and the daemons at the seeds bootstrap it.
+    /// Control daemons only: the system starts for the first time and is bootstrapped by the daemons at the seeds.
     pub founding: bool,
-    /// Edges only: a daemon that is partitioned from the control plane goes on serving stable versions by its last state.
+    /// Edges only: an edge partitioned from the control plane continues to serve stable versions from its last state.
     pub serve_on: bool,
-    /// Times and shares that operators promise their callers.
+    /// Times and shares that operators guarantee to their clients.
     pub bounds: Bounds,
-    /// Proxies only: which mechanisms of placement are in force.
+    /// Proxies only: placement mechanisms that are enabled.
     pub policy: Policy,
 }
 
-/// A field that a program needs.
+/// Name of a setting that a program requires.
 pub type RequiredField = &'static str;
 
-/// Longest name, in bytes.
-const NAME_BYTES_MAX: usize = 64;
-/// Seeds that a process is given.
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Number of seeds per process.
 const SEEDS: usize = 3;
-/// Control daemons that must be named at least.
+/// Minimum number of control daemons.
 const MIN_MEMBERS: usize = 3;
 
 const FLAGS: [(&str, &str); 9] = [
-    ("name", "This process's lasting name"),
-    ("zone", "The zone this machine stands in"),
-    ("listen", "IP:port where our other processes reach it"),
-    ("bind", "IP:port to bind for them, if it is another"),
-    ("http", "IP:port where HTTP callers reach it"),
-    ("data", "The data folder"),
+    ("name", "Name of this process, stable across restarts"),
+    ("zone", "Zone of this machine"),
+    ("listen", "IP:port on which other processes reach it"),
+    ("bind", "IP:port to bind for them, if different"),
+    ("http", "IP:port of the HTTP interface"),
+    ("data", "Data directory"),
     ("platform", "IP:port of the platform"),
     ("agent", "IP:port of this machine's agent"),
     ("log", "Log level: error, warn, info, debug"),
 ];
 
-/// The command line that every daemon has.
+/// Returns the command line that all daemons have in common.
 pub fn command(name: &'static str, about: &'static str) -> Command {
     let flags = FLAGS.map(|(name, help)| Arg::new(name).long(name).help(help));
     Command::new(name)
@@ -90,7 +90,7 @@
             Arg::new("params")
                 .long("params")
                 .value_name("FILE")
-                .help("Params file, JSON; flags go over it"),
+                .help("Settings file, JSON; flags override it"),
         )
         .args(flags)
         .arg(
@@ -113,7 +113,7 @@
         )
 }
 
-/// The flag of proxies that leaves mechanisms of placement out.
+/// Returns the proxies' flag that disables placement mechanisms.
 pub fn without_flag() -> Arg {
     let known: Vec<&str> = Mechanism::ALL
         .iter()
@@ -126,18 +126,18 @@
         .value_delimiter(',')
         .action(ArgAction::Append)
         .help(format!(
-            "Leaves mechanisms of placement out, to measure what they are worth: {}",
+            "Disables placement mechanisms, to measure their effect: {}",
             known.join(", ")
         ))
 }
 
-/// The policy by the flag, if it was given.
+/// Returns the policy set by the `--without` flag, if given.
 pub fn policy_flag(matches: &ArgMatches) -> Option<Policy> {
-    let left_out = matches
+    let disabled = matches
         .try_get_many::<Mechanism>("without")
         .ok()
         .flatten()?;
-    Some(Policy::without(left_out.copied()))
+    Some(Policy::without(disabled.copied()))
 }
 
 fn from_file(matches: &ArgMatches) -> Result<Params, String> {
@@ -148,10 +148,10 @@
     serde_json::from_str(&text).map_err(|error| format!("params: {file}: {error}"))
 }
 
-/// Reads the file and the flags, and checks the result.
+/// Reads the file and the flags and validates the settings.
 ///
 /// # Errors
-/// Every error that was found.
+/// All errors found.
 pub fn read(matches: &ArgMatches, needs: &[RequiredField]) -> Result<Params, Vec<String>> {
     let mut params = from_file(matches).map_err(|error| vec![error])?;
     apply_flags(&mut params, matches);
@@ -169,8 +169,8 @@
     }
 }
 
-/// Overrides the file's settings by the flags that were given. The bound on the data folder is in the file only: it
-/// belongs to the disk, not to one start.
+/// Overrides the file's settings with the given flags. The limit of the data directory is in the file only, because it
+/// is a property of the disk, not of one start.
 fn apply_flags(params: &mut Params, matches: &ArgMatches) {
     let text = |name: &str| matches.get_one::<String>(name).cloned();
     let list = |name: &str| {
@@ -192,8 +192,8 @@
             *field = value;
         }
     }
-    if let Some(folder) = text("data") {
-        params.data = Some(PathBuf::from(folder));
+    if let Some(directory) = text("data") {
+        params.data = Some(PathBuf::from(directory));
     }
     if let Some(seeds) = list("seed") {
         params.seeds = seeds;
@@ -206,8 +206,8 @@
     }
 }
 
-/// Every error in the settings. A program that needs `founders` instead of `seeds` and `members` is bootstrapped by the
-/// daemons at the seeds, and no names are given.
+/// Returns all errors in the settings. A program that requires `founders` instead of `seeds` and `members` is
+/// bootstrapped by the daemons at the seeds and needs no member names.
 pub fn check(params: &Params, needs: &[RequiredField]) -> Vec<String> {
     let mut errors = Vec::new();
     errors.extend(check_name("name", &params.name, needs));
@@ -217,19 +217,19 @@
     errors.extend(check_address("platform", &params.platform, needs));
     errors.extend(check_address("agent", &params.agent, needs));
     if params.bind != params.listen && params.bind.parse::<SocketAddr>().is_err() {
-        errors.push(format!("bind: {:?} is no IP:port", params.bind));
+        errors.push(format!("bind: {:?} is not an IP:port", params.bind));
     }
     errors.extend(check_seeds(params, needs));
     errors.extend(check_members(params, needs));
     if needs.contains(&"data") && params.data.is_none() {
-        errors.push("data: name the data folder".into());
+        errors.push("data: the data directory is missing".into());
     }
     errors
 }
 
 fn check_name(field: &str, name: &str, needs: &[RequiredField]) -> Option<String> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
-    let valid = !name.is_empty() && name.len() <= NAME_BYTES_MAX && name.bytes().all(allowed);
+    let valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed);
     if valid || !needs.contains(&field) {
         return None;
     }
@@ -247,7 +247,7 @@
     if !needs.contains(&field) || is_address(address) {
         return None;
     }
-    Some(format!("{field}: {address:?} is no IP:port"))
+    Some(format!("{field}: {address:?} is not an IP:port"))
 }
 
 fn check_seeds(params: &Params, needs: &[RequiredField]) -> Vec<String> {
@@ -257,14 +257,14 @@
     }
     let mut errors = Vec::new();
     let count = params.seeds.len();
-    // The daemons that bootstrap a system are at the seeds, and a small system has fewer than three of them.
+    // The daemons at the seeds bootstrap the system, and a small system has fewer than three of them.
     if count > SEEDS || count == 0 {
         errors.push(format!("seeds: give one to three, not {count}"));
     } else if count < SEEDS && !bootstraps {
         errors.push(format!("seeds: give three, not {count}"));
     }
     let invalid = params.seeds.iter().filter(|seed| !is_address(seed));
-    errors.extend(invalid.map(|seed| format!("seeds: {seed:?} is no IP:port")));
+    errors.extend(invalid.map(|seed| format!("seeds: {seed:?} is not an IP:port")));
     errors
 }
 
@@ -281,14 +281,14 @@
     }
     if !params.members.contains(&params.name) {
         errors.push(format!(
-            "members: do not name this daemon {:?}",
+            "members: must include this daemon's name {:?}",
             params.name
         ));
     }
     errors
 }
 
-/// Reads the settings or ends the program: with the errors, or after `--check-params`.
+/// Reads the settings. Exits if they are invalid, or after `--check-params`.
 pub fn read_or_exit(command: Command, needs: &[RequiredField]) -> Params {
     let matches = command.get_matches();
     match read(&matches, needs) {
--- a/daemon-parts/tests/settings_keys.rs
+++ b/daemon-parts/tests/settings_keys.rs
@@ -1,10 +1,10 @@
-//! The keys and flags of settings as operators write them: each keeps its spelling.
+//! Checks that the keys and flags of settings, which operators use, keep their spelling.
 
 use coordination::policy::Mechanism;
 use daemon_parts::params::{Params, command, without_flag};
 use serde_json::{Value, json};
 
-/// What the reader of a settings file says to a key that it does not know: it lists all that it knows.
+/// Returns the error for an unknown key in a settings file, which lists all known keys.
 fn known_keys(document: Value) -> String {
     serde_json::from_value::<Params>(document)
         .unwrap_err()
--- a/operator-command/src/main.rs
+++ b/operator-command/src/main.rs
@@ -172,7 +172,7 @@
             leaves_in_ms: 0,
         };
         let (method, path) = calls::PLATFORM_WARN;
-        let accepted: Accepted = self.operator.path(method, path, Some(&warning)).await?;
+        let accepted: Accepted = self.operator.request(method, path, Some(&warning)).await?;
         self.print_accepted(&accepted);
         Ok(())
     }
