--- a/daemon-parts/src/lib.rs
+++ b/daemon-parts/src/lib.rs
@@ -1,11 +1,11 @@
-//! What landingslip's programs share: clock, params, logged events, channels between processes, HTTP.
+//! Code shared by landingslip's programs: clock, settings, event log, channels between processes, HTTP.
 
 pub mod channels;
 pub mod clock;
 pub mod http;
+pub mod inspect;
 pub mod limits;
 pub mod logging;
-pub mod look;
 pub mod operator;
 pub mod params;
 pub mod stop;
