--- a/control-daemon/src/actor/lifecycle.rs
+++ b/control-daemon/src/actor/lifecycle.rs
@@ -45,8 +45,8 @@
         sync.generation == self.generation
     }
 
-    /// Marks the disk unhealthy while a sync exceeds its time-out. A disk that hangs reports no error; other daemons must
-    /// not wait for it, but acquire the keys that this daemon owns.
+    /// Marks the disk unhealthy while a sync exceeds its time-out. A disk that hangs reports no error; other daemons
+    /// must not wait for it, but acquire the keys that this daemon owns.
     pub(super) fn check_syncs(&self, control: &mut Control, name: &str, now: Ms) {
         let oldest = self.pending_syncs.values().next();
         let is_healthy = oldest.is_none_or(|began| now.saturating_sub(*began) <= DISK_SYNC_TIMEOUT);
--- a/control-daemon/src/disk/tests.rs
+++ b/control-daemon/src/disk/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn synced_rows_return_and_a_full_disk_says_so_and_recovers() {
+fn synced_rows_are_read_back_and_a_full_disk_fails_and_recovers() {
     let dir = folder("disk");
     let first = open(Storage::default(), &dir, 0).unwrap().state;
     expect_true!(first.is_blank);
@@ -37,7 +37,7 @@
     } = open(Storage::default(), &dir, 200_000).unwrap();
     expect_that!((state.disk_id, state.is_blank), eq((first.disk_id, false)));
     write_rows(&mut connection, &[slot("a", 1, 10)]).unwrap();
-    // The bound on growth is met: the write fails whole and nothing of it is stored.
+    // The write exceeds the size limit: it fails as a whole and stores nothing.
     expect_that!(
         write_rows(&mut connection, &[slot("a", 2, 10), slot("b", 1, 400_000)]),
         err(anything())
@@ -55,9 +55,9 @@
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// A commit returns when the log is on the disk, and the log's index is this process's own.
+/// A commit returns once the log is on the disk, and the log's index is private to this process.
 #[gtest]
-fn commits_are_synced_and_nothing_is_shared() {
+fn commits_are_synced_and_the_database_is_locked_exclusively() {
     let dir = folder("setup");
     let connection = open(Storage::default(), &dir, 0).unwrap().connection;
     let pragma = |name: &str| {
@@ -71,9 +71,9 @@
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// An older layout is migrated with all it holds; a newer one is left as it is, and named.
+/// An older layout is migrated with all its rows; a newer one is rejected unchanged, and the error names its version.
 #[gtest]
-fn another_layout_is_migrated_or_named() {
+fn an_older_layout_is_migrated_and_a_newer_one_rejected() {
     let dir = folder("layout");
     let mut connection = open(Storage::default(), &dir, 0).unwrap().connection;
     write_rows(&mut connection, &[slot("a", 1, 10)]).unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn a_corrupt_database_is_not_trusted() {
+fn a_corrupt_database_is_not_opened() {
     let dir = folder("corrupt");
     drop(open(Storage::default(), &dir, 0).unwrap());
     std::fs::write(dir.join(FILE), [0x5a; 8_192]).unwrap();
--- a/control-daemon/tests/disk.rs
+++ b/control-daemon/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The disk under loss of power: what was synced is there, whatever became of what was not.
+//! The disk under power loss: synced writes are read back, whether or not later writes reached the disk.
 
 use std::{
     collections::BTreeMap,
@@ -12,7 +12,7 @@
 use rusqlite::Connection;
 use wire_messages::{Blob, List, ReplacedValue, Slot, Voter};
 
-/// Bytes that a disk writes whole.
+/// Bytes that a disk writes atomically.
 const SECTOR: usize = 512;
 const LOG: &str = "control.sqlite-wal";
 
@@ -41,9 +41,9 @@
     })
     .collect()
 }
-/// Opens a folder with these files and gives whether it was blank, and its rows.
+/// Opens a folder with these files; returns whether it was blank, and its rows.
 fn opened(name: &str, n: usize, files: &Files) -> (bool, Vec<Row>) {
-    // Each in a folder of its own: the thread of one before may still be closing its files.
+    // Each call uses a folder of its own: the thread of an earlier call may still be closing its files.
     let dir = folder(&format!("{name}-{n}"));
     fs::create_dir_all(&dir).unwrap();
     files
@@ -71,17 +71,17 @@
     slots.collect()
 }
 
-/// What a file may be after a loss of power between two states: each sector of the later one is there, torn or
-/// missing, and the length is either's.
-fn torn(a: &[u8], b: &[u8], rng: &mut fastrand::Rng) -> Vec<u8> {
+/// Returns a file as a power loss between two states may leave it: each sector of the later state is written, torn or
+/// missing, and the length is that of either state.
+fn torn_file(a: &[u8], b: &[u8], rng: &mut fastrand::Rng) -> Vec<u8> {
     let len = if rng.bool() { a.len() } else { b.len() };
-    let kept = rng.u8(..101);
+    let written_percent = rng.u8(..101);
     let mut v = a.to_vec();
     v.resize(len, 0);
     for at in (0..len.min(b.len())).step_by(SECTOR) {
         let end = (at + SECTOR).min(len).min(b.len());
         let part = match rng.u8(..100) {
-            n if n >= kept => 0,
+            n if n >= written_percent => 0,
             n if n % 10 == 0 => rng.usize(..=end - at),
             _ => end - at,
         };
@@ -91,62 +91,62 @@
 }
 
 #[gtest]
-fn what_was_synced_outlives_torn_and_missing_writes() {
+fn synced_rows_survive_torn_and_missing_writes() {
     let dir = folder("power");
     let disk = Disk::start(dir.clone(), 0);
     block(disk.open()).unwrap();
     let mut rng = fastrand::Rng::with_seed(7);
-    let (mut older, mut newer, mut trial) = (0, 0, 0);
+    let (mut older_states, mut newer_states, mut trial) = (0, 0, 0);
     let mut before = files(&dir);
-    // Enough for the log to be folded in and begun anew several times.
+    // Enough for the log to be checkpointed and restarted several times.
     for v in 1..=60u64 {
         let bytes = rng.usize(1..60_000);
         block(disk.sync(vec![slot("a", v, bytes), slot("b", v, bytes / 2)])).unwrap();
         let after = files(&dir);
         for _ in 0..6 {
-            // The log is synced before anything is folded in from it: either it is whole, or nothing was yet.
-            let folds = rng.bool();
+            // The log is synced before a checkpoint: either it is complete, or nothing was checkpointed yet.
+            let is_log_complete = rng.bool();
             let mut all = Files::new();
             for (n, b) in &after {
                 let a = before.get(n).map_or(&[][..], |a| a);
-                let whole = if *n == LOG { folds } else { false };
-                let still = *n != LOG && !folds;
-                let bytes = if whole {
+                let takes_new = if *n == LOG { is_log_complete } else { false };
+                let keeps_old = *n != LOG && !is_log_complete;
+                let bytes = if takes_new {
                     b.clone()
-                } else if still {
+                } else if keeps_old {
                     a.to_vec()
                 } else {
-                    torn(a, b, &mut rng)
+                    torn_file(a, b, &mut rng)
                 };
                 all.insert(n.clone(), bytes);
             }
             trial += 1;
             let (blank, rows) = opened("power-lost", trial, &all);
             expect_false!(blank);
-            let held = versions(&rows);
-            // Both keys of one sync, or neither.
+            let versions_read = versions(&rows);
+            // Both keys of a sync are stored, or neither.
             let (a, b) = (
-                held.get("a").copied().unwrap_or(0),
-                held.get("b").copied().unwrap_or(0),
+                versions_read.get("a").copied().unwrap_or(0),
+                versions_read.get("b").copied().unwrap_or(0),
             );
             expect_that!(a, eq(b), "at {v}");
             expect_that!(a, any!(eq(v - 1), eq(v)), "at {v}");
-            if folds {
-                expect_that!(a, eq(v), "at {v}: the log was whole");
+            if is_log_complete {
+                expect_that!(a, eq(v), "at {v}: the log was complete");
             }
-            older += u64::from(a < v);
-            newer += u64::from(a == v);
+            older_states += u64::from(a < v);
+            newer_states += u64::from(a == v);
         }
         before = after;
     }
-    // Both outcomes were met, or the tearing tears nothing.
-    expect_that!((older, newer), (gt(50), gt(50)));
+    // Both outcomes must occur, or the test tears no writes.
+    expect_that!((older_states, newer_states), (gt(50), gt(50)));
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// At some losses of power everything since the last sync is gone; the state then is that of the sync.
+/// A power loss may drop all writes since the last sync; the state is then that of the sync.
 #[gtest]
-fn the_files_of_a_sync_are_its_state() {
+fn the_files_after_a_sync_hold_its_state() {
     let dir = folder("sync");
     let disk = Disk::start(dir.clone(), 0);
     block(disk.open()).unwrap();
@@ -158,33 +158,34 @@
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// The log's index is no file: there is nothing for another process to share.
+/// The log's index is not a file, so no other process can share it.
 #[gtest]
-fn there_is_no_shared_memory() {
+fn the_log_index_is_not_a_shared_file() {
     let dir = folder("shared");
     let disk = Disk::start(dir.clone(), 0);
     block(disk.open()).unwrap();
     block(disk.sync(vec![slot("a", 1, 10)])).unwrap();
     let names = || files(&dir).into_keys().collect::<Vec<String>>();
-    let wanted = ["control.sqlite".to_string(), LOG.to_string()];
-    expect_that!(names(), container_eq(wanted.clone()));
-    // Nor is there once the folder is opened again, with a log in it.
-    let left = files(&dir);
+    let expected = ["control.sqlite".to_string(), LOG.to_string()];
+    expect_that!(names(), container_eq(expected.clone()));
+    // The same holds when a folder that contains a log is opened.
+    let stored_files = files(&dir);
     let dir = folder("shared-again");
     fs::create_dir_all(&dir).unwrap();
-    left.iter()
+    stored_files
+        .iter()
         .for_each(|(n, b)| fs::write(dir.join(n), b).unwrap());
     let disk = Disk::start(dir.clone(), 0);
     block(disk.open()).unwrap();
     block(disk.sync(vec![slot("a", 2, 10)])).unwrap();
     let names: Vec<String> = files(&dir).into_keys().collect();
-    expect_that!(names, container_eq(wanted));
+    expect_that!(names, container_eq(expected));
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// Commands are worked through as they were given, whichever is awaited first.
+/// Commands are processed in the order of their calls, whichever is awaited first.
 #[gtest]
-fn a_newer_row_never_goes_before_an_older_one() {
+fn rows_are_written_in_the_order_of_the_calls() {
     let dir = folder("order");
     let disk = Disk::start(dir.clone(), 0);
     block(disk.open()).unwrap();
@@ -198,9 +199,9 @@
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// A folder of the layout before voters had zones and keys a past is taken over with its members and values.
+/// A folder with a layout that lacks the zones of voters and the replaced values of keys keeps its members and values.
 #[gtest]
-fn what_a_former_layout_held_is_taken_over() {
+fn an_older_layout_keeps_its_members_and_values() {
     let dir = folder("former");
     fs::create_dir_all(&dir).unwrap();
     let c = Connection::open(dir.join("control.sqlite")).unwrap();
@@ -233,7 +234,7 @@
         left: false,
     };
     expect_that!(rows, container_eq([row(0, &voter), slot("a", 1, 1)]));
-    // What is written now comes back whole.
+    // Rows written after the migration are read back unchanged.
     let now = row(
         3,
         &Voter {
@@ -264,10 +265,10 @@
     let _ = fs::remove_dir_all(&dir);
 }
 
-/// The layout before releases were kept beside digests: what it remembers of replaced values cannot be told from
-/// nothing, so it is left out, and orders of then get no clear answer.
+/// An older layout stored digests of replaced values without their releases. Such digests are as good as none, so the
+/// migration drops them, and writes from that time get no definite answer.
 #[gtest]
-fn digests_without_releases_are_left_out() {
+fn digests_without_releases_are_dropped() {
     let dir = folder("digests");
     fs::create_dir_all(&dir).unwrap();
     let disk = Disk::start(dir.clone(), 0);
--- a/control-daemon/tests/power.rs
+++ b/control-daemon/tests/power.rs
@@ -1,5 +1,6 @@
-//! The disk under every loss of power: a stand-in records what is written, synced, made and removed, and at each step
-//! the folder is opened as a loss of power there might have left it. And a disk that refuses, fills up or hangs.
+//! The disk under power loss and injected faults. A stand-in records each write, sync, creation and removal; for each
+//! step, the folder is opened in a state that a power loss there might have left. Other tests make the disk fail, fill
+//! up or hang.
 
 mod stand_in;
 
@@ -9,13 +10,13 @@
 use coordination::Row;
 use futures_util::FutureExt;
 use googletest::prelude::*;
-use stand_in::{FaultKind, Folder, InjectedFault, Op, heal, put, storage, with};
+use stand_in::{FaultKind, Folder, InjectedFault, Op, clear_fault, storage, with_folder, write_at};
 use wire_messages::{Blob, List, ReplacedValue, Slot};
 
-/// Bytes that a disk writes whole.
+/// Bytes that a disk writes atomically.
 const SECTOR: usize = 512;
-/// How often a failed disk is opened again before the test gives up: no fault lasts as many steps.
-const TRIES: usize = 200;
+/// Attempts to reopen a failed disk before the test fails: no fault lasts that many steps.
+const MAX_OPEN_ATTEMPTS: usize = 200;
 
 type Files = BTreeMap<String, Vec<u8>>;
 
@@ -38,7 +39,7 @@
         ..Slot::default()
     })
 }
-/// Versions of the two keys; both of one sync are there, or neither.
+/// Returns the version of both keys; none if they differ, as a sync must store both or neither.
 fn version(rows: &[Row]) -> Option<u64> {
     let of = |key: &str| {
         let all = rows
@@ -61,27 +62,27 @@
     Disk::start_on(storage(), PathBuf::from(folder), 0)
 }
 fn acknowledge(folder: &str, v: u64) {
-    with(folder, |f| f.log.push(Op::Acknowledged(v)));
+    with_folder(folder, |f| f.log.push(Op::Acknowledged(v)));
 }
 
-/// What is on a file's way to the disk, in order.
+/// A change to a file that is not yet durable. Changes are kept in order.
 #[derive(Clone)]
 struct Change {
     op: Op,
     synced: bool,
-    /// A sync of it failed: no later one counts for it.
-    doubtful: bool,
+    /// A sync of it failed: later syncs do not make it durable.
+    sync_failed: bool,
 }
 
-/// The disk itself: what is sure to be on it, and what may be.
+/// A simulated disk: its durable state, and the changes that may or may not be on it.
 #[derive(Clone, Default)]
-struct Platter {
+struct SimulatedDisk {
     files: Vec<(Vec<u8>, Vec<Change>)>,
     names: BTreeMap<String, usize>,
     synced: BTreeMap<String, usize>,
 }
 
-impl Platter {
+impl SimulatedDisk {
     fn of(files: &Files) -> Self {
         let names: BTreeMap<String, usize> = files
             .keys()
@@ -89,56 +90,56 @@
             .map(|(i, n)| (n.clone(), i))
             .collect();
         let files = files.values().map(|b| (b.clone(), vec![])).collect();
-        Platter {
+        SimulatedDisk {
             files,
             synced: names.clone(),
             names,
         }
     }
-    fn step(&mut self, op: &Op) {
+    fn apply_op(&mut self, op: &Op) {
         match op {
             Op::Create(i, n) => {
                 self.files.resize(i + 1, Default::default());
                 self.names.insert(n.clone(), *i);
             }
             Op::Remove(n) => drop(self.names.remove(n)),
-            Op::Write(i, ..) | Op::Length(i, _) => {
+            Op::Write(i, ..) | Op::Truncate(i, _) => {
                 self.files[*i].1.push(Change {
                     op: op.clone(),
                     synced: false,
-                    doubtful: false,
+                    sync_failed: false,
                 });
             }
             Op::Sync(i) => {
                 let (bytes, changes) = &mut self.files[*i];
                 changes
                     .iter_mut()
-                    .filter(|c| !c.doubtful)
+                    .filter(|c| !c.sync_failed)
                     .for_each(|c| c.synced = true);
-                let sure = changes.iter().take_while(|c| c.synced).count();
+                let durable = changes.iter().take_while(|c| c.synced).count();
                 changes
-                    .drain(..sure)
+                    .drain(..durable)
                     .for_each(|c| apply(bytes, &c.op, usize::MAX));
             }
-            Op::SyncLost(i) => self.files[*i]
+            Op::SyncFailed(i) => self.files[*i]
                 .1
                 .iter_mut()
                 .filter(|c| !c.synced)
-                .for_each(|c| c.doubtful = true),
-            Op::SyncNames => self.synced = self.names.clone(),
+                .for_each(|c| c.sync_failed = true),
+            Op::SyncDirectory => self.synced = self.names.clone(),
             Op::Acknowledged(_) => {}
         }
     }
-    /// What a loss of power leaves.
-    fn lost(&self, rng: &mut fastrand::Rng) -> Files {
-        // All that is not sure is gone, or there, or each by chance; and names likewise.
-        let (keep, keep_names) = (
+    /// Returns the files that a power loss leaves.
+    fn files_after_power_loss(&self, rng: &mut fastrand::Rng) -> Files {
+        // Changes that are not durable are all lost, all kept, or each kept by chance; directory entries likewise.
+        let (kept_percent, kept_names_percent) = (
             [0, 100, rng.u8(..101)][rng.usize(..3)],
             [0, 100, 50][rng.usize(..3)],
         );
         let mut files = Files::new();
         for n in self.names.keys().chain(self.synced.keys()) {
-            let from = if rng.u8(..100) < keep_names {
+            let from = if rng.u8(..100) < kept_names_percent {
                 &self.names
             } else {
                 &self.synced
@@ -147,15 +148,15 @@
             let (bytes, changes) = &self.files[*i];
             let mut bytes = bytes.clone();
             for c in changes {
-                let there = c.synced || rng.u8(..100) < keep;
-                let torn = !c.synced && keep < 100 && rng.u8(..8) == 0;
-                let most = if torn {
+                let is_kept = c.synced || rng.u8(..100) < kept_percent;
+                let is_torn = !c.synced && kept_percent < 100 && rng.u8(..8) == 0;
+                let max_bytes = if is_torn {
                     rng.usize(..9) * SECTOR / 2
                 } else {
                     usize::MAX
                 };
-                if there {
-                    apply(&mut bytes, &c.op, most);
+                if is_kept {
+                    apply(&mut bytes, &c.op, max_bytes);
                 }
             }
             files.insert(n.clone(), bytes);
@@ -164,93 +165,110 @@
     }
 }
 
-/// Carries a change out, up to so many bytes of it.
-fn apply(bytes: &mut Vec<u8>, op: &Op, most: usize) {
+/// Applies a change, up to `max_bytes` of it.
+fn apply(bytes: &mut Vec<u8>, op: &Op, max_bytes: usize) {
     match op {
-        Op::Write(_, at, b) => put(bytes, *at, &b[..b.len().min(most)]),
-        Op::Length(_, n) => bytes.resize(*n, 0),
+        Op::Write(_, at, b) => write_at(bytes, *at, &b[..b.len().min(max_bytes)]),
+        Op::Truncate(_, n) => bytes.resize(*n, 0),
         _ => {}
     }
 }
 
-/// Opens a folder with these files; gives what it held and what the opening did to it.
+/// Opens a folder with these files; returns its state and the operations of the opening.
 fn opened(name: &str, files: &Files) -> (std::result::Result<DiskState, String>, Vec<Op>) {
-    with(name, |f| *f = Folder::of(files));
+    with_folder(name, |f| *f = Folder::of(files));
     let d = disk(name);
-    let held = block(d.open()).map_err(|e| format!("{e:?}"));
-    // A folder that could not be opened has no file open any more.
-    let log = with(name, |f| {
-        f.passing = true;
+    let opened_state = block(d.open()).map_err(|e| format!("{e:?}"));
+    // A folder that failed to open has no open files left.
+    let log = with_folder(name, |f| {
+        f.is_temporary = true;
         std::mem::take(&mut f.log)
     });
-    (held, log)
+    (opened_state, log)
 }
 
-/// What was acknowledged by then, and what was given to the disk.
-struct Known {
+/// The acknowledged state at a step, and the bound on what the disk may hold.
+struct Expectation {
     id: Option<u64>,
     acknowledged: u64,
-    /// Highest version that may be met.
-    most: u64,
+    /// Highest version that may be read.
+    max_version: u64,
 }
 
-fn check(held: &std::result::Result<DiskState, String>, k: &Known, at: &str) {
+fn check(opened_state: &std::result::Result<DiskState, String>, k: &Expectation, at: &str) {
     let Ok(DiskState {
         disk_id: id,
         is_blank: blank,
         rows,
-    }) = held
+    }) = opened_state
     else {
-        return expect_that!(held, ok(anything()), "{at}: it cannot be opened");
+        return expect_that!(opened_state, ok(anything()), "{at}: cannot be opened");
     };
     if let Some(was) = k.id {
-        expect_that!((*id, *blank), eq((was, false)), "{at}: another disk");
+        expect_that!(
+            (*id, *blank),
+            eq((was, false)),
+            "{at}: differs in disk id or is blank"
+        );
     }
     expect_that!(
         version(rows),
-        some(all!(ge(k.acknowledged), le(k.most))),
+        some(all!(ge(k.acknowledged), le(k.max_version))),
         "{at}"
     );
 }
 
-/// Loses power at each step of a log, in some ways each; and again while the folder is opened.
-fn lose_power(name: &str, log: &[Op], id: u64, ways: usize, rng: &mut fastrand::Rng) {
+/// Simulates power losses at each step of a log, several per step, and further ones while the folder is opened.
+fn simulate_power_losses(
+    name: &str,
+    log: &[Op],
+    id: u64,
+    variants: usize,
+    rng: &mut fastrand::Rng,
+) {
     let (mut p, mut k) = (
-        Platter::default(),
-        Known {
+        SimulatedDisk::default(),
+        Expectation {
             id: None,
             acknowledged: 0,
-            most: 1,
+            max_version: 1,
         },
     );
     for (n, op) in log.iter().enumerate() {
-        p.step(op);
+        p.apply_op(op);
         if let Op::Acknowledged(v) = op {
-            k = Known {
+            k = Expectation {
                 id: Some(id),
                 acknowledged: *v,
-                most: v + 1,
+                max_version: v + 1,
             };
         }
-        for way in 0..ways {
-            let at = format!("{name}: step {n} of {} {way}", log.len());
-            let files = p.lost(rng);
-            let (held, again) = opened(&format!("/{name}-{n}-{way}"), &files);
-            check(&held, &k, &at);
+        for variant in 0..variants {
+            let at = format!("{name}: step {n} of {} {variant}", log.len());
+            let files = p.files_after_power_loss(rng);
+            let (opened_state, again) = opened(&format!("/{name}-{n}-{variant}"), &files);
+            check(&opened_state, &k, &at);
             if rng.u8(..4) > 0 || again.is_empty() {
                 continue;
             }
-            let mut p = Platter::of(&files);
-            let upto = rng.usize(..again.len());
-            again[..upto].iter().for_each(|op| p.step(op));
-            let (held, _) = opened(&format!("/{name}-{n}-{way}-again"), &p.lost(rng));
-            check(&held, &k, &format!("{at}, and again at {upto}"));
+            let mut p = SimulatedDisk::of(&files);
+            let reopen_step = rng.usize(..again.len());
+            again[..reopen_step].iter().for_each(|op| p.apply_op(op));
+            let (opened_state, _) = opened(
+                &format!("/{name}-{n}-{variant}-again"),
+                &p.files_after_power_loss(rng),
+            );
+            check(
+                &opened_state,
+                &k,
+                &format!("{at}, and again at {reopen_step}"),
+            );
         }
     }
 }
 
 #[gtest]
-fn power_is_lost_at_every_step() {
+fn acknowledged_writes_survive_power_loss_at_every_step() {
     let mut rng = fastrand::Rng::with_seed(11);
     let (name, folder) = ("power", "/power");
     let d = disk(folder);
@@ -261,7 +279,7 @@
     } = block(d.open()).unwrap();
     expect_true!(blank);
     acknowledge(folder, 0);
-    // Enough for the log to be folded in and begun anew; in between the folder is opened anew, as after a failed sync.
+    // Enough for the log to be checkpointed and restarted; the folder is reopened in between, as after a failed sync.
     for v in 1..=45u64 {
         let bytes = rng.usize(1..60_000);
         block(d.sync(vec![slot("a", v, bytes), slot("b", v, bytes / 2)])).unwrap();
@@ -273,126 +291,132 @@
             );
         }
     }
-    let log = with(folder, |f| f.log.clone());
+    let log = with_folder(folder, |f| f.log.clone());
     let syncs = log.iter().filter(|o| matches!(o, Op::Sync(_))).count();
-    let folded = log.iter().filter(|o| matches!(o, Op::Write(0, ..))).count();
-    expect_that!((syncs, folded, log.len()), (gt(60), gt(100), gt(1_500)));
-    lose_power(name, &log, id, 2, &mut rng);
+    let checkpointed = log.iter().filter(|o| matches!(o, Op::Write(0, ..))).count();
+    expect_that!(
+        (syncs, checkpointed, log.len()),
+        (gt(60), gt(100), gt(1_500))
+    );
+    simulate_power_losses(name, &log, id, 2, &mut rng);
 }
 
-/// What the daemon does: after a failed sync nothing is written before the folder was read anew.
-fn work(folder: &str, syncs: u64, rng: &mut fastrand::Rng) -> (Option<u64>, u64) {
+/// Writes as the daemon does: after a failed sync it writes nothing until it has reopened and read the folder.
+fn write_as_daemon(folder: &str, syncs: u64, rng: &mut fastrand::Rng) -> (Option<u64>, u64) {
     let d = disk(folder);
     let (mut id, mut last, mut at) = (None, 0, 0);
     let reopen = |id: &mut Option<u64>, last: u64, at: u64| {
-        let held = (0..TRIES)
+        let opened_state = (0..MAX_OPEN_ATTEMPTS)
             .find_map(|_| block(d.open()).ok())
-            .expect("it opens in the end");
-        let v = version(&held.rows);
+            .expect("the disk opens after the fault");
+        let v = version(&opened_state.rows);
         expect_that!(v, some(all!(ge(last), le(at))), "{folder}");
         if last > 0 {
-            expect_that!(Some(held.disk_id), eq(*id), "{folder}");
+            expect_that!(Some(opened_state.disk_id), eq(*id), "{folder}");
         }
-        *id = Some(held.disk_id);
+        *id = Some(opened_state.disk_id);
         v.unwrap_or(0)
     };
-    let mut stands = reopen(&mut id, 0, 0);
-    acknowledge(folder, stands);
-    while stands < syncs {
-        at = stands + 1;
+    let mut current = reopen(&mut id, 0, 0);
+    acknowledge(folder, current);
+    while current < syncs {
+        at = current + 1;
         let bytes = rng.usize(1..90_000);
         if block(d.sync(vec![slot("a", at, bytes), slot("b", at, bytes / 2)])).is_ok() {
             last = at;
-            stands = at;
+            current = at;
         } else {
-            stands = reopen(&mut id, last, at);
-            last = stands;
+            current = reopen(&mut id, last, at);
+            last = current;
         }
         acknowledge(folder, last);
     }
     (id, at)
 }
 
-/// A disk that refuses, or has no room, from any step on for some steps: what was acknowledged is stored, stays so, and is
-/// found after a loss of power.
+/// The disk fails or is full for some steps, from any step on: acknowledged writes are stored, stay stored, and are
+/// read after a power loss.
 #[gtest]
-fn a_disk_that_fails_for_a_while_loses_nothing_that_was_acknowledged() {
+fn a_temporary_disk_failure_loses_no_acknowledged_write() {
     let mut rng = fastrand::Rng::with_seed(12);
     let all = {
-        work("/well", 24, &mut rng.clone());
-        with("/well", |f| f.steps)
+        write_as_daemon("/well", 24, &mut rng.clone());
+        with_folder("/well", |f| f.steps)
     };
     expect_that!(all, gt(600));
-    let mut met = 0;
+    let mut failed_syncs = 0;
     for from in (1..all).step_by(4) {
-        for (long, how) in [
-            (1, FaultKind::Refuses),
-            (7, FaultKind::Full),
-            (40, FaultKind::Refuses),
+        for (duration, fault_kind) in [
+            (1, FaultKind::IoError),
+            (7, FaultKind::DiskFull),
+            (40, FaultKind::IoError),
         ] {
-            let folder = format!("/fault-{from}-{long}");
-            with(&folder, |f| {
+            let folder = format!("/fault-{from}-{duration}");
+            with_folder(&folder, |f| {
                 f.fault = Some(InjectedFault {
-                    steps: from..from + long,
-                    kind: how,
+                    steps: from..from + duration,
+                    kind: fault_kind,
                 });
             });
-            let (id, most) = work(&folder, 24, &mut rng.clone());
-            let log = with(&folder, |f| {
-                f.passing = true;
+            let (id, max_version) = write_as_daemon(&folder, 24, &mut rng.clone());
+            let log = with_folder(&folder, |f| {
+                f.is_temporary = true;
                 std::mem::take(&mut f.log)
             });
-            met += u64::from(log.iter().any(|o| matches!(o, Op::SyncLost(_))));
-            let mut p = Platter::default();
-            log.iter().for_each(|o| p.step(o));
-            let (held, _) = opened(&format!("{folder}-lost"), &p.lost(&mut rng));
+            failed_syncs += u64::from(log.iter().any(|o| matches!(o, Op::SyncFailed(_))));
+            let mut p = SimulatedDisk::default();
+            log.iter().for_each(|o| p.apply_op(o));
+            let (opened_state, _) = opened(
+                &format!("{folder}-lost"),
+                &p.files_after_power_loss(&mut rng),
+            );
             check(
-                &held,
-                &Known {
+                &opened_state,
+                &Expectation {
                     id,
-                    acknowledged: most,
-                    most,
+                    acknowledged: max_version,
+                    max_version,
                 },
                 &folder,
             );
         }
     }
-    // Syncs were among what failed.
-    expect_that!(met, gt(20));
+    // Failed steps must include syncs.
+    expect_that!(failed_syncs, gt(20));
 }
 
-/// While a disk hangs nothing is acknowledged; who gives it more than it can queue is rejected at once; and when it goes on all that it
-/// took is there.
+/// While the disk hangs, nothing is acknowledged, and writes that exceed the queue are rejected at once. When the disk
+/// resumes, all queued writes are stored.
 #[gtest]
-fn a_disk_that_hangs_acknowledges_nothing_and_loses_nothing() {
+fn a_hanging_disk_acknowledges_nothing_and_loses_no_queued_write() {
     let folder = "/hangs";
     let d = disk(folder);
     block(d.open()).unwrap();
-    with(folder, |f| {
+    with_folder(folder, |f| {
         f.fault = Some(InjectedFault {
             steps: 0..u64::MAX,
-            kind: FaultKind::Hangs,
+            kind: FaultKind::Hang,
         });
     });
     let mut first = Box::pin(d.sync(vec![slot("a", 1, 10), slot("b", 1, 10)]));
-    let mut taken = vec![];
-    let refused = (2..1_000_000).find(|v| {
+    let mut queued = vec![];
+    let rejected = (2..1_000_000).find(|v| {
         let mut s = Box::pin(d.sync(vec![slot("a", *v, 10), slot("b", *v, 10)]));
         match s.as_mut().now_or_never() {
             Some(r) => r.is_err(),
             None => {
-                taken.push(s);
+                queued.push(s);
                 false
             }
         }
     });
-    expect_that!(refused, some(gt(1_000)));
+    expect_that!(rejected, some(gt(1_000)));
     expect_true!(first.as_mut().now_or_never().is_none());
-    heal(folder);
+    clear_fault(folder);
     expect_that!(block(first), ok(anything()));
-    for s in taken {
+    for s in queued {
         expect_that!(block(s), ok(anything()));
     }
     let DiskState { rows, .. } = block(d.open()).unwrap();
-    expect_that!(version(&rows), eq(refused.map(|v| v - 1)));
+    expect_that!(version(&rows), eq(rejected.map(|v| v - 1)));
 }
--- a/control-daemon/tests/stand_in/mod.rs
+++ b/control-daemon/tests/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! A disk in memory under SQLite, which records each operation in order, so that what any loss of power would have
-//! left can be made from it; and which can be told to fail, to fill up or to hang.
+//! An in-memory disk for SQLite that records each operation in order, so that a test can construct the state that a
+//! power loss would leave. Faults can be injected: the disk fails, is full or hangs.
 
 use std::{
     collections::BTreeMap,
@@ -19,27 +19,27 @@
     Create(usize, String),
     Remove(String),
     Write(usize, usize, Vec<u8>),
-    Length(usize, usize),
+    Truncate(usize, usize),
     Sync(usize),
-    /// A sync that failed: what was written before it is on the disk or not, and no later sync sees to it.
-    SyncLost(usize),
-    SyncNames,
-    /// This version was acknowledged as synced; 0: the folder is open.
+    /// A failed sync: earlier writes may or may not be on the disk, and later syncs do not make them durable.
+    SyncFailed(usize),
+    SyncDirectory,
+    /// This version was acknowledged as synced; 0: the folder was opened.
     Acknowledged(u64),
 }
 
-/// What becomes of the disk's operations, counted from its start.
+/// How operations on the disk fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    Refuses,
-    Full,
-    Hangs,
+    IoError,
+    DiskFull,
+    Hang,
 }
 
-/// A fault that lasts for some steps.
+/// A fault that lasts for a range of steps.
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
-    /// The steps that it befalls.
+    /// The affected steps, counted from the creation of the folder.
     pub steps: std::ops::Range<u64>,
     pub kind: FaultKind,
 }
@@ -51,9 +51,9 @@
     pub log: Vec<Op>,
     pub steps: u64,
     pub fault: Option<InjectedFault>,
-    /// Open files. With the last of them a folder that is only passing goes.
+    /// Number of open files. A temporary folder is removed when the last one is closed.
     open: usize,
-    pub passing: bool,
+    pub is_temporary: bool,
 }
 
 impl Folder {
@@ -69,7 +69,7 @@
             ..Folder::default()
         }
     }
-    /// Counts a step that changes something; gives the fault that it meets.
+    /// Counts a step that changes the folder; returns the fault injected at this step.
     fn step(&mut self) -> Option<FaultKind> {
         self.steps += 1;
         self.fault
@@ -80,33 +80,33 @@
 }
 
 static FOLDERS: Mutex<BTreeMap<String, Folder>> = Mutex::new(BTreeMap::new());
-static HEALED: Condvar = Condvar::new();
+static FAULT_CLEARED: Condvar = Condvar::new();
 
 fn folders() -> MutexGuard<'static, BTreeMap<String, Folder>> {
     FOLDERS.lock().unwrap_or_else(PoisonError::into_inner)
 }
-/// Looks at a folder, which is there from the first look on.
-pub fn with<T>(folder: &str, f: impl FnOnce(&mut Folder) -> T) -> T {
+/// Runs a function on a folder, which is created on first use.
+pub fn with_folder<T>(folder: &str, f: impl FnOnce(&mut Folder) -> T) -> T {
     f(folders().entry(folder.into()).or_default())
 }
-/// Ends the disk's fault, and resumes what hangs there.
-pub fn heal(folder: &str) {
-    with(folder, |folder| folder.fault = None);
-    HEALED.notify_all();
+/// Clears the fault of a folder, and resumes operations that hang.
+pub fn clear_fault(folder: &str) {
+    with_folder(folder, |folder| folder.fault = None);
+    FAULT_CLEARED.notify_all();
 }
-/// As `with`, for an operation that changes something: it waits while the disk hangs.
+/// Like `with_folder`, for an operation that changes the folder: fails on a fault, and waits while the disk hangs.
 fn change<T>(folder: &str, code: c_int, f: impl FnOnce(&mut Folder) -> T) -> Result<T, c_int> {
     let mut all = folders();
     let d = all.entry(folder.into()).or_default();
     match d.step() {
         None => Ok(f(d)),
-        Some(FaultKind::Refuses) => Err(code),
-        Some(FaultKind::Full) => Err(ffi::SQLITE_FULL),
-        Some(FaultKind::Hangs) => {
+        Some(FaultKind::IoError) => Err(code),
+        Some(FaultKind::DiskFull) => Err(ffi::SQLITE_FULL),
+        Some(FaultKind::Hang) => {
             let hangs = |all: &mut BTreeMap<String, Folder>| {
                 all.get(folder).is_some_and(|d| d.fault.is_some())
             };
-            let mut all = HEALED
+            let mut all = FAULT_CLEARED
                 .wait_while(all, hangs)
                 .unwrap_or_else(PoisonError::into_inner);
             Ok(f(all.entry(folder.into()).or_default()))
@@ -114,7 +114,7 @@
     }
 }
 
-/// The storage that a disk is started on.
+/// Returns the storage to start a disk on.
 pub fn storage() -> Storage {
     static ONCE: Once = Once::new();
     ONCE.call_once(register);
@@ -127,7 +127,7 @@
 }
 fn sync_folder(p: &Path) -> io::Result<()> {
     let done = change(&p.to_string_lossy(), ffi::SQLITE_IOERR_DIR_FSYNC, |f| {
-        f.log.push(Op::SyncNames)
+        f.log.push(Op::SyncDirectory)
     });
     done.map_err(|c| io::Error::other(format!("code {c}")))
 }
@@ -137,7 +137,7 @@
         .to_str()
         .and_then(|p| p.rsplit_once('/'))
         .unwrap_or_default();
-    let Some(i) = with(folder, |d| d.names.get(file).copied()) else {
+    let Some(i) = with_folder(folder, |d| d.names.get(file).copied()) else {
         return Ok(());
     };
     let done = change(folder, ffi::SQLITE_IOERR_WRITE, |d| {
@@ -145,7 +145,7 @@
     });
     let done = done.and_then(|()| {
         let r = change(folder, ffi::SQLITE_IOERR_FSYNC, |d| d.log.push(Op::Sync(i)));
-        r.inspect_err(|_| with(folder, |d| d.log.push(Op::SyncLost(i))))
+        r.inspect_err(|_| with_folder(folder, |d| d.log.push(Op::SyncFailed(i))))
     });
     done.map_err(|c| io::Error::other(format!("code {c}")))
 }
@@ -153,23 +153,24 @@
 #[repr(C)]
 struct File {
     base: ffi::sqlite3_file,
-    at: *mut Open,
+    at: *mut OpenFile,
 }
-struct Open {
+struct OpenFile {
     folder: String,
     file: usize,
-    /// Its name was made with it and is synced with its first sync, as SQLite does on machines for all but the database.
-    new_name: bool,
+    /// The file was created by this opening, and its first sync also syncs the directory, as SQLite's Unix VFS does for
+    /// all files but the database.
+    is_new_entry: bool,
 }
 
-unsafe fn split(name: *const c_char) -> (String, String) {
+unsafe fn split_path(name: *const c_char) -> (String, String) {
     let s = unsafe { CStr::from_ptr(name) }
         .to_string_lossy()
         .into_owned();
     let (folder, file) = s.rsplit_once('/').unwrap_or(("", &s));
     (folder.into(), file.into())
 }
-unsafe fn open_file<'a>(f: *mut ffi::sqlite3_file) -> &'a mut Open {
+unsafe fn open_file<'a>(f: *mut ffi::sqlite3_file) -> &'a mut OpenFile {
     unsafe { &mut *(*f.cast::<File>()).at }
 }
 fn code(r: Result<(), c_int>) -> c_int {
@@ -187,12 +188,12 @@
     if name.is_null() {
         return ffi::SQLITE_CANTOPEN;
     }
-    let (folder, file) = unsafe { split(name) };
-    let known = with(&folder, |d| d.names.get(&file).copied());
-    let beside = flags
+    let (folder, file) = unsafe { split_path(name) };
+    let existing = with_folder(&folder, |d| d.names.get(&file).copied());
+    let is_journal = flags
         & (ffi::SQLITE_OPEN_MAIN_JOURNAL | ffi::SQLITE_OPEN_SUPER_JOURNAL | ffi::SQLITE_OPEN_WAL)
         != 0;
-    let made = match known {
+    let opened = match existing {
         Some(i) => Ok(i),
         None if flags & ffi::SQLITE_OPEN_CREATE == 0 => Err(ffi::SQLITE_CANTOPEN),
         None => change(&folder, ffi::SQLITE_CANTOPEN, |d| {
@@ -203,15 +204,15 @@
             i
         }),
     };
-    let i = match made {
+    let i = match opened {
         Ok(i) => i,
         Err(c) => return c,
     };
-    with(&folder, |d| d.open += 1);
-    let at = Box::into_raw(Box::new(Open {
+    with_folder(&folder, |d| d.open += 1);
+    let at = Box::into_raw(Box::new(OpenFile {
         folder,
         file: i,
-        new_name: beside && known.is_none(),
+        is_new_entry: is_journal && existing.is_none(),
     }));
     unsafe {
         (*f.cast::<File>()).at = at;
@@ -224,11 +225,11 @@
 }
 unsafe extern "C" fn close(f: *mut ffi::sqlite3_file) -> c_int {
     let o = unsafe { Box::from_raw((*f.cast::<File>()).at) };
-    let gone = with(&o.folder, |d| {
+    let is_unused = with_folder(&o.folder, |d| {
         d.open -= 1;
-        d.passing && d.open == 0
+        d.is_temporary && d.open == 0
     });
-    if gone {
+    if is_unused {
         folders().remove(&o.folder);
     }
     ffi::SQLITE_OK
@@ -241,7 +242,7 @@
 ) -> c_int {
     let (o, n, from) = (unsafe { open_file(f) }, n as usize, from as usize);
     let to = unsafe { std::slice::from_raw_parts_mut(to.cast::<u8>(), n) };
-    with(&o.folder, |d| {
+    with_folder(&o.folder, |d| {
         let all = &d.files[o.file];
         let part = all.get(from..all.len().min(from + n)).unwrap_or(&[]);
         to.fill(0);
@@ -253,7 +254,7 @@
         }
     })
 }
-pub fn put(all: &mut Vec<u8>, at: usize, b: &[u8]) {
+pub fn write_at(all: &mut Vec<u8>, at: usize, b: &[u8]) {
     if all.len() < at + b.len() {
         all.resize(at + b.len(), 0);
     }
@@ -268,7 +269,7 @@
     let o = unsafe { open_file(f) };
     let b = unsafe { std::slice::from_raw_parts(from.cast::<u8>(), n as usize) };
     code(change(&o.folder, ffi::SQLITE_IOERR_WRITE, |d| {
-        put(&mut d.files[o.file], at as usize, b);
+        write_at(&mut d.files[o.file], at as usize, b);
         d.log.push(Op::Write(o.file, at as usize, b.to_vec()));
     }))
 }
@@ -276,59 +277,59 @@
     let o = unsafe { open_file(f) };
     code(change(&o.folder, ffi::SQLITE_IOERR_TRUNCATE, |d| {
         d.files[o.file].resize(n as usize, 0);
-        d.log.push(Op::Length(o.file, n as usize));
+        d.log.push(Op::Truncate(o.file, n as usize));
     }))
 }
 unsafe extern "C" fn sync(f: *mut ffi::sqlite3_file, _: c_int) -> c_int {
     let o = unsafe { open_file(f) };
     let done = change(&o.folder, ffi::SQLITE_IOERR_FSYNC, |d| {
         d.log.push(Op::Sync(o.file));
-        if o.new_name {
-            d.log.push(Op::SyncNames);
+        if o.is_new_entry {
+            d.log.push(Op::SyncDirectory);
         }
     });
     match done {
-        Ok(()) => o.new_name = false,
-        Err(_) => with(&o.folder, |d| d.log.push(Op::SyncLost(o.file))),
+        Ok(()) => o.is_new_entry = false,
+        Err(_) => with_folder(&o.folder, |d| d.log.push(Op::SyncFailed(o.file))),
     }
     code(done)
 }
-unsafe extern "C" fn size(f: *mut ffi::sqlite3_file, out: *mut i64) -> c_int {
+unsafe extern "C" fn file_size(f: *mut ffi::sqlite3_file, out: *mut i64) -> c_int {
     let o = unsafe { open_file(f) };
-    unsafe { *out = with(&o.folder, |d| d.files[o.file].len() as i64) };
+    unsafe { *out = with_folder(&o.folder, |d| d.files[o.file].len() as i64) };
     ffi::SQLITE_OK
 }
 unsafe extern "C" fn lock(_: *mut ffi::sqlite3_file, _: c_int) -> c_int {
     ffi::SQLITE_OK
 }
-unsafe extern "C" fn reserved(_: *mut ffi::sqlite3_file, out: *mut c_int) -> c_int {
+unsafe extern "C" fn check_reserved_lock(_: *mut ffi::sqlite3_file, out: *mut c_int) -> c_int {
     unsafe { *out = 0 };
     ffi::SQLITE_OK
 }
-unsafe extern "C" fn control(_: *mut ffi::sqlite3_file, _: c_int, _: *mut c_void) -> c_int {
+unsafe extern "C" fn file_control(_: *mut ffi::sqlite3_file, _: c_int, _: *mut c_void) -> c_int {
     ffi::SQLITE_NOTFOUND
 }
-unsafe extern "C" fn sector(_: *mut ffi::sqlite3_file) -> c_int {
+unsafe extern "C" fn sector_size(_: *mut ffi::sqlite3_file) -> c_int {
     4_096
 }
-/// As SQLite takes it on machines: a write harms no byte that it does not write.
-unsafe extern "C" fn traits(_: *mut ffi::sqlite3_file) -> c_int {
+/// SQLite's default assumption: a write damages no bytes outside its range.
+unsafe extern "C" fn device_characteristics(_: *mut ffi::sqlite3_file) -> c_int {
     ffi::SQLITE_IOCAP_POWERSAFE_OVERWRITE
 }
 unsafe extern "C" fn remove(
     _: *mut ffi::sqlite3_vfs,
     name: *const c_char,
-    names_too: c_int,
+    sync_directory: c_int,
 ) -> c_int {
-    let (folder, file) = unsafe { split(name) };
-    if with(&folder, |d| !d.names.contains_key(&file)) {
+    let (folder, file) = unsafe { split_path(name) };
+    if with_folder(&folder, |d| !d.names.contains_key(&file)) {
         return ffi::SQLITE_IOERR_DELETE_NOENT;
     }
     code(change(&folder, ffi::SQLITE_IOERR_DELETE, |d| {
         d.names.remove(&file);
         d.log.push(Op::Remove(file));
-        if names_too != 0 {
-            d.log.push(Op::SyncNames);
+        if sync_directory != 0 {
+            d.log.push(Op::SyncDirectory);
         }
     }))
 }
@@ -338,25 +339,25 @@
     _: c_int,
     out: *mut c_int,
 ) -> c_int {
-    let (folder, file) = unsafe { split(name) };
-    unsafe { *out = c_int::from(with(&folder, |d| d.names.contains_key(&file))) };
+    let (folder, file) = unsafe { split_path(name) };
+    unsafe { *out = c_int::from(with_folder(&folder, |d| d.names.contains_key(&file))) };
     ffi::SQLITE_OK
 }
-unsafe extern "C" fn full(
+unsafe extern "C" fn full_pathname(
     _: *mut ffi::sqlite3_vfs,
     name: *const c_char,
-    most: c_int,
+    max_bytes: c_int,
     out: *mut c_char,
 ) -> c_int {
     let b = unsafe { CStr::from_ptr(name) }.to_bytes_with_nul();
-    if b.len() > most as usize {
+    if b.len() > max_bytes as usize {
         return ffi::SQLITE_CANTOPEN;
     }
     unsafe { std::ptr::copy_nonoverlapping(b.as_ptr().cast(), out, b.len()) };
     ffi::SQLITE_OK
 }
-unsafe extern "C" fn random(_: *mut ffi::sqlite3_vfs, n: c_int, out: *mut c_char) -> c_int {
-    // The log's salts come from here: alike in each run, but not alike in each log.
+unsafe extern "C" fn randomness(_: *mut ffi::sqlite3_vfs, n: c_int, out: *mut c_char) -> c_int {
+    // The salts of the log come from here: the same in each run, but different in each log.
     static SEED: Mutex<u64> = Mutex::new(1);
     let mut seed = SEED.lock().unwrap_or_else(PoisonError::into_inner);
     *seed += 1;
@@ -364,16 +365,16 @@
     r.fill(unsafe { std::slice::from_raw_parts_mut(out.cast::<u8>(), n as usize) });
     n
 }
-unsafe extern "C" fn rest(_: *mut ffi::sqlite3_vfs, us: c_int) -> c_int {
+unsafe extern "C" fn sleep(_: *mut ffi::sqlite3_vfs, us: c_int) -> c_int {
     us
 }
-unsafe extern "C" fn time(_: *mut ffi::sqlite3_vfs, out: *mut f64) -> c_int {
+unsafe extern "C" fn current_time(_: *mut ffi::sqlite3_vfs, out: *mut f64) -> c_int {
     unsafe { *out = 2_460_000.5 };
     ffi::SQLITE_OK
 }
 
 struct Methods(ffi::sqlite3_io_methods);
-// Safety: a table of functions that is never written.
+// Safety: the function table is never written.
 unsafe impl Sync for Methods {}
 static METHODS: Methods = Methods(ffi::sqlite3_io_methods {
     iVersion: 1,
@@ -382,13 +383,13 @@
     xWrite: Some(write),
     xTruncate: Some(truncate),
     xSync: Some(sync),
-    xFileSize: Some(size),
+    xFileSize: Some(file_size),
     xLock: Some(lock),
     xUnlock: Some(lock),
-    xCheckReservedLock: Some(reserved),
-    xFileControl: Some(control),
-    xSectorSize: Some(sector),
-    xDeviceCharacteristics: Some(traits),
+    xCheckReservedLock: Some(check_reserved_lock),
+    xFileControl: Some(file_control),
+    xSectorSize: Some(sector_size),
+    xDeviceCharacteristics: Some(device_characteristics),
     xShmMap: None,
     xShmLock: None,
     xShmBarrier: None,
@@ -408,21 +409,21 @@
         xOpen: Some(open),
         xDelete: Some(remove),
         xAccess: Some(access),
-        xFullPathname: Some(full),
+        xFullPathname: Some(full_pathname),
         xDlOpen: None,
         xDlError: None,
         xDlSym: None,
         xDlClose: None,
-        xRandomness: Some(random),
-        xSleep: Some(rest),
-        xCurrentTime: Some(time),
+        xRandomness: Some(randomness),
+        xSleep: Some(sleep),
+        xCurrentTime: Some(current_time),
         xGetLastError: None,
         xCurrentTimeInt64: None,
         xSetSystemCall: None,
         xGetSystemCall: None,
         xNextSystemCall: None,
     };
-    // Kept for good, as SQLite does.
+    // Leaked, as SQLite keeps the pointer for the life of the process.
     let done = unsafe { ffi::sqlite3_vfs_register(Box::into_raw(Box::new(vfs)), 0) };
     assert_eq!(done, ffi::SQLITE_OK);
 }
--- a/control-daemon/tests/stored_data.rs
+++ b/control-daemon/tests/stored_data.rs
@@ -1,9 +1,9 @@
-//! A data folder that an earlier build of the control daemon wrote is opened and served by this one.
+//! Opens and serves a data folder that an earlier build of the control daemon wrote.
 //!
-//! `fixtures/layout-5/control.sqlite` is the folder of one of three daemons of a fleet on loopback which took specs,
-//! a release plan, an evacuation and its end, the kill switch and a warning; a packed rollout record of 400 replicas and
-//! a slot that is accepted but not committed were written to it by that build's `Disk`. `expected.json` beside it is what
-//! SQLite reads from the file.
+//! `fixtures/layout-5/control.sqlite` comes from one of three daemons of a fleet on loopback that accepted specs, a
+//! release plan, an evacuation and its end, the kill switch and a warning. That build's `Disk` also wrote a packed
+//! rollout record of 400 replicas and a slot that is accepted but not committed. `expected.json` beside it holds the
+//! rows that SQLite reads from the file.
 
 use std::{fs, path::PathBuf};
 
@@ -20,7 +20,7 @@
 use wire_messages::{Blob, List, ReplacedValue, Slot, Voter};
 
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/layout-5");
-/// Replicas in the packed record.
+/// Number of replicas in the packed record.
 const LARGE_RECORD_REPLICAS: usize = 400;
 
 #[derive(Deserialize)]
@@ -103,7 +103,7 @@
     }
 }
 
-/// The fixture as the daemon's disk reads it, from a copy.
+/// Opens a copy of the fixture with the daemon's disk.
 fn opened(name: &str) -> DiskState {
     let folder =
         std::env::temp_dir().join(format!("landingslip-stored-{name}-{}", std::process::id()));
@@ -190,12 +190,12 @@
 }
 
 #[gtest]
-fn specs_records_and_voters_are_understood() {
+fn specs_records_and_voters_are_decoded() {
     let DiskState {
         disk_id: disk,
         rows,
         ..
-    } = opened("understood");
+    } = opened("decoded");
     let control = control(rows, disk);
     expect_that!(control.spec().unwrap().canary_percent, eq(7));
     let status = control.status(1_000);
@@ -218,7 +218,7 @@
     expect_that!(status.kill_switch, eq(false));
 }
 
-/// Operators' dashboards name counters.
+/// Operators' dashboards refer to counters by name.
 #[gtest]
 fn counters_keep_their_names() {
     let DiskState {
