--- a/coordination/tests/directory_loss.rs
+++ b/coordination/tests/directory_loss.rs
@@ -1,5 +1,6 @@
-//! How long the directory names edges that are gone, and agents tell their proxies of them, at any size of the fleet and
-//! any share of it that is lost, and whether either ever leaves a live one out. Prints a row a case; `SIZES=22,44,88,176,352` plays other sizes (`-- --nocapture`).
+//! Tests how long the directory returns lost edges and agents report them to their proxies, for several fleet sizes and
+//! shares of lost edges, and whether either omits a live edge. Prints one row per case; `SIZES=22,44,88,176,352` runs
+//! other sizes (`-- --nocapture`).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,45 +23,46 @@
     ("c2", "c"),
 ];
 const CONTROLS: usize = 5;
-/// The region that is lost or cut off.
+/// The region that is lost or partitioned.
 const LOST_REGION: &str = "c";
-/// As many edges as a large deployment has, and a control daemon in each zone.
+/// Number of edges of a large deployment, which has a control daemon in each zone.
 const LARGE_FLEET: usize = 88;
 const CONTROLS_IN_EACH_ZONE: usize = 6;
-/// ms. A daemon names no edge for longer than the contact bound and this, in contact or not.
+/// Margin in ms: a daemon, in contact or not, returns a lost edge for at most the contact bound plus this.
 const NAMED_BEYOND_CONTACT: Ms = 1_000;
-/// ms. Network latency inside a region and between regions.
+/// Network latency within a region and between regions, in ms.
 const LOCAL_LATENCY: Ms = 1;
 const REMOTE_LATENCY: Ms = 35;
-/// ms. Proxies report to their agents this often.
+/// Interval between reports of a proxy to its agent, in ms.
 const PROXY_REPORT_INTERVAL: Ms = 200;
-/// ms. All nodes of a fleet know each other by then, also of a large one.
+/// Time after which all nodes know each other, even in a large fleet, in ms.
 const DISCOVERY_TIME: Ms = 25_000;
-/// ms. Traffic begins so long after the processes of a recorded day have started, and half a second later edges are lost.
+/// Delay from the start of the processes to the start of traffic in a recorded day, in ms; edges are lost half a second
+/// later.
 const TRAFFIC_START: Ms = 14_000;
-/// ms. For so long each daemon is asked after the loss.
+/// Time for which each daemon is queried after the loss, in ms.
 const OBSERVATION_TIME: Ms = 20_000;
-/// ms between two questions.
+/// Interval between queries, in ms.
 const OBSERVATION_INTERVAL: Ms = 100;
-/// ms. The bound on how long the directory of a daemon in contact, or an agent, names an edge after its last message.
+/// Bound on the time for which a daemon in contact, or an agent, still lists a lost edge, in ms after its last message.
 const MAX_NAMED_AFTER_LOSS: Ms = 3_000;
-/// ms. Agents tell their proxies of the live edges this often.
+/// Interval between table updates from an agent to its proxy, in ms.
 const PROXY_UPDATE_INTERVAL: Ms = 300;
 
-/// What happens to one control daemon as the edges are lost.
+/// Fault of one control daemon at the time of the loss.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ControlFault {
     None,
-    /// Killed, and started again half a second later.
+    /// Killed, and restarted half a second later.
     Restarted,
-    /// Gone for good; an empty machine with another name and address comes a second later.
+    /// Lost permanently; an empty machine with a new name and address is added a second later.
     Replaced,
-    /// Cut off from all other processes for eight seconds.
+    /// Partitioned from all other processes for eight seconds.
     Cut,
 }
 
 impl ControlFault {
-    /// ms from the loss until the daemon runs and is connected again.
+    /// Returns the time from the loss until the daemon runs and is connected again, in ms.
     fn recovers_after(self) -> Ms {
         match self {
             ControlFault::None => 0,
@@ -71,7 +73,7 @@
     }
 }
 
-/// Which messages a partition of region `c` from the others drops.
+/// Direction of the messages that a partition of region `c` from the others drops.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum RegionCut {
     ToRegion,
@@ -92,8 +94,8 @@
 }
 
 struct ControlHost {
-    params: ControlConfig,
-    brain: Option<Control>,
+    config: ControlConfig,
+    control_state: Option<Control>,
     rows: BTreeMap<String, Row>,
 }
 
@@ -110,14 +112,15 @@
     gone: BTreeSet<Name>,
     cut: Option<Name>,
     region_cut: Option<RegionCut>,
-    /// Processes that do not run now, and the messages that wait for each.
+    /// Suspended processes.
     suspended: BTreeSet<Name>,
+    /// Messages (receiver, sender, message) that wait for suspended processes.
     waiting: Vec<(Name, Name, Message)>,
     queue: BTreeMap<(Ms, u64), (Name, Name, Message)>,
     sequence: u64,
     rng: fastrand::Rng,
-    /// The edges that each agent last told its proxy of.
-    told_proxies: BTreeMap<Name, BTreeSet<Name>>,
+    /// Edges in the last table update from each agent to its proxy.
+    proxy_tables: BTreeMap<Name, BTreeSet<Name>>,
 }
 
 fn row_key(row: &Row) -> String {
@@ -145,7 +148,7 @@
             queue: BTreeMap::new(),
             sequence: 0,
             rng: fastrand::Rng::with_seed(seed),
-            told_proxies: BTreeMap::new(),
+            proxy_tables: BTreeMap::new(),
         };
         for i in 0..controls {
             deployment.add_control(i, true);
@@ -177,7 +180,7 @@
 
     fn add_control(&mut self, i: usize, bootstrap: bool) {
         let name = Name::from(format!("c{i}").as_str());
-        let params = ControlConfig {
+        let config = ControlConfig {
             name: name.clone(),
             zone: ZONES[i % ZONES.len()].0.into(),
             addr: name.clone(),
@@ -192,8 +195,8 @@
         self.controls.insert(
             name.clone(),
             ControlHost {
-                params,
-                brain: None,
+                config,
+                control_state: None,
                 rows: BTreeMap::new(),
             },
         );
@@ -205,9 +208,9 @@
         let Some(host) = self.controls.get_mut(name) else {
             return;
         };
-        let disk = 1 + host.params.name.bytes().map(u64::from).sum::<u64>();
-        host.brain = Some(Control::new(
-            host.params.clone(),
+        let disk = 1 + host.config.name.bytes().map(u64::from).sum::<u64>();
+        host.control_state = Some(Control::new(
+            host.config.clone(),
             disk,
             host.rows.values().cloned().collect(),
             now,
@@ -218,12 +221,12 @@
     fn region(&self, name: &Name) -> &str {
         let zone = match self.edges.get(name) {
             Some(edge) => ZONES[edge.zone].0,
-            None => self.controls.get(name).map_or("", |c| &c.params.zone),
+            None => self.controls.get(name).map_or("", |c| &c.config.zone),
         };
         zone.get(..1).unwrap_or_default()
     }
 
-    fn carry(&mut self, from: &Name, effects: Effects) {
+    fn carry_out(&mut self, from: &Name, effects: Effects) {
         for effect in effects {
             match effect {
                 Effect::Send {
@@ -231,7 +234,7 @@
                     ..
                 } => {
                     let edges = update.nodes.iter().map(|node| node.name.clone());
-                    self.told_proxies.insert(from.clone(), edges.collect());
+                    self.proxy_tables.insert(from.clone(), edges.collect());
                 }
                 Effect::Send { to, msg } => {
                     let is_cut = to != *from
@@ -259,7 +262,7 @@
                     if let Some(host) = self.controls.get_mut(from) {
                         host.rows.extend(rows.into_iter().map(|r| (row_key(&r), r)));
                     }
-                    self.carry(from, then);
+                    self.carry_out(from, then);
                 }
                 _ => {}
             }
@@ -273,7 +276,9 @@
         let now = self.now;
         let out = match (
             self.edges.get_mut(to),
-            self.controls.get_mut(to).and_then(|c| c.brain.as_mut()),
+            self.controls
+                .get_mut(to)
+                .and_then(|c| c.control_state.as_mut()),
         ) {
             (Some(edge), _) if !self.gone.contains(to) => {
                 edge.agent.on_message(from, from, msg, now)
@@ -281,7 +286,7 @@
             (None, Some(control)) => control.on_message(from, from, msg, now),
             _ => return,
         };
-        self.carry(to, out);
+        self.carry_out(to, out);
     }
 
     fn tick_edge(&mut self, name: &Name) {
@@ -303,7 +308,7 @@
                 .on_message(&proxy, &proxy, Message::from(report), now);
         }
         out.extend(edge.agent.tick(now));
-        self.carry(name, out);
+        self.carry_out(name, out);
     }
 
     fn run(&mut self, ms: Ms) {
@@ -335,15 +340,18 @@
                     .keys()
                     .filter(|name| !self.suspended.contains(*name));
                 for name in running.cloned().collect::<Vec<_>>() {
-                    let brain = self.controls.get_mut(&name).and_then(|c| c.brain.as_mut());
-                    let out = brain.map(|c| c.tick(now)).unwrap_or_default();
-                    self.carry(&name, out);
+                    let control_state = self
+                        .controls
+                        .get_mut(&name)
+                        .and_then(|c| c.control_state.as_mut());
+                    let out = control_state.map(|c| c.tick(now)).unwrap_or_default();
+                    self.carry_out(&name, out);
                 }
             }
         }
     }
 
-    /// Lets the suspended processes run again: each takes what waited for it, all at once.
+    /// Resumes the suspended processes and delivers all their waiting messages at once.
     fn resume(&mut self) {
         self.suspended.clear();
         for (to, from, msg) in std::mem::take(&mut self.waiting) {
@@ -351,12 +359,12 @@
         }
     }
 
-    /// Edges that a daemon names to callers of all zones; none if it names none.
+    /// Returns the edges that a daemon returns to callers of all zones, or `None` while its process is stopped.
     fn named_edges(&mut self, control: &Name) -> Option<BTreeSet<Name>> {
         let now = self.now;
-        let brain = self.controls.get_mut(control)?.brain.as_mut()?;
+        let control_state = self.controls.get_mut(control)?.control_state.as_mut()?;
         let answers = ZONES.map(|(zone, region)| {
-            brain
+            control_state
                 .resolve(
                     Caller {
                         host: "host",
@@ -395,18 +403,18 @@
         .collect()
 }
 
-/// What was observed of the directory after a loss.
+/// Observations of the directory after a loss.
 #[derive(Debug, Default)]
 struct Observed {
-    /// ms from the loss to the last answer that names a lost edge, of daemons that were in contact all the time.
+    /// Time from the loss to the last answer with a lost edge, in ms, for daemons that were in contact all the time.
     named_for: Ms,
-    /// Likewise of the faulty one, from the time at which it has been in contact for as long as serving rules ask.
+    /// The same for the faulty daemon, once it has been in contact for as long as the serving rules require.
     faulty_named_for: Ms,
-    /// Live edges left out, summed over all answers.
+    /// Live edges omitted, summed over all answers.
     left_out: usize,
-    /// Likewise of the faulty one, once it has heard the fleet.
+    /// The same for the faulty daemon, once it has discovered the fleet.
     faulty_left_out: usize,
-    /// Answers of the faulty one without any edge, likewise.
+    /// Answers without any edge from the faulty daemon, once it has discovered the fleet.
     faulty_empty: usize,
 }
 
@@ -426,7 +434,7 @@
         ControlFault::None => {}
         ControlFault::Cut => deployment.cut = Some(faulty.clone()),
         ControlFault::Restarted | ControlFault::Replaced => {
-            deployment.controls.get_mut(&faulty).unwrap().brain = None
+            deployment.controls.get_mut(&faulty).unwrap().control_state = None
         }
     }
     let mut observed = Observed::default();
@@ -453,7 +461,7 @@
             let names_gone = named_edges.iter().any(|n| deployment.gone.contains(n));
             let left_out = live.difference(&named_edges).count();
             if name == faulty && fault != ControlFault::None {
-                let contact = deployment.controls[&name].params.bounds.contact;
+                let contact = deployment.controls[&name].config.bounds.contact;
                 if names_gone && since >= contact {
                     observed.faulty_named_for = after;
                 }
@@ -474,9 +482,11 @@
 }
 
 fn sizes(usual: &[usize]) -> Vec<usize> {
-    let asked = std::env::var("SIZES").ok();
-    asked.map_or(usual.to_vec(), |s| {
-        s.split(',').map(|n| n.parse().expect("a number")).collect()
+    let requested_sizes = std::env::var("SIZES").ok();
+    requested_sizes.map_or(usual.to_vec(), |s| {
+        s.split(',')
+            .map(|n| n.parse().expect("invalid SIZES"))
+            .collect()
     })
 }
 
@@ -516,8 +526,8 @@
     }
 }
 
-/// Messages that waited while a daemon was suspended were sent at any time since: those of an edge that was lost
-/// meanwhile are no sign of life.
+/// Messages that waited while a daemon was suspended may be as old as the suspension: those of an edge that was lost
+/// meanwhile do not show that it is live.
 #[gtest]
 fn resumed_daemon_names_no_edge_that_was_lost_early_in_its_suspension() {
     const SUSPENSIONS: [Ms; 2] = [3_400, 3_200];
@@ -529,7 +539,7 @@
         deployment.run(300);
         deployment.lose_edges(50);
         deployment.run(SUSPENSIONS[0] - 300);
-        // Too short a run for its polls to be answered.
+        // Runs for too short a time for its polls to be answered.
         deployment.resume();
         deployment.run(2);
         deployment.suspended.insert(resumed.clone());
@@ -545,18 +555,20 @@
             }
             deployment.run(OBSERVATION_INTERVAL);
         }
-        println!("{edges:4} edges, resumed: named {named_lost} lost ones, none for {empty_for} ms");
+        println!(
+            "{edges:4} edges, resumed: returned {named_lost} lost edges, none for {empty_for} ms"
+        );
         expect_that!(named_lost, eq(0), "{edges} edges");
         expect_that!(empty_for, le(1_500), "{edges} edges");
     }
 }
 
-/// What was observed of agents after a loss.
+/// Observations of the agents after a loss.
 #[derive(Debug, Default)]
 struct ObservedAgents {
-    /// ms from the loss to the last time at which a live agent's proxy had been told that a lost edge lives.
+    /// Time from the loss until no proxy of a live agent has a lost edge in its last table update, in ms.
     told_for: Ms,
-    /// Live edges that a live agent left out, summed over all times of asking.
+    /// Live edges omitted by live agents, summed over all queries.
     left_out: usize,
 }
 
@@ -571,9 +583,9 @@
     while deployment.now < lost_at + OBSERVATION_TIME {
         deployment.run(OBSERVATION_INTERVAL);
         for agent in &live {
-            let told = &deployment.told_proxies[agent];
-            observed.left_out += live.difference(told).count();
-            if !told.is_disjoint(&deployment.gone) {
+            let listed = &deployment.proxy_tables[agent];
+            observed.left_out += live.difference(listed).count();
+            if !listed.is_disjoint(&deployment.gone) {
                 observed.told_for = deployment.now - lost_at;
             }
         }
@@ -597,14 +609,14 @@
     }
 }
 
-/// When a fleet's troubles begin, in ms from the start of its processes, and from one loss to the next.
+/// Times of the losses, in ms: the first from the start of the processes, the others each from the one before.
 #[derive(Clone, Copy, Debug)]
 struct LossTimes {
-    /// A quarter of the edges is lost, in all zones.
+    /// Time at which a quarter of the edges is lost, across all zones.
     edges_at: Ms,
-    /// Both control daemons of a region and most of its edges are lost so much later.
+    /// Delay until the control daemons of a region and most of its edges are lost.
     region_after: Ms,
-    /// So long after that all of them are back.
+    /// Delay until the lost control daemons restart.
     back_after: Ms,
 }
 
@@ -618,7 +630,7 @@
             .collect();
         for name in lost_controls {
             if let Some(host) = self.controls.get_mut(&name) {
-                host.brain = None;
+                host.control_state = None;
             }
         }
         let mut lost_edges: Vec<Name> = self
@@ -627,7 +639,7 @@
             .filter(|name| self.region(name) == LOST_REGION)
             .cloned()
             .collect();
-        // A few stay, so that there are edges to name.
+        // Keeps a few edges, so that the directory has edges to return.
         lost_edges.truncate(lost_edges.len() * 3 / 4);
         self.gone.extend(lost_edges);
     }
@@ -636,7 +648,7 @@
         let lost: Vec<Name> = self
             .controls
             .iter()
-            .filter(|(_, host)| host.brain.is_none())
+            .filter(|(_, host)| host.control_state.is_none())
             .map(|(name, _)| name.clone())
             .collect();
         for name in lost {
@@ -644,7 +656,8 @@
         }
     }
 
-    /// The longest time for which any of the edges that are gone, by when each was lost, is named now.
+    /// Returns the longest time since the loss of an edge that a running daemon still returns, and that daemon.
+    /// `lost_at` is the time of loss of each edge.
     fn longest_named(&mut self, lost_at: &BTreeMap<Name, Ms>) -> Option<(Ms, Name)> {
         let running = |name: &&Name| !self.suspended.contains(*name);
         let names: Vec<Name> = self.controls.keys().filter(running).cloned().collect();
@@ -661,7 +674,7 @@
         longest
     }
 
-    /// Runs on, and returns for how long a lost edge was named at most and by which daemon.
+    /// Runs for `ms`; returns the longest time for which a lost edge was returned, and by which daemon.
     fn observe_named(&mut self, ms: Ms, lost_at: &mut BTreeMap<Name, Ms>) -> Option<(Ms, Name)> {
         for lost in &self.gone {
             lost_at.entry(lost.clone()).or_insert(self.now);
@@ -676,9 +689,9 @@
     }
 }
 
-/// For how long an edge is named at most that is gone, by any daemon, as edges are lost and then a region, whose control
-/// daemons come back on their disks.
-fn longest_named_as_region_follows(controls: usize, times: LossTimes) -> Option<(Ms, Name)> {
+/// Loses edges and then a region, whose control daemons restart with their disks; returns the longest time for which
+/// any daemon returned a lost edge.
+fn longest_named_with_region_loss(controls: usize, times: LossTimes) -> Option<(Ms, Name)> {
     let mut deployment = Deployment::with_controls(controls, LARGE_FLEET, 7);
     deployment.run(times.edges_at);
     deployment.lose_edges(25);
@@ -697,12 +710,13 @@
     coordination::bounds::Bounds::default().contact
 }
 
-/// Whether no edge was named for longer than the contact bound and a second.
-fn is_in_bound(longest: Option<&(Ms, Name)>) -> bool {
+/// Returns whether no lost edge was returned for longer than the contact bound plus a second.
+fn is_within_bound(longest: Option<&(Ms, Name)>) -> bool {
     longest.is_none_or(|(named_for, _)| *named_for <= contact_bound() + NAMED_BEYOND_CONTACT)
 }
 
-/// Edges lost half a second into the traffic and then a region: the directory named machines long gone, eight seconds on.
+/// Edges are lost half a second after the start of traffic, and then a region: the directory still returned machines
+/// that had been lost eight seconds before.
 #[gtest]
 fn lost_edges_are_not_named_beyond_the_contact_bound_as_a_region_follows() {
     for controls in [CONTROLS, CONTROLS_IN_EACH_ZONE] {
@@ -712,9 +726,9 @@
                 region_after,
                 back_after: 6_000,
             };
-            let longest = longest_named_as_region_follows(controls, times);
+            let longest = longest_named_with_region_loss(controls, times);
             expect_that!(
-                is_in_bound(longest.as_ref()),
+                is_within_bound(longest.as_ref()),
                 eq(true),
                 "{controls} controls, {times:?}: {longest:?}"
             );
@@ -722,7 +736,8 @@
     }
 }
 
-/// A daemon in its own first seconds knows few edges by their polls: it may name those long gone by what others tell it.
+/// A daemon that has just started has received few polls: it may return edges that were lost long ago because of gossip
+/// from other daemons.
 #[gtest]
 fn edges_lost_as_the_daemons_start_are_not_named_beyond_the_contact_bound() {
     for controls in [CONTROLS, CONTROLS_IN_EACH_ZONE] {
@@ -732,9 +747,9 @@
                 region_after: 9_700,
                 back_after: 6_000,
             };
-            let longest = longest_named_as_region_follows(controls, times);
+            let longest = longest_named_with_region_loss(controls, times);
             expect_that!(
-                is_in_bound(longest.as_ref()),
+                is_within_bound(longest.as_ref()),
                 eq(true),
                 "{controls} controls, {times:?}: {longest:?}"
             );
@@ -742,10 +757,11 @@
     }
 }
 
-/// A region that is cut off in one direction hears, or is heard by, no majority: neither side may name edges long gone.
+/// With a one-way partition a region receives messages from no majority or reaches none: neither side may return edges
+/// that were lost long ago.
 #[gtest]
 fn lost_edges_are_not_named_beyond_the_contact_bound_while_a_region_is_cut_off() {
-    const CUT_LASTS: Ms = 10_000;
+    const PARTITION_DURATION: Ms = 10_000;
     for cut in [
         RegionCut::ToRegion,
         RegionCut::FromRegion,
@@ -758,13 +774,13 @@
             deployment.run(cut_before_loss);
             deployment.lose_edges(25);
             let mut lost_at = BTreeMap::new();
-            let during = deployment.observe_named(CUT_LASTS, &mut lost_at);
+            let during = deployment.observe_named(PARTITION_DURATION, &mut lost_at);
             deployment.region_cut = None;
             let after = deployment.observe_named(OBSERVATION_TIME, &mut lost_at);
             let longest = during.max(after);
             println!("{cut:?}, {cut_before_loss} ms before the loss: {longest:?}");
             expect_that!(
-                is_in_bound(longest.as_ref()),
+                is_within_bound(longest.as_ref()),
                 eq(true),
                 "{cut:?}, {cut_before_loss} ms before: {longest:?}"
             );
@@ -772,9 +788,9 @@
     }
 }
 
-/// For how long an edge is named at most that is lost just after other processes were suspended, by any daemon that runs,
-/// until these have run again for a while.
-fn longest_named_as_others_resume(
+/// Loses edges just after other processes were suspended, and resumes these later; returns the longest time for which
+/// any running daemon returned a lost edge, until a while after the resumption.
+fn longest_named_with_suspension(
     suspended: BTreeSet<Name>,
     suspension: Ms,
     seed: u64,
@@ -792,8 +808,8 @@
     during.max(after)
 }
 
-/// Heartbeats that waited in a suspended edge are as old as its suspension is long: passed on as fresh ones, they bring lost
-/// edges back at daemons that were in contact all the time.
+/// Heartbeats that waited in a suspended edge may be as old as the suspension: forwarded as fresh, they would restore
+/// lost edges at daemons that were in contact all the time.
 #[gtest]
 fn resumed_edges_bring_no_lost_edge_back_into_the_directory() {
     for (edge_count, seed) in [(1, 2), (1, 7), (12, 2), (12, 7)] {
@@ -801,24 +817,24 @@
             let suspended: BTreeSet<Name> = (0..edge_count)
                 .map(|i| Name::from(format!("e{i}").as_str()))
                 .collect();
-            let longest = longest_named_as_others_resume(suspended, suspension, seed);
+            let longest = longest_named_with_suspension(suspended, suspension, seed);
             let case = format!("{edge_count} edges, seed {seed}, {suspension} ms: {longest:?}");
             println!("{case}");
-            expect_that!(is_in_bound(longest.as_ref()), eq(true), "{case}");
+            expect_that!(is_within_bound(longest.as_ref()), eq(true), "{case}");
         }
     }
 }
 
-/// A control daemon that takes heartbeats that waited for no sign of life itself must not pass them on as such either.
+/// A control daemon that does not count waiting heartbeats as fresh must not forward them as fresh either.
 #[gtest]
 fn resumed_daemon_brings_no_lost_edge_back_into_the_directory_of_others() {
     for (control, seed) in [("c0", 7), ("c1", 7), ("c2", 2)] {
         for suspension in [4_000, 7_000] {
             let suspended = BTreeSet::from([Name::from(control)]);
-            let longest = longest_named_as_others_resume(suspended, suspension, seed);
+            let longest = longest_named_with_suspension(suspended, suspension, seed);
             let case = format!("{control}, seed {seed}, {suspension} ms: {longest:?}");
             println!("{case}");
-            expect_that!(is_in_bound(longest.as_ref()), eq(true), "{case}");
+            expect_that!(is_within_bound(longest.as_ref()), eq(true), "{case}");
         }
     }
 }
--- a/coordination/tests/fleet/mod.rs
+++ b/coordination/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Control daemons alone, in virtual time: a network that delays and loses and is partitioned,
-//! disks that sync, hang and are lost, processes that die.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Simulates control daemons without edges in virtual time: a network that delays and drops messages and can be
+//! partitioned, disks that sync, hang and are lost, and processes that are killed.
+#![allow(dead_code, reason = "each test file uses only part of this module")]
 
 pub mod platform;
 pub mod usage_edges;
@@ -17,15 +17,15 @@
 use platform::{CALL_LIMIT, Platform};
 use wire_messages::{Message, Name};
 
-/// ms. The time of day at a fleet's start, since the start of 1970.
+/// Unix time at the start of a fleet, in ms.
 pub const WALL_START: u64 = 1_767_225_601_234;
-/// Between two checks of a condition that is waited for.
+/// Interval between checks of an awaited condition.
 const CHECK_INTERVAL: Ms = 10;
-/// How long an operator waits for a write, and how long until the next attempt.
+/// Time that an operator waits for the outcome of a write, and the delay before the next attempt.
 const WRITE_TIMEOUT: Ms = 1_000;
 const WRITE_RETRY_DELAY: Ms = 100;
 
-/// Rows to be synced, and the effects that follow.
+/// Rows to sync, and the effects to carry out once they are synced.
 struct UnsyncedRows {
     rows: Vec<Row>,
     then: Effects,
@@ -33,24 +33,24 @@
 
 pub struct Daemon {
     pub config: ControlConfig,
-    /// None while the process is dead.
+    /// `None` while the process is stopped.
     pub control: Option<Control>,
     pub disk: BTreeMap<String, Row>,
     pub disk_id: u64,
     pub incarnation: u64,
-    /// Until when its disk ends no sync.
+    /// Time until which no sync of the disk finishes.
     pub disk_hung_until: Ms,
-    /// Until when the process does not run; what reaches it waits in its sockets.
+    /// Time until which the process is suspended; events that reach it wait.
     pub suspended_until: Ms,
-    /// Waits for the disk and is synced together, as the runtime does.
+    /// Rows that wait for the disk; all are synced together, as in the runtime.
     unsynced: Vec<UnsyncedRows>,
     is_disk_busy: bool,
     disk_busy_since: Ms,
     next_tick: Ms,
     pub sync_duration: Ms,
-    /// Events that it logged: when, and their names.
+    /// Logged events: time and name.
     pub logged: Vec<(Ms, &'static str)>,
-    /// Whether it makes the calls of singleton roles, which forget what they have reported.
+    /// Whether the daemon makes the calls of singleton roles, which do not remember what they have reported.
     pub runs_platform_roles: bool,
 }
 
@@ -81,7 +81,7 @@
         self.is_disk_busy = false;
     }
 
-    /// Ticks if that is due.
+    /// Runs a tick if one is due.
     fn tick(&mut self, now: Ms) -> Effects {
         if self.next_tick > now || self.suspended_until > now {
             return vec![];
@@ -90,7 +90,7 @@
         let Some(control) = self.control.as_mut() else {
             return vec![];
         };
-        // As the runtime reports it.
+        // As in the runtime.
         control.disk_healthy =
             !self.is_disk_busy || now - self.disk_busy_since <= DISK_SYNC_TIMEOUT;
         let mut effects = control.tick(now);
@@ -113,7 +113,7 @@
         incarnation: u64,
         synced: UnsyncedRows,
     },
-    /// A daemon's call to the platform has its turn.
+    /// A call of a daemon to the platform is due to be sent.
     SendCall {
         index: usize,
         incarnation: u64,
@@ -134,29 +134,29 @@
 
 /// Whether a message from one address to another is delivered.
 type Filter = Box<dyn Fn(&Name, &Name, &Message) -> bool>;
-/// Changes a message before a daemon of this member epoch reads it.
+/// Changes a message before a daemon at the given member epoch receives it.
 type Rewrite = Box<dyn Fn(u32, &mut Message)>;
 
 pub struct Fleet {
     pub now: Ms,
     pub daemons: Vec<Daemon>,
-    /// By time, then in the order of scheduling.
+    /// Events by time, then by scheduling order.
     queue: BTreeMap<(Ms, u64), Event>,
     last_event_number: u64,
     pub rng: fastrand::Rng,
-    /// Addresses that neither send nor are reached.
+    /// Addresses that can neither send nor receive messages.
     pub partitioned: BTreeSet<Name>,
     pub delivers: Filter,
     pub rewrite: Option<Rewrite>,
-    /// Outcomes of writes, by daemon and token: when, and which.
+    /// Time and outcome of each finished write, by daemon and token.
     pub write_outcomes: BTreeMap<(usize, u64), (Ms, WriteOutcome)>,
-    /// Longest network latency, and by how much each message takes longer that is sent now.
+    /// Maximum network latency, and extra latency of messages sent from now on.
     pub max_latency: Ms,
     pub extra_latency: Ms,
-    /// When a write is first confirmed at this daemon its disk is lost.
+    /// Daemon whose disk is lost as soon as it acknowledges its next write.
     pub wipe_after_ack: Option<usize>,
     pub platform: Platform,
-    /// Bounds of daemons that are added.
+    /// Bounds of the daemons added from now on.
     pub bounds: Bounds,
 }
 
@@ -172,7 +172,7 @@
 }
 
 impl Fleet {
-    /// A fleet without daemons; they are added by `add`.
+    /// Creates a fleet without daemons; `add` adds them.
     pub fn new(seed: u64) -> Self {
         Fleet {
             now: 0,
@@ -192,13 +192,13 @@
         }
     }
 
-    /// A fleet of so many daemons in as many zones, of which the first three are seeds and
-    /// bootstrap it.
+    /// Creates a fleet of `daemon_count` daemons, each in its own zone. The first three are the seeds and
+    /// bootstrap the fleet.
     pub fn bootstrapped(seed: u64, daemon_count: usize, region: impl Fn(usize) -> String) -> Self {
         Fleet::bootstrapped_with(Bounds::default(), seed, daemon_count, region)
     }
 
-    /// The same with these bounds.
+    /// Does the same as `bootstrapped`, with the given bounds.
     pub fn bootstrapped_with(
         bounds: Bounds,
         seed: u64,
@@ -264,7 +264,7 @@
         self.daemons[index].kill();
     }
 
-    /// Kills a daemon and loses its disk; it does not bootstrap any more.
+    /// Kills a daemon and clears its disk; the daemon no longer bootstraps.
     pub fn wipe(&mut self, index: usize) {
         self.kill(index);
         let disk_id = self.random_disk_id();
@@ -321,14 +321,14 @@
     fn send(&mut self, index: usize, to: Name, message: Message) {
         let config = &self.daemons[index].config;
         let (from, addr) = (config.name.clone(), config.addr.clone());
-        let is_to_itself = to == addr;
-        if !is_to_itself {
-            let is_cut = self.partitioned.contains(&to) || self.partitioned.contains(&addr);
-            if is_cut || !(self.delivers)(&addr, &to, &message) {
+        let is_to_self = to == addr;
+        if !is_to_self {
+            let is_partitioned = self.partitioned.contains(&to) || self.partitioned.contains(&addr);
+            if is_partitioned || !(self.delivers)(&addr, &to, &message) {
                 return;
             }
         }
-        let delay = if is_to_itself {
+        let delay = if is_to_self {
             0
         } else {
             1 + self.extra_latency + self.rng.u64(..self.max_latency)
@@ -342,7 +342,7 @@
         self.schedule(delay, delivery);
     }
 
-    /// Starts to sync what waits for a daemon's disk, unless the disk is busy.
+    /// Starts to sync a daemon's waiting rows unless its disk is busy.
     fn start_sync(&mut self, index: usize) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
@@ -406,7 +406,7 @@
                 index,
                 incarnation,
                 leased,
-            } => self.take_call(index, incarnation, leased),
+            } => self.receive_call(index, incarnation, leased),
             Event::CallFinished {
                 index,
                 incarnation,
@@ -416,20 +416,20 @@
         }
     }
 
-    /// Sends a call to the platform as the runtime does: only while its lease runs, and with an end to it.
+    /// Sends a call to the platform as the runtime does: only while its lease is held, and with a time limit.
     fn send_call(&mut self, index: usize, incarnation: u64, leased: LeasedCall) {
         self.platform.waiting -= 1;
         if self.daemons[index].incarnation != incarnation {
             return;
         }
         let time_limit = leased.until.saturating_sub(self.now).min(CALL_LIMIT);
-        let given_up = Event::CallFinished {
+        let timed_out = Event::CallFinished {
             index,
             incarnation,
             id: leased.id,
             outcome: CallOutcome::Failed,
         };
-        self.schedule(time_limit, given_up);
+        self.schedule(time_limit, timed_out);
         if time_limit == 0 {
             self.platform.dropped += 1;
         } else if !self.platform.unreachable_from.contains(&index) {
@@ -443,7 +443,7 @@
         }
     }
 
-    fn take_call(&mut self, index: usize, incarnation: u64, leased: LeasedCall) {
+    fn receive_call(&mut self, index: usize, incarnation: u64, leased: LeasedCall) {
         self.platform.on_their_way -= 1;
         let id = leased.id;
         let answer = self.platform.take(index, leased, self.now);
@@ -522,7 +522,7 @@
         }
     }
 
-    /// Runs until a condition holds; gives after how long it did, or none if it did not in time.
+    /// Runs until a condition holds; returns the time that this took, or `None` after `most` ms.
     pub fn run_until(&mut self, most: Ms, condition: impl Fn(&Fleet) -> bool) -> Option<Ms> {
         let started_at = self.now;
         while self.now < started_at + most {
@@ -534,19 +534,19 @@
         condition(self).then_some(most)
     }
 
-    /// The state machine of a daemon; none while its process is dead.
+    /// Returns the state machine of a daemon, or `None` while its process is stopped.
     pub fn control(&self, index: usize) -> Option<&Control> {
         self.daemons[index].control.as_ref()
     }
 
-    /// Daemons whose process runs.
+    /// Returns the daemons whose process is running.
     pub fn running(&self) -> Vec<usize> {
         (0..self.daemons.len())
             .filter(|index| self.control(*index).is_some())
             .collect()
     }
 
-    /// Daemons that vote.
+    /// Returns the running daemons that are voters.
     pub fn voting(&self) -> Vec<usize> {
         let votes = |index: &usize| {
             self.control(*index)
@@ -555,7 +555,7 @@
         (0..self.daemons.len()).filter(votes).collect()
     }
 
-    /// Names of the voters as a daemon knows them.
+    /// Returns the names of the voters in a daemon's member configuration.
     pub fn voters(&self, index: usize) -> BTreeSet<String> {
         self.control(index).map_or(BTreeSet::new(), |control| {
             let voters = control.registers.members.voters.iter();
@@ -563,7 +563,7 @@
         })
     }
 
-    /// The newest committed value that a daemon knows of a key, with its version.
+    /// Returns the version and value of a key in a daemon's state table.
     pub fn value(&self, index: usize, key: &str) -> Option<(u64, Vec<u8>)> {
         self.control(index)?
             .state_table()
@@ -571,7 +571,7 @@
             .map(|change| (change.version, change.value.0.clone()))
     }
 
-    /// Submits a write; gives its key in `write_outcomes`.
+    /// Submits a write; returns its key in `write_outcomes`.
     pub fn write(
         &mut self,
         index: usize,
@@ -586,8 +586,7 @@
         Some((index, token))
     }
 
-    /// Writes as an operator does: again and again at any daemon until it is accepted; gives how
-    /// long that took.
+    /// Retries a write at random daemons until it is accepted, as an operator does; returns the time that this took.
     pub fn write_until_accepted(&mut self, key: &str, value: &[u8], most: Ms) -> Option<Ms> {
         let started_at = self.now;
         while self.now < started_at + most {
@@ -605,7 +604,7 @@
         None
     }
 
-    /// Every voter list ever stored under member epoch 1, on any disk.
+    /// Returns the distinct voter lists (as disk ids) that the disks hold for member epoch 1.
     pub fn first_voters(&self) -> BTreeSet<Vec<u64>> {
         let first_disk_ids = |daemon: &Daemon| match daemon.disk.get("\0members") {
             Some(Row::Members {
--- a/coordination/tests/fleet/platform.rs
+++ b/coordination/tests/fleet/platform.rs
@@ -1,4 +1,5 @@
-//! The platform as a fleet's daemons call it: it takes calls under leases, and checks how they were made.
+//! Stand-in for the platform that a fleet's daemons call: accepts calls made under leases and checks them for
+//! violations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,23 +8,23 @@
     platform_call::{CallOutcome, LeasedCall, PlatformCall, UsageReport},
 };
 
-/// The longest that a call may take, as the runtime limits it.
+/// Maximum duration of a call, as in the runtime.
 pub const CALL_LIMIT: Ms = 1_000;
 
-/// What the platform makes of a call that arrives.
+/// How the platform handles the calls that arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It acts and answers.
+    /// Executes and answers calls.
     Working,
-    /// It does not act and says nothing.
+    /// Neither executes nor answers calls.
     Down,
-    /// It acts, and its answer is lost.
+    /// Executes calls, but the answers are lost.
     AnswersLost,
-    /// It takes no more calls for now.
+    /// Rejects calls because of a rate limit.
     RateLimiting,
 }
 
-/// A call as it arrived.
+/// A call that reached the platform.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Ms,
@@ -31,7 +32,7 @@
     pub holder: usize,
     pub epoch: u64,
     pub call: PlatformCall,
-    /// What the platform made of it; none where it did not take notice.
+    /// Outcome at the platform; `None` while it was down.
     pub outcome: Option<CallOutcome>,
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// What fences are compared for: all usage reports, or a service in a zone.
+/// Returns the scope within which fencing tokens are compared: all usage reports, or a service in a zone.
 fn subject(call: &PlatformCall) -> String {
     match call {
         PlatformCall::ReportUsage(_) => "usage".into(),
@@ -60,21 +61,21 @@
 
 pub struct Platform {
     pub condition: Condition,
-    /// Whether it refuses fencing tokens that are lower than one it has seen.
+    /// Whether the platform rejects fencing tokens lower than the highest accepted one.
     pub checks_fences: bool,
-    /// One way, between a daemon and the platform.
+    /// One-way latency between a daemon and the platform.
     pub latency: Ms,
-    /// Between a daemon's decision and the sending of a call: it waits for its turn.
+    /// Delay between a daemon's decision to make a call and the sending, while the call is queued.
     pub pacing: Ms,
-    /// Daemons that do not reach it.
+    /// Daemons that cannot reach the platform.
     pub unreachable_from: BTreeSet<usize>,
     /// Highest fencing token by subject.
     pub highest_fences: BTreeMap<String, u64>,
-    /// Calls that were decided and have not been sent, or dropped.
+    /// Calls that were decided but neither sent nor dropped yet.
     pub waiting: usize,
-    /// Calls that are on their way to the platform.
+    /// Calls in flight to the platform.
     pub on_their_way: usize,
-    /// Calls that were dropped at the moment of sending, as their lease had ended.
+    /// Calls that were dropped instead of sent because their lease had expired.
     pub dropped: usize,
     pub arrivals: Vec<Arrival>,
 }
@@ -97,7 +98,7 @@
 }
 
 impl Platform {
-    /// Takes a call; returns the outcome that its sender hears of, if it does.
+    /// Handles a call; returns the outcome that is sent back to the daemon, if any.
     pub fn take(&mut self, holder: usize, leased: LeasedCall, now: Ms) -> Option<CallOutcome> {
         let subject = subject(&leased.call);
         let highest = self.highest_fences.entry(subject).or_default();
@@ -124,20 +125,20 @@
         self.arrivals.iter().filter(|arrival| arrival.acted())
     }
 
-    /// Reports that the platform acted on, in their order, each with when.
+    /// Returns the reports that the platform accepted, with their times of arrival, in order.
     pub fn accepted_reports(&self) -> Vec<(Ms, &UsageReport)> {
         self.acted()
             .filter_map(|arrival| Some((arrival.at, arrival.report()?)))
             .collect()
     }
 
-    /// The report of each window.
+    /// Returns the last accepted report of each window.
     pub fn reports_by_window(&self) -> BTreeMap<u64, &UsageReport> {
         let reports = self.accepted_reports().into_iter();
         reports.map(|(_, report)| (report.window, report)).collect()
     }
 
-    /// Windows for which reports arrived that differ.
+    /// Returns the windows for which different reports arrived.
     pub fn windows_with_conflicting_reports(&self) -> BTreeSet<u64> {
         let mut first: BTreeMap<u64, &UsageReport> = BTreeMap::new();
         let mut conflicting = BTreeSet::new();
@@ -149,7 +150,7 @@
         conflicting
     }
 
-    /// Fencing tokens that several daemons sent for the same subject.
+    /// Returns the fencing tokens that several daemons sent for the same subject.
     pub fn shared_fences(&self) -> BTreeSet<u64> {
         let mut holders: BTreeMap<(String, u64), usize> = BTreeMap::new();
         let is_shared = |arrival: &&Arrival| {
@@ -160,7 +161,7 @@
         shared.map(|arrival| arrival.epoch).collect()
     }
 
-    /// Times of calls that arrived under a token below one that had arrived before for the subject.
+    /// Returns the times of calls whose fencing token is lower than an earlier one for the same subject.
     pub fn falling_fences(&self) -> Vec<Ms> {
         let mut highest: BTreeMap<String, u64> = BTreeMap::new();
         let falls = |arrival: &&Arrival| {
@@ -173,7 +174,8 @@
         falling.map(|arrival| arrival.at).collect()
     }
 
-    /// Times at which a holder acted again, within `window` of its last act, with another holder's act in between.
+    /// Returns the times of accepted calls where, within the preceding `window`, the same holder had a call accepted
+    /// before another holder did.
     pub fn alternations(&self, window: Ms) -> Vec<Ms> {
         let acted: Vec<&Arrival> = self.acted().collect();
         let mut alternations = vec![];
@@ -188,14 +190,14 @@
         alternations
     }
 
-    /// Everything that must never be seen here; empty where all is well.
+    /// Returns descriptions of all violations found in the calls.
     pub fn violations(&self, lease: Ms) -> Vec<String> {
         let conflicting = self.windows_with_conflicting_reports().into_iter();
         let shared = self.shared_fences().into_iter();
         let alternations = self.alternations(lease).into_iter();
         conflicting
             .map(|window| format!("different reports of window {window}"))
-            .chain(shared.map(|fence| format!("fence {fence} of several holders")))
+            .chain(shared.map(|fence| format!("fence {fence} used by several holders")))
             .chain(alternations.map(|at| format!("holders alternate at {at}")))
             .collect()
     }
--- a/coordination/tests/fleet/usage_edges.rs
+++ b/coordination/tests/fleet/usage_edges.rs
@@ -1,4 +1,4 @@
-//! Edges that count requests by tenant and report them to the daemons of a fleet, and the truth that they count.
+//! Simulated edges that count requests by tenant and report them to the daemons of a fleet, with the true counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,13 +7,13 @@
 
 use super::{Fleet, WALL_START};
 
-/// ms. Edges poll this often.
+/// Interval between polls of an edge, in ms.
 const POLL_INTERVAL: Ms = 500;
-/// ms. Requests begin to run this often at each edge.
+/// Interval between request starts at each edge, in ms.
 const REQUEST_INTERVAL: Ms = 50;
 pub const TENANTS: [&str; 2] = ["large", "small"];
 
-/// Requests by window and tenant.
+/// Request counts by window and tenant.
 pub type Usage = BTreeMap<(u64, Name), u64>;
 
 struct Edge {
@@ -24,13 +24,13 @@
 pub struct UsageEdges {
     window: Ms,
     edges: Vec<Edge>,
-    /// Edges that reach no daemon, though they count on.
+    /// Edges that reach no daemon but continue to count.
     pub cut_off: BTreeSet<usize>,
-    /// What began to run everywhere.
+    /// Requests started at all edges.
     pub truth: Usage,
 }
 
-/// The edge's number in gossip and messages.
+/// Returns the gossip entry of an edge.
 fn node(name: &str, index: usize, now: Ms) -> Node {
     Node {
         name: name.into(),
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Counts and reports what is due now.
+    /// Counts the requests that start now and sends the polls that are due.
     pub fn step(&mut self, fleet: &mut Fleet) {
         let now = fleet.now;
         let window = (WALL_START + now) / self.window;
         for (index, edge) in self.edges.iter_mut().enumerate() {
             if now.is_multiple_of(REQUEST_INTERVAL) {
-                // The large tenant has three quarters.
+                // Three quarters of the requests are of the large tenant.
                 let is_small = (now / REQUEST_INTERVAL + index as Ms).is_multiple_of(4);
                 let cell = (window, TENANTS[usize::from(is_small)].into());
                 *edge.counted.entry(cell.clone()).or_default() += 1;
@@ -77,27 +77,27 @@
         }
     }
 
-    /// The requests of a window by tenant.
+    /// Returns the true request counts of a window by tenant.
     pub fn truth_of(&self, window: u64) -> BTreeMap<String, u64> {
         let cells = self
             .truth
             .iter()
-            .filter(|((began_in, _), _)| *began_in == window);
+            .filter(|((started_in, _), _)| *started_in == window);
         cells
             .map(|((_, tenant), count)| (tenant.to_string(), *count))
             .collect()
     }
 }
 
-/// One edge polls all daemons that it reaches.
+/// Sends a poll of an edge to all daemons that it reaches.
 fn poll(fleet: &mut Fleet, edge: &Edge, edge_index: usize) {
     let now = fleet.now;
     let name: Name = edge.name.as_str().into();
     for index in 0..fleet.daemons.len() {
         let daemon = &mut fleet.daemons[index];
-        let is_reached =
+        let is_reachable =
             daemon.suspended_until <= now && !fleet.partitioned.contains(&daemon.config.addr);
-        let Some(control) = daemon.control.as_mut().filter(|_| is_reached) else {
+        let Some(control) = daemon.control.as_mut().filter(|_| is_reachable) else {
             continue;
         };
         let counts = edge
--- a/coordination/tests/operators.rs
+++ b/coordination/tests/operators.rs
@@ -1,5 +1,6 @@
-//! Operators' changes: sent again after lost responses, several at once, with machines stopping right after a response or
-//! soon after a change was sent. What was acknowledged is never rejected and is what is read back.
+//! Operators' changes that are retried after lost responses or sent concurrently, while daemons stop right after a
+//! response or soon after a change was sent. An acknowledged change is never rejected on a retry and is what a read
+//! returns.
 
 mod fleet;
 
@@ -19,7 +20,7 @@
     serde_json::to_vec(&document).unwrap()
 }
 
-/// A change as an operator sends it, the same each time.
+/// A change that an operator sends; identical in each attempt.
 #[derive(Clone, Debug, PartialEq)]
 struct Order {
     key: &'static str,
@@ -40,12 +41,12 @@
     fleet.carry_out(at, out);
     Some((at, token))
 }
-/// The daemon that holds a key's lease.
+/// Returns the daemon that holds a key's lease.
 fn lease_holder(fleet: &Fleet, key: &str) -> Option<usize> {
     (0..fleet.daemons.len()).find(|i| {
         fleet
             .control(*i)
-            .is_some_and(|b| b.registers.held_until(key, fleet.now).is_some())
+            .is_some_and(|control| control.registers.held_until(key, fleet.now).is_some())
     })
 }
 fn running(fleet: &Fleet) -> Vec<usize> {
@@ -65,7 +66,7 @@
     });
     fleet.write_outcomes.get(&write).map(|e| e.1)
 }
-/// Sends an order again until its outcome is known.
+/// Retries an order at random daemons until its outcome is known.
 fn send_until_known(fleet: &mut Fleet, order: &Order) -> Option<WriteOutcome> {
     let deadline = fleet.now + 30_000;
     while fleet.now < deadline {
@@ -97,13 +98,15 @@
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
-    /// The daemon that acknowledges stops, or all do, right after it did.
+    /// The daemon that received the change stops right after it acknowledged it.
     OneAfterAck,
+    /// All daemons stop right after the acknowledgement.
     AllAfterAck,
-    /// Soon after the change was sent, acknowledged or not.
+    /// The daemon that received the change stops soon after, whether it acknowledged it or not.
     OneSoon,
+    /// All daemons stop soon after the change was sent.
     AllSoon,
-    /// Who owns the key.
+    /// The owner of the key stops soon after the change was sent.
     OwnerSoon,
 }
 const FAULTS: [Fault; 6] = [
@@ -115,7 +118,7 @@
     Fault::OwnerSoon,
 ];
 
-/// Lets the fault happen; returns the daemons that it stopped.
+/// Injects the fault; returns the daemons that it stopped.
 fn inject_fault(fleet: &mut Fleet, fault: Fault, write: Sent, key: &str) -> Vec<usize> {
     match fault {
         Fault::None => return vec![],
@@ -148,20 +151,21 @@
     }
 }
 
-/// A fleet that the first three bootstrap; with six machines the other three are learners or voters.
+/// Returns a settled fleet that the first three daemons bootstrapped; in a fleet of six the others are learners or
+/// voters.
 fn settled_fleet(seed: u64) -> Fleet {
     let n = if seed.is_multiple_of(3) { 6 } else { 3 };
     let mut fleet = Fleet::bootstrapped(seed, n, |i| format!("r{}", i % 3));
     fleet
         .run_until(10_000, |fleet| {
-            (0..3).all(|i| fleet.control(i).is_some_and(|b| b.is_settled()))
+            (0..3).all(|i| fleet.control(i).is_some_and(|control| control.is_settled()))
         })
         .expect("the fleet settles");
     fleet
 }
 
-/// Each kind of change, one after the other, each under some fault: once acknowledged it is so again wherever it is sent,
-/// or its outcome is unknown.
+/// Sends random kinds of changes one after the other, each under some fault: a retry of an acknowledged change at any
+/// daemon is acknowledged again, or its outcome is unknown.
 #[gtest]
 fn an_acknowledged_change_is_accepted_again_when_it_is_sent_again() {
     let mut unacknowledged = 0;
@@ -193,7 +197,7 @@
             };
             let from = fleet
                 .control(running(fleet)[0])
-                .and_then(|b| b.spec())
+                .and_then(|control| control.spec())
                 .map_or(0, |s| s.release);
             let order = if order.key == SPEC_KEY {
                 Order {
@@ -211,7 +215,7 @@
             let first = fleet.write_outcomes.get(&write).map(|e| e.1);
             unacknowledged += usize::from(!matches!(first, Some(WriteOutcome::Accepted(_))));
             restart(fleet, stopped);
-            // Its response may be lost as well; the same order goes out again, to any daemon.
+            // Retries as if the response was lost: sends the same order to any daemon.
             let done = send_until_known(fleet, &order);
             expect_that!(
                 done,
@@ -222,7 +226,7 @@
                 break;
             };
             if let Some(WriteOutcome::Accepted(first_version)) = first {
-                expect_that!(version, eq(first_version), "{case}: it is committed twice");
+                expect_that!(version, eq(first_version), "{case}: committed twice");
             }
             plan = if order.key == PLAN { version } else { plan };
             for _ in 0..4 {
@@ -239,7 +243,7 @@
                 some(eq(WriteOutcome::Accepted(version))),
                 "{case}"
             );
-            // One of before, which others may have replaced since and whose sender only now sends it again.
+            // Retries an earlier order, which later ones may have replaced since.
             if order.expect != Expect::Any {
                 accepted.push((order, version));
             }
@@ -247,20 +251,20 @@
                 expect_that!(
                     send_until_known(fleet, &old),
                     some(eq(WriteOutcome::Accepted(version))),
-                    "{case}, then again {old:?}"
+                    "{case}, then retry of {old:?}"
                 );
             }
             fleet.run(100);
         }
     }
-    // Not all had their first response, or no fault took effect.
+    // Unless many first attempts were not acknowledged, the faults had no effect.
     expect_that!(unacknowledged, gt(100));
 }
 
-/// Eight concurrent orders: specs on one release, two of them under the same number, and orders of other kinds. One spec
-/// wins, whatever stops meanwhile, and each order ends with a known outcome.
+/// Sends eight concurrent orders: specs based on one release, two of them with the same number, and orders of other
+/// kinds. Exactly one spec is accepted, whichever daemons stop meanwhile, and each order ends with a known outcome.
 #[gtest]
-fn of_concurrent_changes_one_spec_wins_and_all_other_keys_are_accepted() {
+fn one_of_concurrent_specs_wins_and_all_other_keys_are_accepted() {
     for seed in 0..200 {
         let fleet = &mut settled_fleet(seed);
         let first = Order {
@@ -346,8 +350,8 @@
     }
 }
 
-/// ms. Without faults an evacuation is acknowledged well within the second from which on waiting for it is expensive; also
-/// while specs, which sync more, are being written.
+/// Bound on the time to acknowledge an evacuation without faults, in ms. It lies well within the second after which
+/// waiting becomes expensive, and also holds while specs, which sync more, are being written.
 const CALM_ACK_TIME: Ms = 400;
 
 #[gtest]
@@ -358,7 +362,7 @@
         for n in 0..4u64 {
             let release = fleet
                 .control(0)
-                .and_then(|b| b.spec())
+                .and_then(|control| control.spec())
                 .map_or(0, |s| s.release);
             send_anywhere(
                 fleet,
@@ -384,8 +388,8 @@
     }
 }
 
-/// A daemon that has an evacuation in flight, or unread in its sockets, is suspended; the operator goes on to others, and
-/// revokes the evacuation before it resumes.
+/// A daemon is suspended with an evacuation in flight or unread in its sockets; the operator uses other daemons and
+/// revokes the evacuation before the suspended one resumes. The old evacuation must not take effect then.
 #[gtest]
 fn revoked_evacuation_does_not_return_from_a_suspended_daemon() {
     let evacuate = Order {
@@ -405,18 +409,19 @@
             "seed {seed}"
         );
         let owner = lease_holder(&fleet, ZONE);
-        let asked = fleet.rng.usize(..fleet.daemons.len());
-        // Either the daemon that was asked is suspended, or the owner of the key: before or after it accepted or acknowledged it.
+        let receiver = fleet.rng.usize(..fleet.daemons.len());
+        // Suspends the daemon that received the evacuation, or the owner of the key: before or after it accepted or
+        // acknowledged it.
         let (unread, suspended) = (
             seed % 3 == 2,
             if seed % 3 == 1 {
-                owner.unwrap_or(asked)
+                owner.unwrap_or(receiver)
             } else {
-                asked
+                receiver
             },
         );
         if !unread {
-            send(&mut fleet, asked, &evacuate);
+            send(&mut fleet, receiver, &evacuate);
             let ms = fleet.rng.u64(..60);
             fleet.run(ms);
         }
@@ -436,14 +441,14 @@
                 )
             });
             expect_true!(was_accepted, "seed {seed}");
-            // It lasts for longer than any daemon tries to have it accepted.
+            // Waits for longer than any daemon retries the write.
             fleet.run(FORWARD_TIMEOUT);
         }
         let resumes_at = fleet.daemons[suspended].suspended_until;
         expect_that!(
             resumes_at,
             gt(fleet.now),
-            "seed {seed}: it resumed too soon to show anything"
+            "seed {seed}: the daemon resumed before the test condition was reached"
         );
         fleet.run(resumes_at.saturating_sub(fleet.now));
         if unread {
@@ -463,8 +468,8 @@
     }
 }
 
-/// A daemon that is cut off has an evacuation in flight to the key's owner and goes on trying; the operator goes to others,
-/// and has revoked the evacuation by the time that the daemon reaches the owner.
+/// A partitioned daemon keeps retrying an evacuation at the key's owner; the operator uses other daemons and has
+/// revoked the evacuation by the time that the daemon reaches the owner.
 #[gtest]
 fn revoked_evacuation_does_not_return_from_a_partitioned_daemon() {
     let evacuate = Order {
@@ -476,7 +481,7 @@
         value: b"off".to_vec(),
         ..evacuate.clone()
     };
-    let mut tried_until_healed = 0;
+    let mut retrying_when_healed = 0;
     for seed in 0..150u64 {
         let mut fleet = settled_fleet(seed);
         expect_that!(
@@ -489,11 +494,14 @@
             .into_iter()
             .filter(|i| Some(*i) != owner)
             .collect();
-        let cut = *fleet.rng.choice(&others).unwrap();
-        let connected: Vec<usize> = running(&fleet).into_iter().filter(|i| *i != cut).collect();
+        let partitioned_daemon = *fleet.rng.choice(&others).unwrap();
+        let connected: Vec<usize> = running(&fleet)
+            .into_iter()
+            .filter(|i| *i != partitioned_daemon)
+            .collect();
         let sent_at = fleet.now;
-        fleet.partitioned.insert(fleet::addr(cut));
-        send(&mut fleet, cut, &evacuate);
+        fleet.partitioned.insert(fleet::addr(partitioned_daemon));
+        send(&mut fleet, partitioned_daemon, &evacuate);
         let ms = fleet.rng.u64(..300);
         fleet.run(ms);
         for order in [&evacuate, &revoke] {
@@ -505,8 +513,8 @@
                 "seed {seed}"
             );
         }
-        // It still tries then.
-        tried_until_healed += u64::from(fleet.now < sent_at + FORWARD_TIMEOUT);
+        // The partitioned daemon is still retrying.
+        retrying_when_healed += u64::from(fleet.now < sent_at + FORWARD_TIMEOUT);
         fleet.partitioned.clear();
         fleet.run(8_000);
         for i in running(&fleet) {
@@ -516,15 +524,15 @@
             expect_that!(
                 value.as_deref(),
                 some(eq("off")),
-                "seed {seed}, daemon {i}, {cut} was cut off"
+                "seed {seed}, daemon {i}, {partitioned_daemon} was partitioned"
             );
         }
     }
-    expect_that!(tried_until_healed, gt(140));
+    expect_that!(retrying_when_healed, gt(140));
 }
 
-/// An evacuation takes longer to reach the key's owner than its sender waits, and so does one that the owner reads only once
-/// it resumes: it has been revoked by then, and stays so.
+/// An evacuation takes longer to reach the key's owner than its sender waits, as if the owner read it only after it
+/// resumed: it has been revoked by then and must stay revoked.
 #[gtest]
 fn revoked_evacuation_does_not_return_from_the_network() {
     let evacuate = Order {
@@ -548,9 +556,9 @@
             .into_iter()
             .filter(|i| Some(*i) != owner)
             .collect();
-        let asked = *fleet.rng.choice(&others).unwrap();
+        let receiver = *fleet.rng.choice(&others).unwrap();
         fleet.extra_latency = fleet.rng.u64(1_000..2_400);
-        let first = send(&mut fleet, asked, &evacuate);
+        let first = send(&mut fleet, receiver, &evacuate);
         let arrives_at = fleet.now + fleet.extra_latency;
         fleet.extra_latency = 0;
         for order in [&evacuate, &revoke] {
@@ -565,7 +573,7 @@
         expect_that!(
             arrives_at,
             gt(fleet.now),
-            "seed {seed}: it came too soon to show anything"
+            "seed {seed}: the message arrived before the test condition was reached"
         );
         fleet.run(8_000);
         for i in running(&fleet) {
@@ -574,7 +582,7 @@
                 .map(|h| String::from_utf8(h.1).unwrap());
             expect_that!(value.as_deref(), some(eq("off")), "seed {seed}, daemon {i}");
         }
-        // Its sender does not hear that it was rejected: it was accepted elsewhere.
+        // The first attempt must not be reported as rejected: the change was accepted elsewhere.
         let outcome = first
             .and_then(|write| fleet.write_outcomes.get(&write))
             .map(|e| e.1);
--- a/coordination/tests/resolution.rs
+++ b/coordination/tests/resolution.rs
@@ -1,4 +1,4 @@
-//! The directory: callers get near edges that serve, without delay, while machines freeze, leave and come back.
+//! Tests of the directory: callers get nearby edges that serve, without delay, while machines freeze, leave and return.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,19 +16,19 @@
 use googletest::prelude::*;
 use serde_json::{Value, json};
 
-/// ms. Proxies report to their agents this often.
+/// Interval between reports of a proxy to its agent, in ms.
 const PROXY_REPORT_INTERVAL: Ms = 200;
-/// ms. How long callers keep an answer, as the platform's directory has them do.
+/// Time for which callers cache an answer, in ms; as in the platform's directory.
 const ANSWER_TTL: Ms = 2_000;
 
-/// One control daemon and two edges in each of four zones, of two regions; messages arrive at once.
+/// One control daemon, and two edges in each of four zones in two regions; messages arrive without delay.
 struct Topology {
     now: Ms,
     control: Control,
     agents: BTreeMap<Name, EdgeAgent>,
-    /// Machines that neither run nor are reachable.
+    /// Edge machines that neither run nor can be reached.
     frozen: BTreeSet<Name>,
-    /// Machines whose proxy alone is down.
+    /// Edge machines on which only the proxy is down.
     silent_proxies: BTreeSet<Name>,
 }
 
@@ -91,7 +91,7 @@
         while let Some((from, effect)) = all.pop() {
             let (to, msg) = match effect {
                 Effect::Send { to, msg } => (to, msg),
-                // The disk takes everything at once.
+                // The disk syncs without delay.
                 Effect::Persist { then, .. } => {
                     all.extend(then.into_iter().map(|e| (from.clone(), e)));
                     continue;
@@ -154,7 +154,7 @@
             .map(|h| h[2..].to_string())
             .collect()
     }
-    /// Writes a spec of lanes, each a host and its homes.
+    /// Writes a spec with the given lanes, each a host and its homes.
     fn write_spec(&mut self, lanes: &[(&str, &[&str])]) {
         let path = |(i, (host, homes)): (usize, &(&str, &[&str]))| {
             json!({"lane": format!("l{i}"), "host": host, "prefix": format!("/{i}/"), "kind": "once", "time_limit_ms": 1_000,
@@ -198,7 +198,7 @@
     topology.run(2 * FLEET_DISCOVERY_TIME);
     topology.frozen.insert("a1-0".into());
     topology.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
-    // One edge is no choice for a whole zone: its region's others are named too, the frozen one is not.
+    // A single edge is too few for a zone: the other edges of its region are returned too, but not the frozen one.
     expect_that!(
         topology.edges_for("a1", "a"),
         eq(&names(&["a1-1", "a2-0", "a2-1"]))
@@ -209,15 +209,15 @@
     topology.frozen.clear();
     topology.run(ANSWER_TTL);
     expect_that!(topology.edges_for("a1", "a"), eq(&names(&["a1-0", "a1-1"])));
-    // One that is replaced by another of a new name.
+    // An edge is replaced by one with a new name.
     topology.agents.remove("b1-0");
     topology.add("b1-9", "b1");
     topology.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
     expect_that!(topology.edges_for("b1", "b"), eq(&names(&["b1-1", "b1-9"])));
 }
 
-// A caller's body must not be carried where its lane has no home, so a region with one edge left is no reason to send
-// its callers anywhere.
+// The body of a request must not leave the homes of its lane: callers of a region that has a single edge left must not
+// be sent to arbitrary regions.
 #[gtest]
 fn caller_of_a_host_with_homes_gets_edges_of_its_own_region_and_of_the_homes() {
     let mut topology = Topology::new();
@@ -234,7 +234,7 @@
         ("two", &["a", "b"]),
     ]);
     freeze_only(&mut topology, &["a1-0", "a2-0", "a2-1"]);
-    // One edge of region a is left.
+    // Region a has one edge left.
     expect_that!(
         topology.edges_for_host("b", "a1", "a"),
         eq(&names(&["a1-1", "b1-0", "b1-1", "b2-0", "b2-1"]))
@@ -251,9 +251,9 @@
         topology.edges_for_host("two:80", "b1", "b"),
         eq(&names(&["b1-0", "b1-1"]))
     );
-    // Where nothing binds all are better than one.
+    // A host without homes: all edges are better than one.
     expect_that!(topology.edges_for_host("free", "a1", "a").len(), eq(5));
-    // None is left where the host may be carried but elsewhere among its homes.
+    // Region a has no edge left, so only other homes of the host can serve it.
     freeze_only(&mut topology, &["a1-0", "a1-1", "a2-0", "a2-1"]);
     expect_that!(
         topology.edges_for_host("ab", "a1", "a"),
@@ -275,7 +275,7 @@
     topology.silent_proxies.clear();
     topology.run(ANSWER_TTL);
     expect_that!(topology.edges_for("a1", "a"), eq(&names(&["a1-0", "a1-1"])));
-    // One that has just started is named only once its proxy reports.
+    // An edge that has just started is returned only once its proxy reports.
     topology.silent_proxies.insert("a1-7".into());
     topology.add("a1-7", "a1");
     topology.run(FLEET_DISCOVERY_TIME);
@@ -289,11 +289,12 @@
 }
 
 #[gtest]
-fn daemon_that_hears_few_edges_still_names_those_it_knows() {
+fn daemon_that_receives_few_polls_still_returns_known_edges() {
     let mut topology = Topology::new();
     topology.run(2 * FLEET_DISCOVERY_TIME);
     topology.write_spec(&[("host", &[])]);
-    // More than half stop asking this daemon: it is this daemon that is cut off, and callers need somebody.
+    // More than half of the edges stop polling this daemon: the daemon itself is probably partitioned, and callers need
+    // edges.
     let all: Vec<Name> = topology.agents.keys().cloned().collect();
     topology.frozen.extend(all[..5].iter().cloned());
     topology.run(NODE_TIMEOUT / 2);
@@ -330,7 +331,7 @@
     expect_that!(logged(&mut topology, "a"), eq(0));
     topology.run(REMOTE_ROUTING_LOG_INTERVAL);
     expect_that!(logged(&mut topology, "a"), eq(1));
-    // Whatever a caller calls its region, it fills no memory and no log.
+    // An unknown region name of a caller uses no memory and is not logged.
     expect_that!(logged(&mut topology, "nowhere"), eq(0));
     let counters = topology.control.counters(topology.now);
     let counter = |name| counters.iter().find(|c| c.0 == name).map(|c| c.1);
@@ -338,7 +339,7 @@
     expect_that!(counter("resolutions_fleet"), some(eq(4)));
 }
 
-/// Freezes all edges but the named ones.
+/// Freezes all edges except the given ones.
 fn freeze_all_but(topology: &mut Topology, serving: &[&str]) {
     topology.frozen = topology
         .agents
@@ -349,7 +350,7 @@
     topology.run(NODE_TIMEOUT + 2 * POLL_INTERVAL);
 }
 
-// All edges of the homes restart at once while those of another region are just back.
+// All edges of the homes restart at once while those of another region have just returned.
 #[gtest]
 fn bound_host_resolves_to_nothing_while_none_of_its_homes_has_an_edge() {
     let mut topology = Topology::new();
@@ -358,7 +359,7 @@
     freeze_all_but(&mut topology, &["b1-0", "b1-1", "b2-0"]);
     expect_that!(topology.resolve("bound", "a1", "a"), none());
     expect_that!(topology.resolve("bound", "nowhere", "nowhere"), none());
-    // Its own region is always a caller's to go to, and what is not bound goes where it can.
+    // A caller may always use its own region, and a host without homes may use any region.
     expect_that!(
         topology.edges_for_host("bound", "b1", "b"),
         eq(&names(&["b1-0", "b1-1"]))
@@ -388,7 +389,7 @@
     expect_that!(topology.resolve("apart", "nowhere", "nowhere"), none());
 }
 
-// A daemon with a new disk knows no homes yet.
+// A daemon with a new disk has no spec yet and therefore knows no homes.
 #[gtest]
 fn daemon_without_a_spec_sends_no_caller_out_of_its_region() {
     let mut topology = Topology::new();
