--- a/coordination/tests/context_demand.rs
+++ b/coordination/tests/context_demand.rs
@@ -1,4 +1,4 @@
-//! What is counted is what was asked, within the stated error, and deciding keeps its bounds whatever it is told.
+//! Demand counts match the requests within the stated error, and placement keeps its bounds for any reported demand.
 
 use std::collections::BTreeMap;
 
@@ -27,11 +27,11 @@
     sums.partition_point(|s| *s < x) as u64
 }
 
-/// What is true: asks that decay as the summaries do.
+/// Exact request counts, which decay like the summaries.
 #[derive(Default)]
 struct Truth(BTreeMap<u64, (f64, Ms)>);
 impl Truth {
-    fn ask(&mut self, c: u64, now: Ms) {
+    fn add(&mut self, c: u64, now: Ms) {
         let n = self.count(c, now);
         self.0.insert(c, (n + 1.0, now));
     }
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn the_sum_over_edges_errs_by_no_more_than_is_stated_and_knows_all_that_is_popular() {
+fn fleet_demand_stays_within_the_stated_error_and_includes_popular_chains() {
     for (edges, rate, chains) in [(6, 20.0, 400), (88, 90.0, 1_000), (88, 400.0, 20_000)] {
         let sums: Vec<f64> = (1..=chains)
             .scan(0.0, |s, i| {
@@ -61,7 +61,7 @@
         while now < 90_000 {
             now += (1_000.0 / rate) as Ms;
             let c = zipf(&mut rng, &sums);
-            truth.ask(c, now);
+            truth.add(c, now);
             let e = rng.usize(..edges);
             all[e].count_request(chain(c), now);
             if all[e].is_due(edges, now) {
@@ -71,19 +71,20 @@
                 sum.merge_report(&Name(format!("e{e}")), parts, now);
             }
         }
-        let told = sum.totals(&|_| Some("r".into()), now);
+        let totals = sum.totals(&|_| Some("r".into()), now);
         let count = |c: u64| {
-            told.get(&("r".to_string(), chain(c)))
+            totals
+                .get(&("r".to_string(), chain(c)))
                 .map_or(0.0, |a| a.requests)
         };
-        // Never more than was asked, but for decay in steps of a second.
+        // Never above the true count, except for decay in steps of one second.
         let over = (0..chains as u64)
             .map(|c| count(c) - truth.count(c, now) * 1.05)
             .fold(0.0, f64::max);
         expect_that!(over, le(0.5), "{edges} edges");
-        // Too low by what the summaries err by, what was cut off, and what has not been told yet.
-        let lately: f64 = rate * DEMAND_HALF_LIFE as f64 / 1_000.0 / std::f64::consts::LN_2;
-        let most = lately / TRACKED_CHAINS_MAX as f64 + lately * 0.15;
+        // Below the true count by the error of the summaries, truncated entries, and demand that is not yet reported.
+        let recent: f64 = rate * DEMAND_HALF_LIFE as f64 / 1_000.0 / std::f64::consts::LN_2;
+        let max_under = recent / TRACKED_CHAINS_MAX as f64 + recent * 0.15;
         let under = (0..20)
             .map(|c| truth.count(c, now) - count(c))
             .fold(0.0, f64::max);
@@ -91,13 +92,17 @@
             .map(|c| 1.0 - count(c) / truth.count(c, now))
             .collect();
         println!(
-            "{edges} edges, {rate}/s, {chains} chains: most under {under:.1} of {lately:.0}; ten most popular low by {rel:.2?}; {} B/s to the holder",
+            "{edges} edges, {rate}/s, {chains} chains: largest undercount {under:.1} of {recent:.0}; ten most popular undercounted by {rel:.2?}; {} B/s to the lease holder",
             bytes / 90
         );
-        expect_that!(under, le(most));
+        expect_that!(under, le(max_under));
         let known = (0..20).filter(|c| count(*c) > 0.0).count();
         expect_that!(known, ge(18), "of the twenty most popular");
-        expect_that!(bytes / 90, le(60_000), "bytes a second to the holder");
+        expect_that!(
+            bytes / 90,
+            le(60_000),
+            "bytes per second to the lease holder"
+        );
     }
 }
 
@@ -115,7 +120,7 @@
 }
 
 #[gtest]
-fn what_is_not_asked_for_any_more_decays_and_an_edge_that_is_gone_counts_no_more() {
+fn demand_decays_and_reports_of_a_removed_edge_expire() {
     let mut d = LocalDemand::default();
     (0..100).for_each(|i| d.count_request(chain(1), i * 10));
     let count = |p: &[coordination::wire::ChainDemand]| p.first().map_or(0, |p| p.requests / 256);
@@ -129,7 +134,7 @@
     let mut d = LocalDemand::default();
     (0..100).for_each(|_| d.count_request(chain(1), 0));
     all.merge_report(&"e".into(), d.report(0), 0);
-    // Told twice it counts once.
+    // A duplicated report counts once.
     all.merge_report(&"e".into(), d.report(0), 0);
     let sum = |all: &mut FleetDemand, now| {
         all.totals(&|_| Some("r".into()), now)
@@ -144,11 +149,11 @@
 }
 
 #[gtest]
-fn a_flood_of_names_takes_no_more_memory_and_moves_no_copy() {
+fn a_flood_of_distinct_chains_does_not_displace_the_popular_one() {
     let mut d = LocalDemand::default();
     let mut rng = fastrand::Rng::with_seed(1);
     for i in 0..200_000u64 {
-        // One in fifty asks for the same; all others for what nobody asked before.
+        // One in fifty requests is for the same chain; all others are for new chains.
         d.count_request(chain(if i % 50 == 0 { 1 } else { rng.u64(2..) }), i / 10);
     }
     let all = d.report(20_000);
@@ -160,7 +165,7 @@
     );
 }
 
-// ---- deciding ----
+// ---- placement ----
 
 fn replica(id: &str, zone: &str) -> PlacedReplica {
     PlacedReplica {
@@ -182,8 +187,8 @@
     share: u32,
     replicas: Vec<PlacedReplica>,
     homes: Vec<String>,
-    young: bool,
-    asked: BTreeMap<(String, PromptChain), DemandCount>,
+    is_incomplete: bool,
+    demand: BTreeMap<(String, PromptChain), DemandCount>,
 }
 impl Case {
     fn new() -> Self {
@@ -192,19 +197,19 @@
             share: 20,
             replicas: replicas(),
             homes: vec![],
-            young: false,
-            asked: BTreeMap::new(),
+            is_incomplete: false,
+            demand: BTreeMap::new(),
         }
     }
-    fn ask(&mut self, zone: &str, c: u64, asked: f64) {
+    fn add(&mut self, zone: &str, c: u64, demand: f64) {
         let c = PromptChain {
             homes: homes_digest(&self.homes),
             ..chain(c)
         };
-        self.asked.insert(
+        self.demand.insert(
             (format!("r{zone}"), c),
             DemandCount {
-                requests: asked,
+                requests: demand,
                 cache_misses: 0.0,
             },
         );
@@ -222,13 +227,13 @@
                 replicas: &self.replicas,
                 region: &|z| format!("r{z}"),
                 homes: &[(homes_digest(&self.homes), self.homes.clone())].into(),
-                demand: &self.asked,
-                is_incomplete: self.young,
+                demand: &self.demand,
+                is_incomplete: self.is_incomplete,
             },
         )
     }
 }
-fn none() -> ContextRecord {
+fn empty_record() -> ContextRecord {
     ContextRecord {
         service: "s".into(),
         version: "v1".into(),
@@ -237,28 +242,28 @@
 }
 
 #[gtest]
-fn only_what_pays_for_itself_is_copied_and_small_changes_move_nothing() {
+fn only_popular_chains_are_copied_and_small_changes_move_no_copies() {
     let mut k = Case::new();
     for c in 0..30 {
-        ["a", "b", "c"].iter().for_each(|z| k.ask(z, c, 20.0));
-        ["a", "b", "c"].iter().for_each(|z| k.ask(z, 100 + c, 1.0));
+        ["a", "b", "c"].iter().for_each(|z| k.add(z, c, 20.0));
+        ["a", "b", "c"].iter().for_each(|z| k.add(z, 100 + c, 1.0));
     }
-    let r = k.decide(&none());
-    // Each popular chain has its one place and two copies, as far as there is room; no other has any.
+    let r = k.decide(&empty_record());
+    // Each popular chain has its single place and two copies as far as capacity allows; other chains have none.
     expect_true!(r.parts.iter().all(|p| p.chain < 30));
     expect_that!(r.parts.len(), ge(30));
     expect_that!(k.decide(&r), eq(&r));
-    // Half as many asks, or half as many more, is no reason to move what stands.
-    k.asked.values_mut().for_each(|a| a.requests *= 0.5);
+    // Half as many requests, or half as many more, do not move existing copies.
+    k.demand.values_mut().for_each(|a| a.requests *= 0.5);
     expect_that!(k.decide(&r), eq(&r));
-    k.asked.values_mut().for_each(|a| a.requests *= 3.0);
+    k.demand.values_mut().for_each(|a| a.requests *= 3.0);
     let more = k.decide(&r);
     expect_true!(r.parts.iter().all(|p| more.parts.contains(p)));
-    // What is not asked for is given back; but not by one who has not heard everybody.
-    k.asked.clear();
-    k.young = true;
+    // Copies without demand are removed, but not while demand reports are incomplete.
+    k.demand.clear();
+    k.is_incomplete = true;
     expect_that!(k.decide(&r), eq(&r));
-    k.young = false;
+    k.is_incomplete = false;
     expect_that!(k.decide(&r).parts, is_empty());
 }
 
@@ -271,11 +276,11 @@
     for c in 0..500 {
         ["a", "b", "c"]
             .iter()
-            .for_each(|z| k.ask(z, c, 30.0 + c as f64));
+            .for_each(|z| k.add(z, c, 30.0 + c as f64));
     }
-    let r = k.decide(&none());
+    let r = k.decide(&empty_record());
     expect_that!(r.parts.len(), eq(CONTEXT_COPIES_MAX));
-    // The most popular ones go first.
+    // The most popular chains are placed first.
     expect_that!(r.parts.iter().map(|p| p.chain).min(), some(ge(400)));
     expect_that!(
         serde_json::to_vec(&r)
@@ -293,18 +298,18 @@
 }
 
 #[gtest]
-fn homes_versions_lost_replicas_and_the_switch_end_copies_at_once() {
+fn changed_homes_versions_replicas_or_the_switch_remove_copies_at_once() {
     let mut k = Case::new();
     k.homes = vec!["ra".into(), "rb".into()];
-    (0..20).for_each(|c| ["a", "b", "c"].iter().for_each(|z| k.ask(z, c, 20.0)));
-    let r = k.decide(&none());
+    (0..20).for_each(|c| ["a", "b", "c"].iter().for_each(|z| k.add(z, c, 20.0)));
+    let r = k.decide(&empty_record());
     expect_that!(r.parts, not(is_empty()));
     expect_true!(r.parts.iter().all(|p| p.region != "rc"));
-    // Requests of homes that no lane has any more get none.
+    // Requests with homes that no lane has any more get no copies.
     k.homes = vec!["ra".into()];
     expect_that!(k.decide(&r).parts, is_empty());
     k.homes = vec!["ra".into(), "rb".into()];
-    // A replica that is gone stands for nothing, and its copies go to another one of the region.
+    // A removed replica holds no copies; they move to another replica of the region.
     let gone = r.parts[0].replicas[0].clone();
     k.replicas.retain(|x| x.id != gone);
     expect_true!(
@@ -313,24 +318,24 @@
             .iter()
             .all(|p| !p.replicas.contains(&gone) && !p.replicas.is_empty())
     );
-    // A version that has just turned has none of the other's.
+    // After a version change, no copies of the other version remain.
     let other = ContextRecord {
         version: "v0".into(),
         ..r.clone()
     };
-    k.asked.clear();
-    k.young = true;
+    k.demand.clear();
+    k.is_incomplete = true;
     expect_that!(k.decide(&other).parts, is_empty());
     k.on = false;
     expect_that!(k.decide(&r).parts, is_empty());
 }
 
 #[gtest]
-fn a_copy_that_is_missed_again_and_again_is_given_back() {
+fn a_copy_with_many_cache_misses_is_removed() {
     let mut k = Case::new();
-    (0..20).for_each(|c| ["a", "b", "c"].iter().for_each(|z| k.ask(z, c, 20.0)));
-    let r = k.decide(&none());
-    k.asked
+    (0..20).for_each(|c| ["a", "b", "c"].iter().for_each(|z| k.add(z, c, 20.0)));
+    let r = k.decide(&empty_record());
+    k.demand
         .values_mut()
         .for_each(|a| a.cache_misses = a.requests / 2.0);
     expect_that!(k.decide(&r).parts, is_empty());
--- a/coordination/tests/context_duty.rs
+++ b/coordination/tests/context_duty.rs
@@ -1,5 +1,5 @@
-//! Who decides where copies of shared context are kept: the lease holder of the service's singleton role, one at a time, by
-//! real control daemons over a network that is partitioned and disks that sync.
+//! Only the lease holder of a service's singleton role places context copies: tests with real control daemons,
+//! simulated network partitions and disks that sync.
 
 mod fleet;
 
@@ -15,7 +15,7 @@
 use remote_calls::{ContextRecord, PlatformList};
 use serde_json::json;
 
-/// A service whose keys would have different owners if each went by its own name.
+/// Returns a service whose keys would have different owners if ownership followed the full key.
 fn service() -> String {
     let first = |key: String| (0..3).max_by_key(|i| rendezvous_weight(&key, &format!("c{i}")));
     let differ =
@@ -45,13 +45,13 @@
     };
     serde_json::from_value(json!({"replicas": (0..9).map(one).collect::<Vec<_>>()})).unwrap()
 }
-fn chain_demand(chain: u64, asks: u32) -> ChainDemand {
+fn chain_demand(chain: u64, requests: u32) -> ChainDemand {
     ChainDemand {
         weights_version: name_digest("v1"),
         homes_digest: 0,
         chain,
         tokens: 13_300,
-        requests: asks * 256,
+        requests: requests * 256,
         overcount: 0,
         cache_misses: 0,
     }
@@ -59,10 +59,10 @@
 
 struct ContextFleet {
     fleet: Fleet,
-    /// Chains that callers of every region ask for often.
+    /// Chains that clients of every region request often.
     popular_chains: Vec<u64>,
-    /// The daemon that is frozen, as it was.
-    frozen: Option<(usize, Box<coordination::control::Control>)>,
+    /// The suspended daemon with its state.
+    suspended: Option<(usize, Box<coordination::control::Control>)>,
 }
 
 impl ContextFleet {
@@ -72,7 +72,7 @@
         let mut contexts = ContextFleet {
             fleet,
             popular_chains: vec![],
-            frozen: None,
+            suspended: None,
         };
         expect_that!(
             contexts
@@ -100,7 +100,7 @@
         let out = control.run_rollouts(now, now / 1_000);
         self.fleet.carry_out(i, out);
     }
-    /// Every edge polls all daemons, and reports to the lease holder what its callers ask for.
+    /// Lets every edge poll all daemons and report the demand of its clients to the lease holder.
     fn poll_from_edges(&mut self) {
         let (now, lease_holder) = (self.fleet.now, self.lease_holder(ROLLOUT_PREFIX));
         for edge in 0..3 {
@@ -178,25 +178,25 @@
             .value(i, &key())
             .and_then(|(_, v)| serde_json::from_slice(&v).ok())
     }
-    /// Copies that each living daemon knows of.
+    /// Returns the number of copies in the record of each running daemon.
     fn copies(&self) -> Vec<usize> {
         let up = (0..3).filter(|i| self.fleet.control(*i).is_some());
         up.map(|i| self.record(i).map_or(0, |r| r.parts.len()))
             .collect()
     }
-    fn freeze(&mut self, i: usize) {
+    fn suspend(&mut self, i: usize) {
         let control = self.fleet.daemons[i].control.take().map(Box::new);
-        self.frozen = control.map(|control| (i, control));
+        self.suspended = control.map(|control| (i, control));
     }
     fn resume(&mut self) {
-        if let Some((i, control)) = self.frozen.take() {
+        if let Some((i, control)) = self.suspended.take() {
             self.fleet.daemons[i].control = Some(*control);
         }
     }
 }
 
 #[gtest]
-fn lease_holder_decides_and_its_successor_keeps_the_committed_copies() {
+fn lease_holder_places_copies_and_its_successor_keeps_them() {
     for seed in 0..4 {
         let mut contexts = ContextFleet::new(seed);
         contexts.popular_chains = (1..=6).collect();
@@ -208,9 +208,9 @@
             eq(lease_holder),
             "seed {seed}"
         );
-        // Each chain has one place and a copy in both other regions.
+        // Each chain has one place and a copy in each of the two other regions.
         expect_that!(contexts.copies(), eq(&vec![12; 3]), "seed {seed}");
-        // The lease holder dies, and no edge has reported anything to the next one yet.
+        // The lease holder is killed, and no edge reports demand to the next one.
         let old = lease_holder.unwrap_or_default();
         contexts.popular_chains.clear();
         contexts.fleet.kill(old);
@@ -221,23 +221,23 @@
         expect_that!(
             contexts.copies(),
             eq(&vec![12; 2]),
-            "seed {seed}: silence is no cold yet"
+            "seed {seed}: missing reports do not remove copies yet"
         );
-        // Nobody asks any more: the next lease holder removes all copies in time.
+        // Without demand, the next lease holder eventually removes all copies.
         contexts.run(60_000);
         expect_that!(contexts.copies(), eq(&vec![0; 2]), "seed {seed}");
     }
 }
 
 #[gtest]
-fn lease_holder_that_resumes_writes_nothing_by_stale_demand() {
+fn resumed_lease_holder_writes_nothing_from_stale_demand() {
     for seed in 10..14 {
         let mut contexts = ContextFleet::new(seed);
         contexts.popular_chains = (1..=6).collect();
         contexts.run(10_000);
         let old = contexts.lease_holder(ROLLOUT_PREFIX).unwrap_or_default();
-        contexts.freeze(old);
-        // Meanwhile other chains are asked for, and another lease holder decides.
+        contexts.suspend(old);
+        // Meanwhile other chains are requested, and another lease holder places copies.
         contexts.popular_chains = (20..=25).collect();
         contexts.run(90_000);
         let committed = (0..3)
@@ -251,7 +251,7 @@
             "seed {seed}"
         );
         contexts.resume();
-        // At once, before it hears anybody.
+        // Immediately, before it receives any message.
         contexts.run_rollouts_at(old);
         contexts.run(5_000);
         for i in 0..3 {
@@ -265,7 +265,7 @@
 }
 
 #[gtest]
-fn partitioned_lease_holder_decides_nothing_once_its_lease_has_ended() {
+fn partitioned_lease_holder_places_no_copies_after_its_lease_expires() {
     for seed in 20..24 {
         let mut contexts = ContextFleet::new(seed);
         contexts.popular_chains = (1..=6).collect();
@@ -274,7 +274,7 @@
         let before = contexts.fleet.value(old, &key()).map(|h| h.0);
         contexts.fleet.partitioned.insert(addr(old));
         contexts.run(4_000);
-        // It still has the edges beside it, which ask for something else.
+        // It still receives demand for another chain from the edges on its side of the partition.
         for _ in 0..20 {
             contexts.deliver(
                 old,
@@ -331,7 +331,7 @@
             some(eq(0))
         );
     }
-    // And on again.
+    // Switched on again.
     expect_that!(
         contexts
             .fleet
--- a/coordination/tests/outcome_counters.rs
+++ b/coordination/tests/outcome_counters.rs
@@ -1,6 +1,6 @@
-//! Outcome counters and open streams on their way from a proxy over its agent to a control daemon,
-//! in virtual time. Each message carries only what has changed; messages are lost, duplicated and
-//! late, and processes restart.
+//! Delivery of outcome counters and open streams from a proxy through its agent to a control daemon,
+//! in virtual time. Each message carries only changes; messages are lost, duplicated and delayed,
+//! and processes restart.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::edge_bench::{Bench, PollTraffic, agent, control, proxy};
 
 #[gtest]
-fn all_counts_arrive_once_whatever_is_lost_or_late() {
+fn all_counts_arrive_once_despite_loss_and_delay() {
     for seed in 0..20 {
         let mut bench = Bench::ready(seed);
         bench.loss_percent = 25;
@@ -38,14 +38,14 @@
 }
 
 #[gtest]
-fn an_agent_that_restarts_has_nothing_counted_twice() {
+fn an_agent_restart_duplicates_no_counts() {
     for seed in 0..20 {
         let mut bench = Bench::ready(seed);
         bench.run(6_000, 40);
         bench.agent = agent(100 + bench.now, bench.now, seed);
         bench.run(4_000, 40);
-        // What runs is still known at once: an agent's poll before its proxy has reported ends no
-        // stream.
+        // The open streams stay known: a poll that the agent sends before its proxy has reported
+        // ends no stream.
         expect_that!(bench.open_stream_count(), gt(0), "seed {seed}");
         bench.settle();
         expect_that!(bench.counted(), eq(bench.started_count), "seed {seed}");
@@ -58,11 +58,11 @@
 }
 
 #[gtest]
-fn a_proxy_that_restarts_counts_from_zero_on_top() {
+fn counts_of_a_restarted_proxy_add_to_the_earlier_ones() {
     for seed in 0..20 {
         let mut bench = Bench::ready(seed);
         bench.run(6_000, 40);
-        // All that was counted has come by then.
+        // All counts have arrived by then.
         bench.settle();
         bench.running.clear();
         bench.proxy = proxy(Bounds::default(), 100 + bench.now, seed);
@@ -78,11 +78,11 @@
 }
 
 #[gtest]
-fn a_control_daemon_that_restarts_has_the_last_half_minute_and_all_streams_and_versions() {
+fn a_restarted_control_daemon_recovers_the_last_half_minute_and_all_streams_and_versions() {
     for seed in 0..20 {
         let mut bench = Bench::ready(seed);
         bench.run(5_000, 40);
-        // Some of what its former incarnation was sent is still on its way, and reaches the next.
+        // Some messages to its previous incarnation are still in flight and reach the next one.
         let rows = bench.control_disk.values().cloned().collect();
         bench.control = control(Bounds::default(), rows, 100 + bench.now, bench.now);
         bench.run(5_000, 40);
@@ -92,7 +92,7 @@
             eq(bench.running_count()),
             "seed {seed}"
         );
-        // Attempts that had begun but not ended when it first heard of them are no evidence.
+        // Attempts that were already running when it first received them are not counted.
         expect_that!(
             bench.counted(),
             all!(le(bench.started_count), ge(bench.started_count * 8 / 10)),
@@ -103,19 +103,19 @@
         expect_that!(
             status.edges[0].spec_version,
             eq(1),
-            "seed {seed}: it knows what its edge has"
+            "seed {seed}: spec version of the edge"
         );
     }
 }
 
 #[gtest]
-fn a_daemon_that_does_not_answer_is_sent_nothing_and_then_everything() {
+fn an_unresponsive_daemon_is_sent_nothing_until_it_answers_and_then_everything() {
     let mut bench = Bench::ready(1);
     bench.run(5_000, 40);
     bench.is_partitioned = true;
     bench.run(3_000, 0);
     bench.polls = PollTraffic::default();
-    // Longer than ended streams are remembered.
+    // Longer than ended streams are retained.
     bench.run(130_000, 0);
     expect_that!(bench.polls.entry_count, eq(0));
     bench.is_partitioned = false;
@@ -128,21 +128,21 @@
 }
 
 #[gtest]
-fn an_idle_lane_costs_nothing() {
+fn an_idle_lane_sends_no_entries() {
     let mut bench = Bench::ready(1);
     bench.run(20_000, 40);
     bench.run(4_500, 0);
     bench.polls = PollTraffic::default();
     bench.run(10_000, 2);
-    // Two requests a second change a counter and a stream each, twice; each is sent until it is
-    // answered.
+    // Each of two requests per second changes a counter and a stream twice; each change is sent
+    // until it is acknowledged.
     expect_that!(bench.polls.longest_entry_count, le(20));
     expect_that!(bench.polls.entry_count, le(160));
 }
 
 #[gtest]
 fn polls_of_an_idle_fleet_take_few_bytes_and_each_request_few_more() {
-    for (request_rate, most) in [(0, 180), (2, 345), (20, 1_200)] {
+    for (request_rate, max_bytes) in [(0, 180), (2, 345), (20, 1_200)] {
         let mut bench = Bench::ready(1);
         bench.run(20_000, 40);
         bench.run(4_500, 0);
@@ -150,8 +150,8 @@
         bench.run(20_000, request_rate);
         expect_that!(
             bench.polls.bytes / 20,
-            le(most),
-            "bytes a second at {request_rate} requests a second"
+            le(max_bytes),
+            "bytes per second at {request_rate} requests per second"
         );
     }
 }
@@ -164,7 +164,7 @@
         serde_json::from_value(json!({"replicas": [replica]})).unwrap()
     };
     let mut control = control(Bounds::default(), vec![], 1, 0);
-    expect_false!(control.is_list_stable(60_000), "nothing is known yet");
+    expect_false!(control.is_list_stable(60_000), "no list received yet");
     for at in (10_000..20_000).step_by(500) {
         control.on_replica_list(list("running"), at);
         expect_that!(control.is_list_stable(at), eq(at > 15_000), "at {at}");
--- a/coordination/tests/repeats.rs
+++ b/coordination/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Releases that were accepted and then replaced are submitted again: they are acknowledged as the version that they
-//! were, whatever became of the daemons that accepted them.
+//! Resubmission of releases that were accepted and then replaced: each is acknowledged with its original version,
+//! whatever faults occurred at the daemons that accepted it.
 
 mod fleet;
 
@@ -11,17 +11,17 @@
 use fleet::{Fleet, addr};
 use googletest::prelude::*;
 
-/// How many releases are put, each on top of the one before.
+/// Number of releases that are submitted, each based on the previous one.
 const RELEASES: u64 = 6;
 
-/// A document of a release, in the product's own spelling; `mark` tells two of one release apart.
+/// Returns the document of a release in the native format; `mark` distinguishes two documents of one release.
 fn document(release: u64, mark: u64) -> Vec<u8> {
     let document = serde_json::json!({"zones": [], "tiers": [], "services": [], "canary_percent": 10, "bake_ms": mark,
         "release": release});
     serde_json::to_vec(&document).unwrap()
 }
 
-/// Submits a document to a daemon, and returns the outcome if there is one in time.
+/// Submits a document to a daemon and returns the outcome, or `None` after a timeout.
 fn submit(
     fleet: &mut Fleet,
     daemon: usize,
@@ -43,21 +43,26 @@
         .map(|(_, outcome)| *outcome)
 }
 
-/// Submits a release on top of the one before it.
-fn put(fleet: &mut Fleet, daemon: usize, release: u64, mark: u64) -> Option<WriteOutcome> {
+/// Submits a release based on the previous one.
+fn submit_release(
+    fleet: &mut Fleet,
+    daemon: usize,
+    release: u64,
+    mark: u64,
+) -> Option<WriteOutcome> {
     let expect = Expect::Release(release - 1);
     submit(fleet, daemon, expect, document(release, mark))
 }
 
-/// Submits a release until it has a clear outcome.
-fn put_until_clear(
+/// Submits a release until it is accepted or rejected with a conflict.
+fn submit_until_decided(
     fleet: &mut Fleet,
     daemon: usize,
     release: u64,
     mark: u64,
 ) -> Option<WriteOutcome> {
     for _ in 0..20 {
-        match put(fleet, daemon, release, mark) {
+        match submit_release(fleet, daemon, release, mark) {
             Some(outcome @ (WriteOutcome::Accepted(_) | WriteOutcome::Conflict(_))) => {
                 return Some(outcome);
             }
@@ -98,9 +103,9 @@
     None,
     AllKilled,
     OwnerKilled,
-    /// One is partitioned off while the later releases are accepted.
+    /// One daemon is partitioned while the later releases are accepted.
     OnePartitioned,
-    /// Each disk is lost, one after the other.
+    /// Every disk is lost, one after another.
     DisksLost,
 }
 
@@ -126,13 +131,13 @@
                 daemon = (partitioned + 1) % 3;
             }
             expect_that!(
-                put_until_clear(fleet, daemon, release, 0),
+                submit_until_decided(fleet, daemon, release, 0),
                 some(eq(WriteOutcome::Accepted(release))),
                 "seed {seed}, {fault:?}"
             );
-            // The loser of a race under the same number.
+            // A competing document of the same release loses.
             expect_that!(
-                put_until_clear(fleet, daemon, release, 1),
+                submit_until_decided(fleet, daemon, release, 1),
                 some(eq(WriteOutcome::Conflict(release))),
                 "seed {seed}, {fault:?}"
             );
@@ -145,20 +150,20 @@
         {
             let case = format!("seed {seed}, {fault:?}: release {release} at {daemon}");
             expect_that!(
-                put_until_clear(fleet, daemon, release, 0),
+                submit_until_decided(fleet, daemon, release, 0),
                 some(eq(WriteOutcome::Accepted(release))),
                 "{case}"
             );
             expect_that!(
-                put_until_clear(fleet, daemon, release, 1),
+                submit_until_decided(fleet, daemon, release, 1),
                 some(eq(WriteOutcome::Conflict(RELEASES))),
-                "{case}, the loser"
+                "{case}, competing document"
             );
         }
     }
 }
 
-/// Kills daemons or loses disks, and starts them again.
+/// Kills daemons or wipes disks, and restarts the daemons.
 fn inject(fleet: &mut Fleet, fault: Fault) {
     let killed = match fault {
         Fault::AllKilled => vec![0, 1, 2],
@@ -178,45 +183,45 @@
         fleet.start(daemon);
         fleet
             .run_until(10_000, |fleet| fleet.voting().len() == 3)
-            .expect("it votes again");
+            .expect("the daemon is a voter again");
         wait_until_settled(fleet);
     }
 }
 
-/// The history has a bound; within it the oldest is known as well as the newest, and the loser of a race is rejected.
-/// What is older is neither accepted nor rejected: nobody can tell whether it ever was current.
+/// The history is bounded: every release in it, from oldest to newest, is recognized, and a competing document is
+/// rejected. An older release is neither accepted nor rejected, because no daemon knows whether it was ever current.
 #[gtest]
 fn releases_beyond_the_kept_history_get_no_clear_answer() {
     let fleet = &mut settled_fleet(1);
     let kept = REPLACED_VALUES_KEPT as u64;
     for release in 1..=kept + 4 {
         expect_that!(
-            put_until_clear(fleet, 0, release, 0),
+            submit_until_decided(fleet, 0, release, 0),
             some(eq(WriteOutcome::Accepted(release)))
         );
     }
     for daemon in 0..3 {
         for (release, mark) in [(1, 0), (3, 0), (1, 1), (3, 1)] {
             expect_that!(
-                put(fleet, daemon, release, mark),
+                submit_release(fleet, daemon, release, mark),
                 some(eq(WriteOutcome::Unknown)),
-                "release {release} of mark {mark} at {daemon}"
+                "release {release} with mark {mark} at {daemon}"
             );
         }
         for release in [4, 5, kept, kept + 3, kept + 4] {
             expect_that!(
-                put_until_clear(fleet, daemon, release, 0),
+                submit_until_decided(fleet, daemon, release, 0),
                 some(eq(WriteOutcome::Accepted(release))),
                 "release {release} at {daemon}"
             );
             expect_that!(
-                put_until_clear(fleet, daemon, release, 1),
+                submit_until_decided(fleet, daemon, release, 1),
                 some(eq(WriteOutcome::Conflict(kept + 4))),
-                "the loser of {release} at {daemon}"
+                "competing document of release {release} at {daemon}"
             );
         }
     }
-    // Edges have no use for the history: they receive the value alone.
+    // Edges have no use for the history and receive only the value.
     let slot = fleet
         .control(0)
         .unwrap()
@@ -227,7 +232,7 @@
     expect_that!(slot.replaced.len(), eq(REPLACED_VALUES_KEPT));
 }
 
-/// The same for a write that names the version that it replaces.
+/// A conditional write based on a version that is older than the kept history gets no clear answer either.
 #[gtest]
 fn a_write_on_a_version_beyond_the_kept_history_gets_no_clear_answer() {
     let fleet = &mut settled_fleet(2);
@@ -258,21 +263,21 @@
     );
 }
 
-/// As long as the history holds every accepted value, what is not among them was never accepted.
+/// While the history holds every accepted value, a value that is missing from it was never accepted.
 #[gtest]
-fn the_loser_of_a_race_is_rejected_while_the_history_is_complete() {
+fn a_competing_document_is_rejected_while_the_history_is_complete() {
     let fleet = &mut settled_fleet(3);
     for release in 1..=5 {
         expect_that!(
-            put_until_clear(fleet, 0, release, 0),
+            submit_until_decided(fleet, 0, release, 0),
             some(eq(WriteOutcome::Accepted(release)))
         );
     }
     expect_that!(
-        put_until_clear(fleet, 1, 1, 9),
+        submit_until_decided(fleet, 1, 1, 9),
         some(eq(WriteOutcome::Conflict(5)))
     );
-    // Also where its number is below that of the first that was accepted.
+    // A release number below the first accepted one is rejected too.
     let fleet = &mut settled_fleet(4);
     let write_first =
         |fleet: &mut Fleet, release| submit(fleet, 0, Expect::Release(0), document(release, 0));
@@ -280,23 +285,23 @@
     expect_that!(write_first(fleet, 3), some(eq(WriteOutcome::Conflict(1))));
 }
 
-/// An unconditional write is a new order each time, also where its value was current once: a zone that was given back is
+/// Every unconditional write is a new command, even if its value was current before: a restored zone can be
 /// evacuated again.
 #[gtest]
 fn an_unconditional_write_is_never_taken_for_an_earlier_one() {
     let fleet = &mut settled_fleet(1);
-    for order in 1..=6u64 {
+    for version in 1..=6u64 {
         let write = fleet
-            .write(order as usize % 3, "zone/z1", None, &[order as u8 % 2])
+            .write(version as usize % 3, "zone/z1", None, &[version as u8 % 2])
             .unwrap();
         expect_that!(
             outcome(fleet, write),
-            some(eq(WriteOutcome::Accepted(order)))
+            some(eq(WriteOutcome::Accepted(version)))
         );
     }
 }
 
-/// A write that names the version that it replaces can have been accepted as the next one only.
+/// A conditional write based on a version can only have been accepted as the next version.
 #[gtest]
 fn a_repeated_write_on_a_version_is_acknowledged_as_the_next_version() {
     let fleet = &mut settled_fleet(1);
@@ -320,7 +325,7 @@
     }
     // The value was current, but not as this version.
     expect_that!(write_on(fleet, 2, 0), some(eq(WriteOutcome::Conflict(4))));
-    // Nor is it taken for an earlier one where it is current again by now.
+    // The write is not taken for an earlier one either when its value is current again.
     expect_that!(write_on(fleet, 4, 0), some(eq(WriteOutcome::Accepted(5))));
     expect_that!(write_on(fleet, 2, 0), some(eq(WriteOutcome::Conflict(5))));
 }
--- a/coordination/tests/shared_context.rs
+++ b/coordination/tests/shared_context.rs
@@ -1,5 +1,5 @@
-//! Popular shared context stands ready in the regions that ask for it, and nowhere stale: schedules over real proxies,
-//! modelled engines and the real decision.
+//! Popular shared contexts are copied to the regions that request them, and stale copies are not used: tests with real
+//! proxies, simulated engines and the real placement code.
 
 mod engines;
 
@@ -9,11 +9,11 @@
 
 const TOKENS: u32 = 13_300;
 
-/// Asks by Zipf's law over so many chains, `rate` a second in each region.
+/// Load generator whose requests follow Zipf's law over `chains` chains, with a rate per second for each region.
 struct Load {
     rng: fastrand::Rng,
     chains: usize,
-    /// Added to each chain's id: another one is a changed schedule.
+    /// Part of each chain's id: a new edition replaces all chains.
     edition: u64,
 }
 
@@ -56,8 +56,8 @@
 fn world(seed: u64, on: bool) -> World {
     World::new(seed, on, 9, [8, 6, 4], &[])
 }
-/// p50 and p95 of the time to the first event, and how many.
-fn firsts<'a>(c: impl Iterator<Item = &'a Call>) -> (Ms, Ms, usize) {
+/// Returns p50 and p95 of the time to the first event, and the number of calls.
+fn latency<'a>(c: impl Iterator<Item = &'a Call>) -> (Ms, Ms, usize) {
     let all: Vec<Ms> = c.map(|c| c.first).collect();
     (
         within(all.clone(), 0.5),
@@ -65,14 +65,14 @@
         all.len(),
     )
 }
-fn once(w: &World) {
-    expect_that!(w.doubled, eq(0), "a call was answered twice");
-    expect_that!(w.open.len(), eq(0), "calls without an end");
+fn expect_each_call_answered_once(w: &World) {
+    expect_that!(w.doubled, eq(0), "calls answered twice");
+    expect_that!(w.open.len(), eq(0), "calls that did not end");
     expect_that!(w.calls.len() as u64 + w.rejected, eq(w.sent));
 }
 
-/// Busy hours that move round the regions.
-fn busy(w: &mut World, l: &mut Load) -> Vec<Call> {
+/// Runs busy hours that move from region to region.
+fn run_busy_hours(w: &mut World, l: &mut Load) -> Vec<Call> {
     for hour in 0..3 {
         let mut rates = [4.0; 3];
         rates[hour] = 20.0;
@@ -84,58 +84,58 @@
 }
 
 #[gtest]
-fn at_busy_hours_calls_from_anywhere_are_answered_as_promptly() {
+fn distant_calls_at_busy_hours_are_answered_as_fast_as_nearby_ones() {
     let (mut travelled, mut again, mut distant) = (0, [0; 2], 0);
     for seed in 0..3 {
         for (i, on) in [false, true].into_iter().enumerate() {
             let (mut w, mut l) = (world(seed, on), Load::new(seed, 60));
-            let calls = busy(&mut w, &mut l);
-            once(&w);
+            let calls = run_busy_hours(&mut w, &mut l);
+            expect_each_call_answered_once(&w);
             again[i] += w.again / u64::from(TOKENS);
             if on {
                 travelled += calls.iter().filter(|c| c.travelled).count();
                 distant += calls.iter().filter(|c| c.distant).count();
             }
-            // Of the busy region, in the second half of its hour: copies need a while.
+            // Calls of the busy region in the second half of its hour, because placing copies takes time.
             let hour = |c: &&Call| {
                 c.region as u64 == (c.at - BEGIN) / 60_000 && (c.at - BEGIN) % 60_000 > 30_000
             };
             let of =
-                |distant: bool| firsts(calls.iter().filter(hour).filter(|c| c.distant == distant));
+                |distant: bool| latency(calls.iter().filter(hour).filter(|c| c.distant == distant));
             let (near, far) = (of(false), of(true));
-            let falsely = calls.iter().filter(|c| c.warm && c.read).count();
+            let wrongly_ready = calls.iter().filter(|c| c.warm && c.read).count();
             println!(
-                "on {on} seed {seed}: nearby {near:?} distant {far:?}; read again {} of {} calls, {} copies made, {} taken for \
-                 ready falsely, {} noticed; {} MB between regions; told {} KB",
+                "on {on} seed {seed}: nearby {near:?} distant {far:?}; prefilled again in {} of {} calls, {} copies created, {} wrongly \
+                 considered ready, {} detected; {} MB between regions; {} KB of records and reports",
                 w.again / u64::from(TOKENS),
                 calls.len(),
                 w.made,
-                falsely,
+                wrongly_ready,
                 w.counter("context_missed"),
                 w.between / 1_000_000,
                 w.told_bytes / 1_000
             );
             if on {
-                // Within a tenth of nearby ones, where some still travel beyond the travel time.
+                // Within 10% of nearby calls plus the round trip, because some calls still go to another region.
                 expect_that!(far.1 * 10, le(near.1 * 11 + 2 * engines::WAY * 10));
                 expect_that!(
                     far.0,
                     le(near.0 + near.0 / 10),
-                    "half of the distant ones go nowhere"
+                    "half of the distant calls stay in their region"
                 );
-                // Nothing is read again but what makes a copy, and what overflows anyway.
+                // Contexts are prefilled again only to create a copy or after a cache overflow.
                 expect_that!(w.again / u64::from(TOKENS), le(w.made + w.made / 4 + 35));
             }
         }
     }
-    println!("{travelled} of {distant} distant calls travelled; read again {again:?}");
+    println!("{travelled} of {distant} distant calls left their region; prefilled again {again:?}");
     expect_that!(travelled * 2, lt(distant));
-    // Against what proxies have read once more by themselves: half at the most.
+    // Less than half of what is prefilled again without copies.
     expect_that!(again[1] * 2, lt(again[0]));
 }
 
 #[gtest]
-fn a_schedule_that_changes_under_load_is_never_answered_from_the_old_one_and_its_copies_go() {
+fn copies_of_replaced_chains_are_removed_under_load() {
     let (mut w, mut l) = (world(5, true), Load::new(5, 30));
     l.run(&mut w, 40_000, [12.0; 3]);
     let old = w.copies();
@@ -144,24 +144,28 @@
     l.run(&mut w, 100_000, [12.0; 3]);
     let new = w.copies();
     expect_that!(new, not(is_empty()));
-    let left = new
+    let stale_count = new
         .iter()
         .filter(|c| old.iter().any(|o| o.0 == c.0))
         .count();
-    expect_that!(left, eq(0), "copies of what nobody asks for any more");
+    expect_that!(
+        stale_count,
+        eq(0),
+        "copies of chains that are no longer requested"
+    );
     w.run_to(w.now + 5_000);
-    once(&w);
+    expect_each_call_answered_once(&w);
 }
 
 #[gtest]
-fn a_region_lost_with_the_only_copies_leaves_no_call_without_an_answer() {
+fn losing_a_region_with_the_only_copies_leaves_no_call_unanswered() {
     let (mut w, mut l) = (world(6, true), Load::new(6, 30));
     l.run(&mut w, 40_000, [3.0, 3.0, 15.0]);
     expect_that!(
         w.copies().iter().filter(|c| c.1 == region_of("c")).count(),
         gt(0)
     );
-    // The region's edges, replicas and all: the list tells a second later.
+    // Lose the edges and replicas of the region; the replica list reports this a second later.
     w.cut = (0..9).filter(|i| i % 3 == 2).collect();
     w.engines
         .values_mut()
@@ -176,28 +180,28 @@
         eq(0)
     );
     expect_that!(w.rejected, eq(0));
-    // It comes back with empty replicas: copies are not taken for ready there before somebody has read them.
+    // The region returns with empty replicas: copies there do not count as ready before they are prefilled.
     (0..4).for_each(|i| w.add(&format!("cc{i}"), "c", "v1"));
     w.roll();
     w.cut.clear();
     let from = w.now;
     l.run(&mut w, 40_000, [3.0, 3.0, 15.0]);
     w.run_to(w.now + 5_000);
-    let bad = w
+    let wrongly_ready = w
         .calls
         .iter()
         .filter(|c| c.at > from && c.replica.starts_with("cc") && c.warm && c.read)
         .count();
-    expect_that!(bad, le(2), "taken for ready and was not");
+    expect_that!(wrongly_ready, le(2), "considered ready but was not cached");
     expect_that!(
         w.copies().iter().filter(|c| c.1 == region_of("c")).count(),
         gt(0)
     );
-    once(&w);
+    expect_each_call_answered_once(&w);
 }
 
 #[gtest]
-fn what_turns_cold_is_given_back_and_the_bound_is_never_passed() {
+fn copies_without_demand_are_removed_and_the_bound_is_never_exceeded() {
     let (mut w, mut l) = (world(7, true), Load::new(7, 300));
     w.spec.share_percent = 10;
     for _ in 0..8 {
@@ -215,7 +219,7 @@
 }
 
 #[gtest]
-fn a_rollout_ends_readiness_at_once() {
+fn a_rollout_invalidates_copies_at_once() {
     let (mut w, mut l) = (world(8, true), Load::new(8, 30));
     l.run(&mut w, 40_000, [12.0; 3]);
     expect_that!(w.copies(), not(is_empty()));
@@ -239,7 +243,7 @@
         .iter()
         .filter(|c| c.at > from && c.warm && c.read)
         .count();
-    expect_that!(stale, le(3), "taken for ready and was not");
+    expect_that!(stale, le(3), "considered ready but was not cached");
     expect_that!(
         w.record.as_ref().map(|r| r.2.version.as_str()),
         some(eq("v2"))
@@ -251,11 +255,11 @@
             .all(|r| r.ends_with('n'))
     );
     expect_that!(w.copies(), not(is_empty()));
-    once(&w);
+    expect_each_call_answered_once(&w);
 }
 
 #[gtest]
-fn a_holder_that_freezes_costs_no_copies_and_its_late_word_counts_for_nothing() {
+fn a_suspended_lease_holder_loses_no_copies_and_its_late_writes_have_no_effect() {
     let (mut w, mut l) = (world(9, true), Load::new(9, 30));
     l.run(&mut w, 40_000, [12.0; 3]);
     let before = w.copies().len();
@@ -263,27 +267,27 @@
     w.freeze_holder(20_000);
     for _ in 0..20 {
         l.run(&mut w, 1_000, [12.0; 3]);
-        // Whoever took over does not take silence for cold.
+        // The new lease holder does not treat missing reports as missing demand.
         expect_that!(
             w.copies().len() * 10,
             ge(before * 7),
-            "copies after a holder's loss"
+            "copies after the loss of the lease holder"
         );
     }
-    // By now the former holder's demands are old: alone it would give all back.
+    // The demand known to the former lease holder has expired by now: on its own, it would remove all copies.
     l.run(&mut w, 15_000, [12.0; 3]);
     expect_that!(w.record.as_ref().map(|r| r.0), some(eq(2)));
     expect_that!(w.copies().len() * 10, ge(before * 7));
     w.run_to(w.now + 5_000);
-    once(&w);
+    expect_each_call_answered_once(&w);
 }
 
 #[gtest]
-fn a_copy_that_was_put_out_is_noticed_and_read_again_once() {
+fn an_evicted_copy_is_detected_and_prefilled_again_once() {
     let (mut w, mut l) = (world(10, true), Load::new(10, 10));
     l.run(&mut w, 40_000, [12.0; 3]);
     let from = w.now;
-    // Other work takes all caches, and nobody is told.
+    // Other work evicts all caches without notice.
     w.engines.values_mut().for_each(|e| e.kept.clear());
     l.run(&mut w, 20_000, [12.0; 3]);
     w.run_to(w.now + 5_000);
@@ -298,13 +302,13 @@
     expect_that!(
         read(5_000, 20_000),
         le(12),
-        "still read again after they were repaired"
+        "prefilled again after the repair"
     );
-    once(&w);
+    expect_each_call_answered_once(&w);
 }
 
 #[gtest]
-fn copies_never_leave_their_homes() {
+fn copies_stay_within_their_homes() {
     let mut w = World::new(11, true, 9, [8, 6, 4], &["ra", "rb"]);
     let mut l = Load::new(11, 30);
     l.run(&mut w, 60_000, [12.0; 3]);
@@ -312,5 +316,5 @@
     expect_that!(w.copies(), not(is_empty()));
     expect_true!(w.copies().iter().all(|c| c.1 != region_of("c")));
     expect_true!(w.calls.iter().all(|c| !c.replica.starts_with('c')));
-    once(&w);
+    expect_each_call_answered_once(&w);
 }
--- a/coordination/tests/support/agents.rs
+++ b/coordination/tests/support/agents.rs
@@ -1,4 +1,4 @@
-//! Nodes, messages and effects as tests of edge agents write and read them.
+//! Helpers for tests of edge agents that build nodes and messages and read effects.
 
 use coordination::{
     Effect, Ms,
@@ -7,7 +7,7 @@
     wire::{Blob, Change, List, Message, Name, Node, Shuffle},
 };
 
-/// A node in the zone `z` with this name, which is its address too.
+/// Returns a node in the zone `z` that has `name` as its name and address.
 pub fn node(name: &str, role: NodeRole) -> Node {
     Node {
         name: name.into(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// A committed value of so many bytes.
+/// Returns a change to a committed value of `bytes` bytes.
 pub fn change(key: &str, version: u64, bytes: usize) -> Change {
     Change {
         key: key.into(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The second message of a shuffle, which describes these nodes.
+/// Returns the second message of a shuffle, which describes `nodes`.
 pub fn descriptions(nodes: impl IntoIterator<Item = Node>) -> Message {
     Shuffle {
         nodes: List(nodes.into_iter().collect()),
@@ -41,7 +41,7 @@
     .into()
 }
 
-/// Delivers a message of a process whose name is its address.
+/// Delivers a message from a process whose address equals its name.
 pub fn deliver(
     agent: &mut EdgeAgent,
     from: &str,
@@ -51,7 +51,7 @@
     agent.on_message(&from.into(), &from.into(), message.into(), now)
 }
 
-/// The messages among the effects, with their receivers.
+/// Returns the messages among the effects, with their receivers.
 pub fn sends(effects: Vec<Effect>) -> Vec<(Name, Message)> {
     effects
         .into_iter()
--- a/coordination/tests/support/edge_bench.rs
+++ b/coordination/tests/support/edge_bench.rs
@@ -1,5 +1,5 @@
-//! A control daemon, an agent and its proxy, in virtual time. Messages are lost, duplicated and late, and processes
-//! restart.
+//! Test bench with a control daemon, an agent and its proxy, in virtual time. Messages are lost, duplicated and delayed,
+//! and processes restart.
 
 use std::collections::BTreeMap;
 
@@ -21,24 +21,24 @@
 
 const LANE_COUNT: usize = 40;
 const REPLICA_COUNT: usize = 6;
-/// Between two reports of the proxy.
+/// Interval between two reports of the proxy, in ms.
 pub const REPORT_INTERVAL: Ms = 200;
-/// Between two replica lists.
+/// Interval between two replica lists, in ms.
 const LIST_INTERVAL: Ms = 300;
 /// Names and addresses of the three processes.
 pub const CONTROL: &str = lone_control::NAME;
 pub const AGENT: &str = "a";
 const PROXY: &str = "p";
-/// ms since 1970 at which a bench begins, in the middle of a window.
+/// Wall-clock time at which a bench starts, in ms since 1970; it lies in the middle of a window.
 const WALL_START: u64 = 1_767_225_602_345;
-/// Windows of usage.
+/// Length of a usage window, in ms.
 pub const USAGE_WINDOW: Ms = 5_000;
-/// Longest time to a request's first chunk, where usage is counted.
+/// Maximum time to the first chunk of a request when usage is counted, in ms.
 const MAX_FIRST_CHUNK_DELAY: Ms = 400;
-/// Of so many requests one fails before its first chunk, where usage is counted.
-const FAILING_REQUEST: u64 = 10;
+/// One in this many requests fails before its first chunk when usage is counted.
+const FAILURE_PERIOD: u64 = 10;
 
-/// A message on its way.
+/// A message in flight.
 struct InFlight {
     arrives_at: Ms,
     to: Name,
@@ -48,23 +48,23 @@
 
 pub struct RunningRequest {
     ends_at: Ms,
-    placed: Assignment,
+    assignment: Assignment,
     tenant: Name,
-    /// When its first chunk comes; none once it has come, or where usage is not counted.
+    /// Arrival time of the first chunk; `None` after its arrival, if it never arrives, or if usage is not counted.
     first_chunk_at: Option<Ms>,
 }
 
-/// The first chunk of a request: that is what usage counts.
+/// The first chunk of a request, which is the unit that usage counts.
 pub struct FirstChunk {
     pub received_at: Ms,
     pub window: u64,
     pub tenant: Name,
 }
 
-/// Requests that began to run, by window and tenant.
+/// Number of started requests by window and tenant.
 pub type Usage = BTreeMap<u64, BTreeMap<Name, u64>>;
 
-/// What the agent's polls carried.
+/// Totals over the polls of the agent.
 #[derive(Default)]
 pub struct PollTraffic {
     /// Counters and open streams in all polls, and in the longest one.
@@ -75,7 +75,7 @@
     pub longest_usage_count: usize,
     /// The oldest window of a usage count.
     pub oldest_usage_window: Option<u64>,
-    /// On the wire.
+    /// Encoded size of all polls, in bytes.
     pub bytes: usize,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// A control daemon, an agent and its proxy.
+/// Simulated control daemon, agent and proxy with the messages between them.
 pub struct Bench {
     pub now: Ms,
     pub rng: fastrand::Rng,
@@ -109,14 +109,14 @@
     pub polls: PollTraffic,
     /// The control daemon neither sends nor receives.
     pub is_partitioned: bool,
-    /// Requests that run neither end nor have their first chunk.
+    /// Running requests neither end nor receive their first chunk.
     pub is_paused: bool,
     pub bounds: Bounds,
-    /// How many tenants send requests; 0: requests have none, and usage is not counted.
+    /// Number of tenants that send requests; 0: requests have no tenant, and usage is not counted.
     pub tenant_count: u64,
-    /// The first chunks that came, oldest first.
+    /// The received first chunks, oldest first.
     pub first_chunks: Vec<FirstChunk>,
-    /// ms. By how much the time of day is wrong for the proxy and for the control daemon.
+    /// Wall-clock errors of the proxy and of the control daemon, in ms.
     pub proxy_clock_step: i64,
     pub control_clock_step: i64,
 }
@@ -160,12 +160,12 @@
         }
     }
 
-    /// One whose control daemon has settled, with a spec and a record, and whose proxy serves.
+    /// Returns a bench whose control daemon has settled with a spec and a record, and whose proxy is ready.
     pub fn ready(seed: u64) -> Self {
         Bench::ready_with(seed, Bounds::default())
     }
 
-    /// Like [`Bench::ready`], with so many tenants whose usage is counted.
+    /// Returns a bench like [`Bench::ready`] that counts the usage of `tenant_count` tenants.
     pub fn counting_usage(seed: u64, tenant_count: u64) -> Self {
         let bounds = Bounds {
             usage_window: USAGE_WINDOW,
@@ -220,8 +220,8 @@
             self.push(0, from, to, message);
             return;
         }
-        let is_cut = self.is_partitioned && (from == CONTROL || &**to == CONTROL);
-        if self.rng.u32(..100) < self.loss_percent || is_cut {
+        let crosses_partition = self.is_partitioned && (from == CONTROL || &**to == CONTROL);
+        if self.rng.u32(..100) < self.loss_percent || crosses_partition {
             return;
         }
         if self.rng.u32(..100) < self.duplicate_percent {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Runs with so many requests a second.
+    /// Runs for `duration` with `request_rate` requests per second.
     pub fn run(&mut self, duration: Ms, request_rate: u64) {
         let end = self.now + duration;
         while self.now < end {
@@ -292,7 +292,7 @@
         }
     }
 
-    /// The true time of day, in ms since 1970.
+    /// Returns the true wall-clock time, in ms since 1970.
     pub fn wall_ms(&self) -> u64 {
         WALL_START + self.now
     }
@@ -315,7 +315,7 @@
             if request.first_chunk_at.take_if(|at| *at <= now).is_none() {
                 continue;
             }
-            self.proxy.on_first_chunk(&request.placed, now);
+            self.proxy.on_first_chunk(&request.assignment, now);
             self.first_chunks.push(FirstChunk {
                 received_at: now,
                 window,
@@ -347,11 +347,11 @@
         self.running = running;
         for request in ended {
             self.proxy
-                .on_attempt_ended(&request.placed, AttemptOutcome::Completed, now);
+                .on_attempt_ended(&request.assignment, AttemptOutcome::Completed, now);
         }
     }
 
-    /// Runs until all that was counted must have come; nothing begins or ends.
+    /// Runs until all counts must have arrived, while no request starts or ends.
     pub fn settle(&mut self) {
         self.is_paused = true;
         self.run(1_500, 0);
@@ -371,70 +371,70 @@
     fn start_request(&mut self) {
         let now = self.now;
         let lane_index = self.rng.usize(..LANE_COUNT);
-        let ask = RequestHead {
+        let head = RequestHead {
             host: "h".into(),
             path: format!("/{lane_index}/x"),
             attempt_id: lane_index.to_string(),
             tenant: self.draw_tenant(),
             ..RequestHead::default()
         };
-        let Ok(lane) = self.proxy.find_lane("h", &ask.path, now) else {
+        let Ok(lane) = self.proxy.find_lane("h", &head.path, now) else {
             return;
         };
-        if let Admission::Assigned(placed) =
+        if let Admission::Assigned(assignment) =
             self.proxy
-                .assign_by_path(&lane, &ask, &[], now + 60_000, now)
+                .assign_by_path(&lane, &head, &[], now + 60_000, now)
         {
             self.started_count += 1;
             let ends_at = now + self.rng.u64(50..3_000);
             let first_chunk_at = self.first_chunk_time(ends_at);
             self.running.push(RunningRequest {
                 ends_at,
-                placed,
-                tenant: ask.tenant.as_str().into(),
+                assignment,
+                tenant: head.tenant.as_str().into(),
                 first_chunk_at,
             });
         }
     }
 
-    /// A tenant that sends a request; the first ones send most.
+    /// Returns a random tenant for a request; lower numbers are more frequent.
     fn draw_tenant(&mut self) -> String {
         if self.tenant_count == 0 {
             return String::new();
         }
-        let below = self.rng.u64(1..=self.tenant_count);
-        format!("tenant{:03}", self.rng.u64(..below))
+        let tenant_limit = self.rng.u64(1..=self.tenant_count);
+        format!("tenant{:03}", self.rng.u64(..tenant_limit))
     }
 
-    /// When a request that ends at some time has its first chunk, if it has one.
+    /// Returns the arrival time of the first chunk of a request that ends at `ends_at`, if it has one.
     fn first_chunk_time(&mut self, ends_at: Ms) -> Option<Ms> {
-        if self.tenant_count == 0 || self.rng.u64(..FAILING_REQUEST) == 0 {
+        if self.tenant_count == 0 || self.rng.u64(..FAILURE_PERIOD) == 0 {
             return None;
         }
         let first_chunk_at = self.now + self.rng.u64(..MAX_FIRST_CHUNK_DELAY);
         (first_chunk_at < ends_at).then_some(first_chunk_at)
     }
 
-    /// Kills the proxy and starts it again: its requests are gone.
+    /// Kills and restarts the proxy, which loses its requests.
     pub fn restart_proxy(&mut self) {
         self.running.clear();
         let seed = self.rng.u64(..);
         self.proxy = proxy(self.bounds.clone(), 100 + self.now, seed);
     }
 
-    /// Kills the agent and starts it again.
+    /// Kills and restarts the agent.
     pub fn restart_agent(&mut self) {
         let seed = self.rng.u64(..);
         self.agent = agent(100 + self.now, self.now, seed);
     }
 
-    /// Kills the control daemon and starts it again with its disk.
+    /// Kills the control daemon and restarts it with its disk.
     pub fn restart_control(&mut self) {
         let rows = self.control_disk.values().cloned().collect();
         self.control = control(self.bounds.clone(), rows, 100 + self.now, self.now);
     }
 
-    /// Usage as the control daemon has counted it.
+    /// Returns the usage that the control daemon has counted.
     pub fn counted_usage(&self) -> Usage {
         let table = self.control.usage();
         let windows = table.windows();
@@ -443,7 +443,7 @@
             .collect()
     }
 
-    /// Usage in truth, of requests that began up to a time.
+    /// Returns the exact usage of the requests that started at or before `through`.
     pub fn true_usage(&self, through: Ms) -> Usage {
         let mut usage = Usage::new();
         for first_chunk in &self.first_chunks {
@@ -459,7 +459,7 @@
         self.running.len() as u64
     }
 
-    /// Streams that the control daemon takes for open.
+    /// Returns the number of streams that the control daemon considers open.
     pub fn open_stream_count(&self) -> u64 {
         self.control
             .status(self.now)
@@ -469,7 +469,7 @@
             .sum()
     }
 
-    /// Requests that the control daemon has counted.
+    /// Returns the number of requests that the control daemon has counted.
     pub fn counted(&self) -> u64 {
         self.control.requests_counted("s", "v1").0
     }
--- a/coordination/tests/support/gossip.rs
+++ b/coordination/tests/support/gossip.rs
@@ -1,4 +1,4 @@
-//! Nodes that shuffle over a network that loses every tenth message, in virtual time.
+//! Simulated nodes that gossip over a network that loses one message in ten, in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 };
 use wire_messages::{Message, Name, Node, Shuffle};
 
-/// Of so many messages one is lost.
+/// One in this many messages is lost on average.
 const LOSS_PERIOD: u8 = 10;
 
-/// An edge with this name, which is its address too.
+/// Returns an edge that has `name` as its name and address.
 pub fn edge(name: &str) -> Node {
     Node {
         name: name.into(),
@@ -23,7 +23,7 @@
     }
 }
 
-/// A message on its way, also if it is about to be lost.
+/// A sent message, including one that the network will lose.
 pub struct Sent<'a> {
     pub from: &'a Name,
     pub to: &'a Name,
@@ -53,7 +53,7 @@
         self.run_observed(duration, |_| {});
     }
 
-    /// Runs and shows every message that is sent.
+    /// Runs for `duration` and passes every sent message to `observe`.
     pub fn run_observed(&mut self, duration: Ms, mut observe: impl FnMut(Sent)) {
         let end = self.now + duration;
         while self.now < end {
@@ -91,7 +91,7 @@
         pending
     }
 
-    /// What the receiver does, unless it is gone or the message is lost.
+    /// Returns the effects of the receiver, or `None` if it does not exist or the message is lost.
     fn deliver(&mut self, from: &Name, to: &Name, shuffle: Shuffle) -> Option<Effects> {
         let receiver = self.nodes.get_mut(to)?;
         if self.rng.u8(..LOSS_PERIOD) == 0 {
@@ -102,7 +102,7 @@
         Some(effects)
     }
 
-    /// False suspicions: over all nodes, how many other live ones each does not take for live.
+    /// Returns the number of false suspicions: live nodes that another node does not consider live, summed over all nodes.
     pub fn false_suspicion_count(&self) -> usize {
         self.nodes
             .values()
--- a/coordination/tests/support/lone_control.rs
+++ b/coordination/tests/support/lone_control.rs
@@ -4,7 +4,7 @@
 
 /// Its name and address.
 pub const NAME: &str = "c";
-/// The number of its disk.
+/// Id of its disk.
 pub const DISK_ID: u64 = 7;
 
 pub fn config() -> ControlConfig {
--- a/coordination/tests/usage.rs
+++ b/coordination/tests/usage.rs
@@ -1,5 +1,5 @@
-//! Usage counts on their way from a proxy over its agent to a control daemon, in virtual time: none is lost or counted
-//! twice, whatever is lost, late or restarts.
+//! Delivery of usage counts from a proxy through its agent to a control daemon, in virtual time: no count is lost or
+//! counted twice under message loss, delays and restarts.
 
 mod support;
 
@@ -12,10 +12,11 @@
 use wire_messages::MAX_NAME;
 
 const SEEDS: u64 = 20;
-/// Tenants and requests a second of most tests.
+/// Number of tenants in most tests.
 const TENANTS: u64 = 30;
+/// Requests per second in most tests.
 const RATE: u64 = 40;
-/// ms. Longest latency of a message in the bench.
+/// Maximum latency of a message in the bench, in ms.
 const LATENCY: Ms = 20;
 
 fn total(usage: &Usage) -> u64 {
@@ -23,14 +24,14 @@
 }
 
 fn expect_counted_exactly(bench: &Bench, context: &str) {
-    let truth = bench.true_usage(bench.now);
-    expect_that!(total(&truth), gt(100), "{context}");
-    expect_that!(bench.counted_usage(), eq(&truth), "{context}");
+    let expected = bench.true_usage(bench.now);
+    expect_that!(total(&expected), gt(100), "{context}");
+    expect_that!(bench.counted_usage(), eq(&expected), "{context}");
 }
 
-/// Guards against counts that a lost poll takes along, and that a repeated one counts again.
+/// Guards against counts that are lost with a lost poll or counted twice with a duplicated one.
 #[gtest]
-fn all_usage_arrives_once_whatever_is_lost_or_late() {
+fn all_usage_arrives_once_despite_loss_and_delay() {
     for seed in 0..SEEDS {
         let mut bench = Bench::counting_usage(seed, TENANTS);
         bench.loss_percent = 25;
@@ -44,18 +45,18 @@
     }
 }
 
-/// Guards against requests that count though no replica began them.
+/// Guards against counting requests that no replica started.
 #[gtest]
 fn an_attempt_that_ends_before_its_first_chunk_does_not_count() {
     let mut bench = Bench::counting_usage(1, TENANTS);
     bench.run(10_000, RATE);
     bench.settle();
-    let begun = total(&bench.counted_usage());
-    expect_that!(begun, lt(bench.started_count));
+    let started = total(&bench.counted_usage());
+    expect_that!(started, lt(bench.started_count));
     expect_counted_exactly(&bench, "");
 }
 
-/// Guards against a restarted proxy whose counts replace those of the one before.
+/// Guards against a restarted proxy whose counts replace those of its previous incarnation.
 #[gtest]
 fn a_proxy_that_restarts_adds_to_what_was_counted_before() {
     for seed in 0..SEEDS {
@@ -71,9 +72,9 @@
     }
 }
 
-/// Guards against a restarted agent by which all that its proxy counted is counted again, or lost.
+/// Guards against an agent restart after which the counts of its proxy are lost or counted again.
 #[gtest]
-fn an_agent_that_restarts_has_nothing_lost_or_counted_twice() {
+fn an_agent_restart_loses_and_duplicates_no_counts() {
     for seed in 0..SEEDS {
         let mut bench = Bench::counting_usage(seed, TENANTS);
         for _ in 0..3 {
@@ -86,14 +87,14 @@
     }
 }
 
-/// Guards against a restarted control daemon that hears only of what changes from then on.
+/// Guards against a restarted control daemon that receives only the counts that change after its restart.
 #[gtest]
 fn a_control_daemon_that_restarts_is_sent_all_windows_that_are_kept() {
     for seed in 0..SEEDS {
         let mut bench = Bench::counting_usage(seed, TENANTS);
         bench.run(3_000, RATE);
         bench.settle();
-        // The agent also resends what a proxy counted that is gone.
+        // The agent also resends the counts of the proxy's previous incarnation.
         bench.restart_proxy();
         bench.run(7_000, RATE);
         bench.restart_control();
@@ -103,65 +104,66 @@
     }
 }
 
-/// What a kill may lose, and what it lost: requests that began within `reach` before it, and requests not counted.
-fn losses(bench: &mut Bench, reach: Ms, kill: impl Fn(&mut Bench)) -> (u64, u64) {
+/// Returns the maximum and the actual loss of a kill: the number of requests that started within `max_age` before it,
+/// and the number of uncounted requests.
+fn losses(bench: &mut Bench, max_age: Ms, kill: impl Fn(&mut Bench)) -> (u64, u64) {
     let killed_at = bench.now;
     kill(bench);
     bench.run(3_000, 0);
-    let began = total(&bench.true_usage(killed_at));
-    let began_long_before = total(&bench.true_usage(killed_at - reach));
-    let lost = began - total(&bench.counted_usage());
-    (began - began_long_before, lost)
+    let started = total(&bench.true_usage(killed_at));
+    let started_earlier = total(&bench.true_usage(killed_at - max_age));
+    let lost = started - total(&bench.counted_usage());
+    (started - started_earlier, lost)
 }
 
-/// Guards against a killed proxy that takes along more than its last report interval.
+/// Guards against losing more than the last report interval when a proxy is killed.
 #[gtest]
 fn a_killed_proxy_loses_at_most_one_report_interval() {
-    let mut lost_ever = 0;
+    let mut total_lost = 0;
     for seed in 0..SEEDS {
         let mut bench = Bench::counting_usage(seed, TENANTS);
         bench.run(6_000 + seed * 37, RATE);
-        let reach = REPORT_INTERVAL + LATENCY;
-        let (most, lost) = losses(&mut bench, reach, Bench::restart_proxy);
-        expect_that!(lost, le(most), "seed {seed}");
-        lost_ever += lost;
+        let max_age = REPORT_INTERVAL + LATENCY;
+        let (max_lost, lost) = losses(&mut bench, max_age, Bench::restart_proxy);
+        expect_that!(lost, le(max_lost), "seed {seed}");
+        total_lost += lost;
     }
-    expect_that!(lost_ever, gt(0), "the bound is not reached by chance");
+    expect_that!(total_lost, gt(0), "no run lost any count");
 }
 
-/// Guards against a killed edge that takes along more than one report interval and one poll interval.
+/// Guards against losing more than one report interval and one poll interval when an edge is killed.
 #[gtest]
 fn a_killed_edge_loses_at_most_one_report_and_one_poll_interval() {
-    let mut lost_ever = 0;
+    let mut total_lost = 0;
     for seed in 0..SEEDS {
         let mut bench = Bench::counting_usage(seed, TENANTS);
         bench.run(6_000 + seed * 37, RATE);
-        let reach = REPORT_INTERVAL + POLL_INTERVAL + TICK_INTERVAL + 2 * LATENCY;
-        let (most, lost) = losses(&mut bench, reach, |bench| {
+        let max_age = REPORT_INTERVAL + POLL_INTERVAL + TICK_INTERVAL + 2 * LATENCY;
+        let (max_lost, lost) = losses(&mut bench, max_age, |bench| {
             bench.restart_proxy();
             bench.restart_agent();
         });
-        expect_that!(lost, le(most), "seed {seed}");
-        lost_ever += lost;
+        expect_that!(lost, le(max_lost), "seed {seed}");
+        total_lost += lost;
     }
-    expect_that!(lost_ever, gt(0), "the bound is not reached by chance");
+    expect_that!(total_lost, gt(0), "no run lost any count");
 }
 
-/// Guards against counts that wait for the end of their window.
+/// Guards against counts that are sent only at the end of their window.
 #[gtest]
 fn counts_go_out_at_every_poll() {
     let mut bench = Bench::counting_usage(1, TENANTS);
     for _ in 0..20 {
         bench.run(777, RATE);
-        let reach = REPORT_INTERVAL + POLL_INTERVAL + TICK_INTERVAL + 2 * LATENCY;
-        let earlier = total(&bench.true_usage(bench.now - reach));
+        let max_age = REPORT_INTERVAL + POLL_INTERVAL + TICK_INTERVAL + 2 * LATENCY;
+        let earlier = total(&bench.true_usage(bench.now - max_age));
         expect_that!(total(&bench.counted_usage()), ge(earlier));
     }
 }
 
-/// Guards against a time of day that steps and steps back, by which counts move to other windows.
+/// Guards against counts that move to other windows when the wall clock steps and steps back.
 #[gtest]
-fn a_time_of_day_that_steps_moves_no_count() {
+fn a_wall_clock_step_moves_no_count() {
     for (seed, step) in [-5_000, -500, 500, 5_000].into_iter().enumerate() {
         let mut bench = Bench::counting_usage(seed as u64, TENANTS);
         bench.run(25_000, RATE);
@@ -177,7 +179,7 @@
     }
 }
 
-/// Guards against windows that are kept for ever, by a proxy, an agent or a control daemon.
+/// Guards against windows that a proxy, an agent or a control daemon never drops.
 #[gtest]
 fn windows_are_dropped_once_their_report_is_long_due() {
     let mut bench = Bench::counting_usage(1, TENANTS);
@@ -190,7 +192,7 @@
     let at_proxy = bench.proxy.full_report(bench.now);
     let oldest_at_proxy = at_proxy.usage.iter().map(|counted| counted.window).min();
     expect_that!(oldest_at_proxy, some(ge(oldest_kept)));
-    // An agent sends all that it has to a control daemon that restarted.
+    // An agent sends all its counts to a restarted control daemon.
     bench.restart_control();
     bench.polls = PollTraffic::default();
     bench.run(8_000, 5);
@@ -198,9 +200,9 @@
     expect_that!(bench.counted_usage().len(), ge(at_control.len() - 2));
 }
 
-/// Guards against a table of all tenants at each edge, and against messages that are longer than a frame takes.
+/// Guards against a table of all tenants at each edge, and against messages that exceed the frame size.
 #[gtest]
-fn of_many_tenants_an_edge_keeps_those_that_it_saw_and_sends_them_in_parts() {
+fn an_edge_keeps_only_tenants_it_served_and_sends_them_in_parts() {
     const COUNTS_PER_MESSAGE: usize = 4_096;
     let mut bench = Bench::counting_usage(1, 14_000);
     bench.is_partitioned = true;
@@ -212,7 +214,7 @@
         .map(|tenants| tenants.len())
         .sum();
     expect_that!(seen, gt(COUNTS_PER_MESSAGE));
-    // The proxy's own reports are in parts too, to an agent that knows nothing.
+    // The proxy also splits its reports to an agent that has no counts.
     bench.restart_agent();
     let full_report = bench.proxy.full_report(bench.now);
     expect_that!(full_report.usage.len(), le(COUNTS_PER_MESSAGE));
@@ -225,9 +227,9 @@
     expect_counted_exactly(&bench, "");
 }
 
-/// Guards against a proxy that starts with a time of day hours ahead, after which its agent takes no window any more.
+/// Guards against an agent that accepts no more windows after its proxy started with a wall clock hours ahead.
 #[gtest]
-fn a_time_of_day_that_was_hours_ahead_at_the_start_blocks_nothing_later() {
+fn a_wall_clock_hours_ahead_at_start_blocks_no_later_counts() {
     let mut bench = Bench::counting_usage(1, TENANTS);
     bench.run(2_000, RATE);
     bench.proxy_clock_step = 7_200_000;
@@ -238,15 +240,15 @@
     let before = bench.first_chunks.len();
     bench.run(5_000, RATE);
     bench.settle();
-    let began = bench.first_chunks.len() - before;
+    let started = bench.first_chunks.len() - before;
     let counted = total(&bench.counted_usage());
-    expect_that!(began, gt(50));
-    expect_that!(counted, ge(began as u64));
+    expect_that!(started, gt(50));
+    expect_that!(counted, ge(started as u64));
 }
 
-/// Guards against a tenant's name that makes every report of its proxy too long to be sent.
+/// Guards against a tenant name that makes every report of its proxy too long to send.
 #[gtest]
-fn a_tenant_whose_name_no_message_carries_is_not_counted() {
+fn a_tenant_whose_name_exceeds_the_limit_is_not_counted() {
     let mut bench = Bench::counting_usage(1, TENANTS);
     for (length, counted) in [(MAX_NAME, 1), (MAX_NAME + 1, 0)] {
         let head = RequestHead {
@@ -275,9 +277,9 @@
     }
 }
 
-/// Guards against a window that is closed while counts of it are still on their way.
+/// Guards against a window that is closed while some of its counts are still in flight.
 #[gtest]
-fn what_was_heard_through_a_time_is_all_that_began_before_it() {
+fn usage_received_through_a_time_includes_all_earlier_requests() {
     for seed in 0..SEEDS {
         let mut bench = Bench::counting_usage(seed, TENANTS);
         for round in 0..30 {
@@ -289,22 +291,22 @@
                 bench.restart_agent();
             }
             bench.run(333, RATE);
-            let heard_through = bench.control.usage_received_through(bench.now);
-            let heard = bench.counted_usage();
-            for (window, tenants) in bench.true_usage(heard_through) {
-                for (tenant, began) in tenants {
-                    let counted = heard.get(&window).and_then(|counts| counts.get(&tenant));
-                    expect_that!(counted, some(ge(&began)), "seed {seed} round {round}");
+            let received_through = bench.control.usage_received_through(bench.now);
+            let received = bench.counted_usage();
+            for (window, tenants) in bench.true_usage(received_through) {
+                for (tenant, started) in tenants {
+                    let counted = received.get(&window).and_then(|counts| counts.get(&tenant));
+                    expect_that!(counted, some(ge(&started)), "seed {seed} round {round}");
                 }
             }
         }
     }
 }
 
-/// Guards against a window that waits until its deadline though all edges were heard, and against one that is closed
-/// although an edge was cut off that may be back in time.
+/// Guards against a window that stays open until its deadline although all edges have reported, and against one that is
+/// closed while an edge is partitioned that may reconnect in time.
 #[gtest]
-fn the_time_heard_through_follows_the_polls_and_waits_for_an_edge_that_is_cut_off() {
+fn usage_received_through_follows_polls_and_waits_for_a_partitioned_edge() {
     let mut bench = Bench::counting_usage(1, TENANTS);
     bench.run(5_000, RATE);
     let lag = bench.now - bench.control.usage_received_through(bench.now);
@@ -323,14 +325,14 @@
     expect_that!(bench.control.usage_received_through(bench.now), eq(0));
 }
 
-/// Guards against usage that costs more bytes than the aim: 1 KB/s for each edge and each control daemon that keeps it.
+/// Guards against usage that exceeds its bandwidth target: 1 KB/s per edge and per control daemon that keeps usage.
 #[gtest]
 fn usage_of_88_edges_adds_few_bytes() {
     const EDGES: u64 = 88;
     const FLEET_RATE: u64 = 800;
     const DURATION_S: usize = 60;
-    /// Bytes a second of an edge to a control daemon.
-    const AIM: usize = 1_000;
+    /// Maximum bytes per second from an edge to a control daemon.
+    const MAX_BYTES_PER_SECOND: usize = 1_000;
     let poll_bytes = |usage_window: Ms| {
         let mut bench = Bench::counting_usage(1, 87);
         bench.bounds.usage_window = usage_window;
@@ -344,9 +346,9 @@
     let (with, without) = (poll_bytes(USAGE_WINDOW), poll_bytes(0));
     let added = with - without;
     println!(
-        "an edge's polls to a daemon: {with} bytes/s with usage, {without} without; {} edges and 2 daemons: {} KB/s more",
+        "polls from an edge to a daemon: {with} bytes/s with usage, {without} without; {} edges and 2 daemons: {} KB/s more",
         EDGES,
         added * 2 * EDGES as usize / 1_000
     );
-    expect_that!(added, all!(gt(0), lt(AIM)));
+    expect_that!(added, all!(gt(0), lt(MAX_BYTES_PER_SECOND)));
 }
